--- a/packages/schema/src/linkhaven/schema/__init__.py
+++ b/packages/api/src/linkhaven/api/__init__.py
@@ -1,11 +1,11 @@
 from .check import check_document, list_complaints, read_schema
 from .events import EVENTS
-from .troubles import CATALOGUE, Trouble, read_trouble
+from .troubles import CATALOGUE, ServiceError, read_trouble
 
 __all__ = [
     "CATALOGUE",
     "EVENTS",
-    "Trouble",
+    "ServiceError",
     "check_document",
     "list_complaints",
     "read_schema",
--- a/packages/schema/src/linkhaven/schema/check.py
+++ b/packages/api/src/linkhaven/api/check.py
@@ -3,12 +3,12 @@
 
 import yaml
 
-from .troubles import Trouble
+from .troubles import ServiceError
 
 
 @lru_cache(maxsize=1)
 def read_schema():
-    text = resources.files("linkhaven.schema").joinpath("linkhaven.yaml").read_text()
+    text = resources.files("linkhaven.api").joinpath("linkhaven.yaml").read_text()
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     return yaml.load(text, loader)
 
@@ -34,5 +34,5 @@
 def check_document(name, document):
     complaints = list_complaints(name, document)
     if complaints:
-        raise Trouble("bad_request", places=complaints)
+        raise ServiceError("bad_request", places=complaints)
     return document
--- a/packages/schema/src/linkhaven/schema/troubles.py
+++ b/packages/api/src/linkhaven/api/troubles.py
@@ -228,7 +228,7 @@
 }
 
 
-class Trouble(Exception):
+class ServiceError(Exception):
     __slots__ = ("code", "done", "detail", "retry_us")
 
     def __init__(self, code, done=None, retry_us=None, **detail):
@@ -262,5 +262,5 @@
 def read_trouble(document, fallback):
     code = document.get("code") if isinstance(document, dict) else None
     if code not in CATALOGUE:
-        return Trouble(fallback)
-    return Trouble(code, document.get("done"), **(document.get("detail") or {}))
+        return ServiceError(fallback)
+    return ServiceError(code, document.get("done"), **(document.get("detail") or {}))
--- a/packages/plan/src/linkhaven/plan/bodies.py
+++ b/packages/configuration/src/linkhaven/configuration/bodies.py
@@ -9,7 +9,7 @@
 
 from collections import OrderedDict
 
-from linkhaven.clockwork import read_json
+from linkhaven.runtime import read_json
 
 from .messages import Bodies, WantBodies
 from .packing import BodyMismatchError, open_body, pack_body, write_plan
@@ -61,7 +61,7 @@
         self.tries = 0
 
 
-class BodyStore:
+class BlobStore:
     """The bodies that this node holds, in memory and, where it is a seat, on its disk."""
 
     __slots__ = ("node", "seat", "held", "synced", "writing", "wanted", "waiting")
--- a/packages/plan/src/linkhaven/plan/changes.py
+++ b/packages/configuration/src/linkhaven/configuration/changes.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from linkhaven.clockwork import read_json, write_json
+from linkhaven.runtime import read_json, write_json
 
 PARTS = ("groups", "kinds", "pools")
 """The parts of a plan whose items change one by one; all else is told whole where it differs."""
@@ -26,7 +26,7 @@
 
 
 def read_changes(text):
-    """Read what `write` wrote; raises msgspec.ValidationError or Trouble for anything else."""
+    """Read what `write` wrote; raises msgspec.ValidationError or ServiceError for anything else."""
     return msgspec.convert(read_json(text), PlanChanges)
 
 
--- a/packages/plan/src/linkhaven/plan/check.py
+++ b/packages/configuration/src/linkhaven/configuration/check.py
@@ -1,9 +1,9 @@
 import trafaret as t
 from cachetools import LRUCache
 
-from linkhaven.clockwork import write_json
-from linkhaven.schema import Trouble
-from linkhaven.schema.fields import list_places, number, whole
+from linkhaven.api import ServiceError
+from linkhaven.api.fields import list_places, number, whole
+from linkhaven.runtime import write_json
 
 US = whole(gte=1, lte=86_400_000_000)
 SHARE = number(least=0, most=1)
@@ -221,14 +221,14 @@
         places += list_places(fault)
     places += _list_clashes(document)
     if places:
-        raise Trouble("plan_invalid", places=sorted(places, key=lambda place: place["place"]))
+        raise ServiceError("plan_invalid", places=sorted(places, key=lambda place: place["place"]))
     return plan
 
 
 def check_plan(document):
     try:
         fill_plan(document)
-    except Trouble as trouble:
+    except ServiceError as trouble:
         return trouble.detail["places"]
     return []
 
--- a/packages/plan/src/linkhaven/plan/desk.py
+++ b/packages/configuration/src/linkhaven/configuration/desk.py
@@ -1,5 +1,5 @@
-from linkhaven.clockwork import read_json
-from linkhaven.schema import Trouble, check_document
+from linkhaven.api import ServiceError, check_document
+from linkhaven.runtime import read_json
 
 from .bodies import digests_of, name_bodies
 from .check import check_plan, fill_plan
@@ -24,13 +24,13 @@
 
 def _with(plan, part, entries):
     if not plan:
-        raise Trouble("plan_absent")
+        raise ServiceError("plan_absent")
     return {**plan, part: entries}
 
 
 def _without(plan, part, name):
     if name not in plan.get(part, {}):
-        raise Trouble(
+        raise ServiceError(
             "plan_invalid", places=[{"place": f"{part}/{name}", "fault": "is not in the plan"}]
         )
     return _with(plan, part, {other: terms for other, terms in plan[part].items() if other != name})
@@ -54,7 +54,7 @@
 
 
 def refuse_beside(plan, overlay, name, document):
-    raise Trouble(
+    raise ServiceError(
         "plan_invalid",
         places=[{"place": f"kinds/{name}", "fault": "is its document's; its sender removes it"}],
     )
@@ -93,12 +93,12 @@
     if outcome == "stopped":
         return value
     if outcome == "unknown":
-        return Trouble("put_unknown", retry_us=RETRY_US, put_id=put_id)
-    return Trouble("core_unready", retry_us=RETRY_US, why=value)
+        return ServiceError("put_unknown", retry_us=RETRY_US, put_id=put_id)
+    return ServiceError("core_unready", retry_us=RETRY_US, why=value)
 
 
 def lacking_body():
-    return Trouble(
+    return ServiceError(
         "core_unready", done="no", retry_us=RETRY_US, why="no seat gave the body of the plan"
     )
 
@@ -115,12 +115,12 @@
     """Why a put that the history has no row of isn't taken now; None where it may be."""
     mark = value["mark"] if value else 0
     if find_order(value, put_id) is not None:
-        return Trouble("put_id_used", put_id=put_id)
+        return ServiceError("put_id_used", put_id=put_id)
     if mark == expect:
         return None
     if expect < mark and not knows_mark(value, expect + 1):
-        return Trouble("put_unknown", put_id=put_id)
-    return Trouble("mark_conflict", expect=expect, mark=mark)
+        return ServiceError("put_unknown", put_id=put_id)
+    return ServiceError("mark_conflict", expect=expect, mark=mark)
 
 
 def digest_of_put(call, ordered):
@@ -129,7 +129,7 @@
     return digest_of_ordered([call.method, call.path.partition("?")[0], asked])
 
 
-class PlanDesk:
+class ConfigurationStore:
     """Operators' side of the plan: check, show and put, each answered over HTTP by a registry."""
 
     __slots__ = ("node", "proposer", "bodies", "image")
@@ -160,7 +160,7 @@
     def serve_check(self, call):
         places = check_plan(read_json(call.body))
         if places:
-            raise Trouble("plan_invalid", places=places)
+            raise ServiceError("plan_invalid", places=places)
         call.answer_json(200, {"fits": True})
 
     def serve_show(self, call):
@@ -182,7 +182,9 @@
 
         def end(outcome, value):
             if outcome != "chosen":
-                return done(Trouble("core_unready", done="no", retry_us=RETRY_US, why=value), None)
+                return done(
+                    ServiceError("core_unready", done="no", retry_us=RETRY_US, why=value), None
+                )
             if value is None:
                 return done(None, None)
             self.bodies.gather(value, lambda is_held: show(is_held, value))
@@ -277,7 +279,7 @@
         try:
             document, plan = order.make(held)
             fill_plan(plan)
-        except Trouble as trouble:
+        except ServiceError as trouble:
             return "stop", trouble
         names, texts = name_bodies(plan, document)
         self._sender_of(texts)(value)
@@ -331,9 +333,9 @@
             opened = self.bodies.opened(value) if value else {}
             if opened.get("document") is not None:
                 fault = "came as a document; its sender changes it by name"
-                raise Trouble("plan_invalid", places=[{"place": ".", "fault": fault}])
+                raise ServiceError("plan_invalid", places=[{"place": ".", "fault": fault}])
             if not opened:
-                raise Trouble("plan_absent")
+                raise ServiceError("plan_absent")
             plan = apply_to_mappings(opened["plan"], patch, PATCHED_PARTS)
             fill_plan(plan)
             return {**opened, "plan": plan}
@@ -396,7 +398,7 @@
         """The step that sets what `edit` makes of the value, with its bodies on their way."""
         try:
             edited = edit(value)
-        except Trouble as trouble:
+        except ServiceError as trouble:
             return "stop", trouble
         names, texts = name_bodies(edited["plan"], edited.get("document"))
         self._sender_of(texts)(value)
--- a/packages/plan/src/linkhaven/plan/document_order.py
+++ b/packages/configuration/src/linkhaven/configuration/document_order.py
@@ -1,6 +1,6 @@
 """An order to change the document of another door, and whether it may be taken."""
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 from .taken import find_order, knows_revision
 
@@ -50,10 +50,10 @@
         is_found = find_order(value, self.revision) is not None
         may_be_taken = self.base < self.revision <= held and not is_found
         if may_be_taken and not knows_revision(value, self.revision):
-            return Trouble("put_unknown", put_id=self.put_id)
-        return Trouble("revision_conflict", base=self.base, revision=held)
+            return ServiceError("put_unknown", put_id=self.put_id)
+        return ServiceError("revision_conflict", base=self.base, revision=held)
 
     def _refusal_as_old(self, held):
         if self.revision > held:
             return None
-        return Trouble("revision_old", given=self.revision, revision=held)
+        return ServiceError("revision_old", given=self.revision, revision=held)
--- a/packages/plan/src/linkhaven/plan/image.py
+++ b/packages/configuration/src/linkhaven/configuration/image.py
@@ -3,7 +3,7 @@
 from .overlay import effective_plan
 
 
-class PlanImage:
+class ConfigurationSnapshot:
     """The newest plan a node holds, and the highest mark it has heard of; neither ever goes back."""
 
     __slots__ = ("mark", "value", "plan", "highest", "on_new")
--- a/packages/plan/src/linkhaven/plan/messages.py
+++ b/packages/configuration/src/linkhaven/configuration/messages.py
@@ -1,6 +1,6 @@
 """The messages that carry bodies of plans and documents."""
 
-from linkhaven.clockwork import Message
+from linkhaven.runtime import Message
 
 
 class Bodies(Message, tag="bodies"):
--- a/packages/plan/src/linkhaven/plan/news.py
+++ b/packages/configuration/src/linkhaven/configuration/news.py
@@ -6,7 +6,7 @@
 
 from cachetools import LRUCache
 
-from linkhaven.clockwork import read_json
+from linkhaven.runtime import read_json
 
 from .changes import diff_of
 from .overlay import overlay_of
@@ -54,7 +54,7 @@
         self.urgent_us = urgent_us
 
 
-class NewsDesk:
+class WatchServer:
     """Holds each router's ask until there is something to tell or a hold runs out."""
 
     __slots__ = (
--- a/packages/plan/src/linkhaven/plan/overlay.py
+++ b/packages/configuration/src/linkhaven/configuration/overlay.py
@@ -1,4 +1,4 @@
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 from .check import fill_plan
 
@@ -26,7 +26,7 @@
 
 
 def _misfit(place, fault):
-    return Trouble("plan_invalid", places=[{"place": place, "fault": fault}])
+    return ServiceError("plan_invalid", places=[{"place": place, "fault": fault}])
 
 
 def _check(plan, overlay):
--- a/packages/plan/src/linkhaven/plan/patch.py
+++ b/packages/configuration/src/linkhaven/configuration/patch.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 NAME = "name"
 
@@ -40,7 +40,7 @@
     def refuse(self):
         """Raise `plan_invalid` with all places, if there are any."""
         if self.places:
-            raise Trouble("plan_invalid", places=self.places)
+            raise ServiceError("plan_invalid", places=self.places)
 
 
 def read_list_patch(document):
--- a/packages/plan/src/linkhaven/plan/reader.py
+++ b/packages/configuration/src/linkhaven/configuration/reader.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from linkhaven.clockwork import read_json
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
+from linkhaven.runtime import read_json
 
 from .changes import apply_changes, read_changes
 from .pace import AskPace
@@ -64,7 +64,7 @@
         self.ask_us = ask_us
 
 
-class NewsReader:
+class ConfigurationWatcher:
     """What a router knows of the plan in force, and as of when."""
 
     __slots__ = (
@@ -265,7 +265,7 @@
             plan = apply_changes(self.image.value["plan"], changes)
             if digest_of(write_plan(plan)) != digest:
                 raise BodyMismatchError(f"the changes don't lead to the plan named {digest}")
-        except (BodyMismatchError, msgspec.ValidationError, Trouble) as fault:
+        except (BodyMismatchError, msgspec.ValidationError, ServiceError) as fault:
             self.takes_changes = False
             return self.node.ports.log(1304, digest=digest, why=str(fault))
         self._take_plan(value, plan, None)
--- /dev/null
+++ b/packages/consensus/src/linkhaven/consensus/__init__.py
@@ -0,0 +1,4 @@
+from .proposer import Proposer
+from .seat import Replica, default_terms
+
+__all__ = ["Proposer", "Replica", "default_terms"]
--- a/packages/register/src/linkhaven/register/rejoin.py
+++ b/packages/consensus/src/linkhaven/consensus/rejoin.py
@@ -19,7 +19,7 @@
 BROWSERS_AT_MOST = 4
 
 
-class Rejoin:
+class Recovery:
     """What each start of a seat goes through before it votes: it hears how the others stand, raises its incarnation,
     has them record that, and only then reads what they hold, page by page; so nothing that an older occupant of
     this seat took part in can be chosen behind its back.
--- a/packages/register/src/linkhaven/register/seat.py
+++ b/packages/consensus/src/linkhaven/consensus/seat.py
@@ -3,7 +3,7 @@
 from .holders import Holders
 from .leaving import Leaving
 from .occupants import Occupants
-from .rejoin import BEGINNING, FENCED, LEARNING, REJOINING, SEALED, SPARE, VOTING, Rejoin
+from .rejoin import BEGINNING, FENCED, LEARNING, REJOINING, SEALED, SPARE, VOTING, Recovery
 from .successor import Successor
 
 SWEEP_US = 10_000_000
@@ -13,7 +13,7 @@
 CLAIM = "claim/"
 
 
-class Cell:
+class RegisterState:
     __slots__ = ("promise", "accepted", "value", "chosen", "kept_us", "version")
 
     def __init__(self, promise=None, accepted=None, value=None, kept_us=0):
@@ -32,7 +32,7 @@
     return {"keep_us": DAY_US, "most": 200_000}
 
 
-class Seat:
+class Replica:
     """One core seat: acceptor of every key. Claims of one-time keys are kept for as long as the plan says and never
     forgotten before; when there is no room for more, new ones get no vote."""
 
@@ -96,7 +96,9 @@
         held = node.ports.disk.load()
         self.seat = held.get("seat", "") if self.is_learned else seat
         self.cells = {
-            key[5:]: Cell(*record) for key, record in held.items() if key.startswith("cell/")
+            key[5:]: RegisterState(*record)
+            for key, record in held.items()
+            if key.startswith("cell/")
         }
         self.claims = deque(
             sorted((cell.kept_us, key) for key, cell in self.cells.items() if key.startswith(CLAIM))
@@ -116,7 +118,7 @@
         self.votes_from_us = 0
         self.occupants = Occupants(node, self, held.get("occupants", {}))
         self.ticked_us = now_us
-        self.rejoin = Rejoin(node, self)
+        self.rejoin = Recovery(node, self)
         self.holders = Holders(node, self)
         self.leaving = Leaving(node, self, self.holders)
         self.successor = Successor(node, self, held.get("offer"))
@@ -138,12 +140,12 @@
         return self.standing == VOTING
 
     def cell(self, key):
-        return self.cells.get(key) or Cell()
+        return self.cells.get(key) or RegisterState()
 
     def _cell_to_keep(self, key):
         cell = self.cells.get(key)
         if cell is None:
-            cell = self.cells[key] = Cell(kept_us=self.clock_us)
+            cell = self.cells[key] = RegisterState(kept_us=self.clock_us)
             if key.startswith(CLAIM):
                 self.claims.append((cell.kept_us, key))
         return cell
--- a/packages/registry/src/linkhaven/registry/disk.py
+++ b/packages/controller/src/linkhaven/controller/disk.py
@@ -22,7 +22,7 @@
 
 import lmdb
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 MAP_BYTES = 1 << 30
 FORMAT = 1
@@ -85,12 +85,12 @@
             self._check_length()
             self.env = self._open()
         except CORRUPT_FAULTS as fault:
-            raise Trouble("disk_corrupt", data=folder, why=str(fault)) from None
+            raise ServiceError("disk_corrupt", data=folder, why=str(fault)) from None
         except (lmdb.Error, OSError) as fault:
-            raise Trouble("disk_failing", data=folder, why=str(fault)) from None
+            raise ServiceError("disk_failing", data=folder, why=str(fault)) from None
         try:
             self._check()
-        except Trouble:
+        except ServiceError:
             self.close()
             raise
 
@@ -123,7 +123,7 @@
     def _check_length(self):
         """A file that ends before its first pages would be taken for a new one."""
         if os.path.getsize(self._path(DATA)) == 0:
-            raise Trouble("disk_corrupt", data=self.folder, why="data.mdb has no bytes")
+            raise ServiceError("disk_corrupt", data=self.folder, why="data.mdb has no bytes")
 
     def _check(self):
         """A file that ends before its last page would end this process when it is read."""
@@ -140,21 +140,23 @@
             ):
                 raise ValueError("a record is not one of this program's")
         except (lmdb.Error, ValueError) as fault:
-            raise Trouble("disk_corrupt", data=self.folder, why=str(fault)) from None
+            raise ServiceError("disk_corrupt", data=self.folder, why=str(fault)) from None
 
     def _check_header(self):
         with self.env.begin() as txn:
             stored = txn.get(HEADER.encode())
             has_records = txn.stat()["entries"] > 0
         if stored is None and has_records:
-            raise Trouble("disk_format", data=self.folder, held=0, reads=FORMAT)
+            raise ServiceError("disk_format", data=self.folder, held=0, reads=FORMAT)
         if stored is None:
             raise ValueError("data.mdb has no header")
         header = unpack_value(HEADER.encode(), bytes(stored))
         if header["format"] != FORMAT:
-            raise Trouble("disk_format", data=self.folder, held=header["format"], reads=FORMAT)
+            raise ServiceError("disk_format", data=self.folder, held=header["format"], reads=FORMAT)
         if header["node"] != self.node:
-            raise Trouble("disk_foreign", data=self.folder, held=header["node"], node=self.node)
+            raise ServiceError(
+                "disk_foreign", data=self.folder, held=header["node"], node=self.node
+            )
 
     def attach(self, clock):
         """The clock whose turns the writes are gathered by."""
@@ -236,7 +238,7 @@
     another format is whole and good for another release: it is never set aside."""
     try:
         return LmdbDisk(folder, most_bytes, node)
-    except Trouble as trouble:
+    except ServiceError as trouble:
         if trouble.code == "disk_failing":
             raise
         log(1212, code=trouble.code, **trouble.detail)
@@ -245,6 +247,6 @@
     try:
         set_aside(folder, most_bytes)
     except OSError as fault:
-        raise Trouble("disk_failing", data=folder, why=str(fault)) from None
+        raise ServiceError("disk_failing", data=folder, why=str(fault)) from None
     log(1213, data=folder)
     return LmdbDisk(folder, most_bytes, node)
--- a/packages/registry/src/linkhaven/registry/keeper.py
+++ b/packages/controller/src/linkhaven/controller/keeper.py
@@ -1,5 +1,5 @@
-from linkhaven.clockwork import Table
 from linkhaven.runner import Runner, Starts
+from linkhaven.runtime import Table
 
 from .changes import RosterChanges
 
@@ -13,7 +13,7 @@
 SERIALS_A_START = 1 << 32
 
 
-class RosterKeeper:
+class RunnerDiscovery:
     """Keeps the list of runners from the platform's list, the runners' reports and the routers'
     first-hand word. Works while one of the duties that need it is held."""
 
--- a/packages/registry/src/linkhaven/registry/messages.py
+++ b/packages/controller/src/linkhaven/controller/messages.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from linkhaven.clockwork import Message
+from linkhaven.runtime import Message
 
 
 class ContactAsk(Message, tag="contact_ask", frozen=True):
--- a/packages/registry/src/linkhaven/registry/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -1,20 +1,26 @@
 from msgspec.structs import asdict
 
-from linkhaven.clockwork import Node
+from linkhaven.api import ServiceError
+from linkhaven.configuration import (
+    BlobStore,
+    ConfigurationSnapshot,
+    ConfigurationStore,
+    WatchServer,
+    write_plan,
+)
+from linkhaven.consensus import Proposer, Replica, default_terms
 from linkhaven.credit import QuotaAllocator
-from linkhaven.duty import Lease, LeaseRecord
-from linkhaven.plan import BodyStore, NewsDesk, PlanDesk, PlanImage, write_plan
-from linkhaven.register import Proposer, Seat, default_terms
-from linkhaven.ring import Ring
+from linkhaven.leases import Lease, LeaseRecord
+from linkhaven.membership import Membership
 from linkhaven.runner import RunnerDesk
-from linkhaven.schema import Trouble
+from linkhaven.runtime import Node
 
 from .contact import Contact
 from .gate import KeyGate
-from .keeper import RosterKeeper
+from .keeper import RunnerDiscovery
 from .messages import Image, WantImage
 from .status import CoreStatus
-from .switcher import PhaseSwitcher
+from .switcher import RoleBalancer
 from .views import Views
 
 IMAGE_WAIT_US = 1_000_000
@@ -27,7 +33,7 @@
 DUTIES = ("steward", "bursar", "roster")
 
 
-class RegistryNode(Node):
+class ControllerNode(Node):
     __slots__ = (
         "ring",
         "seat",
@@ -81,7 +87,7 @@
         super().__init__(name, address, ports, terms)
         seats = SEATS[: self.terms.seats]
         self.incarnation = incarnation
-        self.image = PlanImage()
+        self.image = ConfigurationSnapshot()
         self.is_draining = False
         self.told_image = None
         self.usage = {}
@@ -93,11 +99,11 @@
         self.unreleased = set()
         self.has_left_seat = False
         self.rewritten = set()
-        self.ring = Ring(
+        self.ring = Membership(
             self, "registry", zone, seeds, incarnation, seat or "", mark_of=lambda: self.image.mark
         )
         self.proposer = Proposer(self, self.ring, silent_us=self.terms.silent_us)
-        self.seat = Seat(
+        self.seat = Replica(
             self, seat, seats, self.ring, self._hear_change, self._hear_votes, self._claim_terms
         )
         self.seat.occupants.contact = contact or address
@@ -105,10 +111,10 @@
         self.contacts = sorted(contacts)
         self.gate = KeyGate(self, self.seat, self.ring, self.image)
         self.proposer.held_of = self.seat.held_of
-        self.bodies = BodyStore(self, self.seat)
-        self.plan_desk = PlanDesk(self, self.proposer, self.bodies, self.image)
+        self.bodies = BlobStore(self, self.seat)
+        self.plan_desk = ConfigurationStore(self, self.proposer, self.bodies, self.image)
         self.contact = Contact(self, self.seat, self.ring, self.image)
-        self.news = NewsDesk(self, self.seat, self.proposer, self.image, self.bodies)
+        self.news = WatchServer(self, self.seat, self.proposer, self.image, self.bodies)
         self.news.has_contact = self.contact.is_held
         self.desk = desk_of(self)
         self.duties = {duty: Lease(self, duty, self.proposer, self.seat) for duty in DUTIES}
@@ -116,12 +122,12 @@
             duty.incarnation_of = self._incarnation_of
         self._rank_duties()
         self.duties["roster"].on_won = self.news.answer_all
-        self.keeper = RosterKeeper(
+        self.keeper = RunnerDiscovery(
             self, self.desk, platform, (self.duties["roster"], self.duties["steward"])
         )
         self.keeper.on_blind = self.duties["roster"].step_down
         self.keeper.on_ready = self.news.answer_all
-        self.switcher = PhaseSwitcher(
+        self.switcher = RoleBalancer(
             self, self.duties["steward"], self.keeper, self.desk, self.image
         )
         self.bursar = QuotaAllocator(self, self.duties["bursar"], self.image)
@@ -230,7 +236,9 @@
 
         def done(trouble, value):
             if trouble is not None or self.image.plan is None:
-                return call.answer_trouble(trouble or Trouble("plan_absent", retry_us=2_000_000))
+                return call.answer_trouble(
+                    trouble or ServiceError("plan_absent", retry_us=2_000_000)
+                )
             self._tell_groups(call)
 
         self.plan_desk.read_document(done)
@@ -238,7 +246,7 @@
     def _tell_groups(self, call):
         plan = self.image.plan
         if plan is None:
-            raise Trouble("plan_absent", retry_us=2_000_000)
+            raise ServiceError("plan_absent", retry_us=2_000_000)
         told = [
             usage for usage, heard_us in self.usage.values() if self.now_us() - heard_us <= USAGE_US
         ]
@@ -418,7 +426,7 @@
 
     def serve_restore(self, call):
         if not self.seat.restore():
-            raise Trouble("seat_not_waiting", standing=self.seat.standing)
+            raise ServiceError("seat_not_waiting", standing=self.seat.standing)
         call.answer_json(200, {"seat": self.seat.seat, "standing": self.seat.standing})
 
     def serve_standing(self, call):
--- a/packages/registry/src/linkhaven/registry/program.py
+++ b/packages/controller/src/linkhaven/controller/program.py
@@ -2,8 +2,8 @@
 
 from cleo.helpers import argument, option
 
-from linkhaven.plan import check_plan, diff_plans
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
+from linkhaven.configuration import check_plan, diff_plans
 from linkhaven.wire import Shell, make_log
 from linkhaven.wire.console import (
     PLACE_OPTIONS,
@@ -14,7 +14,7 @@
 )
 
 from .disk import open_disk
-from .node import RegistryNode
+from .node import ControllerNode
 
 REGISTRY_OPTION = option(
     "registry", "r", "HTTP address of a registry", flag=False, default="127.0.0.1:8001"
@@ -49,7 +49,7 @@
         disk = open_disk(settings["data"], settings["data_bytes"], settings["name"], log)
 
         def build(ports, incarnation):
-            return RegistryNode(
+            return ControllerNode(
                 settings["name"],
                 settings["lines"],
                 ports,
@@ -92,14 +92,14 @@
     def act(self):
         places = check_plan(read_document(self.argument("file")))
         if places:
-            raise Trouble("plan_invalid", places=places)
+            raise ServiceError("plan_invalid", places=places)
         self.line("The plan fits.")
 
 
 def read_expect(command, least):
     text = command.option("expect")
     if text is None or not text.isdigit() or int(text) < least:
-        raise Trouble(
+        raise ServiceError(
             "bad_request",
             places=[{"place": "--expect", "fault": "needs the mark that 'plan show' gives"}],
         )
@@ -178,7 +178,7 @@
         wanted = read_document(self.argument("file"))
         places = check_plan(wanted)
         if places:
-            raise Trouble("plan_invalid", places=places)
+            raise ServiceError("plan_invalid", places=places)
         held = call_json(self.option("registry"), "GET", "/v1/plan")
         self.show({"mark": held["mark"], "changes": list(diff_plans(held["plan"] or {}, wanted))})
 
@@ -245,7 +245,7 @@
             if not text.replace(".", "", name == "weight").isdigit()
         ]
         if wrong:
-            raise Trouble(
+            raise ServiceError(
                 "bad_request",
                 places=[{"place": f"--{name}", "fault": "is not a number"} for name in wrong],
             )
@@ -289,7 +289,7 @@
         held = call_json(self.option("registry"), "GET", "/v1/plan")
         kind = ((held["plan"] or {}).get("kinds") or {}).get(self.argument("name"))
         if kind is None:
-            raise Trouble(
+            raise ServiceError(
                 "plan_invalid",
                 places=[{"place": f"kinds/{self.argument('name')}", "fault": "is not in the plan"}],
             )
@@ -325,7 +325,7 @@
 
     def act(self):
         if not self.option("yes"):
-            raise Trouble(
+            raise ServiceError(
                 "bad_request",
                 places=[
                     {
--- a/packages/registry/src/linkhaven/registry/switcher.py
+++ b/packages/controller/src/linkhaven/controller/switcher.py
@@ -40,7 +40,7 @@
 """What a reader may take to end the read that it has begun before it switches."""
 
 
-class PhaseSwitcher:
+class RoleBalancer:
     """Orders runners' phases while its duty is held.
 
     Two kinds of change. A planned one follows the ratio search: one at a time in a pool, routers
--- a/packages/credit/src/linkhaven/credit/admission_queues.py
+++ b/packages/credit/src/linkhaven/credit/admission_queues.py
@@ -4,8 +4,8 @@
 group's queue until the group has credit and its turn comes (`scheduler.py`).
 """
 
-from linkhaven.clockwork import Table
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
+from linkhaven.runtime import Table
 
 from .group_account import GroupAccount
 from .group_settings import read_group
@@ -34,7 +34,8 @@
 class AdmissionQueues:
     """The group accounts of one router, with admission and fair queueing.
 
-    Errors are raised as `Trouble`: `credit_spent` where the group lacks credit, else `queue_full`.
+    Errors are raised as `ServiceError`: `credit_spent` where the group lacks credit, else
+    `queue_full`.
     """
 
     __slots__ = (
@@ -136,10 +137,10 @@
             raise refusal(account, wait_us, max(RETRY_LEAST_US, wait_us))
 
     def _credit_spent(self, account, wait_us, retry_us):
-        return Trouble("credit_spent", retry_us=retry_us, group=account.name, wait_us=wait_us)
+        return ServiceError("credit_spent", retry_us=retry_us, group=account.name, wait_us=wait_us)
 
     def _queue_full(self, account, wait_us, retry_us):
-        return Trouble("queue_full", retry_us=retry_us, group=account.name, wait_us=wait_us)
+        return ServiceError("queue_full", retry_us=retry_us, group=account.name, wait_us=wait_us)
 
     def remove(self, group, request):
         """Take a request out of its group's queue, if it is queued."""
--- a/packages/ring/src/linkhaven/ring/__init__.py
+++ b/packages/membership/src/linkhaven/membership/__init__.py
@@ -1,6 +1,6 @@
 """Membership and failure detection of the fleet."""
 
 from .member import Member
-from .ring import Ring
+from .ring import Membership
 
-__all__ = ["Member", "Ring"]
+__all__ = ["Member", "Membership"]
--- a/packages/ring/src/linkhaven/ring/messages.py
+++ b/packages/membership/src/linkhaven/membership/messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from linkhaven.clockwork import PROTOCOL_VERSION, Message
+from linkhaven.runtime import PROTOCOL_VERSION, Message
 
 UNTOLD_VERSION = 0
 """The version of a member that says none: it is from before versions stood in the hello."""
--- a/packages/ring/src/linkhaven/ring/ring.py
+++ b/packages/membership/src/linkhaven/membership/ring.py
@@ -19,7 +19,7 @@
 from bisect import bisect_left
 from functools import lru_cache
 
-from linkhaven.clockwork import PROTOCOL_VERSION, Table
+from linkhaven.runtime import PROTOCOL_VERSION, Table
 
 from .member import Member
 from .messages import (
@@ -58,7 +58,7 @@
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=PLACE_BYTES).digest(), "big")
 
 
-class Ring:
+class Membership:
     """The members that one node knows, and its part in watching them.
 
     `on_standing` hears of each member that came, went up or went down; `on_mark` of the plan's
--- a/packages/pairing/src/linkhaven/pairing/messages.py
+++ b/packages/pairing/src/linkhaven/pairing/messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from linkhaven.clockwork import Message
+from linkhaven.runtime import Message
 
 
 class QueueView(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -1,8 +1,8 @@
 """Attempts of requests at runners, and what follows when one fails."""
 
+from linkhaven.api import ServiceError
 from linkhaven.pairing import NO_BOUND_US, Decision, Work
 from linkhaven.runner.roster import PREFILL
-from linkhaven.schema import Trouble
 
 from . import request as states
 from .relay import Relay
@@ -44,9 +44,9 @@
             is_queued = request.state == states.QUEUED
             may_be_sent = request.has_begun or request.attempts > 0
             trouble = (
-                Trouble("runner_lost", why="a fault at its start")
+                ServiceError("runner_lost", why="a fault at its start")
                 if may_be_sent
-                else Trouble("no_runner", retry_us=self.node.terms.retry_least_us)
+                else ServiceError("no_runner", retry_us=self.node.terms.retry_least_us)
             )
             self.node.end_in_trouble(request, trouble)
             return not is_queued
@@ -105,7 +105,7 @@
         """The final answer, at once, with when to come back; gives False, as nothing was placed."""
         request.decisions.append(decision)
         self.node.invariants.check_refusal(request, decision)
-        trouble = Trouble(
+        trouble = ServiceError(
             "no_runner",
             retry_us=retry_us,
             why=why,
@@ -235,7 +235,9 @@
             request.failed, source, tokens, request.pool
         ) or self.pairing.choose_decode((), source, tokens, request.pool)
         if runner is None:
-            return self.fail(request, request.runner, Trouble("no_runner", done="unknown"), True)
+            return self.fail(
+                request, request.runner, ServiceError("no_runner", done="unknown"), True
+            )
         request.note(self.node.now_us(), "hand-over", runner=runner.name)
         request.runner = runner
         self._decode(request, runner, request.handle)
@@ -327,12 +329,12 @@
         return (
             trouble
             if trouble.done == "unknown"
-            else Trouble(trouble.code, done="unknown", **trouble.detail)
+            else ServiceError(trouble.code, done="unknown", **trouble.detail)
         )
 
     def _run_unknown(self, request, trouble):
         is_callers = request.resume and request.resume[1] == request.written
-        return Trouble("run_unknown", done="no" if is_callers else "unknown")
+        return ServiceError("run_unknown", done="no" if is_callers else "unknown")
 
     def _retry(self, request, trouble):
         if not self.node.may_start():
@@ -383,7 +385,7 @@
         others = [other for other in self.pairing.open_runners(request.pool) if other is not runner]
         if not others or not self.extra.has(1, request.pool) or not self._has_attempts(request, 1):
             return False
-        self.fail(request, runner, Trouble("runner_lost", why=f"status {status}"), True)
+        self.fail(request, runner, ServiceError("runner_lost", why=f"status {status}"), True)
         return True
 
     def _has_attempts(self, request, cost):
@@ -400,8 +402,8 @@
 
     def _spent(self, request, trouble):
         if not request.has_begun:
-            return Trouble("no_runner", retry_us=self.node.terms.retry_least_us)
-        return Trouble("extra_spent", retry_us=1_000_000, after=trouble.code)
+            return ServiceError("no_runner", retry_us=self.node.terms.retry_least_us)
+        return ServiceError("extra_spent", retry_us=1_000_000, after=trouble.code)
 
     def move(self, request, target, why):
         if not self.node.may_start() or not self.extra.spend(
@@ -430,7 +432,7 @@
                 continue
             why = self.silence.why_given_up(request, now_us)
             if why is not None:
-                self.fail(request, request.runner, Trouble("runner_lost", why=why), True)
+                self.fail(request, request.runner, ServiceError("runner_lost", why=why), True)
 
     def may_go_on_elsewhere(self, request):
         """Whether another attempt is allowed, paid for, and has a runner to go to."""
--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -1,4 +1,4 @@
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 PASS, HOLD = "pass", "hold"
 
@@ -20,7 +20,7 @@
             try:
                 if step(request) is HOLD:
                     return
-            except Trouble as trouble:
+            except ServiceError as trouble:
                 return self.answer(request, trouble)
 
 
@@ -38,9 +38,9 @@
 
     def bound(self, request):
         if self.node.is_draining and not self.node.is_lingering():
-            raise Trouble("draining", retry_us=self.node.away_us())
+            raise ServiceError("draining", retry_us=self.node.away_us())
         if len(self.node.requests) > self.node.requests_at_most:
-            raise Trouble("too_busy", retry_us=1_000_000)
+            raise ServiceError("too_busy", retry_us=1_000_000)
         return PASS
 
     def read(self, request):
@@ -57,7 +57,7 @@
             request.kind_name = self.node.doors.find(request.host, request.path)
         kind = plan["kinds"].get(request.kind_name)
         if kind is None:
-            raise Trouble("unknown_kind", kind=request.kind_name)
+            raise ServiceError("unknown_kind", kind=request.kind_name)
         request.kind = kind
         request.group = kind["group"]
         request.pool = self.node.choose_pool(kind)
@@ -73,7 +73,7 @@
             request.prompt_tokens > kind["prompt_tokens"]
             or request.answer_tokens > kind["answer_tokens"]
         ):
-            raise Trouble(
+            raise ServiceError(
                 "prompt_too_long",
                 prompt_tokens=request.prompt_tokens,
                 answer_tokens=request.answer_tokens,
@@ -87,14 +87,14 @@
         if place is None:
             return PASS
         if not request.is_resumable:
-            raise Trouble("not_resumable", kind=request.kind_name)
+            raise ServiceError("not_resumable", kind=request.kind_name)
         request.run, request.written = place
         request.resume = place
         return PASS
 
     def claim(self, request):
         if request.kind["key_required"] and not request.key:
-            raise Trouble("key_missing", kind=request.kind_name)
+            raise ServiceError("key_missing", kind=request.kind_name)
         if not request.is_one_time or not request.key:
             return PASS
         self.node.keys.claim(request, self.node.chain.walk)
--- a/packages/router/src/linkhaven/router/explain.py
+++ b/packages/router/src/linkhaven/router/explain.py
@@ -2,7 +2,7 @@
 
 from cachetools import FIFOCache
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 from .messages import Explanation, WantExplanation
 
@@ -62,7 +62,7 @@
             return call.answer_json(200, record)
         owner = self.ring.fellows.get(id.rsplit("-", 2)[0])
         if owner is None or not owner.is_up:
-            raise Trouble("no_such_request", request=id)
+            raise ServiceError("no_such_request", request=id)
         self.asked.setdefault(id, []).append((call, self.node.now_us() + ASK_US))
         self.node.send(owner.address, WantExplanation(id))
 
@@ -80,7 +80,7 @@
             if call.is_ended:
                 continue
             if record is None:
-                call.answer_trouble(Trouble("no_such_request", request=id))
+                call.answer_trouble(ServiceError("no_such_request", request=id))
             else:
                 call.answer_json(200, record)
 
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -1,7 +1,7 @@
 import hashlib
 from collections import OrderedDict
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 from . import request as states
 
@@ -30,7 +30,7 @@
     def claim(self, request, go_on):
         request.state = states.CLAIMING
         if len(self.won) >= self.terms["most"]:
-            raise Trouble(
+            raise ServiceError(
                 "claim_unavailable",
                 retry_us=self._room_us(),
                 why="this router keeps as many keys as the plan allows",
@@ -51,9 +51,9 @@
             if outcome == "chosen":
                 return go_on(request)
             if outcome == "stopped":
-                return self.node.end_in_trouble(request, Trouble("key_used"))
+                return self.node.end_in_trouble(request, ServiceError("key_used"))
             self.node.end_in_trouble(
-                request, Trouble("claim_unavailable", retry_us=1_000_000, why=value)
+                request, ServiceError("claim_unavailable", retry_us=1_000_000, why=value)
             )
 
         digest = hashlib.blake2b(request.key.encode(), digest_size=20).hexdigest()
--- a/packages/router/src/linkhaven/router/messages.py
+++ b/packages/router/src/linkhaven/router/messages.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from linkhaven.clockwork import Message
+from linkhaven.runtime import Message
 
 
 class WantExplanation(Message, tag="want_explain", frozen=True):
--- a/packages/router/src/linkhaven/router/native.py
+++ b/packages/router/src/linkhaven/router/native.py
@@ -1,6 +1,6 @@
-from linkhaven.clockwork import read_json
+from linkhaven.api import ServiceError, check_document
 from linkhaven.runner.pieces import read_place, write_event
-from linkhaven.schema import Trouble, check_document
+from linkhaven.runtime import read_json
 
 KEY_AT_MOST = 200
 STREAM_HEADERS = {"content-type": "text/event-stream", "cache-control": "no-store"}
@@ -26,7 +26,7 @@
         request.answer_tokens = document.get("answer_tokens", 0)
         request.key = request.call.headers.get("idempotency-key") or None
         if request.key and len(request.key) > KEY_AT_MOST:
-            raise Trouble(
+            raise ServiceError(
                 "bad_request", places=[{"place": "Idempotency-Key", "fault": "is too long"}]
             )
 
@@ -36,7 +36,7 @@
             return None
         place = read_place(told)
         if place is None:
-            raise Trouble("bad_resume", told=told[:100])
+            raise ServiceError("bad_resume", told=told[:100])
         return place
 
     def begin(self, request, head):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -1,11 +1,11 @@
-from linkhaven.clockwork import Node, Table
+from linkhaven.api import ServiceError
+from linkhaven.configuration import ConfigurationSnapshot, ConfigurationWatcher
+from linkhaven.consensus import Proposer
 from linkhaven.credit import GRANT_NUMBERS_PER_FENCE, AdmissionQueues, RetryBudget
+from linkhaven.membership import Membership
 from linkhaven.pairing import NO_BOUND_US, Flow, Pairing
-from linkhaven.plan import NewsReader, PlanImage
-from linkhaven.register import Proposer
-from linkhaven.ring import Ring
 from linkhaven.runner import Roster, RunnerDesk
-from linkhaven.schema import Trouble
+from linkhaven.runtime import Node, Table
 
 from . import request as states
 from .attempts import Attempts
@@ -104,11 +104,13 @@
         self.callers = callers or NativeCallers()
         self.doors = Doors()
         self.incarnation = incarnation
-        self.image = PlanImage()
-        self.ring = Ring(self, "router", zone, seeds, incarnation, mark_of=lambda: self.image.mark)
+        self.image = ConfigurationSnapshot()
+        self.ring = Membership(
+            self, "router", zone, seeds, incarnation, mark_of=lambda: self.image.mark
+        )
         self.ring.on_mark.append(lambda mark, fellow: self.image.hear_mark(mark))
         self.proposer = Proposer(self, self.ring, majority)
-        self.news = NewsReader(self, self.ring, self.image, majority, self._count_routers)
+        self.news = ConfigurationWatcher(self, self.ring, self.image, majority, self._count_routers)
         self.roster = Roster(self)
         self.desk = desk_of(self)
         self.keys = Keys(self, self.proposer)
@@ -180,14 +182,16 @@
         """Queued work of a kind that is gone is refused at once; that of one now in another group goes to its queue."""
         kind = plan["kinds"].get(request.kind_name)
         if kind is None:
-            return self.end_in_trouble(request, Trouble("unknown_kind", kind=request.kind_name))
+            return self.end_in_trouble(
+                request, ServiceError("unknown_kind", kind=request.kind_name)
+            )
         if kind["group"] == request.group:
             return
         self.credit.remove(request.group, request)
         request.kind, request.group, request.admitted_mark = kind, kind["group"], self.image.mark
         try:
             self.credit.enqueue(request.group, request)
-        except Trouble as trouble:
+        except ServiceError as trouble:
             self.end_in_trouble(request, trouble)
 
     def _pace_at_first(self):
@@ -265,7 +269,7 @@
             and not self.image.is_behind
             and self.news.confirmed_us is not None
         ):
-            raise Trouble("plan_absent", retry_us=2_000_000)
+            raise ServiceError("plan_absent", retry_us=2_000_000)
         if not self.may_start():
             raise self.say_closed()
 
@@ -273,8 +277,8 @@
         """A router that takes no work is expected to be closed for as long again as it has been."""
         retry_us = min(CLOSED_MOST_US, max(1_000_000, self.now_us() - self.closed_us))
         if not self.news.is_fresh():
-            return Trouble("plan_stale", done=done, retry_us=retry_us, mark=self.image.mark)
-        return Trouble("roster_stale", done=done, retry_us=retry_us)
+            return ServiceError("plan_stale", done=done, retry_us=retry_us, mark=self.image.mark)
+        return ServiceError("roster_stale", done=done, retry_us=retry_us)
 
     def choose_pool(self, kind):
         """Where a kind is split over pools, each has its weight's part of the requests."""
@@ -444,7 +448,7 @@
 
     def _lose_caller(self, request):
         if request.state != states.ENDED:
-            self.end_in_trouble(request, Trouble("caller_gone"))
+            self.end_in_trouble(request, ServiceError("caller_gone"))
 
     def _keep_deadlines(self, now_us):
         for request in self.requests.rows():
@@ -453,7 +457,7 @@
             if request.has_begun:
                 self.attempts.note_unanswered(request)
                 self.end_in_trouble(
-                    request, Trouble("deadline", retry_us=self.credit.wait_us(request.group))
+                    request, ServiceError("deadline", retry_us=self.credit.wait_us(request.group))
                 )
                 continue
             cause = self._find_cause(request)
@@ -462,7 +466,7 @@
             self.unserved[cause] = self.unserved.get(cause, 0) + 1
             retry_us = max(1_000_000, self.credit.wait_us(request.group))
             self.end_in_trouble(
-                request, Trouble("deadline_unserved", retry_us=retry_us, cause=cause)
+                request, ServiceError("deadline_unserved", retry_us=retry_us, cause=cause)
             )
 
     def _find_cause(self, request):
@@ -528,7 +532,7 @@
     def _refuse_waiting(self):
         for request in self.requests.rows():
             if not request.has_begun and request.part is None:
-                self.end_in_trouble(request, Trouble("draining", retry_us=self.away_us()))
+                self.end_in_trouble(request, ServiceError("draining", retry_us=self.away_us()))
 
     def _drain(self, now_us):
         if not self.is_draining or self.on_drained is None:
@@ -537,7 +541,7 @@
             return
         if now_us - self.drain_us >= self.terms.drain_us:
             for request in self.requests.rows():
-                self.end_in_trouble(request, Trouble("cut_by_drain"))
+                self.end_in_trouble(request, ServiceError("cut_by_drain"))
         if not self.requests:
             self.ring.say_bye()
             drained, self.on_drained = self.on_drained, None
--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -1,7 +1,7 @@
 """What a runner's answer means for its request, while the attempt that asked for it lasts."""
 
+from linkhaven.api import ServiceError
 from linkhaven.runner.roster import DECODE
-from linkhaven.schema import Trouble
 
 from . import request as states
 
@@ -45,7 +45,7 @@
 
     def _break(self, why):
         self.request.part.abandon()
-        self.attempts.node.end_in_trouble(self.request, Trouble("stream_broken", why=why))
+        self.attempts.node.end_in_trouble(self.request, ServiceError("stream_broken", why=why))
 
     def on_piece(self, piece):
         if self.is_over():
--- a/packages/runner/src/linkhaven/runner/adapter.py
+++ b/packages/runner/src/linkhaven/runner/adapter.py
@@ -1,7 +1,7 @@
 """The client of the runners: prefill, decode, phase orders, reports, and the list of them."""
 
-from linkhaven.clockwork import Hearer, read_json, write_json
-from linkhaven.schema import Trouble, read_trouble
+from linkhaven.api import ServiceError, read_trouble
+from linkhaven.runtime import ResponseHandler, read_json, write_json
 
 from .pieces import PieceReader
 
@@ -39,21 +39,25 @@
         self.body += data
         if len(self.body) > ANSWER_BYTES:
             self.close()
-            self._end(Trouble("runner_lost", why="an answer without end"), None, True)
+            self._end(ServiceError("runner_lost", why="an answer without end"), None, True)
 
     def on_end(self):
         """Hand on the document, or the error that the runner told."""
         try:
             document = read_json(self.body)
-        except Trouble:
-            return self._end(Trouble("runner_lost", why="an answer that is not JSON"), None, True)
+        except ServiceError:
+            return self._end(
+                ServiceError("runner_lost", why="an answer that is not JSON"), None, True
+            )
         if self.status != OK or not isinstance(document, dict):
             return self._end(read_trouble(document, "runner_lost"), None, True)
         self._end(None, document, True)
 
     def on_trouble(self, has_begun):
         """End as `runner_lost`: the connection failed."""
-        self._end(Trouble("runner_lost", done="unknown" if has_begun else "no"), None, has_begun)
+        self._end(
+            ServiceError("runner_lost", done="unknown" if has_begun else "no"), None, has_begun
+        )
 
     def _end(self, trouble, document, has_begun):
         if self.is_done:
@@ -97,7 +101,7 @@
         if status != OK:
             return
         if headers.get("request-id") != self.request:
-            return self._end(Trouble("stream_broken", why="an answer for another request"))
+            return self._end(ServiceError("stream_broken", why="an answer for another request"))
         after = headers.get("after", "")
         self.hearer.on_begin(headers.get("run", ""), int(after) if after.isdigit() else -1)
 
@@ -110,7 +114,7 @@
             return
         try:
             pieces = self.reader.feed(data)
-        except Trouble as trouble:
+        except ServiceError as trouble:
             return self._end(trouble)
         for piece in pieces:
             if self.is_over:
@@ -126,16 +130,16 @@
     def on_end(self):
         """End as `runner_lost` if the stream was cut, else with the error that the runner told."""
         if self.status == OK:
-            return self._end(Trouble("runner_lost", why="a stream without its end"))
+            return self._end(ServiceError("runner_lost", why="a stream without its end"))
         try:
             document = read_json(self.body)
-        except Trouble:
+        except ServiceError:
             document = None
         self._end(read_trouble(document, "runner_lost"))
 
     def on_trouble(self, has_begun):
         """End as `runner_lost`: the connection failed."""
-        self._end(Trouble("runner_lost", done="unknown" if has_begun else "no"), has_begun)
+        self._end(ServiceError("runner_lost", done="unknown" if has_begun else "no"), has_begun)
 
     def _end(self, trouble, has_begun=True):
         if self.is_over:
@@ -170,7 +174,7 @@
 
     def _call(self, address, method, path, document, part):
         body = write_json(document) if document is not None else b""
-        hearer = Hearer(part.on_head, part.on_data, part.on_end, part.on_trouble)
+        hearer = ResponseHandler(part.on_head, part.on_data, part.on_end, part.on_trouble)
         part.outing = self.node.ports.wire.open(address, method, path, HEADERS, body, hearer)
         return part
 
@@ -193,7 +197,9 @@
             if trouble is not None:
                 return done(trouble, None, has_begun)
             if not self.is_answer_to(request, runner, document):
-                return done(Trouble("runner_lost", why="an answer for another request"), None, True)
+                return done(
+                    ServiceError("runner_lost", why="an answer for another request"), None, True
+                )
             done(None, document["handle"], has_begun)
 
         return self._call(runner.address, "POST", "/v1/prefill", self._ask(request), Reply(check))
--- a/packages/runner/src/linkhaven/runner/pieces.py
+++ b/packages/runner/src/linkhaven/runner/pieces.py
@@ -1,7 +1,7 @@
 """Pieces of an answer as server-sent events: written by the router, read from runners."""
 
-from linkhaven.clockwork import read_json, write_json
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
+from linkhaven.runtime import read_json, write_json
 
 EVENT_BYTES = 1_000_000
 """The longest event that is read, in bytes."""
@@ -54,7 +54,7 @@
         blocks = (self.rest + data).split(b"\n\n")
         self.rest = blocks.pop()
         if len(self.rest) > EVENT_BYTES:
-            raise Trouble("stream_broken", why="an event without end")
+            raise ServiceError("stream_broken", why="an event without end")
         return [self._read(block) for block in blocks if block.strip()]
 
     def _read(self, block):
@@ -67,6 +67,6 @@
         event = fields.get(b"event", b"").decode("utf-8", "replace")
         try:
             document = read_json(fields.get(b"data", b"null"))
-        except Trouble:
-            raise Trouble("stream_broken", why="an event that is not JSON") from None
+        except ServiceError:
+            raise ServiceError("stream_broken", why="an event that is not JSON") from None
         return Piece(event, run, number, document if isinstance(document, dict) else {})
--- a/packages/runner/src/linkhaven/runner/roster.py
+++ b/packages/runner/src/linkhaven/runner/roster.py
@@ -1,6 +1,6 @@
 """The list of runners at a node, and what the node itself saw of them."""
 
-from linkhaven.clockwork import Table
+from linkhaven.runtime import Table
 
 PREFILL, DECODE = "prefill", "decode"
 PLAIN = "plain"
--- a/packages/clockwork/src/linkhaven/clockwork/__init__.py
+++ b/packages/runtime/src/linkhaven/runtime/__init__.py
@@ -9,21 +9,21 @@
     write_line,
 )
 from .node import Node
-from .ports import Call, Hearer, Ports
+from .ports import Call, Ports, ResponseHandler
 from .tables import Table
-from .terms import Terms
+from .terms import Bounds
 from .text import read_json, write_json
 
 __all__ = [
     "PROTOCOL_VERSION",
     "Call",
-    "Hearer",
+    "ResponseHandler",
     "LineReader",
     "Message",
     "Node",
     "Ports",
     "Table",
-    "Terms",
+    "Bounds",
     "kind_of",
     "read_json",
     "reply_address_of",
--- a/packages/clockwork/src/linkhaven/clockwork/messages.py
+++ b/packages/runtime/src/linkhaven/runtime/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import UNSET, UnsetType
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 from .text import read_json, write_json
 
@@ -89,7 +89,7 @@
             return decode(line) if decode is not None else read_json(line)
         except msgspec.ValidationError as fault:
             raise self._refusal(fault) from None
-        except (msgspec.DecodeError, RecursionError, Trouble):
+        except (msgspec.DecodeError, RecursionError, ServiceError):
             return self._read_leniently(line)
 
     def _read_leniently(self, line):
@@ -103,4 +103,4 @@
             raise self._refusal(fault) from None
 
     def _refusal(self, fault):
-        return Trouble("message_malformed", why=str(fault)[:WHY_CHARACTERS])
+        return ServiceError("message_malformed", why=str(fault)[:WHY_CHARACTERS])
--- a/packages/clockwork/src/linkhaven/clockwork/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -2,15 +2,15 @@
 
 from msgspec.structs import replace
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 from .messages import LineReader, Message
-from .terms import Terms
+from .terms import Bounds
 
 LATE_TICK_US = 1_000_000
 """A tick this late tells that the process was paused."""
 
-HANDLER_FAULTS = (KeyError, TypeError, ValueError, AttributeError, Trouble)
+HANDLER_FAULTS = (KeyError, TypeError, ValueError, AttributeError, ServiceError)
 """What a handler may raise over a message; it is logged, and the next message is handled."""
 
 
@@ -38,7 +38,7 @@
 
     def __init__(self, name, address, ports, terms=None):
         """Nothing is registered yet; `terms` are the bounds that its settings say."""
-        self.terms = terms or Terms()
+        self.terms = terms or Bounds()
         self.name = name
         self.address = address
         self.ports = ports
@@ -78,7 +78,7 @@
         """
         try:
             return self.reader.read(line)
-        except Trouble as trouble:
+        except ServiceError as trouble:
             self.ports.log(1006, code=trouble.code, **trouble.detail)
             if trouble.code != "message_malformed":
                 raise
@@ -121,10 +121,10 @@
             stem, _, rest = path.rpartition("/")
             serve = self.paths.get((call.method, stem + "/"))
         if serve is None:
-            return call.answer_trouble(Trouble("unknown_path", path=path, method=call.method))
+            return call.answer_trouble(ServiceError("unknown_path", path=path, method=call.method))
         try:
             serve(call) if rest is None else serve(call, rest)
-        except Trouble as trouble:
+        except ServiceError as trouble:
             if not call.is_ended and not call.is_begun:
                 call.answer_trouble(trouble)
 
--- a/packages/clockwork/src/linkhaven/clockwork/ports.py
+++ b/packages/runtime/src/linkhaven/runtime/ports.py
@@ -21,7 +21,7 @@
         self.log = log
 
 
-class Hearer:
+class ResponseHandler:
     """What becomes of an outgoing call: its head, its data, then one of end and trouble."""
 
     __slots__ = ("on_head", "on_data", "on_end", "on_trouble")
--- a/packages/clockwork/src/linkhaven/clockwork/terms.py
+++ b/packages/runtime/src/linkhaven/runtime/terms.py
@@ -1,7 +1,7 @@
 """The bounds in time that a deployment's settings say."""
 
 
-class Terms:
+class Bounds:
     """A node's time bounds, in microseconds unless named otherwise; set once at its start.
 
     `plan_stale_us` and `roster_stale_us`: how old the confirmation of the plan and the list of
--- a/packages/clockwork/src/linkhaven/clockwork/text.py
+++ b/packages/runtime/src/linkhaven/runtime/text.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 ENCODER = json.JSONEncoder(separators=(",", ":"), ensure_ascii=False)
 READ = msgspec.json.Decoder().decode
@@ -34,6 +34,6 @@
     try:
         return json.loads(body.decode() if isinstance(body, bytes) else body)
     except (ValueError, RecursionError) as fault:
-        raise Trouble(
+        raise ServiceError(
             "bad_request", places=[{"place": ".", "fault": f"not JSON: {fault}"[:FAULT_CHARACTERS]}]
         ) from None
--- a/packages/simulator/src/linkhaven/simulator/program.py
+++ b/packages/simulator/src/linkhaven/simulator/program.py
@@ -1,6 +1,6 @@
 from cleo.helpers import argument, option
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 from linkhaven.stage.fleet import DEPLOYMENTS
 from linkhaven.wire.console import CodedCommand, run_application
 from linkhaven.wire.settings import read_settings
@@ -22,7 +22,7 @@
         document = read_settings(self.argument("file"))
         if self.option("seed"):
             if not self.option("seed").isdigit():
-                raise Trouble(
+                raise ServiceError(
                     "question_invalid",
                     places=[{"place": "--seed", "fault": "is not a whole number"}],
                 )
@@ -50,7 +50,7 @@
 
     def act(self):
         if self.argument("deployment") not in DEPLOYMENTS:
-            raise Trouble(
+            raise ServiceError(
                 "question_invalid",
                 places=[
                     {"place": "deployment", "fault": f"is not one of {', '.join(DEPLOYMENTS)}"}
--- a/packages/simulator/src/linkhaven/simulator/question.py
+++ b/packages/simulator/src/linkhaven/simulator/question.py
@@ -2,10 +2,10 @@
 
 import trafaret as t
 
-from linkhaven.plan import check_plan
-from linkhaven.registry import DUTIES
-from linkhaven.schema import Trouble
-from linkhaven.schema.fields import NAME, list_places, number, whole
+from linkhaven.api import ServiceError
+from linkhaven.api.fields import NAME, list_places, number, whole
+from linkhaven.configuration import check_plan
+from linkhaven.controller import DUTIES
 from linkhaven.stage.faults import ALL
 from linkhaven.stage.fleet import DEPLOYMENTS
 
@@ -153,14 +153,14 @@
     try:
         question = QUESTION.check(document)
     except t.DataError as fault:
-        raise Trouble(
+        raise ServiceError(
             "question_invalid", places=sorted(list_places(fault), key=lambda place: place["place"])
         ) from None
     places = _clashes_of(question, "")
     for name, change in question["what_if"].items():
         places += _clashes_of_change(question, name, change)
     if places:
-        raise Trouble("question_invalid", places=places)
+        raise ServiceError("question_invalid", places=places)
     return question
 
 
--- a/packages/stage/src/linkhaven/stage/changecourse.py
+++ b/packages/stage/src/linkhaven/stage/changecourse.py
@@ -15,8 +15,8 @@
 | `ALL_POWERLESS` | the same, and what wasn't synced | all at once |
 """
 
-from linkhaven.clockwork import write_json
-from linkhaven.registry import DUTIES
+from linkhaven.controller import DUTIES
+from linkhaven.runtime import write_json
 
 from .core import SimCore
 from .cutcourse import PLAN
--- a/packages/stage/src/linkhaven/stage/control.py
+++ b/packages/stage/src/linkhaven/stage/control.py
@@ -4,7 +4,7 @@
 be, by name, and nothing where all holds.
 """
 
-from linkhaven.clockwork import Terms
+from linkhaven.runtime import Bounds
 
 from .changecourse import (
     ALL_KILLED,
@@ -75,7 +75,7 @@
 def judge_cut(course):
     """What the course shows that may not be, by name; empty where all holds."""
     history = History(course.operators.calls)
-    terms = Terms()
+    terms = Bounds()
     late = terms.silent_us + 2 * TICK_US
     cut = course.while_cut(history.calls)
     first, *later = cut
@@ -119,7 +119,7 @@
 
 def judge_changes(course):
     """What no return may show, by name; empty where all holds."""
-    terms = Terms(**course.core.terms)
+    terms = Bounds(**course.core.terms)
     bound_us = terms.vacant_us + terms.alone_us + SECOND
     first, last = returns_of(course, WIPED)
     found = {
--- a/packages/stage/src/linkhaven/stage/core.py
+++ b/packages/stage/src/linkhaven/stage/core.py
@@ -1,5 +1,5 @@
-from linkhaven.clockwork import Terms
-from linkhaven.registry import RegistryNode
+from linkhaven.controller import ControllerNode
+from linkhaven.runtime import Bounds
 
 from .standins import StandInPlatform
 from .world import Host, SimDisk, World
@@ -33,14 +33,14 @@
         is_first = [bootstrap]
 
         def build(host, ports):
-            terms = Terms(**self.terms, bootstrap=is_first[0])
+            terms = Bounds(**self.terms, bootstrap=is_first[0])
             is_first[0] = False
             seeds = [
                 other.address
                 for other in self.machines.values()
                 if other is not host and other.node
             ][:3]
-            return RegistryNode(
+            return ControllerNode(
                 host.name,
                 host.address,
                 ports,
--- a/packages/stage/src/linkhaven/stage/cutcourse.py
+++ b/packages/stage/src/linkhaven/stage/cutcourse.py
@@ -5,7 +5,7 @@
 go on. What is sampled beside the operators' history: whether the member calls its configuration
 current, and what duties it holds."""
 
-from linkhaven.registry import DUTIES
+from linkhaven.controller import DUTIES
 
 from .core import SimCore
 from .orders import REFUSED, TAKEN, Operators, Order
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -1,14 +1,14 @@
 """The only module of the explorer that touches the insides of the real nodes: how one is built, what its
 messages say, how it is asked, and what it holds. A rename in the nodes is followed here."""
 
-from linkhaven.clockwork import Node, Terms
-from linkhaven.duty import Lease
-from linkhaven.plan import BodyStore, PlanDesk, PlanImage
-from linkhaven.plan.taken import digest_of_order, read_history
-from linkhaven.register import Proposer, Seat
-from linkhaven.registry import RegistryNode
-from linkhaven.ring import Ring
-from linkhaven.ring.messages import Members
+from linkhaven.configuration import BlobStore, ConfigurationSnapshot, ConfigurationStore
+from linkhaven.configuration.taken import digest_of_order, read_history
+from linkhaven.consensus import Proposer, Replica
+from linkhaven.controller import ControllerNode
+from linkhaven.leases import Lease
+from linkhaven.membership import Membership
+from linkhaven.membership.messages import Members
+from linkhaven.runtime import Bounds, Node
 
 SEATS = ("a", "b", "c", "d", "e")
 PLAN = {
@@ -58,15 +58,15 @@
 
     def __init__(self, name, address, ports, terms, has_duty, contacts):
         super().__init__(name, address, ports, terms)
-        self.ring = Ring(self, "registry", "z", [], ports.clock.now_us() + ports.clock.start)
+        self.ring = Membership(self, "registry", "z", [], ports.clock.now_us() + ports.clock.start)
         self.systems.remove(self.ring.tick)
         self.proposer = Proposer(self, self.ring)
         seats = SEATS[: terms.seats]
-        self.seat = Seat(self, None, seats, self.ring, lambda key: None, self._hear_votes)
+        self.seat = Replica(self, None, seats, self.ring, lambda key: None, self._hear_votes)
         self.seat.occupants.contact = address
-        self.image = PlanImage()
-        self.bodies = BodyStore(self, self.seat)
-        self.plan_desk = PlanDesk(self, self.proposer, self.bodies, self.image)
+        self.image = ConfigurationSnapshot()
+        self.bodies = BlobStore(self, self.seat)
+        self.plan_desk = ConfigurationStore(self, self.proposer, self.bodies, self.image)
         self.duty = Lease(self, DUTY, self.proposer, self.seat) if has_duty else None
         if contacts and self.seat.is_empty and not self.seat.seat:
             self.seat.begin_first(seats[contacts.index(address)], contacts)
@@ -83,7 +83,7 @@
     def build(machine, ports):
         is_first = machine.address in contacts and machine.address not in begun
         begun.add(machine.address)
-        terms = Terms(seats=seats)
+        terms = Bounds(seats=seats)
         node = CoreNode(
             machine.name, machine.address, ports, terms, has_duty, contacts if is_first else ()
         )
@@ -115,7 +115,7 @@
         seeds = [
             other.address for other in machine.world.machines.values() if other is not machine
         ][:seats]
-        return RegistryNode(
+        return ControllerNode(
             machine.name,
             machine.address,
             ports,
@@ -124,7 +124,7 @@
             ports.clock.now_us() + machine.starts,
             None,
             "10.9.0.1:80",
-            Terms(seats=seats, alone_us=1_000_000, bootstrap=is_first, **terms),
+            Bounds(seats=seats, alone_us=1_000_000, bootstrap=is_first, **terms),
             contacts=contacts if is_first else (),
         )
 
--- a/packages/stage/src/linkhaven/stage/explore/world.py
+++ b/packages/stage/src/linkhaven/stage/explore/world.py
@@ -7,7 +7,7 @@
 import json
 import random
 
-from linkhaven.clockwork import Ports, write_line
+from linkhaven.runtime import Ports, write_line
 
 START_US = 60_000_000
 TICK_US = 50_000
--- a/packages/stage/src/linkhaven/stage/fleet.py
+++ b/packages/stage/src/linkhaven/stage/fleet.py
@@ -1,8 +1,8 @@
 import random
 
-from linkhaven.clockwork import read_json
-from linkhaven.registry import DUTIES, RegistryNode
+from linkhaven.controller import DUTIES, ControllerNode
 from linkhaven.router import RouterNode
+from linkhaven.runtime import read_json
 
 from .people import Caller, Operator
 from .standins import Speeds, StandInPlatform, StandInRunner
@@ -209,7 +209,7 @@
 
     def _build_registry(self, seat, seeds=None):
         def build(host, ports):
-            return RegistryNode(
+            return ControllerNode(
                 host.name,
                 host.address,
                 ports,
--- a/packages/stage/src/linkhaven/stage/line_costs.py
+++ b/packages/stage/src/linkhaven/stage/line_costs.py
@@ -7,12 +7,12 @@
 import json
 import timeit
 
-from linkhaven.clockwork import LineReader, Node, write_json, write_line
+from linkhaven.configuration.packing import pack_body
+from linkhaven.configuration.taken import digest_of
+from linkhaven.controller.messages import Image, Keys, WantKeys
+from linkhaven.membership.messages import Beat, MemberRecord, Members
 from linkhaven.pairing.messages import QueueView, QueueViews
-from linkhaven.plan.packing import pack_body
-from linkhaven.plan.taken import digest_of
-from linkhaven.registry.messages import Image, Keys, WantKeys
-from linkhaven.ring.messages import Beat, MemberRecord, Members
+from linkhaven.runtime import LineReader, Node, write_json, write_line
 
 ROUNDS = 7
 ROUND_SECONDS = 0.2
--- a/packages/stage/src/linkhaven/stage/loopback.py
+++ b/packages/stage/src/linkhaven/stage/loopback.py
@@ -8,7 +8,7 @@
 import threading
 import time
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 from linkhaven.wire import Shell
 from linkhaven.wire.console import call_json
 from linkhaven.wire.settings import split_address
@@ -206,7 +206,7 @@
                     "/v1/plan",
                     {"expect": expect, "put_id": f"fleet-{expect}", "plan": plan},
                 )
-            except Trouble as trouble:
+            except ServiceError as trouble:
                 if trouble.done != "no" or trouble.code == "mark_conflict":
                     raise
         raise RuntimeError("no registry took the plan")
--- a/packages/stage/src/linkhaven/stage/people.py
+++ b/packages/stage/src/linkhaven/stage/people.py
@@ -1,5 +1,5 @@
-from linkhaven.clockwork import Hearer, Node, read_json, write_json
 from linkhaven.runner import PieceReader
+from linkhaven.runtime import Node, ResponseHandler, read_json, write_json
 
 from .standins import digest
 
@@ -107,7 +107,7 @@
             key=asked.headers.get("idempotency-key"),
             answer_tokens=read_json(asked.body)["answer_tokens"],
         )
-        hearer = Hearer(
+        hearer = ResponseHandler(
             lambda status, headers: self._head(asked, status, headers),
             lambda data: self._data(asked, data),
             lambda: self._end(asked, routers),
@@ -241,7 +241,7 @@
             path,
             JSON,
             body,
-            Hearer(
+            ResponseHandler(
                 on_head,
                 on_data,
                 lambda: done(told["status"], read_json(told["body"])),
--- a/packages/stage/src/linkhaven/stage/scenario.py
+++ b/packages/stage/src/linkhaven/stage/scenario.py
@@ -1,4 +1,4 @@
-from linkhaven.registry import DUTIES
+from linkhaven.controller import DUTIES
 
 from .checkers import judge
 from .faults import Faults
--- a/packages/stage/src/linkhaven/stage/slopes/hollow.py
+++ b/packages/stage/src/linkhaven/stage/slopes/hollow.py
@@ -1,7 +1,7 @@
 import gc
 
-from linkhaven.plan.taken import KEPT_ORDERS
-from linkhaven.registry import DUTIES
+from linkhaven.configuration.taken import KEPT_ORDERS
+from linkhaven.controller import DUTIES
 
 from ..fleet import Deployment, SimFleet
 from ..standins import Speeds
--- a/packages/stage/src/linkhaven/stage/slopes/meter.py
+++ b/packages/stage/src/linkhaven/stage/slopes/meter.py
@@ -1,6 +1,6 @@
 from time import process_time_ns
 
-from linkhaven.clockwork import Hearer, kind_of, write_json, write_line
+from linkhaven.runtime import ResponseHandler, kind_of, write_json, write_line
 
 TICK = "tick"
 TIMER = "timer"
@@ -156,7 +156,7 @@
             meter.carry(other, own, channel, len(data))
             watch.run(own, channel, hearer.on_data, data)
 
-        heard = Hearer(
+        heard = ResponseHandler(
             on_head,
             on_data,
             lambda: watch.run(own, channel, hearer.on_end),
--- a/packages/stage/src/linkhaven/stage/soak/node.py
+++ b/packages/stage/src/linkhaven/stage/soak/node.py
@@ -5,8 +5,8 @@
 can only listen where their settings send their fellows.
 """
 
-from linkhaven.registry import RegistryNode
-from linkhaven.registry.disk import open_disk
+from linkhaven.controller import ControllerNode
+from linkhaven.controller.disk import open_disk
 from linkhaven.router import RouterNode
 from linkhaven.wire import Shell, make_log
 
@@ -57,7 +57,7 @@
     disk = open_disk(settings["data"], settings["data_bytes"], settings["name"], log)
 
     def build(ports, incarnation):
-        return RegistryNode(
+        return ControllerNode(
             settings["name"],
             settings["lines"],
             ports,
--- a/packages/stage/src/linkhaven/stage/soak/operators.py
+++ b/packages/stage/src/linkhaven/stage/soak/operators.py
@@ -2,7 +2,7 @@
 
 import threading
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 from linkhaven.wire.console import call_json
 
 from .relay import now_us
@@ -64,7 +64,7 @@
         while True:
             try:
                 answer = call_json(self._next_address(), "PUT", PATH, order)
-            except Trouble as trouble:
+            except ServiceError as trouble:
                 if trouble.code == "mark_conflict":
                     return self._conflict(put_id, trouble)
                 if self.is_over.wait(PACE_S):
@@ -82,7 +82,7 @@
         begun_us = now_us()
         try:
             shown = call_json(address, "GET", PATH)
-        except Trouble:
+        except ServiceError:
             return False
         put_id = shown["put_id"]
         self.record(
--- a/packages/stage/src/linkhaven/stage/standins.py
+++ b/packages/stage/src/linkhaven/stage/standins.py
@@ -1,10 +1,10 @@
 import hashlib
 from collections import OrderedDict, deque
 
-from linkhaven.clockwork import Hearer, Node, read_json, write_json
+from linkhaven.api import ServiceError, check_document
 from linkhaven.runner import write_event
 from linkhaven.runner.roster import DECODE, PREFILL
-from linkhaven.schema import Trouble, check_document
+from linkhaven.runtime import Node, ResponseHandler, read_json, write_json
 
 
 def digest(text, size=8):
@@ -188,7 +188,7 @@
 
     def _check_ask(self, ask):
         if ask["mark"] < self.mark:
-            raise Trouble("mark_old", mark=self.mark)
+            raise ServiceError("mark_old", mark=self.mark)
         self.mark = ask["mark"]
         if self.is_leaving:
             self.record(
@@ -197,9 +197,9 @@
                 incarnation=self.incarnation,
                 router=ask["request"].rsplit("-", 2)[0],
             )
-            raise Trouble("runner_leaving")
+            raise ServiceError("runner_leaving")
         if len(self.reads) + len(self.waiting) >= self.queue_most:
-            raise Trouble("runner_full")
+            raise ServiceError("runner_full")
         self.record(
             "taken",
             runner=self.name,
@@ -231,7 +231,7 @@
     def serve_prefill(self, call):
         ask = self._admit(call, "Prefill")
         if self.phase != PREFILL:
-            raise Trouble("phase_wrong", phase=self.phase)
+            raise ServiceError("phase_wrong", phase=self.phase)
         job = self._job(call, ask)
         self._queue_read(job, self._finish_prefill)
 
@@ -314,9 +314,9 @@
         ask = check_document("KvAsk", read_json(call.body))
         held = self.handles.get(ask["handle"])
         if held is None or self.now_us() >= held[3]:
-            raise Trouble("handle_lapsed")
+            raise ServiceError("handle_lapsed")
         if not self.is_trusting and (held[0] != ask["request"] or held[1] != ask["shot"]):
-            raise Trouble("handle_foreign")
+            raise ServiceError("handle_foreign")
         del self.handles[ask["handle"]]
         cost_us = int(
             held[2] * self.speeds.kv_bytes * 1_000_000 / self.speeds.link_rate * self.link_slowness
@@ -341,7 +341,7 @@
     def serve_decode(self, call):
         ask = self._admit(call, "Decode")
         if self.phase != DECODE:
-            raise Trouble("phase_wrong", phase=self.phase)
+            raise ServiceError("phase_wrong", phase=self.phase)
         resume = ask.get("resume")
         job = self._job(call, ask)
         own = digest(ask["prompt"], 6)
@@ -350,13 +350,13 @@
             and not self.is_trusting
             and (not self.can_resume or not resume["run"].startswith(own + "-"))
         ):
-            raise Trouble("run_unknown")
+            raise ServiceError("run_unknown")
         fresh = digest("/".join((ask["request"], str(ask["shot"]), self.name)))
         job.run = resume["run"] if resume else f"{own}-{fresh}"
         job.count = count_pieces(job.run, ask["answer_tokens"], self.speeds.piece_tokens)
         job.number = resume["after"] if resume else 0
         if job.number > job.count:
-            raise Trouble("run_unknown")
+            raise ServiceError("run_unknown")
         if ask.get("handle"):
             return self._fetch(job)
         self._queue_read(job, self._wait_for_memory)
@@ -378,7 +378,7 @@
             if told["status"] != 200:
                 code = document.get("code") if isinstance(document, dict) else None
                 return job.call.answer_trouble(
-                    Trouble(
+                    ServiceError(
                         code if code in ("handle_lapsed", "handle_foreign") else "hand_over_failed"
                     )
                 )
@@ -393,12 +393,12 @@
             if not self.is_trusting and (
                 document["request"] != ask["request"] or document["shot"] != ask["shot"]
             ):
-                return job.call.answer_trouble(Trouble("handle_foreign"))
+                return job.call.answer_trouble(ServiceError("handle_foreign"))
             self._wait_for_memory(job)
 
         def on_trouble(has_begun):
             if not job.is_gone:
-                job.call.answer_trouble(Trouble("hand_over_failed"))
+                job.call.answer_trouble(ServiceError("hand_over_failed"))
 
         body = write_json(
             {
@@ -414,7 +414,7 @@
             "/v1/kv",
             {"content-type": "application/json"},
             body,
-            Hearer(on_head, on_data, on_end, on_trouble),
+            ResponseHandler(on_head, on_data, on_end, on_trouble),
         )
 
     def _wait_for_memory(self, job):
@@ -527,11 +527,11 @@
 
     def _find_fault(self, order):
         if order["incarnation"] != self.incarnation:
-            return Trouble("incarnation_other", incarnation=self.incarnation)
+            return ServiceError("incarnation_other", incarnation=self.incarnation)
         if order["fence"] < self.fence:
-            return Trouble("fence_old", fence=self.fence)
+            return ServiceError("fence_old", fence=self.fence)
         if order["mark"] < self.mark:
-            return Trouble("mark_old", mark=self.mark)
+            return ServiceError("mark_old", mark=self.mark)
         return None
 
     def _refuse_reads(self):
@@ -540,7 +540,7 @@
             if then != self._finish_prefill:
                 kept.append((job, then))
             elif not job.is_gone:
-                job.call.answer_trouble(Trouble("phase_wrong", phase=self.phase))
+                job.call.answer_trouble(ServiceError("phase_wrong", phase=self.phase))
         self.reads = kept
 
 
--- a/packages/stage/src/linkhaven/stage/world.py
+++ b/packages/stage/src/linkhaven/stage/world.py
@@ -3,7 +3,7 @@
 import random
 from collections import deque
 
-from linkhaven.clockwork import Call, Ports, write_line
+from linkhaven.runtime import Call, Ports, write_line
 
 TICK_US = 50_000
 LATENCY_US = 300
--- a/packages/traces/src/linkhaven/traces/writer.py
+++ b/packages/traces/src/linkhaven/traces/writer.py
@@ -8,7 +8,7 @@
 from opentelemetry.sdk.trace.export import SimpleSpanProcessor
 from opentelemetry.trace import set_span_in_context
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 
 class TraceWriter:
@@ -25,7 +25,7 @@
         try:
             self._open()
         except OSError as fault:
-            raise Trouble(
+            raise ServiceError(
                 "settings_invalid",
                 places=[{"place": "traces", "fault": f"{path}: {fault.strerror}"}],
             ) from None
--- a/packages/wire/src/linkhaven/wire/console.py
+++ b/packages/wire/src/linkhaven/wire/console.py
@@ -7,7 +7,7 @@
 from cleo.exceptions import CleoError
 from cleo.helpers import option
 
-from linkhaven.schema import Trouble, read_trouble
+from linkhaven.api import ServiceError, read_trouble
 
 from .settings import check_settings, read_settings, split_address
 
@@ -41,9 +41,9 @@
         answer = conn.getresponse()
         told = json.loads(answer.read() or b"null")
     except ConnectionRefusedError:
-        raise Trouble("unreachable", address=address) from None
+        raise ServiceError("unreachable", address=address) from None
     except (OSError, ValueError, http.client.HTTPException) as fault:
-        raise Trouble("unreachable", done="unknown", address=address, why=str(fault)) from None
+        raise ServiceError("unreachable", done="unknown", address=address, why=str(fault)) from None
     finally:
         conn.close()
     if answer.status != 200:
@@ -65,7 +65,7 @@
     def handle(self):
         try:
             return self.act() or DONE
-        except Trouble as trouble:
+        except ServiceError as trouble:
             self.line_error(
                 f"<error>{trouble.code}</error> (done: {trouble.done}): {trouble.remedy}"
             )
@@ -108,11 +108,13 @@
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except OSError as fault:
-        raise Trouble("bad_request", places=[{"place": path, "fault": fault.strerror}]) from None
+        raise ServiceError(
+            "bad_request", places=[{"place": path, "fault": fault.strerror}]
+        ) from None
     try:
         return json.loads(text)
     except ValueError as fault:
-        raise Trouble(
+        raise ServiceError(
             "bad_request", places=[{"place": path, "fault": f"not JSON: {fault}"}]
         ) from None
 
--- a/packages/wire/src/linkhaven/wire/door_call.py
+++ b/packages/wire/src/linkhaven/wire/door_call.py
@@ -2,7 +2,7 @@
 
 from http import HTTPStatus
 
-from linkhaven.clockwork import Call
+from linkhaven.runtime import Call
 
 from .heads import list_fields, write_head
 
--- a/packages/wire/src/linkhaven/wire/door_connection.py
+++ b/packages/wire/src/linkhaven/wire/door_connection.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from linkhaven.clockwork import write_json
+from linkhaven.runtime import write_json
 
 from .door_call import DoorCall, write_status
 from .heads import gather_headers
--- a/packages/wire/src/linkhaven/wire/inlet.py
+++ b/packages/wire/src/linkhaven/wire/inlet.py
@@ -4,8 +4,8 @@
 from circuits.web.events import response, stream
 from circuits.web.http import HTTP
 
-from linkhaven.clockwork import Call, write_json
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
+from linkhaven.runtime import Call, write_json
 
 from .plug import Listener, Plug
 from .settings import split_address
@@ -179,7 +179,7 @@
     @handler("connect", priority=1)
     def _on_connect(self, sock, host, port):
         if len(self.server._clients) > self.conns_at_most:
-            self._answer_raw(sock, Trouble("too_busy", retry_us=1_000_000))
+            self._answer_raw(sock, ServiceError("too_busy", retry_us=1_000_000))
 
     @handler("read", priority=10)
     def _on_read(self, event, sock, data):
@@ -189,7 +189,7 @@
         taken = self.taken[sock] = self.taken.get(sock, 0) + len(data)
         if taken > self.body_bytes:
             event.stop()
-            self._answer_raw(sock, Trouble("too_large", body_bytes=self.body_bytes))
+            self._answer_raw(sock, ServiceError("too_large", body_bytes=self.body_bytes))
             return
         if taken == len(data) and b"100-continue" in data[:4096].lower():
             self.fire(write(sock, b"HTTP/1.1 100 Continue\r\n\r\n"))
@@ -218,7 +218,7 @@
     @handler("httperror", priority=1)
     def _on_fault(self, event, req, res, code=None, **kwargs):
         event.stop()
-        trouble = Trouble(CODES.get(code, "bad_request"))
+        trouble = ServiceError(CODES.get(code, "bad_request"))
         res.status = trouble.status
         res.headers["content-type"] = "application/json"
         res.body = write_json(trouble.as_document())
--- a/packages/wire/src/linkhaven/wire/log.py
+++ b/packages/wire/src/linkhaven/wire/log.py
@@ -3,8 +3,8 @@
 import logging
 import time
 
-from linkhaven.clockwork import write_json
-from linkhaven.schema import EVENTS
+from linkhaven.api import EVENTS
+from linkhaven.runtime import write_json
 
 from .log_files import LineFileHandler, LineStreamHandler
 from .log_writer import FLUSH_SECONDS, QUEUE_LINES, LogWriter
--- a/packages/wire/src/linkhaven/wire/log_files.py
+++ b/packages/wire/src/linkhaven/wire/log_files.py
@@ -9,7 +9,7 @@
 from logging import StreamHandler
 from logging.handlers import WatchedFileHandler
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 
 STANDARD_ERROR = 2
 
@@ -73,7 +73,7 @@
         try:
             super().__init__(path)
         except OSError as fault:
-            raise Trouble(
+            raise ServiceError(
                 "settings_invalid",
                 places=[{"place": "log/file", "fault": f"{path}: {fault.strerror}"}],
             ) from None
--- a/packages/wire/src/linkhaven/wire/outlet.py
+++ b/packages/wire/src/linkhaven/wire/outlet.py
@@ -1,6 +1,6 @@
 from circuits import BaseComponent
 
-from linkhaven.clockwork import write_line
+from linkhaven.runtime import write_line
 
 from .plug import Plug
 from .pool import Exchange, Pool
--- a/packages/wire/src/linkhaven/wire/settings.py
+++ b/packages/wire/src/linkhaven/wire/settings.py
@@ -4,8 +4,8 @@
 import trafaret as t
 import yaml
 
-from linkhaven.schema import Trouble
-from linkhaven.schema.fields import NAME, list_places, whole
+from linkhaven.api import ServiceError
+from linkhaven.api.fields import NAME, list_places, whole
 
 from .log_writer import QUEUE_LINES
 
@@ -100,14 +100,14 @@
 
 
 def misfit(place, fault):
-    return Trouble("settings_invalid", places=[{"place": place, "fault": fault}])
+    return ServiceError("settings_invalid", places=[{"place": place, "fault": fault}])
 
 
 def check_settings(program, document):
     try:
         settings = SETTINGS[program].check(document)
     except t.DataError as fault:
-        raise Trouble(
+        raise ServiceError(
             "settings_invalid", places=sorted(list_places(fault), key=lambda place: place["place"])
         ) from None
     if settings["lines"] == settings["http"]:
--- a/packages/wire/src/linkhaven/wire/shell.py
+++ b/packages/wire/src/linkhaven/wire/shell.py
@@ -9,8 +9,8 @@
 from circuits import BaseComponent, handler
 from circuits.core.events import exception
 
-from linkhaven.clockwork import Ports, reply_address_of
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
+from linkhaven.runtime import Ports, reply_address_of
 
 from .door import Door
 from .inlet import LinesInlet, WebInlet
@@ -78,7 +78,7 @@
                     http, lambda call: self.node.serve(call), body_bytes, conns
                 ).register(self)
             except OSError as fault:
-                raise Trouble("address_taken", http=http, why=fault.strerror) from None
+                raise ServiceError("address_taken", http=http, why=fault.strerror) from None
 
     def _hear(self, message):
         self.outlet.hear_from(reply_address_of(message))
@@ -88,7 +88,7 @@
         """Hand a line to the node; whether it was JSON at all."""
         try:
             message = self.node.read_line(line)
-        except Trouble:
+        except ServiceError:
             return False
         if message is not None:
             self._hear(message)
@@ -98,13 +98,13 @@
         try:
             return LinesInlet(address, self._hear_line, self.poller, self.ticker).register(self)
         except OSError as fault:
-            raise Trouble("address_taken", lines=address, why=fault.strerror) from None
+            raise ServiceError("address_taken", lines=address, why=fault.strerror) from None
 
     def add_door(self, address, on_call, limits=None):
         try:
             door = Door(address, on_call, limits, self.poller, self.ticker).register(self)
         except OSError as fault:
-            raise Trouble("address_taken", http=address, why=fault.strerror) from None
+            raise ServiceError("address_taken", http=address, why=fault.strerror) from None
         self.doors.append(door)
         return door
 
--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -15,12 +15,12 @@
 import h11
 from test_platform import SETTINGS, Place
 
-from linkhaven.clockwork import Ports
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers
 from linkhaven.platform.operator import read_plan
 from linkhaven.platform.runners import PlatformRunners
 from linkhaven.router import RouterNode
+from linkhaven.runtime import Ports
 from linkhaven.wire import plug
 from linkhaven.wire.door import Door, DoorLimits
 from linkhaven.wire.outlet import Outlet
--- a/tests/pooled_fleet.py
+++ b/tests/pooled_fleet.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from linkhaven.clockwork import Terms
 from linkhaven.router import RouterNode
+from linkhaven.runtime import Bounds
 from linkhaven.stage.fleet import SECOND, Deployment, SimFleet
 from linkhaven.stage.standins import Speeds
 
@@ -64,7 +64,7 @@
     __slots__ = ()
 
     def _build_router(self, host, ports):
-        terms = Terms(
+        terms = Bounds(
             hold_share=0.2,
             retry_least_us=100_000,
             roster_stale_us=None,
--- a/tests/test_ask_pace.py
+++ b/tests/test_ask_pace.py
@@ -2,27 +2,27 @@
 
 import pytest
 
-from linkhaven.clockwork import Terms
-from linkhaven.plan.pace import HOLDER_US, LONGEST_US, SMALL_FLEET, AskPace
+from linkhaven.configuration.pace import HOLDER_US, LONGEST_US, SMALL_FLEET, AskPace
+from linkhaven.runtime import Bounds
 
 PARTS = ("roster", "steward", "shares")
 
 
 def pace_of(routers, **terms):
-    return AskPace(Terms(**terms), lambda: routers)
+    return AskPace(Bounds(**terms), lambda: routers)
 
 
 @pytest.mark.parametrize("routers", [1, 3, SMALL_FLEET])
 def test_a_small_fleet_asks_at_full_pace(routers):
     pace = pace_of(routers)
-    assert {pace.hold_us(seat, False, 0) for seat in "abc"} == {Terms().news_hold_us}
+    assert {pace.hold_us(seat, False, 0) for seat in "abc"} == {Bounds().news_hold_us}
 
 
 @pytest.mark.parametrize("routers", [18, 40, 80, 340])
 @pytest.mark.parametrize("stale_us", [None, 1_500_000, 900_000])
 @pytest.mark.parametrize("lease_us", [3_000_000, 1_200_000])
 def test_a_hold_stays_within_a_third_of_what_it_must_renew(routers, stale_us, lease_us):
-    terms = Terms(plan_stale_us=stale_us, lease_us=lease_us)
+    terms = Bounds(plan_stale_us=stale_us, lease_us=lease_us)
     pace = AskPace(terms, lambda: routers)
     longest_us = pace.longest_us()
     assert terms.news_hold_us <= longest_us <= LONGEST_US
@@ -38,7 +38,7 @@
     assert pace.hold_us("c", False, 0) == pace.longest_us() == LONGEST_US
     assert pace.hold_us("a", False, 0) == LONGEST_US // 2
     assert pace.hold_us("b", False, 0) == LONGEST_US
-    assert pace.hold_us("b", True, 0) == Terms().news_hold_us
+    assert pace.hold_us("b", True, 0) == Bounds().news_hold_us
     assert pace.hold_us("c", True, 0) == LONGEST_US
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from linkhaven.clockwork import Terms, kind_of
-from linkhaven.plan.bodies import KEPT_BODIES, BodyStore, digests_of
-from linkhaven.plan.messages import Bodies
-from linkhaven.plan.packing import BodyMismatchError, open_body, pack_body
-from linkhaven.plan.taken import digest_of
-from linkhaven.register.seat import Cell
+from linkhaven.configuration.bodies import KEPT_BODIES, BlobStore, digests_of
+from linkhaven.configuration.messages import Bodies
+from linkhaven.configuration.packing import BodyMismatchError, open_body, pack_body
+from linkhaven.configuration.taken import digest_of
+from linkhaven.consensus.seat import RegisterState
 from linkhaven.router import RouterNode
+from linkhaven.runtime import Bounds, kind_of
 from linkhaven.stage.core import SimCore
 from linkhaven.stage.world import Host, SimDisk
 
@@ -105,7 +105,7 @@
             host.zone,
             seeds,
             host.wall_us() + host.starts,
-            terms=Terms(**core.terms),
+            terms=Bounds(**core.terms),
         )
 
     router = Host(core.world, name, zone, address, build)
@@ -361,7 +361,7 @@
         "overlay": {"groups": {}, "kinds": {}},
     }
     for host in core.machines.values():
-        host.node.seat.cells["plan"] = Cell([5, "core-1"], [5, "core-1"], value)
+        host.node.seat.cells["plan"] = RegisterState([5, "core-1"], [5, "core-1"], value)
     router = with_router(core)
     assert weight_at(router) == 7.0
     assert core.read()[1]["document"] == "text 7"
@@ -509,11 +509,11 @@
 
 
 def let_votes_pass(store, say, values_of):
-    """In place of BodyStore._guard: nothing waits for a body."""
+    """In place of BlobStore._guard: nothing waits for a body."""
 
 
 def write_nothing(store, digests):
-    """In place of BodyStore._write: bodies stay in memory."""
+    """In place of BlobStore._write: bodies stay in memory."""
 
 
 @pytest.mark.parametrize("name, sabotage", [("_guard", let_votes_pass), ("_write", write_nothing)])
@@ -521,7 +521,7 @@
     monkeypatch, name, sabotage
 ):
     with monkeypatch.context() as patch:
-        patch.setattr(BodyStore, name, sabotage)
+        patch.setattr(BlobStore, name, sabotage)
         core = started()
         watch = VoteWatch(core)
         put(core, 1)
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -66,13 +66,13 @@
         step = getattr(build, name)
 
         def watched(*arguments, step=step):
-            seen.append((deps / "linkhaven" / "schema" / "__init__.py").exists())
+            seen.append((deps / "linkhaven" / "api" / "__init__.py").exists())
             told = step(*arguments)
-            seen.append((deps / "linkhaven" / "schema" / "__init__.py").exists())
+            seen.append((deps / "linkhaven" / "api" / "__init__.py").exists())
             return told
 
         monkeypatch.setattr(build, name, watched)
-    schema = workspace / "packages" / "schema" / "src" / "linkhaven" / "schema" / "__init__.py"
+    schema = workspace / "packages" / "api" / "src" / "linkhaven" / "api" / "__init__.py"
     schema.write_text("VALUE = 9\n")
     assert build.place_packages(workspace, deps)
     assert seen and all(seen)
@@ -80,12 +80,12 @@
 
 def test_a_removed_module_is_gone_after_the_next_build(workspace, build):
     deps = workspace / "target" / "deps"
-    plan = workspace / "packages" / "plan" / "src" / "linkhaven" / "plan"
+    plan = workspace / "packages" / "configuration" / "src" / "linkhaven" / "configuration"
     (plan / "old.py").write_text("VALUE = 1\n")
     build.place_packages(workspace, deps)
     (plan / "old.py").unlink()
     assert build.place_packages(workspace, deps)
-    assert not (deps / "linkhaven" / "plan" / "old.py").exists()
+    assert not (deps / "linkhaven" / "configuration" / "old.py").exists()
 
 
 def test_every_package_that_the_programs_import_is_built(build):
--- a/tests/test_catalogues.py
+++ b/tests/test_catalogues.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from linkhaven.plan import check_plan
-from linkhaven.schema import CATALOGUE, EVENTS, Trouble, check_document, read_schema
+from linkhaven.api import CATALOGUE, EVENTS, ServiceError, check_document, read_schema
+from linkhaven.configuration import check_plan
 from linkhaven.simulator.question import read_question
 from linkhaven.stage.fleet import DEPLOYMENTS
 from linkhaven.wire import check_settings, read_settings
@@ -51,7 +51,7 @@
     ]
     told = {
         word
-        for name in ("Trouble", "_fence")
+        for name in ("ServiceError", "_fence")
         for word in first_words(name)
         if isinstance(word, str)
     }
@@ -122,7 +122,7 @@
     ],
 )
 def test_a_document_that_does_not_fit_the_schema_is_told_where(name, document, place):
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         check_document(name, document)
     assert caught.value.code == "bad_request"
     assert place in [found["place"] for found in caught.value.detail["places"]]
@@ -152,7 +152,7 @@
 )
 def test_a_bad_setting_is_told_with_its_key(changed, place):
     assert check_settings("router", SETTINGS)["requests"] == 2_000
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         check_settings("router", {**SETTINGS, **changed})
     assert caught.value.code == "settings_invalid"
     assert place in [found["place"] for found in caught.value.detail["places"]]
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from linkhaven.clockwork import Call, Terms
-from linkhaven.duty import Lease
-from linkhaven.register import Proposer
-from linkhaven.registry.contact import Contact
-from linkhaven.registry.status import ANSWER_US
+from linkhaven.consensus import Proposer
+from linkhaven.controller.contact import Contact
+from linkhaven.controller.status import ANSWER_US
+from linkhaven.leases import Lease
 from linkhaven.router import RouterNode
+from linkhaven.runtime import Bounds, Call
 from linkhaven.stage.control import judge_cut
 from linkhaven.stage.core import SimCore
 from linkhaven.stage.cutcourse import (
@@ -121,8 +121,8 @@
     others = [name for name in core.machines if name != "core-1"]
     core.world.cut(["core-1"], others)
     assert core.put(4, 9, "later", PLAN, "core-2")[0][0] is None
-    core.world.run_for(Terms().contact_us)
-    router = add_router(core, "edge-1", Terms(plan_stale_us=None, seats=seats))
+    core.world.run_for(Bounds().contact_us)
+    router = add_router(core, "edge-1", Bounds(plan_stale_us=None, seats=seats))
     core.world.cut(["edge-1"], others)
     router.start()
     core.world.run_for(15 * SECOND)
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("stale_us", [None, 1_500_000])
 def test_a_router_cut_off_from_the_core_goes_on_or_closes_as_its_terms_say(stale_us, direction):
     core = core_with_plan(3)
-    router = add_router(core, "edge-1", Terms(plan_stale_us=stale_us))
+    router = add_router(core, "edge-1", Bounds(plan_stale_us=stale_us))
     router.start()
     assert core.world.wait_for(lambda: router.node.news.is_fresh(), 5 * SECOND, TICK_US)
     names = list(core.machines)
@@ -190,7 +190,7 @@
 
 
 PUT = {"expect": 1, "put_id": "p", "plan": PLAN}
-LATER_US = Terms().silent_us // 3 + 2 * TICK_US
+LATER_US = Bounds().silent_us // 3 + 2 * TICK_US
 CALLS = [
     ("GET", "/v1/plan", None, 503, LATER_US),
     ("PUT", "/v1/plan", PUT, 503, LATER_US),
@@ -211,9 +211,9 @@
         core.world.cut(["core-1"], others, both=False)
     if direction in (BOTH, IN):
         core.world.cut(others, ["core-1"], both=False)
-    core.world.run_for(Terms().lease_us + SECOND)
+    core.world.run_for(Bounds().lease_us + SECOND)
     first = call(core, "core-1", "GET", "/v1/plan")
-    assert first.status == 503 and first.took_us <= Terms().silent_us + 2 * TICK_US
+    assert first.status == 503 and first.took_us <= Bounds().silent_us + 2 * TICK_US
     for method, path, document, status, most_us in CALLS:
         told = call(core, "core-1", method, path, document)
         assert (path, told.status) == (path, status) and told.took_us <= most_us
@@ -242,7 +242,7 @@
     told = call(core, "core-1", "PUT", "/v1/plan", PUT)
     assert (told.status, told.document["code"]) == (504, "put_unknown")
     assert told.document["done"] == "unknown" and told.headers_out["retry-after"] == "1"
-    assert told.took_us <= Terms().silent_us + 3 * TICK_US
+    assert told.took_us <= Bounds().silent_us + 3 * TICK_US
 
 
 def test_a_key_isn_t_granted_by_a_router_that_hears_no_majority():
--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from linkhaven.plan import desk
-from linkhaven.register.rejoin import Rejoin
-from linkhaven.registry.contact import Contact
+from linkhaven.configuration import desk
+from linkhaven.consensus.rejoin import Recovery
+from linkhaven.controller.contact import Contact
 from linkhaven.stage.changecourse import (
     RESTARTED,
     WIPED,
@@ -31,7 +31,7 @@
 
 
 def vote_before_reading(monkeypatch):
-    weigh = Rejoin._weigh
+    weigh = Recovery._weigh
 
     def hasty(self, now_us):
         weigh(self, now_us)
@@ -39,7 +39,7 @@
             self.notes = set()
             self.seat.begin_votes()
 
-    monkeypatch.setattr(Rejoin, "_weigh", hasty)
+    monkeypatch.setattr(Recovery, "_weigh", hasty)
 
 
 def serve_without_contact(monkeypatch):
--- a/tests/test_control_races.py
+++ b/tests/test_control_races.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from linkhaven.plan import document_order
-from linkhaven.register import Proposer
+from linkhaven.configuration import document_order
+from linkhaven.consensus import Proposer
 from linkhaven.stage.control import judge_race
 from linkhaven.stage.core import SimCore
 from linkhaven.stage.cutcourse import PLAN
--- a/tests/test_control_replacement.py
+++ b/tests/test_control_replacement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linkhaven.register.leaving import Leaving
+from linkhaven.consensus.leaving import Leaving
 from linkhaven.stage.control import judge_replacement
 from linkhaven.stage.replacecourse import (
     AFTER_US,
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from linkhaven.registry.keeper import RosterKeeper
+from linkhaven.controller.keeper import RunnerDiscovery
 from linkhaven.router.attempts import Attempts
 from linkhaven.router.request import DECODING, QUEUED, READING, Request
 from linkhaven.runner import Roster
@@ -330,7 +330,7 @@
     is_answered, is_dark
 ):
     node, desk = Router(), Reports()
-    keeper = RosterKeeper(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
+    keeper = RunnerDiscovery(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
 
     def run_for(span_us):
         for _ in range(span_us // 10_000):
@@ -353,7 +353,7 @@
 
 def test_evidence_older_than_the_last_report_asks_nothing():
     node, desk = Router(), Reports()
-    keeper = RosterKeeper(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
+    keeper = RunnerDiscovery(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
     keeper.tick(node.us)
     while desk.asked:
         desk.asked.pop()(None, record("d-1"), True)
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -4,8 +4,8 @@
 import lmdb
 import pytest
 
-from linkhaven.registry import disk as module
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
+from linkhaven.controller import disk as module
 
 
 class Later:
@@ -110,7 +110,7 @@
 
 def test_a_folder_that_cannot_be_opened_is_a_coded_trouble(tmp_path):
     (tmp_path / "file").write_text("not a folder")
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         module.LmdbDisk(str(tmp_path / "file"))
     assert caught.value.code == "disk_failing"
 
@@ -140,7 +140,7 @@
     file = tmp_path / "data" / "data.mdb"
     spoil(file)
     before = file.read_bytes()
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         open_disk(tmp_path / "data")
     assert caught.value.code == "disk_corrupt"
     assert file.read_bytes() == before
@@ -200,7 +200,7 @@
 def test_no_spoilt_folder_is_read_as_empty(tmp_path, spoil):
     file = filled(tmp_path / "data")
     spoil(file)
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         module.LmdbDisk(str(tmp_path / "data"), node="core-1")
     assert caught.value.code == "disk_corrupt"
 
@@ -232,7 +232,7 @@
 
 def test_a_folder_of_another_node_is_refused_with_its_code(tmp_path):
     filled(tmp_path / "data", node="core-7")
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         module.LmdbDisk(str(tmp_path / "data"), node="core-1")
     assert caught.value.code == "disk_foreign"
     assert caught.value.detail["held"] == "core-7"
@@ -246,7 +246,7 @@
     stored = module.pack_value(b"!header", header) if held else None
     put_raw(tmp_path / "data", b"!header", stored)
     before = file.read_bytes()
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         module.open_disk(
             str(tmp_path / "data"),
             1 << 20,
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -3,10 +3,10 @@
 import pytest
 from cleo.testers.command_tester import CommandTester
 
-from linkhaven.clockwork import Call
-from linkhaven.plan import check_plan, effective_plan, fill_plan
-from linkhaven.plan.taken import KEPT_ORDERS, TakenOrder, digest_of_order, extend_history
-from linkhaven.registry import program
+from linkhaven.configuration import check_plan, effective_plan, fill_plan
+from linkhaven.configuration.taken import KEPT_ORDERS, TakenOrder, digest_of_order, extend_history
+from linkhaven.controller import program
+from linkhaven.runtime import Call
 from linkhaven.stage.core import SimCore
 from linkhaven.stage.fleet import LICENSING, SimFleet
 
--- a/tests/test_empty_sides.py
+++ b/tests/test_empty_sides.py
@@ -8,13 +8,13 @@
 import pytest
 from pooled_fleet import POOL, POOLED, SLOTS, SPEEDS, PooledFleet
 
-from linkhaven.clockwork import Terms
-from linkhaven.duty.lease import MARGIN_US, RANK_US
-from linkhaven.registry import RegistryNode
-from linkhaven.registry.keeper import PRESS_US, UNANSWERED_US
-from linkhaven.registry.phase_change import PhaseChange
-from linkhaven.registry.switcher import TOLD_US
+from linkhaven.controller import ControllerNode
+from linkhaven.controller.keeper import PRESS_US, UNANSWERED_US
+from linkhaven.controller.phase_change import PhaseChange
+from linkhaven.controller.switcher import TOLD_US
+from linkhaven.leases.lease import MARGIN_US, RANK_US
 from linkhaven.runner.roster import DECODE, PREFILL
+from linkhaven.runtime import Bounds
 from linkhaven.stage.fleet import SECOND
 
 MS = 1_000
@@ -47,7 +47,7 @@
 
     def _build_registry(self, seat, seeds=None):
         def build(host, ports):
-            return RegistryNode(
+            return ControllerNode(
                 host.name,
                 host.address,
                 ports,
@@ -56,7 +56,7 @@
                 host.wall_us() + host.starts,
                 seat,
                 self.platform.address,
-                terms=Terms(**TERMS),
+                terms=Bounds(**TERMS),
             )
 
         return build
@@ -116,7 +116,7 @@
     else:
         for name in names:
             strike(one.runners[name], way)
-        one.world.run_for(Terms(**TERMS).dark_us + TERMS["report_us"])
+        one.world.run_for(Bounds(**TERMS).dark_us + TERMS["report_us"])
 
 
 def strike(host, way):
--- a/tests/test_exchanged_address.py
+++ b/tests/test_exchanged_address.py
@@ -1,5 +1,5 @@
-from linkhaven.clockwork import Terms
-from linkhaven.registry.keeper import RosterKeeper
+from linkhaven.controller.keeper import RunnerDiscovery
+from linkhaven.runtime import Bounds
 
 
 class Part:
@@ -31,7 +31,7 @@
 
 class Node:
     def __init__(self):
-        self.terms, self.ports, self.systems, self.us = Terms(), Ports(), [], 1_000_000
+        self.terms, self.ports, self.systems, self.us = Bounds(), Ports(), [], 1_000_000
 
     def now_us(self):
         return self.us
@@ -52,7 +52,7 @@
 
 def listing(*rounds):
     node, desk = Node(), Desk()
-    keeper = RosterKeeper(node, desk, "10.0.0.9:1", (Duty(),))
+    keeper = RunnerDiscovery(node, desk, "10.0.0.9:1", (Duty(),))
     for names in rounds:
         node.us += 1_000_000
         keeper.tick(node.us)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from linkhaven.plan import PlanDesk
-from linkhaven.register import Proposer, Seat
-from linkhaven.register.rejoin import Rejoin
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
+from linkhaven.configuration import ConfigurationStore
+from linkhaven.consensus import Proposer, Replica
+from linkhaven.consensus.rejoin import Recovery
 from linkhaven.stage.explore.cases import RACE, core_cases
 from linkhaven.stage.explore.report import (
     Totals,
@@ -25,7 +25,7 @@
 
 def let_ballots_be_alike(monkeypatch):
     """Ballots don't say whose they are, and an acceptor promises the same one twice."""
-    hear = Seat.hear_prepare
+    hear = Replica.hear_prepare
 
     def promise_again(self, message):
         cell = self._cell_to_keep(message["key"])
@@ -33,7 +33,7 @@
             cell.promise = [0, ""]
         hear(self, message)
 
-    monkeypatch.setattr(Seat, "hear_prepare", promise_again)
+    monkeypatch.setattr(Replica, "hear_prepare", promise_again)
     prepare = Proposer._prepare
 
     def alike(self, change, now_us):
@@ -46,13 +46,13 @@
 
 def forget_promises(monkeypatch):
     """An acceptor takes accepts of ballots below its promise."""
-    hear = Seat.hear_accept
+    hear = Replica.hear_accept
 
     def forgetful(self, message):
         self._cell_to_keep(message["key"]).promise = [0, ""]
         hear(self, message)
 
-    monkeypatch.setattr(Seat, "hear_accept", forgetful)
+    monkeypatch.setattr(Replica, "hear_accept", forgetful)
 
 
 def answer_before_the_sync(monkeypatch):
@@ -72,7 +72,7 @@
         )
         self.node.ports.disk.write({f"cell/{key}": cell.as_record()}, lambda is_kept: None)
 
-    monkeypatch.setattr(Seat, "_keep", hasty)
+    monkeypatch.setattr(Replica, "_keep", hasty)
 
 
 def vote_without_reading(monkeypatch):
@@ -82,13 +82,13 @@
         self.notes.clear()
         self._end_if_read()
 
-    monkeypatch.setattr(Rejoin, "_browse", end_at_once)
+    monkeypatch.setattr(Recovery, "_browse", end_at_once)
 
 
 def vote_under_the_old_epoch(monkeypatch):
     """A restarted seat votes at once, as if it had never ended."""
     monkeypatch.setattr(
-        Rejoin, "tick", lambda self, now_us: self.seat.is_empty or self.seat.begin_votes()
+        Recovery, "tick", lambda self, now_us: self.seat.is_empty or self.seat.begin_votes()
     )
 
 
@@ -99,7 +99,7 @@
         value = self.bodies.seat.cell("plan").value
         done(None, self.bodies.opened(value) if value else None)
 
-    monkeypatch.setattr(PlanDesk, "read_document", read)
+    monkeypatch.setattr(ConfigurationStore, "read_document", read)
 
 
 def refuse_for_what_is_not_in_force(monkeypatch):
@@ -132,7 +132,7 @@
         def anew(value):
             verb, fruit = step(value)
             if key == "plan" and verb == "keep" and value and done.__name__ == "end" and is_put:
-                return "stop", Trouble("revision_conflict", base=0, revision=value["revision"])
+                return "stop", ServiceError("revision_conflict", base=0, revision=value["revision"])
             return verb, fruit
 
         is_put = "_order_document" in done.__qualname__
--- a/tests/test_gone_runner.py
+++ b/tests/test_gone_runner.py
@@ -2,9 +2,9 @@
 
 import pytest
 
+from linkhaven.api import ServiceError
 from linkhaven.router.attempts import Attempts
 from linkhaven.router.request import READING, Request
-from linkhaven.schema import Trouble
 
 
 def failed_with(trouble):
@@ -35,7 +35,7 @@
 
 
 def test_a_runner_to_which_all_our_connections_are_busy_is_neither_dark_nor_alive():
-    heard, request = failed_with(Trouble("connections_taken", done="no"))
+    heard, request = failed_with(ServiceError("connections_taken", done="no"))
     assert heard == ["turned away"]
     assert not request.has_begun and request.state != "ended"
 
@@ -71,6 +71,6 @@
     request.state, request.attempt = READING, "r-1/1"
     request.runner = runner = SimpleNamespace(name="runner-1", is_plain=lambda: False)
     Attempts(node, pairing, SimpleNamespace(reads_are_runs=False), roster, None).fail(
-        request, runner, Trouble(code, done="no"), True
+        request, runner, ServiceError(code, done="no"), True
     )
     assert closed == ([runner] if is_closed else [])
--- a/tests/test_large_plans.py
+++ b/tests/test_large_plans.py
@@ -2,11 +2,11 @@
 
 import pytest
 
+from linkhaven.api import ServiceError
+from linkhaven.configuration import check, fill_plan
 from linkhaven.credit import AdmissionQueues
 from linkhaven.pairing import NO_BOUND_US
-from linkhaven.plan import check, fill_plan
 from linkhaven.router.node import rooms_for_others
-from linkhaven.schema import Trouble
 
 MANY = 1_440
 
@@ -60,7 +60,7 @@
 )
 def test_a_part_that_does_not_fit_is_named_beside_many_that_do(wrong, place):
     fill_plan(large(3))
-    with pytest.raises(Trouble) as refused:
+    with pytest.raises(ServiceError) as refused:
         fill_plan({**large(3), **wrong})
     assert any(found["place"].startswith(place) for found in refused.value.detail["places"])
 
--- a/tests/test_late_work.py
+++ b/tests/test_late_work.py
@@ -9,9 +9,9 @@
 import pytest
 from pooled_fleet import LAST, POOL, POOLED, SPEEDS, PooledFleet, fleet, served_by_kind
 
+from linkhaven.api import ServiceError
 from linkhaven.pairing import Work
 from linkhaven.router import request as states
-from linkhaven.schema import Trouble
 from linkhaven.stage.fleet import SECOND, Deployment
 
 
@@ -172,7 +172,7 @@
     assert host.node.extra.has(1, POOL)
     attempts, runner = request.attempts, request.runner
     request.deadline_us = one.world.now_us + 5_000
-    host.node.attempts.fail(request, runner, Trouble("runner_full", done="no"), True)
+    host.node.attempts.fail(request, runner, ServiceError("runner_full", done="no"), True)
     assert request.attempts == attempts, (asked.how, request.attempts, request.state)
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -6,13 +6,13 @@
 import msgspec
 import pytest
 
-from linkhaven.clockwork import Terms
-from linkhaven.duty import Lease, LeaseRecord
+from linkhaven.leases import Lease, LeaseRecord
+from linkhaven.runtime import Bounds
 
 SECOND_US = 1_000_000
 TICK_US = 50_000
 START_US = 100 * SECOND_US
-LEASE_US = Terms().lease_us
+LEASE_US = Bounds().lease_us
 
 
 class Register:
@@ -55,7 +55,7 @@
             now_us=lambda: self.time_us,
             systems=[],
             on_late=[],
-            terms=Terms(),
+            terms=Bounds(),
             ports=SimpleNamespace(
                 dice=random.Random(name),
                 log=lambda number, **facts: self.events.append((number, facts["fence"])),
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from linkhaven.register.leaving import LeavingState
+from linkhaven.consensus.leaving import LeavingState
 from linkhaven.stage.core import SimCore
 
 SECOND = 1_000_000
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from linkhaven.schema import EVENTS, Trouble
+from linkhaven.api import EVENTS, ServiceError
 from linkhaven.wire import check_settings, make_log
 from linkhaven.wire.log import EventLog
 from linkhaven.wire.log_files import LineFileHandler, LineStreamHandler, WriteRefusedError
@@ -356,7 +356,7 @@
     ],
 )
 def test_a_bad_setting_of_the_log_is_told_with_its_key(setting, value, fault):
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         check_settings("router", {**SETTINGS, "log": {setting: value}})
     (place,) = caught.value.detail["places"]
     assert place["place"] == f"log/{setting}" and fault in place["fault"]
@@ -371,6 +371,6 @@
 
 
 def test_a_file_that_cannot_be_opened_is_told_with_its_key(tmp_path):
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         make_log("edge-1", file=str(tmp_path))
     assert caught.value.detail["places"][0]["place"] == "log/file"
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -6,7 +6,7 @@
 import socket
 import threading
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 from linkhaven.stage.fleet import LICENSING
 from linkhaven.stage.loopback import LoadRun, LoopbackFleet, judge_callers, plan_freezes
 from linkhaven.wire.console import call_json
@@ -112,7 +112,7 @@
     for attempt in range(RESENDS_AT_MOST):
         try:
             return call_json(addresses[attempt % len(addresses)], method, "/v1/plan", document)
-        except Trouble as trouble:
+        except ServiceError as trouble:
             if trouble.done != "unknown" and trouble.code != "core_unready":
                 raise
             last = trouble
@@ -126,7 +126,7 @@
         document = {"expect": mark, "put_id": put_id, "plan": plan}
         try:
             return call_until_clear(addresses, "PUT", document)["mark"]
-        except Trouble as trouble:
+        except ServiceError as trouble:
             if trouble.code != "mark_conflict":
                 raise
             mark = trouble.detail["mark"]
@@ -155,7 +155,7 @@
                     "/v1/plan",
                     document,
                 )
-            except Trouble as trouble:
+            except ServiceError as trouble:
                 self.mark = trouble.detail.get("mark", self.mark)
                 continue
             self.mark = told["mark"]
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -9,19 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linkhaven.clockwork import (
-    LineReader,
-    Message,
-    Node,
-    Terms,
-    read_json,
-    write_json,
-    write_line,
-)
-from linkhaven.pairing.messages import LinkSample, QueueView, QueueViews, RunnerShunned
-from linkhaven.registry.messages import ContactAnswer, ContactAsk, Image, Keys
-from linkhaven.ring import Ring
-from linkhaven.ring.messages import (
+from linkhaven.api import ServiceError
+from linkhaven.controller.messages import ContactAnswer, ContactAsk, Image, Keys
+from linkhaven.membership import Membership
+from linkhaven.membership.messages import (
     Beat,
     Bye,
     MemberRecord,
@@ -30,8 +21,17 @@
     Verdict,
     hello_of,
 )
+from linkhaven.pairing.messages import LinkSample, QueueView, QueueViews, RunnerShunned
 from linkhaven.router.messages import Explanation, WantExplanation
-from linkhaven.schema import Trouble
+from linkhaven.runtime import (
+    Bounds,
+    LineReader,
+    Message,
+    Node,
+    read_json,
+    write_json,
+    write_line,
+)
 from linkhaven.stage.line_costs import samples
 from linkhaven.stage.world import Host, World
 
@@ -169,7 +169,7 @@
     assert [message.waiting for message in heard] == [3]
 
 
-@pytest.mark.parametrize("fault", [KeyError("runner"), Trouble("too_busy")])
+@pytest.mark.parametrize("fault", [KeyError("runner"), ServiceError("too_busy")])
 def test_a_fault_in_a_handler_is_logged_and_ends_nothing(fault):
     node, heard = make_node(), []
 
@@ -232,7 +232,7 @@
     node.hearers["other"] = heard.append
     try:
         hear_line(node, line)
-    except Trouble as trouble:
+    except ServiceError as trouble:
         assert trouble.code == "bad_request" and not heard
     return heard, [number for number, _ in node.ports.events]
 
@@ -284,7 +284,7 @@
     try:
         return json.loads(body.decode() if isinstance(body, bytes) else body)
     except (ValueError, RecursionError) as fault:
-        return Trouble(
+        return ServiceError(
             "bad_request", places=[{"place": ".", "fault": f"not JSON: {fault}"[:200]}]
         ).as_document()
 
@@ -292,7 +292,7 @@
 def as_we_read(body):
     try:
         return read_json(body)
-    except Trouble as trouble:
+    except ServiceError as trouble:
         return trouble.as_document()
 
 
@@ -423,8 +423,8 @@
 
 def make_member():
     node = make_node()
-    node.terms = Terms()
-    return node, Ring(node, "router", "north", [], 1)
+    node.terms = Bounds()
+    return node, Membership(node, "router", "north", [], 1)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_patch.py
+++ b/tests/test_patch.py
@@ -5,8 +5,8 @@
 import pytest
 from test_documents import Answered, code, command, in_force, kind, make_core
 
-from linkhaven.clockwork import Call, write_json
-from linkhaven.plan.patch import (
+from linkhaven.api import ServiceError
+from linkhaven.configuration.patch import (
     Patch,
     apply_to_lists,
     apply_to_mappings,
@@ -14,7 +14,7 @@
     read_mapping_patch,
 )
 from linkhaven.platform.operator import OperatorDoor
-from linkhaven.schema import Trouble
+from linkhaven.runtime import Call, write_json
 
 SECOND = 1_000_000
 PARTS = ("route_rules", "services")
@@ -114,7 +114,7 @@
     ],
 )
 def test_a_patch_that_does_not_fit_is_refused_with_its_place(order, place):
-    with pytest.raises(Trouble) as refused:
+    with pytest.raises(ServiceError) as refused:
         apply_to_lists(DOCUMENT, read_list_patch(order), PARTS)
     assert refused.value.code == "plan_invalid"
     assert place in [found["place"] for found in refused.value.detail["places"]]
@@ -125,7 +125,7 @@
     plan = {"groups": {"g": {}, "h": {}}, "kinds": {}, "taichi": {}}
     changed = apply_to_mappings(plan, read_mapping_patch(order), ("groups", "kinds"))
     assert changed == {"groups": {"h": {}}, "kinds": {"k": {"new": 1}}, "taichi": {}}
-    with pytest.raises(Trouble):
+    with pytest.raises(ServiceError):
         apply_to_mappings(plan, Patch({"taichi": {"moves": {}}}, {}), ("groups", "kinds"))
 
 
--- a/tests/test_plain_requests.py
+++ b/tests/test_plain_requests.py
@@ -12,10 +12,10 @@
 if hasattr(linkhaven.__path__, "append"):
     linkhaven.__path__.append(str(ROOT / "platform" / "linkhaven"))
 
+from linkhaven.api import ServiceError  # noqa: E402
 from linkhaven.platform.callers import PlatformCallers  # noqa: E402
 from linkhaven.router.attempts import Attempts  # noqa: E402
 from linkhaven.router.request import PARKED, Request  # noqa: E402
-from linkhaven.schema import Trouble  # noqa: E402
 
 
 class Pairing:
@@ -95,5 +95,5 @@
     tries, request = attempts(), asked()
     tries.begin(request)
     request.state = PARKED
-    tries._retry(request, Trouble("runner_lost"))
+    tries._retry(request, ServiceError("runner_lost"))
     assert tries.desk.sent == [("decode-1", None)] * 2 and tries.pairing.reads == []
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from linkhaven.controller.sides import PoolSides
+from linkhaven.controller.views import Views
 from linkhaven.pairing.plain import PlainScheduler
-from linkhaven.registry.sides import PoolSides
-from linkhaven.registry.views import Views
 from linkhaven.runner import PLAIN, Runner
 from linkhaven.stage.core import SimCore
 
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -5,8 +5,8 @@
 import pytest
 from test_bodies import MS, add_router, started
 
-from linkhaven.plan.changes import apply_changes, diff_of, read_changes
-from linkhaven.plan.packing import open_packed, pack_body, write_plan
+from linkhaven.configuration.changes import apply_changes, diff_of, read_changes
+from linkhaven.configuration.packing import open_packed, pack_body, write_plan
 
 SECOND = 1_000_000
 MANY = 1_440
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from linkhaven.plan import fill_plan
+from linkhaven.api import CATALOGUE, ServiceError
+from linkhaven.configuration import fill_plan
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers, status_of
 from linkhaven.platform.operator import read_plan
 from linkhaven.platform.programs import SettingsWatch
 from linkhaven.platform.runners import EventReader, PlatformRunners, Stream, trouble_of
 from linkhaven.platform.settings import Place
-from linkhaven.schema import CATALOGUE, Trouble
 
 ROOT = Path(__file__).parents[1]
 OURS = {"last-event-id", "retry-after", "request-id"}
@@ -102,14 +102,14 @@
     ],
 )
 def test_an_invalid_configuration_is_refused(wrong):
-    with pytest.raises(Trouble):
+    with pytest.raises(ServiceError):
         fill_plan(read_plan(wrong, 0.2, 43))
 
 
 def test_only_what_did_not_run_is_refused_with_a_promise():
     for code in CATALOGUE:
-        assert (status_of(Trouble(code, done="unknown")) == 502) and status_of(
-            Trouble(code, done="no")
+        assert (status_of(ServiceError(code, done="unknown")) == 502) and status_of(
+            ServiceError(code, done="no")
         ) != 502
 
 
@@ -154,7 +154,7 @@
 def test_sizes_that_are_no_numbers_get_a_clear_error(headers):
     request = Asked()
     request.call = Call(**headers)
-    with pytest.raises(Trouble) as told:
+    with pytest.raises(ServiceError) as told:
         PlatformCallers().read(request)
     assert told.value.code == "bad_request" and told.value.status == 400
 
@@ -208,7 +208,7 @@
 }
 
 
-class Ring:
+class Membership:
     def __init__(self):
         self.seeds = []
 
@@ -219,7 +219,7 @@
 class Shell:
     def __init__(self):
         self.node = SimpleNamespace(
-            ring=Ring(),
+            ring=Membership(),
             systems=[],
             ports=SimpleNamespace(log=lambda number, **facts: self.logged.append(number)),
         )
@@ -257,7 +257,7 @@
     "lacking", ["node_name", "bounds", "cloud_api", "internal_port_range", "seed_nodes"]
 )
 def test_settings_that_lack_something_are_told(lacking):
-    with pytest.raises(Trouble) as told:
+    with pytest.raises(ServiceError) as told:
         Place({key: value for key, value in SETTINGS.items() if key != lacking})
     assert told.value.code == "settings_invalid"
 
@@ -267,7 +267,7 @@
     assert set((ROOT / "platform" / "requirements.txt").read_text().split()) <= pinned
 
 
-class Hearer:
+class ResponseHandler:
     def __init__(self):
         self.heard = []
 
@@ -291,7 +291,7 @@
 
 
 def stream(written=0):
-    hearer = Hearer()
+    hearer = ResponseHandler()
     request = SimpleNamespace(written=written, attempt="a/1", outside_id="r-1")
     part = Stream(request, hearer, False, "i-1")
     part.outing = SimpleNamespace(close=lambda: hearer.heard.append(("closed",)))
@@ -394,12 +394,12 @@
         failed=["i-1"] if place == "failed" else ["i-2"],
         handle=("h", runner) if place == "read" else None,
     )
-    PlatformRunners(node_over(wire)).decode(runner, request, None, Hearer())
+    PlatformRunners(node_over(wire)).decode(runner, request, None, ResponseHandler())
     assert wire.kept == [place == "nowhere"]
 
 
 def test_a_call_for_which_no_connection_was_free_was_not_sent_and_says_nothing_of_the_runner():
-    hearer, runner = Hearer(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
+    hearer, runner = ResponseHandler(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
     PlatformRunners(node_over(BusyWire())).decode(runner, request_to_send(), None, hearer)
     assert hearer.heard == [("connections_taken", "no", True)]
 
@@ -426,7 +426,7 @@
     reader = EventReader(3)
     assert [piece.number for piece in reader.feed(b"id: " + b"9" * 5_000 + b"\n\n")] == [3]
     request = SimpleNamespace(id="r-1", call=Call(last_event_id="9" * 5_000))
-    with pytest.raises(Trouble, match="bad_resume"):
+    with pytest.raises(ServiceError, match="bad_resume"):
         PlatformCallers().resume_place(request)
 
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -2,7 +2,6 @@
 
 from types import SimpleNamespace
 
-from linkhaven.clockwork import Table
 from linkhaven.credit.group_account import GroupAccount
 from linkhaven.credit.group_settings import read_group
 from linkhaven.credit.messages import (
@@ -14,6 +13,7 @@
 )
 from linkhaven.credit.scheduler import QUANTUM_TOKENS, DeficitRoundRobin
 from linkhaven.credit.token_bucket import NO_RATE_WAIT_US, TokenBucket
+from linkhaven.runtime import Table
 
 SECOND = 1_000_000
 BOUNDS = {"requests": 1_000, "tokens": 10_000_000, "wait_us": SECOND}
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -1,6 +1,6 @@
 import pytest
 
-from linkhaven.register.rejoin import Rejoin
+from linkhaven.consensus.rejoin import Recovery
 from linkhaven.stage.faults import Faults
 from linkhaven.stage.fleet import LICENSING, SimFleet
 from linkhaven.stage.world import Host, SimDisk
@@ -307,7 +307,7 @@
 def test_a_seat_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts(monkeypatch):
     """An accept that names the older occupant may still be on its way: whoever is read refuses it by then."""
     seen, old = [], []
-    hear_browse = Rejoin.hear_browse
+    hear_browse = Recovery.hear_browse
 
     def spy(self, message):
         if old:
@@ -326,7 +326,7 @@
             seen.append(self.seat.cell("plan").value["mark"])
         hear_browse(self, message)
 
-    monkeypatch.setattr(Rejoin, "hear_browse", spy)
+    monkeypatch.setattr(Recovery, "hear_browse", spy)
     fleet, _ = make_core()
     lost = fleet.registries["c"]
     old.append(lost.node.seat.incarnation)
--- a/tests/test_renewed_lines.py
+++ b/tests/test_renewed_lines.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from linkhaven.clockwork import Node as BaseNode
-from linkhaven.ring import Ring
-from linkhaven.ring.messages import MemberRecord, Members
+from linkhaven.membership import Membership
+from linkhaven.membership.messages import MemberRecord, Members
+from linkhaven.runtime import Node as BaseNode
 from linkhaven.wire import Shell
 from linkhaven.wire.outlet import HANGING_US
 
@@ -40,7 +40,7 @@
         send=lambda address, message: None,
         terms=SimpleNamespace(beat_us=1, missed_us=1),
     )
-    return Ring(node, "core", "north", [], 1), wire
+    return Membership(node, "core", "north", [], 1), wire
 
 
 def told(ring, incarnation, address=HOME):
--- a/tests/test_ring_standing.py
+++ b/tests/test_ring_standing.py
@@ -5,8 +5,8 @@
 import pytest
 from msgspec.structs import replace
 
-from linkhaven.ring import Ring
-from linkhaven.ring.messages import Bye, Doubt, Hello, MemberRecord, Members, Verdict
+from linkhaven.membership import Membership
+from linkhaven.membership.messages import Bye, Doubt, Hello, MemberRecord, Members, Verdict
 
 NAMES = [f"router-{place}" for place in range(1, 8)]
 
@@ -58,7 +58,7 @@
             send=send,
             terms=SimpleNamespace(beat_us=250_000, missed_us=1_000_000),
         )
-        return Ring(node, "router", "north", [], 1)
+        return Membership(node, "router", "north", [], 1)
 
     def _records(self):
         return [ring.me.as_member() for ring in self.rings.values()]
--- a/tests/test_roster_changes.py
+++ b/tests/test_roster_changes.py
@@ -2,7 +2,7 @@
 
 import random
 
-from linkhaven.registry.changes import RosterChanges
+from linkhaven.controller.changes import RosterChanges
 from linkhaven.runner import Roster, Runner
 
 SECOND = 1_000_000
@@ -11,10 +11,10 @@
 class Clock:
     """A node as far as a list of runners needs one."""
 
-    class Terms:
+    class Bounds:
         roster_stale_us = None
 
-    terms = Terms()
+    terms = Bounds()
 
     def __init__(self):
         self.at_us = 10 * SECOND
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -3,15 +3,15 @@
 
 import pytest
 
+from linkhaven.configuration import ConfigurationSnapshot, ConfigurationWatcher
+from linkhaven.configuration.check import fill_plan
+from linkhaven.consensus import Replica
+from linkhaven.consensus.seat import REJOINING
+from linkhaven.controller.gate import KeyGate
+from linkhaven.controller.keeper import RunnerDiscovery
+from linkhaven.controller.phase_change import PhaseChange
 from linkhaven.credit import QuotaAllocator, RetryBudget
-from linkhaven.duty import Lease
-from linkhaven.plan import NewsReader, PlanImage
-from linkhaven.plan.check import fill_plan
-from linkhaven.register import Seat
-from linkhaven.register.seat import REJOINING
-from linkhaven.registry.gate import KeyGate
-from linkhaven.registry.keeper import RosterKeeper
-from linkhaven.registry.phase_change import PhaseChange
+from linkhaven.leases import Lease
 from linkhaven.router.attempts import Attempts
 from linkhaven.router.chain import Chain
 from linkhaven.router.keys import Keys
@@ -85,7 +85,7 @@
 
 
 def trust_any_plan(monkeypatch):
-    monkeypatch.setattr(NewsReader, "is_fresh", lambda self: self.image.plan is not None)
+    monkeypatch.setattr(ConfigurationWatcher, "is_fresh", lambda self: self.image.plan is not None)
     monkeypatch.setattr("linkhaven.runner.Roster.is_fresh", lambda self: True)
 
 
@@ -128,7 +128,7 @@
 
 
 def overlook_leaving(monkeypatch):
-    monkeypatch.setattr(RosterKeeper, "_mark_leaving", lambda self, runner: None)
+    monkeypatch.setattr(RunnerDiscovery, "_mark_leaving", lambda self, runner: None)
 
 
 def leave_slowly(fleet_of):
@@ -169,14 +169,14 @@
 
 
 def vote_from_an_empty_disk(monkeypatch):
-    tick = Seat.tick
+    tick = Replica.tick
 
     def hasty(self, now_us):
         if self.is_empty and self.standing == REJOINING and now_us > 3 * SECOND:
             return self.rejoin._adopt([])
         tick(self, now_us)
 
-    monkeypatch.setattr(Seat, "tick", hasty)
+    monkeypatch.setattr(Replica, "tick", hasty)
 
 
 def lose_a_seat_that_alone_shared_the_put(fleet_of):
@@ -260,9 +260,9 @@
         self.value, self.mark, self.highest = value, value["mark"], value["mark"]
         self.plan = fill_plan(value["plan"])
 
-    monkeypatch.setattr(PlanImage, "take", take)
-    monkeypatch.setattr(PlanImage, "hear_mark", lambda self, mark: None)
-    monkeypatch.setattr(NewsReader, "_is_source", lambda self, seat, now_us: True)
+    monkeypatch.setattr(ConfigurationSnapshot, "take", take)
+    monkeypatch.setattr(ConfigurationSnapshot, "hear_mark", lambda self, mark: None)
+    monkeypatch.setattr(ConfigurationWatcher, "_is_source", lambda self, seat, now_us: True)
 
 
 def hear_a_slow_seat_during_a_burst(fleet_of):
@@ -436,12 +436,12 @@
 
 
 def test_a_filter_that_raises_answers_and_ends_the_chain():
-    from linkhaven.schema import Trouble
+    from linkhaven.api import ServiceError
 
     answers, walked = [], []
 
     def refuse(request):
-        raise Trouble("queue_full")
+        raise ServiceError("queue_full")
 
     class Walker:
         place = 0
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -1,7 +1,7 @@
 import pytest
 
-from linkhaven.clockwork import Terms
 from linkhaven.router import RouterNode
+from linkhaven.runtime import Bounds
 from linkhaven.stage.core import SimCore
 from linkhaven.stage.world import Host
 
@@ -218,7 +218,7 @@
             host.zone,
             seeds,
             host.wall_us() + host.starts,
-            terms=Terms(**core.terms),
+            terms=Bounds(**core.terms),
         )
 
     router = Host(core.world, "router-1", "z", "10.5.0.1:7000", build)
--- a/tests/test_shared_lines.py
+++ b/tests/test_shared_lines.py
@@ -5,13 +5,13 @@
 
 import pytest
 
+from linkhaven.controller.views import Views
 from linkhaven.pairing import Work
 from linkhaven.pairing.decoders import UNDISTURBED_LEAST, split_decoders
 from linkhaven.pairing.estimator import Estimator
 from linkhaven.pairing.fit import LineFit
 from linkhaven.pairing.kept import Kept
 from linkhaven.pairing.recent import RecentMean
-from linkhaven.registry.views import Views
 from linkhaven.runner.roster import DECODE, PREFILL, Runner
 
 SECOND = 1_000_000
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
 from linkhaven.simulator.answer import answer, write_table
 from linkhaven.simulator.question import example_question, read_question
 
@@ -47,7 +47,7 @@
     bad["fleet"]["prefills"] = 9
     bad["what_if"]["a zone cut off"]["faults"][0]["on"] = "nowhere"
     bad["what_if"]["two runners"]["demand"] = {"unknown-kind": 2}
-    with pytest.raises(Trouble) as caught:
+    with pytest.raises(ServiceError) as caught:
         read_question(bad)
     assert caught.value.code == "question_invalid"
     places = {place["place"] for place in caught.value.detail["places"]}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,9 +11,9 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from linkhaven.clockwork import Hearer
-from linkhaven.clockwork import Node as BaseNode
-from linkhaven.schema import Trouble
+from linkhaven.api import ServiceError
+from linkhaven.runtime import Node as BaseNode
+from linkhaven.runtime import ResponseHandler
 from linkhaven.wire import DoorLimits, Shell
 
 DEADLINE_S = 10
@@ -134,7 +134,7 @@
         self.body = b""
         self.is_whole = False
         self.troubles = []
-        self.hearer = Hearer(self._head, self._data, self._end, self.troubles.append)
+        self.hearer = ResponseHandler(self._head, self._data, self._end, self.troubles.append)
 
     def _head(self, status, headers):
         self.status, self.headers = status, headers
@@ -1069,7 +1069,7 @@
     bench.until(lambda: len(bench.shell.node.heard) == 3)
     assert bench.shell.node.heard == [json.loads(line) for line in lines]
     bench.until(lambda: [number for number, _ in bench.events] == [1006] * 3)
-    bench.shell.node.fault = Trouble("too_busy")
+    bench.shell.node.fault = ServiceError("too_busy")
     sock.sendall(lines[0] + b"\n" + lines[1] + b"\n")
     bench.until(lambda: len(bench.shell.node.heard) == 5)
     assert len(inlet.connections) == 1
