--- a/packages/configuration/src/linkhaven/configuration/__init__.py
+++ b/packages/configuration/src/linkhaven/configuration/__init__.py
@@ -1,11 +1,11 @@
 """The plan: its checks, its place in the register, and how routers hear of it."""
 
 from .bodies import BlobStore
-from .check import check_plan, diff_plans, fill_plan
+from .check import decode_configuration, diff_documents, list_document_faults
 from .desk import ConfigurationStore
 from .image import ConfigurationSnapshot
 from .news import WatchServer
-from .overlay import effective_plan, lay_overlay
+from .overlay import apply_overlay, effective_configuration
 from .packing import write_plan
 from .reader import ConfigurationWatcher
 
@@ -15,10 +15,10 @@
     "ConfigurationWatcher",
     "ConfigurationStore",
     "ConfigurationSnapshot",
-    "check_plan",
-    "diff_plans",
-    "effective_plan",
-    "fill_plan",
-    "lay_overlay",
+    "list_document_faults",
+    "diff_documents",
+    "effective_configuration",
+    "decode_configuration",
+    "apply_overlay",
     "write_plan",
 ]
--- a/packages/configuration/src/linkhaven/configuration/check.py
+++ b/packages/configuration/src/linkhaven/configuration/check.py
@@ -213,7 +213,7 @@
     return {**PLAN.check({**document, "groups": {}, "kinds": {}}), "groups": groups, "kinds": kinds}
 
 
-def fill_plan(document):
+def decode_configuration(document):
     places, plan = [], None
     try:
         plan = _fill(document)
@@ -225,15 +225,15 @@
     return plan
 
 
-def check_plan(document):
+def list_document_faults(document):
     try:
-        fill_plan(document)
+        decode_configuration(document)
     except ServiceError as trouble:
         return trouble.detail["places"]
     return []
 
 
-def diff_plans(held, wanted, place=""):
+def diff_documents(held, wanted, place=""):
     """Each place where two plans differ, with both values."""
     for key in sorted({*held, *wanted}):
         here = f"{place}{key}"
@@ -241,6 +241,6 @@
         if old == new:
             continue
         if isinstance(old, dict) and isinstance(new, dict):
-            yield from diff_plans(old, new, f"{here}/")
+            yield from diff_documents(old, new, f"{here}/")
         else:
             yield {"place": here, "held": old, "wanted": new}
--- a/packages/configuration/src/linkhaven/configuration/desk.py
+++ b/packages/configuration/src/linkhaven/configuration/desk.py
@@ -2,9 +2,15 @@
 from linkhaven.runtime import read_json
 
 from .bodies import digests_of, name_bodies
-from .check import check_plan, fill_plan
+from .check import decode_configuration, list_document_faults
 from .document_order import DocumentOrder
-from .overlay import lay_overlay, overlay_group, overlay_kind, overlay_of, overlay_without_group
+from .overlay import (
+    apply_overlay,
+    attach_overlay_kind,
+    overlay_of,
+    put_overlay_group,
+    remove_overlay_group,
+)
 from .patch import apply_to_mappings, read_mapping_patch
 from .taken import (
     TakenOrder,
@@ -74,17 +80,19 @@
 GROUP_PUT = Part(
     "GroupPut",
     put_group,
-    lambda plan, overlay, name, document: overlay_group(plan, overlay, name, document["group"]),
+    lambda plan, overlay, name, document: put_overlay_group(plan, overlay, name, document["group"]),
 )
 GROUP_REMOVE = Part(
     "PartRemove",
     remove_group,
-    lambda plan, overlay, name, document: overlay_without_group(plan, overlay, name),
+    lambda plan, overlay, name, document: remove_overlay_group(plan, overlay, name),
 )
 KIND_PUT = Part(
     "KindPut",
     put_kind,
-    lambda plan, overlay, name, document: overlay_kind(plan, overlay, name, document["kind"]),
+    lambda plan, overlay, name, document: attach_overlay_kind(
+        plan, overlay, name, document["kind"]
+    ),
 )
 KIND_REMOVE = Part("PartRemove", remove_kind, refuse_beside)
 
@@ -158,7 +166,7 @@
         )
 
     def serve_check(self, call):
-        places = check_plan(read_json(call.body))
+        places = list_document_faults(read_json(call.body))
         if places:
             raise ServiceError("plan_invalid", places=places)
         call.answer_json(200, {"fits": True})
@@ -170,7 +178,7 @@
             if value is None:
                 return call.answer_json(200, {"mark": 0, "put_id": None, "plan": None})
             shown = {name: value[name] for name in SHOWN if name in value}
-            shown["plan"] = lay_overlay(value["plan"], overlay_of(value))
+            shown["plan"] = apply_overlay(value["plan"], overlay_of(value))
             call.answer_json(200, shown)
 
         self.read_document(done)
@@ -278,7 +286,7 @@
         held = self.bodies.document_of(value) if order.needs_bodies and value else None
         try:
             document, plan = order.make(held)
-            fill_plan(plan)
+            decode_configuration(plan)
         except ServiceError as trouble:
             return "stop", trouble
         names, texts = name_bodies(plan, document)
@@ -305,7 +313,7 @@
 
     def serve_put(self, call):
         document = check_document("PlanPut", read_json(call.body))
-        fill_plan(document["plan"])
+        decode_configuration(document["plan"])
         self.put(document["expect"], document["put_id"], document["plan"], call)
 
     def serve_part(self, call, name, part):
@@ -319,7 +327,7 @@
                 edited = part.edit_beside(opened["plan"], overlay, name, document)
                 return {**opened, "overlay": edited}
             plan = part.edit(opened.get("plan") or {}, name, document)
-            fill_plan(plan)
+            decode_configuration(plan)
             return {**opened, "plan": plan}
 
         self.change(document["expect"], document["put_id"], edit, call, document)
@@ -337,7 +345,7 @@
             if not opened:
                 raise ServiceError("plan_absent")
             plan = apply_to_mappings(opened["plan"], patch, PATCHED_PARTS)
-            fill_plan(plan)
+            decode_configuration(plan)
             return {**opened, "plan": plan}
 
         self.change(document["expect"], document["put_id"], edit, call, document)
@@ -346,7 +354,7 @@
         """Takes the place of a document, too: what that held is then no longer in force."""
 
         def edit(value):
-            fill_plan(plan)
+            decode_configuration(plan)
             revision = (value or {}).get("revision") or 0
             return {
                 "plan": plan,
--- a/packages/configuration/src/linkhaven/configuration/image.py
+++ b/packages/configuration/src/linkhaven/configuration/image.py
@@ -1,17 +1,17 @@
 """What a node holds of the plan in force."""
 
-from .overlay import effective_plan
+from .overlay import effective_configuration
 
 
 class ConfigurationSnapshot:
     """The newest plan a node holds, and the highest mark it has heard of; neither ever goes back."""
 
-    __slots__ = ("mark", "value", "plan", "highest", "on_new")
+    __slots__ = ("mark", "value", "configuration", "highest", "on_new")
 
     def __init__(self):
         self.mark = 0
         self.value = None
-        self.plan = None
+        self.configuration = None
         self.highest = 0
         self.on_new = []
 
@@ -31,7 +31,7 @@
         """A value with its plan in it; whether it is in force here now."""
         if not self.is_news(value):
             return False
-        self.plan = effective_plan(value)
+        self.configuration = effective_configuration(value)
         self.mark = value["mark"]
         self.value = value
         self.highest = self.mark
--- a/packages/configuration/src/linkhaven/configuration/overlay.py
+++ b/packages/configuration/src/linkhaven/configuration/overlay.py
@@ -1,6 +1,6 @@
 from linkhaven.api import ServiceError
 
-from .check import fill_plan
+from .check import decode_configuration
 
 EMPTY = {"groups": {}, "kinds": {}}
 
@@ -9,7 +9,7 @@
     return (value or {}).get("overlay") or EMPTY
 
 
-def lay_overlay(plan, overlay):
+def apply_overlay(plan, overlay):
     """Groups of the overlay replace the plan's or are added; kinds are attached where both ends are there."""
     groups = {**plan["groups"], **overlay["groups"]}
     kinds = {
@@ -21,8 +21,8 @@
     return {**plan, "groups": groups, "kinds": kinds}
 
 
-def effective_plan(value):
-    return fill_plan(lay_overlay(value["plan"], overlay_of(value)))
+def effective_configuration(value):
+    return decode_configuration(apply_overlay(value["plan"], overlay_of(value)))
 
 
 def _misfit(place, fault):
@@ -31,19 +31,19 @@
 
 def _check(plan, overlay):
     """What is laid over must fit, and a kind that is there must find the group it is attached to."""
-    laid = lay_overlay(plan, overlay)
+    laid = apply_overlay(plan, overlay)
     for name, group in overlay["kinds"].items():
         if name in plan["kinds"] and group not in laid["groups"]:
             raise _misfit(f"kinds/{name}/group", f"no group is named {group}")
-    fill_plan(laid)
+    decode_configuration(laid)
     return overlay
 
 
-def overlay_group(plan, overlay, name, group):
+def put_overlay_group(plan, overlay, name, group):
     return _check(plan, {**overlay, "groups": {**overlay["groups"], name: group}})
 
 
-def overlay_without_group(plan, overlay, name):
+def remove_overlay_group(plan, overlay, name):
     if name not in overlay["groups"]:
         raise _misfit(
             f"groups/{name}", "is not in the overlay; what the document holds, its sender removes"
@@ -57,14 +57,14 @@
     )
 
 
-def overlay_kind(plan, overlay, name, kind):
+def attach_overlay_kind(plan, overlay, name, kind):
     """Only the group: everything else about a kind is its document's."""
     held = plan["kinds"].get(name)
     if held is None:
         raise _misfit(f"kinds/{name}", "is not in the plan")
-    laid = lay_overlay(plan, overlay)
+    laid = apply_overlay(plan, overlay)
     filled = [
-        fill_plan({**laid, "kinds": {name: terms}})["kinds"][name]
+        decode_configuration({**laid, "kinds": {name: terms}})["kinds"][name]
         for terms in (kind, {**held, "group": kind.get("group")})
     ]
     if filled[0] != filled[1]:
--- a/packages/configuration/src/linkhaven/configuration/reader.py
+++ b/packages/configuration/src/linkhaven/configuration/reader.py
@@ -105,7 +105,7 @@
 
     def is_fresh(self):
         """Whether the plan held here may be served by now."""
-        if self.image.plan is None:
+        if self.image.configuration is None:
             return False
         stale_us = self.node.terms.plan_stale_us
         if stale_us is None:
--- a/packages/controller/src/linkhaven/controller/gate.py
+++ b/packages/controller/src/linkhaven/controller/gate.py
@@ -55,10 +55,10 @@
             return False
         if not self.was_behind:
             return True
-        if self.image.plan is None:
+        if self.image.configuration is None:
             return False
         answered = sum(place is None for place in self.places.values())
-        return answered > self.image.plan["fleet"]["routers"] // 2
+        return answered > self.image.configuration["fleet"]["routers"] // 2
 
     def on_keys(self, message):
         """Keep a page of a router's keys, and ask for the next one once that is synced."""
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -183,7 +183,11 @@
             duty.set_rank((place - own) % len(seats))
 
     def _claim_terms(self):
-        return self.image.plan["claims"] if self.image.plan is not None else default_terms()
+        return (
+            self.image.configuration["claims"]
+            if self.image.configuration is not None
+            else default_terms()
+        )
 
     def _hear_change(self, key):
         if key != "plan":
@@ -235,7 +239,7 @@
             return self._tell_groups(call)
 
         def done(trouble, value):
-            if trouble is not None or self.image.plan is None:
+            if trouble is not None or self.image.configuration is None:
                 return call.answer_trouble(
                     trouble or ServiceError("plan_absent", retry_us=2_000_000)
                 )
@@ -244,7 +248,7 @@
         self.plan_desk.read_document(done)
 
     def _tell_groups(self, call):
-        plan = self.image.plan
+        plan = self.image.configuration
         if plan is None:
             raise ServiceError("plan_absent", retry_us=2_000_000)
         told = [
--- a/packages/controller/src/linkhaven/controller/program.py
+++ b/packages/controller/src/linkhaven/controller/program.py
@@ -3,7 +3,7 @@
 from cleo.helpers import argument, option
 
 from linkhaven.api import ServiceError
-from linkhaven.configuration import check_plan, diff_plans
+from linkhaven.configuration import diff_documents, list_document_faults
 from linkhaven.wire import Shell, make_log
 from linkhaven.wire.console import (
     PLACE_OPTIONS,
@@ -90,7 +90,7 @@
     arguments = [argument("file", "the plan as JSON")]
 
     def act(self):
-        places = check_plan(read_document(self.argument("file")))
+        places = list_document_faults(read_document(self.argument("file")))
         if places:
             raise ServiceError("plan_invalid", places=places)
         self.line("The plan fits.")
@@ -176,11 +176,13 @@
 
     def act(self):
         wanted = read_document(self.argument("file"))
-        places = check_plan(wanted)
+        places = list_document_faults(wanted)
         if places:
             raise ServiceError("plan_invalid", places=places)
         held = call_json(self.option("registry"), "GET", "/v1/plan")
-        self.show({"mark": held["mark"], "changes": list(diff_plans(held["plan"] or {}, wanted))})
+        self.show(
+            {"mark": held["mark"], "changes": list(diff_documents(held["plan"] or {}, wanted))}
+        )
 
 
 class PartCommand(CodedCommand):
--- a/packages/controller/src/linkhaven/controller/switcher.py
+++ b/packages/controller/src/linkhaven/controller/switcher.py
@@ -152,7 +152,11 @@
 
     def tick(self, now_us):
         """Count the sides, cover an empty one, work off changes, weigh the ratio when due."""
-        if not self.duty.is_held() or not self.keeper.is_ready() or self.image.plan is None:
+        if (
+            not self.duty.is_held()
+            or not self.keeper.is_ready()
+            or self.image.configuration is None
+        ):
             return
         self._forget_settled(now_us)
         self._survey(now_us)
@@ -187,7 +191,7 @@
             self.pools.setdefault(name, Pool(name)).take(sides, now_us)
 
     def _is_searched(self):
-        return self.image.plan["taichi"]["search"]
+        return self.image.configuration["taichi"]["search"]
 
     def _watch(self, pool, may_order, now_us):
         for phase in PHASES:
@@ -198,12 +202,12 @@
 
     def _empty_most_us(self, pool, phase):
         """How long a side may stand empty: to be sure of it, to order, to switch and to see it."""
-        told = (self.image.plan.get("pools") or {}).get(pool.name) or {}
+        told = (self.image.configuration.get("pools") or {}).get(pool.name) or {}
         switch_us = told.get("switch_us", SWITCH_US)
         seen_us = BARE_US + LOOK_US + 2 * self.node.terms.report_us
         if phase == DECODE:
             return seen_us + READ_END_US + switch_us
-        deadlines = [kind["deadline_us"] for kind in self.image.plan["kinds"].values()]
+        deadlines = [kind["deadline_us"] for kind in self.image.configuration["kinds"].values()]
         return seen_us + TOLD_US + max(deadlines, default=0) + switch_us
 
     # an empty side
@@ -265,7 +269,7 @@
 
     def _look(self, pool, now_us):
         """Weigh the ratio, once each runner of the pool has reported and none is switching."""
-        sides, taichi = pool.now, self.image.plan["taichi"]
+        sides, taichi = pool.now, self.image.configuration["taichi"]
         if sides.unreported or any(sides.arriving.values()):
             return
         reading, decoding = sides.sound[PREFILL], sides.sound[DECODE]
@@ -431,4 +435,4 @@
         self._drop(change)
         pool = self.pools.get(change.pool)
         if pool is not None:
-            pool.dwell_until_us = now_us + self.image.plan["taichi"]["dwell_us"]
+            pool.dwell_until_us = now_us + self.image.configuration["taichi"]["dwell_us"]
--- a/packages/credit/src/linkhaven/credit/admission_queues.py
+++ b/packages/credit/src/linkhaven/credit/admission_queues.py
@@ -69,7 +69,7 @@
 
     # what the configuration and the allocator say
 
-    def apply_plan(self, plan):
+    def apply_configuration(self, plan):
         """Follow a configuration; a group that it no longer names goes once its queue is empty."""
         now_us = self.node.now_us()
         for name, group in plan["groups"].items():
--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -121,7 +121,7 @@
 
     def add_shares(self, ask, answer):
         """Add the grants to the answer to a router's question, if the lease is held."""
-        if self.elected_us is None or not self.lease.is_held() or self.image.plan is None:
+        if self.elected_us is None or not self.lease.is_held() or self.image.configuration is None:
             return
         now_us = self.node.now_us()
         rates = self._grant_rates(ask, now_us)
@@ -133,7 +133,7 @@
 
     def _grant_rates(self, ask, now_us):
         """Return the grants, by group, for the groups on which the router reported."""
-        router, groups = ask["name"], self.image.plan["groups"]
+        router, groups = ask["name"], self.image.configuration["groups"]
         rates = {}
         for name, fields in ask.get("credit", {}).items():
             allowance = read_allowance(groups[name]) if name in groups else None
@@ -150,7 +150,9 @@
     def _grant_attempts(self, router, report, now_us):
         attempts = report.rate
         if not self._is_settling(now_us):
-            attempts = self._attempts_for(router, self.image.plan["extra"]["margin"], now_us)
+            attempts = self._attempts_for(
+                router, self.image.configuration["extra"]["margin"], now_us
+            )
         return self._grant(RETRY_BUDGET, router, attempts, now_us)
 
     def _grant(self, name, router, amount, now_us):
@@ -173,7 +175,7 @@
         if demands.total > 0:
             share = EVEN_SHARE * even_share + DEMAND_SHARE * demand / demands.total
         total_rate = allowance.tokens * MICROSECONDS / allowance.period_us
-        rate = total_rate * max(share, self.image.plan["floor"])
+        rate = total_rate * max(share, self.image.configuration["floor"])
         return max(0.0, min(rate, self._unallocated(group, router, total_rate, now_us)))
 
     def _unallocated(self, group, router, total_rate, now_us):
--- a/packages/credit/src/linkhaven/credit/retry_budget.py
+++ b/packages/credit/src/linkhaven/credit/retry_budget.py
@@ -55,7 +55,7 @@
 
     # what the configuration and the allocator say
 
-    def apply_plan(self, plan):
+    def apply_configuration(self, plan):
         """Follow a configuration; `share` is what each request earns, in attempts."""
         self.share = plan["extra"]["share"]
         pools = plan.get("pools") or {}
--- a/packages/pairing/src/linkhaven/pairing/pairing.py
+++ b/packages/pairing/src/linkhaven/pairing/pairing.py
@@ -248,7 +248,7 @@
         """Whether there are other routers that this one doesn't hear."""
         return DEAF_US < self.node.now_us() - self.heard_us < ALONE_US
 
-    def take_plan(self, plan):
+    def apply_configuration(self, plan):
         self.estimator.taichi = plan["taichi"]
         tightest_us = min((kind["ttft_us"] for kind in plan["kinds"].values()), default=NO_BOUND_US)
         self.in_place_us = int(tightest_us * IN_PLACE_SHARE)
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -98,7 +98,7 @@
 
     def _switch_us(self, request):
         """How long a runner takes to play another part: sooner, none is open again."""
-        pools = (self.node.image.plan or {}).get("pools", {})
+        pools = (self.node.image.configuration or {}).get("pools", {})
         return pools.get(request.pool, {}).get("switch_us", SWITCH_US)
 
     def _give_up(self, request, decision, why, retry_us):
--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -52,7 +52,7 @@
         return PASS
 
     def kind(self, request):
-        plan = self.node.image.plan
+        plan = self.node.image.configuration
         if request.kind_name is None:
             request.kind_name = self.node.doors.find(request.host, request.path)
         kind = plan["kinds"].get(request.kind_name)
--- a/packages/router/src/linkhaven/router/doors.py
+++ b/packages/router/src/linkhaven/router/doors.py
@@ -6,7 +6,7 @@
     def __init__(self):
         self.hosts = {}
 
-    def take_plan(self, plan):
+    def apply_configuration(self, plan):
         self.hosts = {}
         for name, kind in plan["kinds"].items():
             door = kind.get("door")
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -24,7 +24,7 @@
         node.hearers["want_keys"] = self.hear_want
         node.systems.append(self.sweep)
 
-    def take_plan(self, plan):
+    def apply_configuration(self, plan):
         self.terms = plan["claims"]
 
     def claim(self, request, go_on):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -163,12 +163,12 @@
         }
 
     def _take_plan(self):
-        plan = self.image.plan
-        self.pairing.take_plan(plan)
-        self.extra.apply_plan(plan)
-        self.credit.apply_plan(plan)
-        self.keys.take_plan(plan)
-        self.doors.take_plan(plan)
+        plan = self.image.configuration
+        self.pairing.apply_configuration(plan)
+        self.extra.apply_configuration(plan)
+        self.credit.apply_configuration(plan)
+        self.keys.apply_configuration(plan)
+        self.doors.apply_configuration(plan)
         self.rooms = rooms_for_others(plan)
         for kind in [kind for kind in self.typical_tokens if kind not in plan["kinds"]]:
             del self.typical_tokens[kind]
@@ -176,7 +176,7 @@
         for request in self.requests.rows():
             if request.state == states.QUEUED:
                 self._place_anew(request, plan)
-        self.credit.apply_plan(plan)
+        self.credit.apply_configuration(plan)
 
     def _place_anew(self, request, plan):
         """Queued work of a kind that is gone is refused at once; that of one now in another group goes to its queue."""
@@ -265,7 +265,7 @@
 
     def check_fresh(self):
         if (
-            self.image.plan is None
+            self.image.configuration is None
             and not self.image.is_behind
             and self.news.confirmed_us is not None
         ):
@@ -293,7 +293,7 @@
 
     def connections_at_most(self, runner):
         """This router's even part of the connections that all routers together may have to a runner."""
-        pool = (self.image.plan or {}).get("pools", {}).get(runner.pool)
+        pool = (self.image.configuration or {}).get("pools", {}).get(runner.pool)
         if pool is None:
             return None
         return max(2, pool["conns"] * 4 // (5 * (1 + len(self.ring.live("router")))))
--- a/packages/simulator/src/linkhaven/simulator/question.py
+++ b/packages/simulator/src/linkhaven/simulator/question.py
@@ -4,7 +4,7 @@
 
 from linkhaven.api import ServiceError
 from linkhaven.api.fields import NAME, list_places, number, whole
-from linkhaven.configuration import check_plan
+from linkhaven.configuration import list_document_faults
 from linkhaven.controller import DUTIES
 from linkhaven.stage.faults import ALL
 from linkhaven.stage.fleet import DEPLOYMENTS
@@ -70,7 +70,7 @@
     plan, fleet = question["plan"], question["fleet"]
     places = [
         {"place": f"{place}plan/{found['place']}", "fault": found["fault"]}
-        for found in check_plan(plan)
+        for found in list_document_faults(plan)
     ]
     if fleet["prefills"] >= fleet["runners"]:
         places.append({"place": f"{place}fleet/prefills", "fault": "leaves no decode runner"})
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -120,7 +120,7 @@
 
 
 def weight_at(router):
-    plan = router.node.image.plan
+    plan = router.node.image.configuration
     return plan and plan["groups"]["g"]["weight"]
 
 
@@ -328,7 +328,7 @@
         host.node.image.__init__()
     router = with_router(core)
     assert core.read()[0].code == "core_unready"
-    assert router.node.image.plan is None
+    assert router.node.image.configuration is None
     assert not any(host.node.news.is_current() for host in core.machines.values())
     assert is_taken(put(core, 2))
     core.world.run_for(SECOND)
--- a/tests/test_catalogues.py
+++ b/tests/test_catalogues.py
@@ -6,7 +6,7 @@
 import pytest
 
 from linkhaven.api import CATALOGUE, EVENTS, ServiceError, check_document, read_schema
-from linkhaven.configuration import check_plan
+from linkhaven.configuration import list_document_faults
 from linkhaven.simulator.question import read_question
 from linkhaven.stage.fleet import DEPLOYMENTS
 from linkhaven.wire import check_settings, read_settings
@@ -87,7 +87,7 @@
 
 def test_the_shipped_plans_fit_and_a_bad_one_is_told_all_its_faults():
     for deployment in DEPLOYMENTS.values():
-        assert check_plan(deployment.plan()) == []
+        assert list_document_faults(deployment.plan()) == []
     bad = {
         "groups": {"a": {"credit": {"tokens": -1, "period_us": 1}}},
         "fleet": {"routers": 1},
@@ -103,7 +103,7 @@
             }
         },
     }
-    assert {place["place"] for place in check_plan(bad)} == {
+    assert {place["place"] for place in list_document_faults(bad)} == {
         "groups/a/credit/tokens",
         "zzz",
         "kinds/k/group",
@@ -160,7 +160,12 @@
 
 def test_the_example_files_fit_what_they_are_for():
     for deployment in DEPLOYMENTS:
-        assert check_plan(json.loads((ROOT / f"examples/plan-{deployment}.json").read_text())) == []
+        assert (
+            list_document_faults(
+                json.loads((ROOT / f"examples/plan-{deployment}.json").read_text())
+            )
+            == []
+        )
         assert read_question(read_settings(ROOT / f"examples/what-if-{deployment}.json"))["what_if"]
     for path in sorted((ROOT / "examples/loopback").glob("*.yaml")):
         document = read_settings(path)
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -132,7 +132,7 @@
 @pytest.mark.parametrize("seats", [3, 5])
 def test_a_fresh_router_is_not_given_an_old_configuration_by_a_member_that_is_cut_off(seats):
     router, core = meet_a_fresh_router(seats)
-    assert (router.image.plan, router.is_ready()) == (None, False)
+    assert (router.image.configuration, router.is_ready()) == (None, False)
     core.world.heal()
     assert core.world.wait_for(lambda: router.image.mark == 2, 2 * SECOND, TICK_US)
 
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -3,7 +3,11 @@
 import pytest
 from cleo.testers.command_tester import CommandTester
 
-from linkhaven.configuration import check_plan, effective_plan, fill_plan
+from linkhaven.configuration import (
+    decode_configuration,
+    effective_configuration,
+    list_document_faults,
+)
 from linkhaven.configuration.taken import KEPT_ORDERS, TakenOrder, digest_of_order, extend_history
 from linkhaven.controller import program
 from linkhaven.runtime import Call
@@ -50,7 +54,7 @@
 
 
 def in_force(core):
-    return effective_plan(core.read()[1])
+    return effective_configuration(core.read()[1])
 
 
 def code(told):
@@ -150,13 +154,14 @@
     assert in_force(core)["kinds"]["other"]["group"] == "mine"
     core.world.run_for(SECOND)
     assert {
-        host.node.image.plan["groups"]["g"]["credit"]["tokens"] for host in core.machines.values()
+        host.node.image.configuration["groups"]["g"]["credit"]["tokens"]
+        for host in core.machines.values()
     } == {100}
     assert command(core, "DELETE", "/v1/groups/mine")[1]["code"] == "plan_invalid"
     assert command(core, "PUT", "/v1/kinds/other", kind=kind("h"))[0] == 200
     assert command(core, "DELETE", "/v1/groups/mine")[0] == 200
     assert command(core, "DELETE", "/v1/groups/g")[0] == 200
-    assert in_force(core) == fill_plan(PLAN)
+    assert in_force(core) == decode_configuration(PLAN)
 
 
 def test_an_attachment_of_an_unknown_kind_or_to_an_unknown_group_is_refused():
@@ -195,12 +200,12 @@
     ],
 )
 def test_a_plan_with_pools_and_doors_that_clash_is_told_where(changed, place):
-    assert place in [found["place"] for found in check_plan({**PLAN, **changed})]
+    assert place in [found["place"] for found in list_document_faults({**PLAN, **changed})]
 
 
 def test_a_plan_needs_no_allowance_no_fleet_and_takes_long_names():
     name = "A_b.c-" + "x" * 122
-    plan = fill_plan(
+    plan = decode_configuration(
         {
             "groups": {name: {}},
             "pools": {name: {}},
@@ -270,7 +275,10 @@
         "/v1/groups/desks",
         {"credit": credit, "weight": 2.0},
     )
-    assert check_plan({**PLAN, "groups": {**PLAN["groups"], "desks": document["group"]}}) == []
+    assert (
+        list_document_faults({**PLAN, "groups": {**PLAN["groups"], "desks": document["group"]}})
+        == []
+    )
 
 
 def chain(core, count, first=3, name=None):
--- a/tests/test_large_plans.py
+++ b/tests/test_large_plans.py
@@ -3,7 +3,7 @@
 import pytest
 
 from linkhaven.api import ServiceError
-from linkhaven.configuration import check, fill_plan
+from linkhaven.configuration import check, decode_configuration
 from linkhaven.credit import AdmissionQueues
 from linkhaven.pairing import NO_BOUND_US
 from linkhaven.router.node import rooms_for_others
@@ -37,15 +37,15 @@
 def test_only_changed_parts_of_a_plan_are_checked_again(monkeypatch):
     kinds = CountingCheck(check.KIND)
     monkeypatch.setattr(check, "KIND", kinds)
-    first = fill_plan(large())
+    first = decode_configuration(large())
     assert kinds.count == MANY
     changed = large()
     changed["kinds"]["k-7"]["priority"] = 3
     del changed["kinds"]["k-9"]
-    second = fill_plan(changed)
+    second = decode_configuration(changed)
     assert kinds.count == MANY + 1
     assert second["kinds"]["k-7"]["priority"] == 3 and "k-9" not in second["kinds"]
-    assert first["kinds"]["k-7"]["priority"] == 0 and first == fill_plan(large())
+    assert first["kinds"]["k-7"]["priority"] == 0 and first == decode_configuration(large())
 
 
 @pytest.mark.parametrize(
@@ -59,9 +59,9 @@
     ],
 )
 def test_a_part_that_does_not_fit_is_named_beside_many_that_do(wrong, place):
-    fill_plan(large(3))
+    decode_configuration(large(3))
     with pytest.raises(ServiceError) as refused:
-        fill_plan({**large(3), **wrong})
+        decode_configuration({**large(3), **wrong})
     assert any(found["place"].startswith(place) for found in refused.value.detail["places"])
 
 
@@ -110,7 +110,7 @@
 def test_groups_without_requests_cost_nothing_between_changes():
     node = type("Router", (), {"systems": [], "now_us": lambda self: 0})()
     queues = AdmissionQueues(node, lambda: 1_000, lambda request, trouble: None)
-    queues.apply_plan(fill_plan(large()))
+    queues.apply_configuration(decode_configuration(large()))
     looked = queues.scheduler.accounts = Looked(queues.accounts)
     for name in ("g-3", "g-900"):
         queues.enqueue(name, Asked())
--- a/tests/test_patch.py
+++ b/tests/test_patch.py
@@ -147,7 +147,7 @@
     }
     core.world.run_for(SECOND)
     for host in core.machines.values():
-        assert set(host.node.image.plan["kinds"]) == {"r-2", "r-3"}
+        assert set(host.node.image.configuration["kinds"]) == {"r-2", "r-3"}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -119,7 +119,7 @@
 
 
 def test_with_the_doors_of_the_first_plan_a_later_route_is_denied(world, monkeypatch):
-    monkeypatch.setattr(Doors, "take_plan", lambda self, plan: None)
+    monkeypatch.setattr(Doors, "apply_configuration", lambda self, plan: None)
     plan_with(world, 2, "safe", "later")
     assert status_of(world, "/safe/x") == 200
     check_denied(world, "/later/x")
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("is_behind", [True, False])
 def test_a_router_without_a_plan_denies_nothing(world, is_behind):
-    world.node.image.plan = None
+    world.node.image.configuration = None
     world.node.image.highest = 7 if is_behind else 0
     world.node.news.confirmed_us = world.clock.us
     assert status_of(world, "/safe/x") == 503
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,7 +6,7 @@
 import pytest
 
 from linkhaven.api import CATALOGUE, ServiceError
-from linkhaven.configuration import fill_plan
+from linkhaven.configuration import decode_configuration
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers, status_of
 from linkhaven.platform.operator import read_plan
@@ -76,7 +76,7 @@
 
 
 def test_a_configuration_of_the_platform_is_a_plan_of_ours():
-    plan = fill_plan(read_plan(document(), 0.2, 43))
+    plan = decode_configuration(read_plan(document(), 0.2, 43))
     kind = plan["kinds"]["r-a1"]
     assert kind["door"] == {"host": "one.example", "prefix": "/a/"}
     assert kind["repeatable"] and kind["resumable"] and kind["attempts"] == 2
@@ -85,7 +85,9 @@
 
 
 def test_a_stream_that_cannot_be_resumed_is_run_once():
-    plan = fill_plan(read_plan(document(route(resumable=False, max_attempts=3)), 0.2, 43))
+    plan = decode_configuration(
+        read_plan(document(route(resumable=False, max_attempts=3)), 0.2, 43)
+    )
     assert plan["kinds"]["r-a1"]["repeatable"] is False
 
 
@@ -103,7 +105,7 @@
 )
 def test_an_invalid_configuration_is_refused(wrong):
     with pytest.raises(ServiceError):
-        fill_plan(read_plan(wrong, 0.2, 43))
+        decode_configuration(read_plan(wrong, 0.2, 43))
 
 
 def test_only_what_did_not_run_is_refused_with_a_promise():
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -15,7 +15,9 @@
 
 def budget_with(attempts=3):
     budget = RetryBudget(Node())
-    budget.apply_plan({"extra": {"share": 0.2, "margin": 10}, "pools": {"one": {}, "two": {}}})
+    budget.apply_configuration(
+        {"extra": {"share": 0.2, "margin": 10}, "pools": {"one": {}, "two": {}}}
+    )
     budget.apply_grant(attempts, 1, GRANT_EXPIRES_US)
     return budget
 
@@ -45,7 +47,7 @@
 def test_a_pool_that_the_plan_no_longer_names_leaves_nothing_behind():
     budget = budget_with()
     budget.earn("one")
-    budget.apply_plan({"extra": {"share": 0.2, "margin": 10}, "pools": {"two": {}}})
+    budget.apply_configuration({"extra": {"share": 0.2, "margin": 10}, "pools": {"two": {}}})
     assert set(budget.buckets) == {None}
 
 
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -4,7 +4,7 @@
 import pytest
 
 from linkhaven.configuration import ConfigurationSnapshot, ConfigurationWatcher
-from linkhaven.configuration.check import fill_plan
+from linkhaven.configuration.check import decode_configuration
 from linkhaven.consensus import Replica
 from linkhaven.consensus.seat import REJOINING
 from linkhaven.controller.gate import KeyGate
@@ -85,7 +85,9 @@
 
 
 def trust_any_plan(monkeypatch):
-    monkeypatch.setattr(ConfigurationWatcher, "is_fresh", lambda self: self.image.plan is not None)
+    monkeypatch.setattr(
+        ConfigurationWatcher, "is_fresh", lambda self: self.image.configuration is not None
+    )
     monkeypatch.setattr("linkhaven.runner.Roster.is_fresh", lambda self: True)
 
 
@@ -258,7 +260,7 @@
         if value is None:
             return
         self.value, self.mark, self.highest = value, value["mark"], value["mark"]
-        self.plan = fill_plan(value["plan"])
+        self.configuration = decode_configuration(value["plan"])
 
     monkeypatch.setattr(ConfigurationSnapshot, "take", take)
     monkeypatch.setattr(ConfigurationSnapshot, "hear_mark", lambda self, mark: None)
