--- /dev/null
+++ b/tests/recorded_world.py
@@ -0,0 +1,406 @@
+"""The one place where the recorded transcripts hook into the code, and play their runs.
+
+Whoever renames something that is used here adapts this module, and nothing else: the recordings
+under `recordings/` come from 6c079fa and are never written again for a renaming.
+
+`python tests/recorded_world.py RUN` prints a run's transcript: run it on this tree and on one at
+6c079fa, with PYTHONPATH set to either, and compare, to see what a failing test only hints at.
+
+An entry of a transcript is (time, kind, what), all of it text that left or reached a process:
+
+| kind | what |
+| --- | --- |
+| `line/<say>` | sender, receiver, the bytes of a line between our processes |
+| `disk/<key, up to its first />` | whose, the keys and values of one write |
+| `event/<number>` | whose, the facts of a log event; of a fault (1005) only their names |
+| `call/<method> <path>` | from whom to whom, headers and body of an HTTP exchange |
+| `head/<status> <method> <path>`, `data/...`, `end/...`, `cut/...` | what was answered, in order |
+| `told` | what an operator of a simulated core was told |
+"""
+
+import json
+import sys
+from contextlib import contextmanager
+
+from linkhaven.runtime import ResponseHandler
+from linkhaven.stage import world
+from linkhaven.stage.changecourse import (
+    ALL_KILLED,
+    ALL_POWERLESS,
+    NEW,
+    RESTARTED,
+    WIPED,
+    WOKEN,
+    ChangeCourse,
+)
+from linkhaven.stage.core import SimCore
+from linkhaven.stage.cutcourse import BOTH, HOLDER, IN, LAST_TO_ACT, PLAN, CutCourse
+from linkhaven.stage.explore import world as explored
+from linkhaven.stage.explore.report import walk_seed
+from linkhaven.stage.faults import Faults
+from linkhaven.stage.fleet import ARCHIVE, LICENSING, SimFleet
+from linkhaven.stage.racecourse import RaceCourse
+from linkhaven.stage.replacecourse import HELD_NEWEST, KILLED, PLANNED, ReplaceCourse
+
+SECOND = 1_000_000
+FAULT = 1005
+DEAF = ResponseHandler(*[lambda *words: None] * 4)
+
+
+class Transcript:
+    """Everything that left or reached a process, in order; each `hear` is told before the code."""
+
+    def __init__(self):
+        self.entries = []
+
+    def add(self, now_us, kind, *what):
+        self.entries.append(f"{now_us}\t{kind}\t" + "\t".join(map(text_of, what)))
+
+    def hear_line(self, wire, address, message):
+        line = world.write_line(message)
+        now_us = wire.host.world.now_us
+        self.add(now_us, kind_of_line(line), wire.host.name, address, line)
+
+    def hear_write(self, disk, items, done):
+        self.add(disk.world.now_us, kind_of_write(items), disk.host.name, in_order(items))
+
+    def hear_event(self, host, number, **facts):
+        told = list(facts) if number == FAULT else facts
+        self.add(host.world.now_us, f"event/{number}", host.name, told)
+
+    def hear_call(self, conn, method, path, headers, body):
+        server = conn.server.name if conn.server else "nobody"
+        kind = f"call/{method} {stem_of(path)}"
+        self.add(conn.world.now_us, kind, conn.client.name, server, path, headers, body)
+
+    def hear_head(self, call, status, headers):
+        self._hear_answer(f"head {status}", call, status, headers)
+
+    def hear_data(self, call, data):
+        self._hear_answer("data", call, data)
+
+    def hear_end(self, call):
+        self._hear_answer("end", call)
+
+    def hear_cut(self, call):
+        self._hear_answer("cut", call)
+
+    def _hear_answer(self, what, call, *words):
+        if not call.is_ended:
+            conn, kind = call.conn, f"{what}/{call.method} {stem_of(call.path)}"
+            self.add(conn.world.now_us, kind, conn.server.name, conn.client.name, *words)
+
+    def hear_explored_line(self, machines, machine, address, message):
+        line = explored.write_line(message)
+        self.add(machines.now_us, kind_of_line(line), machine.name, address, line)
+
+    def hear_explored_write(self, disk, items, done):
+        self.add("", kind_of_write(items), in_order(items))
+
+    def hear_explored_event(self, ports, number, **facts):
+        told = list(facts) if number == FAULT else facts
+        self.add(ports.now_us(), f"event/{number}", ports.machine.name, told)
+
+
+HOOKS = [
+    (world.SimWire, "tell", Transcript.hear_line),
+    (world.SimDisk, "write", Transcript.hear_write),
+    (world.Host, "_log", Transcript.hear_event),
+    (world.Conn, "connect", Transcript.hear_call),
+    (world.SimCall, "begin", Transcript.hear_head),
+    (world.SimCall, "write", Transcript.hear_data),
+    (world.SimCall, "finish", Transcript.hear_end),
+    (world.SimCall, "cut", Transcript.hear_cut),
+    (explored.World, "send", Transcript.hear_explored_line),
+    (explored.ExploredDisk, "write", Transcript.hear_explored_write),
+    (explored.MachinePorts, "log", Transcript.hear_explored_event),
+]
+
+
+def text_of(what):
+    """As it was sent; facts in the order in which they were given."""
+    if isinstance(what, bytes):
+        return what.decode()
+    return what if isinstance(what, str) else json.dumps(what, ensure_ascii=False)
+
+
+def stem_of(path):
+    """The path of a call without the names in it."""
+    return "/".join(path.partition("?")[0].split("/")[:3])
+
+
+def kind_of_line(line):
+    return "line/" + json.loads(line)["say"]
+
+
+def kind_of_write(items):
+    return "disk/" + "+".join(sorted({key.partition("/")[0] for key in items}))
+
+
+def in_order(items):
+    """Keys of one write are one transaction: their order there shows nowhere."""
+    return dict(sorted(items.items()))
+
+
+def hooked(transcript, inner, hear):
+    def call(self, *words, **facts):
+        hear(transcript, self, *words, **facts)
+        return inner(self, *words, **facts)
+
+    return call
+
+
+@contextmanager
+def recorded():
+    """While this is open, all that the simulated worlds carry goes into the transcript."""
+    transcript = Transcript()
+    kept = [(owner, name, getattr(owner, name)) for owner, name, _ in HOOKS]
+    for owner, name, hear in HOOKS:
+        setattr(owner, name, hooked(transcript, getattr(owner, name), hear))
+    try:
+        yield transcript
+    finally:
+        for owner, name, inner in kept:
+            setattr(owner, name, inner)
+
+
+def add_calls(transcript, course):
+    """What the operators of a simulated core were told, at the end of its course."""
+    for told in course.operators.calls:
+        order = told.order and [told.order.base, told.order.revision, told.order.document]
+        facts = [told.member, order, told.sent_us, told.outcome, told.code, told.revision]
+        transcript.add(told.ended_us, "told", [*facts, told.document])
+
+
+def cut_course(seed, seats, who, direction, how):
+    def run(transcript):
+        add_calls(transcript, CutCourse(seed, seats, who, direction, how).run(who))
+
+    return run
+
+
+def race_course(seed, seats, racers):
+    def run(transcript):
+        course = RaceCourse(seed, seats, racers).run(1)
+        course.send_late()
+        add_calls(transcript, course)
+
+    return run
+
+
+def replace_course(seed, seats, how, what, share, repair_us):
+    def run(transcript):
+        course = ReplaceCourse(seed, seats).run(how, what, share, repair_us)
+        course.last_reads()
+        add_calls(transcript, course)
+
+    return run
+
+
+def change_course(seed, seats, changes, legs):
+    def run(transcript):
+        add_calls(transcript, ChangeCourse(seed, seats, changes).run(legs))
+
+    return run
+
+
+def walk(seed, steps):
+    def run(transcript):
+        walk_seed(seed, steps)
+
+    return run
+
+
+def membership(seed):
+    """Five seats with spares: members leave, hand over, lose their disk and come late."""
+
+    def run(transcript):
+        core = SimCore(seed, seats=5).bootstrap(3, 2)
+        core.wait_voting(5)
+        core.add("spare-1").start()
+        core.world.run_for(2 * SECOND)
+        transcript.add(core.world.now_us, "told", _plain(core.put(0, 1, "text 1", PLAN)))
+        for name in ("core-2", "core-4"):
+            host = core.machines[name]
+            host.node.drain(host.kill)
+            core.world.run_for(6 * SECOND)
+        core.machines["core-1"].kill()
+        core.machines["core-1"].disk.wipe()
+        core.world.run_for(2 * SECOND)
+        core.machines["core-1"].start()
+        core.world.run_for(4 * SECOND)
+        core.machines["core-3"].kill()
+        core.world.run_for(8 * SECOND)
+        core.add("late-1").start()
+        core.world.run_for(6 * SECOND)
+        transcript.add(core.world.now_us, "told", _plain(core.put(1, 2, "text 2", PLAN)))
+        transcript.add(core.world.now_us, "told", _plain([core.read()]))
+
+    return run
+
+
+def _plain(told):
+    return [[trouble and trouble.code, value] for trouble, value in told]
+
+
+def fleet(deployment, seed, steps, rate=None):
+    """A whole fleet under load; `steps` are a fault's name, its words and the seconds it lasts."""
+
+    def run(transcript):
+        stage = SimFleet(deployment, seed).start()
+        faults = Faults(stage)
+        stage.load(rate)
+        stage.world.run_for(2 * SECOND)
+        for name, words, span_s in steps:
+            faults.begin(name, *words)
+            stage.world.run_for(int(span_s * SECOND))
+            faults.close()
+            stage.world.run_for(SECOND)
+        stage.settle()
+
+    return run
+
+
+CORE_STEPS = [
+    ("kill_core", (), 4),
+    ("empty_core", (), 5),
+    ("cut_core", (), 4),
+    ("lossy_core", (), 2),
+    ("freeze_holder", (), 4),
+    ("exchange_awake_core", (), 4),
+    ("full_disk_in_a_rejoin", (), 3),
+    ("slow_disks", (), 2),
+    ("restart_core", (), 2),
+]
+EDGE_STEPS = [
+    ("kill_router", (), 3),
+    ("cut_router_from_core", (), 4),
+    ("cut_zone", (), 4),
+    ("jump_clocks", (), 3),
+    ("restart_fleet", (), 4),
+    ("freeze_router", (), 2),
+]
+RUNNER_STEPS = [
+    ("crash_runner", (), 3),
+    ("replace_runner", (), 6),
+    ("fail_hand_overs", (), 2),
+    ("late_reports", (), 3),
+    ("garble_streams", (), 2),
+    ("lapse_handles", (), 2),
+    ("cut_platform_from_holder", (), 4),
+]
+PEOPLE_STEPS = [
+    ("break_conns", (), 2),
+    ("collide_plans", (), 3),
+    ("crowd", (), 4),
+    ("swing_mix", (), 8),
+    ("burst_plans", (), 3),
+    ("remove_group", (), 4),
+]
+GROUP = {"credit": {"tokens": 100_000, "period_us": 10 * SECOND}, "weight": 1.0}
+KIND = {**LICENSING.kinds["seat-question"], "group": "new"}
+TOUR = [
+    ("core", "GET", "/v1/core", None),
+    ("core", "GET", "/v1/groups", None),
+    ("core", "GET", "/v1/standing", None),
+    ("core", "GET", "/v1/plan", None),
+    ("core", "POST", "/v1/core/restore", {}),
+    ("core", "GET", "/v1/nothing", None),
+    ("core", "DELETE", "/v1/plan", None),
+    ("core", "PUT", "/v1/plan", {"expect": 0, "put_id": "t-1", "plan": {"groups": 1}}),
+    ("core", "PUT", "/v1/plan", {"expect": 0, "put_id": "t-2", "plan": LICENSING.plan()}),
+    ("core", "PUT", "/v1/plan", {"expect": 1, "put_id": "t-3", "plan": LICENSING.plan()}),
+    ("core", "PUT", "/v1/plan", {"expect": 1, "put_id": "t-3", "plan": LICENSING.plan()}),
+    ("core", "PUT", "/v1/plan", {}),
+    ("core", "POST", "/v1/plan/check", LICENSING.plan()),
+    ("core", "POST", "/v1/plan/check", {"groups": {"g": {}}, "kinds": {"k": 1}}),
+    (
+        "core",
+        "PATCH",
+        "/v1/plan",
+        {"expect": 2, "put_id": "t-4", "upserts": {"groups": {"x": GROUP}}},
+    ),
+    ("core", "PATCH", "/v1/plan", {"expect": 2, "put_id": "t-5", "upserts": {"groups": {"y": 1}}}),
+    ("core", "PUT", "/v1/groups/new", {"expect": 3, "put_id": "t-6", "group": GROUP}),
+    ("core", "PUT", "/v1/groups/new", {"expect": 1, "put_id": "t-7", "group": GROUP}),
+    ("core", "PUT", "/v1/kinds/new", {"expect": 4, "put_id": "t-8", "kind": KIND}),
+    ("core", "DELETE", "/v1/kinds/new", {"expect": 5, "put_id": "t-9"}),
+    ("core", "DELETE", "/v1/groups/new", {"expect": 6, "put_id": "t-10"}),
+    ("core", "DELETE", "/v1/groups/seats", {"expect": 7, "put_id": "t-11"}),
+    ("core", "GET", "/v1/plan", None),
+    ("edge", "GET", "/v1/standing", None),
+    ("edge", "GET", "/v1/explain/callers-1", None),
+    ("edge", "GET", "/v1/explain/REQUEST", None),
+    ("edge-2", "GET", "/v1/explain/REQUEST", None),
+    ("edge", "POST", "/v1/requests", {"kind": "unheard", "prompt": "p", "answer_tokens": 3}),
+    ("edge", "POST", "/v1/requests", {"kind": "seat-question"}),
+    ("edge", "POST", "/v1/requests", {"kind": "seat-question", "prompt": "p", "answer_tokens": 3}),
+    ("edge", "GET", "/v1/plan", None),
+    ("platform", "GET", "/v1/runners", None),
+    ("runner", "GET", "/v1/report", None),
+    ("runner", "POST", "/v1/prefill", {}),
+]
+
+
+def tour(seed):
+    """Every path of the native interface, asked well and wrongly, one after the other."""
+
+    def run(transcript):
+        stage = SimFleet(LICENSING, seed).start()
+        places = {
+            "core": stage.registries["a"],
+            "edge": stage.routers["edge-1"],
+            "edge-2": stage.routers["edge-2"],
+            "platform": stage.platform,
+            "runner": stage.runners["runner-1"],
+        }
+        edge = [places["edge"].address]
+        asked = stage.ask("entitlement-check", edge, key="form-1")
+        stage.ask("entitlement-check", edge, key="form-1")
+        stage.world.run_for(SECOND)
+        for place, method, path, document in TOUR:
+            body = b"" if document is None else json.dumps(document).encode()
+            wire = stage.operators[0].node.ports.wire
+            path = path.replace("REQUEST", asked.request or "none")
+            wire.open(places[place].address, method, path, {}, body, DEAF)
+            stage.world.run_for(SECOND // 2)
+        stage.settle()
+
+    return run
+
+
+RUNS = {
+    "cut-3": cut_course(11, 3, LAST_TO_ACT, BOTH, world.SILENT),
+    "cut-5": cut_course(12, 5, HOLDER, IN, world.REFUSAL),
+    "race-3": race_course(13, 3, 4),
+    "race-5": race_course(14, 5, 8),
+    "replace-planned": replace_course(15, 3, PLANNED, "wipe_new", 0.5, 1_000_000),
+    "replace-killed": replace_course(16, 5, KILLED, "second_planned", 0.9, 3_000_000),
+    "replace-newest": replace_course(17, 3, HELD_NEWEST, "second_new", 0.1, 1_000_000),
+    "changes-3": change_course(18, 3, 6, (NEW, WIPED, RESTARTED, ALL_KILLED)),
+    "changes-5": change_course(19, 5, 4, (WOKEN, ALL_POWERLESS, WIPED, NEW)),
+    "membership": membership(20),
+    "fleet-core": fleet(LICENSING, 23, CORE_STEPS),
+    "fleet-edge": fleet(LICENSING, 24, EDGE_STEPS),
+    "fleet-runners": fleet(ARCHIVE, 25, RUNNER_STEPS),
+    "fleet-people": fleet(LICENSING, 26, PEOPLE_STEPS),
+    "tour": tour(27),
+    "walk-1": walk(21, 400),
+    "walk-2": walk(22, 400),
+}
+
+
+def play(name):
+    """The entries of one run."""
+    with recorded() as transcript:
+        RUNS[name](transcript)
+    return transcript.entries
+
+
+def main():
+    """Print the entries of one run, to be compared with those that another tree prints."""
+    print("\n".join(play(sys.argv[1])))
+
+
+if __name__ == "__main__":
+    main()
