--- a/packages/api/src/linkhaven/api/__init__.py
+++ b/packages/api/src/linkhaven/api/__init__.py
@@ -1,6 +1,6 @@
 from .check import check_document, list_complaints, read_schema
+from .errors import CATALOGUE, ServiceError, read_error
 from .events import EVENTS
-from .troubles import CATALOGUE, ServiceError, read_trouble
 
 __all__ = [
     "CATALOGUE",
@@ -9,5 +9,5 @@
     "check_document",
     "list_complaints",
     "read_schema",
-    "read_trouble",
+    "read_error",
 ]
--- a/packages/api/src/linkhaven/api/check.py
+++ b/packages/api/src/linkhaven/api/check.py
@@ -3,7 +3,7 @@
 
 import yaml
 
-from .troubles import ServiceError
+from .errors import ServiceError
 
 
 @lru_cache(maxsize=1)
--- a/packages/api/src/linkhaven/api/troubles.py
+++ b/packages/api/src/linkhaven/api/errors.py
@@ -259,7 +259,7 @@
         return document
 
 
-def read_trouble(document, fallback):
+def read_error(document, fallback):
     code = document.get("code") if isinstance(document, dict) else None
     if code not in CATALOGUE:
         return ServiceError(fallback)
--- a/packages/configuration/src/linkhaven/configuration/check.py
+++ b/packages/configuration/src/linkhaven/configuration/check.py
@@ -228,8 +228,8 @@
 def list_document_faults(document):
     try:
         decode_configuration(document)
-    except ServiceError as trouble:
-        return trouble.detail["places"]
+    except ServiceError as error:
+        return error.detail["places"]
     return []
 
 
--- a/packages/configuration/src/linkhaven/configuration/desk.py
+++ b/packages/configuration/src/linkhaven/configuration/desk.py
@@ -97,7 +97,7 @@
 KIND_REMOVE = Part("PartRemove", remove_kind, refuse_beside)
 
 
-def outcome_trouble(outcome, value, put_id):
+def outcome_error(outcome, value, put_id):
     if outcome == "stopped":
         return value
     if outcome == "unknown":
@@ -172,9 +172,9 @@
         call.answer_json(200, {"fits": True})
 
     def serve_show(self, call):
-        def done(trouble, value):
-            if trouble is not None:
-                return call.answer_trouble(trouble)
+        def done(error, value):
+            if error is not None:
+                return call.answer_error(error)
             if value is None:
                 return call.answer_json(200, {"mark": 0, "put_id": None, "plan": None})
             shown = {name: value[name] for name in SHOWN if name in value}
@@ -184,7 +184,7 @@
         self.read_document(done)
 
     def read_document(self, done):
-        """done(trouble, value) with what a majority of the core holds, its plan and document in it.
+        """done(error, value) with what a majority of the core holds, its plan and document in it.
 
         A value whose bodies can't be had is no answer: it is never shown in part."""
 
@@ -230,7 +230,7 @@
     def put_document(self, base, revision, document, plan, done):
         """Put the document of another door in place of the one of revision `base`.
 
-        done(trouble, taken): `taken` has the mark and the revision that the order got, now or when
+        done(error, taken): `taken` has the mark and the revision that the order got, now or when
         it came before.
         """
         order = DocumentOrder(base, revision, digest_of_order(document))
@@ -242,7 +242,7 @@
         """Change the document of revision `base` by the text of a patch.
 
         `merge(document)` gives the next document and its plan, or raises; the document is None
-        where none is in force. done(trouble, taken): as for `put_document`.
+        where none is in force. done(error, taken): as for `put_document`.
         """
         order = DocumentOrder(base, revision, digest_of_ordered(["patch", patch]))
         order.make = merge
@@ -255,9 +255,9 @@
         def step(value):
             if order.is_taken(value):
                 return "keep", None
-            trouble = order.refusal(value)
-            if trouble is not None:
-                return "stop", trouble
+            error = order.refusal(value)
+            if error is not None:
+                return "stop", error
             if order.needs_bodies and value is not None and not self.bodies.has(value):
                 lacking.append(value)
                 return "stop", lacking_body()
@@ -273,7 +273,7 @@
                 return self.bodies.gather(lacking[-1], again)
             self._log_outcome(outcome, value, order.base, order.put_id)
             if outcome != "chosen":
-                return done(outcome_trouble(outcome, value, order.put_id), None)
+                return done(outcome_error(outcome, value, order.put_id), None)
             self._take_image(value)
             taken = find_order(value, order.revision)
             mark = taken.mark if taken is not None else value["mark"]
@@ -287,8 +287,8 @@
         try:
             document, plan = order.make(held)
             decode_configuration(plan)
-        except ServiceError as trouble:
-            return "stop", trouble
+        except ServiceError as error:
+            return "stop", error
         names, texts = name_bodies(plan, document)
         self._sender_of(texts)(value)
         mark = (value["mark"] if value else 0) + 1
@@ -376,9 +376,9 @@
         def step(value):
             if is_put_taken(value, put_id, digest):
                 return "keep", None
-            trouble = refuse_put(value, expect, put_id)
-            if trouble is not None:
-                return "stop", trouble
+            error = refuse_put(value, expect, put_id)
+            if error is not None:
+                return "stop", error
             if needs_bodies and value is not None and not self.bodies.has(value):
                 lacking.append(value)
                 return "stop", lacking_body()
@@ -386,7 +386,7 @@
 
         def again(is_held):
             if not is_held or tries <= 1:
-                return call.answer_trouble(lacking_body())
+                return call.answer_error(lacking_body())
             self.change(expect, put_id, edit, call, ordered, needs_bodies, tries - 1)
 
         def done(outcome, value):
@@ -394,7 +394,7 @@
                 return self.bodies.gather(lacking[-1], again)
             self._log_outcome(outcome, value, expect, put_id)
             if outcome != "chosen":
-                return call.answer_trouble(outcome_trouble(outcome, value, put_id))
+                return call.answer_error(outcome_error(outcome, value, put_id))
             self._take_image(value)
             taken = find_order(value, put_id)
             mark = taken.mark if taken is not None else value["mark"]
@@ -406,8 +406,8 @@
         """The step that sets what `edit` makes of the value, with its bodies on their way."""
         try:
             edited = edit(value)
-        except ServiceError as trouble:
-            return "stop", trouble
+        except ServiceError as error:
+            return "stop", error
         names, texts = name_bodies(edited["plan"], edited.get("document"))
         self._sender_of(texts)(value)
         taken.revision = edited.get("revision") or 0
--- a/packages/controller/src/linkhaven/controller/disk.py
+++ b/packages/controller/src/linkhaven/controller/disk.py
@@ -238,11 +238,11 @@
     another format is whole and good for another release: it is never set aside."""
     try:
         return LmdbDisk(folder, most_bytes, node)
-    except ServiceError as trouble:
-        if trouble.code == "disk_failing":
+    except ServiceError as error:
+        if error.code == "disk_failing":
             raise
-        log(1212, code=trouble.code, **trouble.detail)
-        if not sets_aside or trouble.code == "disk_format":
+        log(1212, code=error.code, **error.detail)
+        if not sets_aside or error.code == "disk_format":
             raise
     try:
         set_aside(folder, most_bytes)
--- a/packages/controller/src/linkhaven/controller/keeper.py
+++ b/packages/controller/src/linkhaven/controller/keeper.py
@@ -184,9 +184,9 @@
             self.poll.abandon()
         self.polled_us = now_us
 
-        def done(trouble, document, has_begun):
+        def done(error, document, has_begun):
             self.poll = None
-            if trouble is None and self.since_us is not None:
+            if error is None and self.since_us is not None:
                 self._take_list(document, now_us)
 
         self.poll = self.desk.list_runners(self.platform, done)
@@ -264,9 +264,9 @@
         self.owed_us.setdefault(runner.name, now_us)
         self._judge_dark(runner, now_us)
 
-        def done(trouble, document, has_begun):
+        def done(error, document, has_begun):
             self.reports.pop(runner.name, None)
-            if trouble is not None or self.runners.get(runner.name) is not runner:
+            if error is not None or self.runners.get(runner.name) is not runner:
                 return
             self._take_report(runner, document)
 
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -238,11 +238,9 @@
         if self.seat.is_voting:
             return self._tell_groups(call)
 
-        def done(trouble, value):
-            if trouble is not None or self.image.configuration is None:
-                return call.answer_trouble(
-                    trouble or ServiceError("plan_absent", retry_us=2_000_000)
-                )
+        def done(error, value):
+            if error is not None or self.image.configuration is None:
+                return call.answer_error(error or ServiceError("plan_absent", retry_us=2_000_000))
             self._tell_groups(call)
 
         self.plan_desk.read_document(done)
--- a/packages/controller/src/linkhaven/controller/switcher.py
+++ b/packages/controller/src/linkhaven/controller/switcher.py
@@ -398,11 +398,11 @@
             "incarnation": runner.incarnation,
         }
 
-        def done(trouble, document, has_begun):
-            if trouble is not None:
+        def done(error, document, has_begun):
+            if error is not None:
                 change.is_refused = True
-                self.node.ports.log(1502, runner=runner.name, code=trouble.code)
-                self.duty.observe_fence(trouble.detail.get("fence", 0))
+                self.node.ports.log(1502, runner=runner.name, code=error.code)
+                self.duty.observe_fence(error.detail.get("fence", 0))
 
         self.orders += 1
         pool = self.pools.get(change.pool)
--- a/packages/credit/src/linkhaven/credit/admission_queues.py
+++ b/packages/credit/src/linkhaven/credit/admission_queues.py
@@ -54,7 +54,7 @@
         """Start without groups.
 
         `estimate_initial_rate()` gives the service rate (tokens a second) of a queue that hasn't
-        been measured; `on_hopeless(request, trouble)` refuses a queued request.
+        been measured; `on_hopeless(request, error)` refuses a queued request.
         """
         self.node = node
         self.estimate_initial_rate = estimate_initial_rate
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -16,7 +16,7 @@
 BEYOND_TARGET = "prompt_beyond_target"
 NO_OPEN_RUNNER = "no_open_runner"
 NO_FAILURE = GONE | FULL
-"""Troubles that say nothing of how well a runner answers."""
+"""Errors that say nothing of how well a runner answers."""
 
 TURNED_AWAY = FAILED_HAND_OVERS | {"runner_full", "runner_leaving", "phase_wrong"}
 
@@ -43,12 +43,12 @@
             self.node.ports.log(1005, request=request.id, fault=repr(fault))
             is_queued = request.state == states.QUEUED
             may_be_sent = request.has_begun or request.attempts > 0
-            trouble = (
+            error = (
                 ServiceError("runner_lost", why="a fault at its start")
                 if may_be_sent
                 else ServiceError("no_runner", retry_us=self.node.terms.retry_least_us)
             )
-            self.node.end_in_trouble(request, trouble)
+            self.node.end_with_error(request, error)
             return not is_queued
 
     def _begin(self, request):
@@ -105,14 +105,14 @@
         """The final answer, at once, with when to come back; gives False, as nothing was placed."""
         request.decisions.append(decision)
         self.node.invariants.check_refusal(request, decision)
-        trouble = ServiceError(
+        error = ServiceError(
             "no_runner",
             retry_us=retry_us,
             why=why,
             soonest_us=min((each.total_us for each in decision.candidates), default=None),
             has_memory=any(candidate.has_memory for candidate in decision.candidates),
         )
-        self.node.end_in_trouble(request, trouble)
+        self.node.end_with_error(request, error)
         return False
 
     def work_of(self, request):
@@ -208,15 +208,15 @@
         request.reads += 1
         attempt = request.attempt
 
-        def done(trouble, handle, has_begun):
+        def done(error, handle, has_begun):
             if request.attempt != attempt or request.state != states.READING:
                 if handle is not None:
                     self.desk.free(runner, handle)
                 return
-            self.pairing.end_read(runner, attempt, is_seen=trouble is None)
+            self.pairing.end_read(runner, attempt, is_seen=error is None)
             request.part = None
-            if trouble is not None:
-                return self.fail(request, runner, trouble, has_begun)
+            if error is not None:
+                return self.fail(request, runner, error, has_begun)
             request.handle = (handle, runner)
             self.roster.note_alive(runner)
             self._hand_over(request)
@@ -266,39 +266,39 @@
             self.desk.free(request.handle[1], request.handle[0])
         request.handle = None
 
-    def fail(self, request, runner, trouble, has_begun):
+    def fail(self, request, runner, error, has_begun):
         """An attempt is over without an answer: ends the request, or tries it again.
 
         `has_begun` says whether bytes of it may have reached the runner. Work that may run once only
         and may have begun is never sent again. Test: `forget_what_was_begun` in the model test.
         """
-        if trouble.code in FAILED_HAND_OVERS and request.handle:
+        if error.code in FAILED_HAND_OVERS and request.handle:
             self.pairing.shun(request.handle[1])
         self.leave_runner(request)
-        self._note_failed(request, runner, trouble, has_begun)
-        self._tell_of_runner(runner, trouble, has_begun)
-        if not has_begun or trouble.done == "no":
+        self._note_failed(request, runner, error, has_begun)
+        self._tell_of_runner(runner, error, has_begun)
+        if not has_begun or error.done == "no":
             self._take_back_begun(request)
         if not self.may_be_repeated(request):
-            return self.node.end_in_trouble(request, self._unknown(trouble))
-        if trouble.code == "run_unknown":
-            return self.node.end_in_trouble(request, self._run_unknown(request, trouble))
+            return self.node.end_with_error(request, self._unknown(error))
+        if error.code == "run_unknown":
+            return self.node.end_with_error(request, self._run_unknown(request, error))
         if not request.written:
             request.run = None
         request.state = states.PARKED
-        self._retry(request, trouble)
+        self._retry(request, error)
 
-    def _note_failed(self, request, runner, trouble, has_begun):
-        now_us, code = self.node.now_us(), trouble.code
+    def _note_failed(self, request, runner, error, has_begun):
+        now_us, code = self.node.now_us(), error.code
         request.note(now_us, "failed", runner=runner.name, code=code, number=request.attempts)
         request.failed.append(runner.name)
         self.node.ports.log(
             2106, request=request.id, runner=runner.name, code=code, has_begun=has_begun
         )
 
-    def _tell_of_runner(self, runner, trouble, has_begun):
+    def _tell_of_runner(self, runner, error, has_begun):
         """What the failure says of the runner, for all later choices."""
-        code = trouble.code
+        code = error.code
         if runner.is_plain() and code not in NO_FAILURE:
             self.pairing.plain.note_failed(runner)
         if not has_begun:
@@ -312,7 +312,7 @@
         if code in FULL:
             self.pairing.note_turned_away(runner)
         if code == "mark_old":
-            self.node.image.hear_mark(trouble.detail.get("mark", 0))
+            self.node.image.hear_mark(error.detail.get("mark", 0))
 
     def note_unanswered(self, request):
         """The deadline passed while a runner owed an answer."""
@@ -325,60 +325,60 @@
         if not request.written and not (had_read and self.desk.reads_are_runs):
             request.has_begun = request.had_begun
 
-    def _unknown(self, trouble):
+    def _unknown(self, error):
         return (
-            trouble
-            if trouble.done == "unknown"
-            else ServiceError(trouble.code, done="unknown", **trouble.detail)
+            error
+            if error.done == "unknown"
+            else ServiceError(error.code, done="unknown", **error.detail)
         )
 
-    def _run_unknown(self, request, trouble):
+    def _run_unknown(self, request, error):
         is_callers = request.resume and request.resume[1] == request.written
         return ServiceError("run_unknown", done="no" if is_callers else "unknown")
 
-    def _retry(self, request, trouble):
+    def _retry(self, request, error):
         if not self.node.may_start():
-            return self._park(request, lambda request: self._retry(request, trouble))
+            return self._park(request, lambda request: self._retry(request, error))
         request.parked = None
         if request.run or not request.prompt_tokens:
-            return self._decode_again(request, trouble)
-        self._read_again(request, trouble)
+            return self._decode_again(request, error)
+        self._read_again(request, error)
 
-    def _decode_again(self, request, trouble):
+    def _decode_again(self, request, error):
         runner = self.pairing.choose_decode(
             without=request.failed, pool=request.pool
         ) or self.pairing.choose_decode(pool=request.pool)
         if runner is None or not self._has_time_for(request, self.pairing.read_wait_us(runner)):
-            return self.node.end_in_trouble(request, self._spent(request, trouble))
+            return self.node.end_with_error(request, self._spent(request, error))
         if not self._may_try_again(request, 1):
-            return self.node.end_in_trouble(request, self._spent(request, trouble))
-        self._log_retry(request, trouble)
+            return self.node.end_with_error(request, self._spent(request, error))
+        self._log_retry(request, error)
         self._start(request, runner)
 
-    def _read_again(self, request, trouble):
+    def _read_again(self, request, error):
         work, ttft_us = self.work_of(request), request.kind["ttft_us"]
         decision = self.pairing.choose_anyway(work, ttft_us, "retry", request.failed)
         if decision.winner is None:
             decision = self.pairing.choose_anyway(work, ttft_us, "retry")
         winner = decision.winner
         if winner is None or not self._has_time_for(request, winner.total_us):
-            return self.node.end_in_trouble(request, self._spent(request, trouble))
+            return self.node.end_with_error(request, self._spent(request, error))
         is_second_read = (
             decision.winner.runner.phase == PREFILL
             and request.reads > 0
             and not self.desk.reads_are_runs
         )
         if not self._may_try_again(request, 2 if is_second_read else 1):
-            return self.node.end_in_trouble(request, self._spent(request, trouble))
-        self._log_retry(request, trouble)
+            return self.node.end_with_error(request, self._spent(request, error))
+        self._log_retry(request, error)
         self._place(request, decision)
 
     def _has_time_for(self, request, wait_us):
         """Whether an attempt that is answered after so long still comes before the deadline."""
         return self.node.now_us() + wait_us < request.deadline_us
 
-    def _log_retry(self, request, trouble):
-        self.node.ports.log(2104, request=request.id, why=trouble.code, shot=request.attempts + 1)
+    def _log_retry(self, request, error):
+        self.node.ports.log(2104, request=request.id, why=error.code, shot=request.attempts + 1)
 
     def try_elsewhere(self, request, runner, status):
         """The runner answered that it failed; answers whether another attempt was begun."""
@@ -400,10 +400,10 @@
         request.arrivals += cost - 1
         return True
 
-    def _spent(self, request, trouble):
+    def _spent(self, request, error):
         if not request.has_begun:
             return ServiceError("no_runner", retry_us=self.node.terms.retry_least_us)
-        return ServiceError("extra_spent", retry_us=1_000_000, after=trouble.code)
+        return ServiceError("extra_spent", retry_us=1_000_000, after=error.code)
 
     def move(self, request, target, why):
         if not self.node.may_start() or not self.extra.spend(
--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -5,7 +5,7 @@
 
 class Chain:
     """The filters a request goes through. Each may pass it on, hold it and pass it on later, or
-    answer it by raising a trouble."""
+    answer it by raising a ServiceError."""
 
     __slots__ = ("filters", "answer")
 
@@ -20,8 +20,8 @@
             try:
                 if step(request) is HOLD:
                     return
-            except ServiceError as trouble:
-                return self.answer(request, trouble)
+            except ServiceError as error:
+                return self.answer(request, error)
 
 
 class Filters:
--- a/packages/router/src/linkhaven/router/explain.py
+++ b/packages/router/src/linkhaven/router/explain.py
@@ -80,7 +80,7 @@
             if call.is_ended:
                 continue
             if record is None:
-                call.answer_trouble(ServiceError("no_such_request", request=id))
+                call.answer_error(ServiceError("no_such_request", request=id))
             else:
                 call.answer_json(200, record)
 
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -51,8 +51,8 @@
             if outcome == "chosen":
                 return go_on(request)
             if outcome == "stopped":
-                return self.node.end_in_trouble(request, ServiceError("key_used"))
-            self.node.end_in_trouble(
+                return self.node.end_with_error(request, ServiceError("key_used"))
+            self.node.end_with_error(
                 request, ServiceError("claim_unavailable", retry_us=1_000_000, why=value)
             )
 
--- a/packages/router/src/linkhaven/router/native.py
+++ b/packages/router/src/linkhaven/router/native.py
@@ -56,9 +56,9 @@
         )
         request.call.finish()
 
-    def refuse(self, request, trouble):
-        request.call.answer_trouble(trouble, {"request-id": request.id})
+    def refuse(self, request, error):
+        request.call.answer_error(error, {"request-id": request.id})
 
-    def break_off(self, request, trouble):
-        request.call.write(write_event("trouble", trouble.as_document()))
+    def break_off(self, request, error):
+        request.call.write(write_event("trouble", error.as_document()))
         request.call.finish()
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -116,11 +116,11 @@
         self.keys = Keys(self, self.proposer)
         self.pairing = Pairing(self, self.roster, lambda: self.ring.live("router"))
         self.extra = RetryBudget(self)
-        self.credit = AdmissionQueues(self, self._pace_at_first, self.end_in_trouble)
+        self.credit = AdmissionQueues(self, self._pace_at_first, self.end_with_error)
         self.requests = Table()
         self.attempts = Attempts(self, self.pairing, self.desk, self.roster, self.extra)
         self.flow = Flow(self, self.pairing, self.roster, self.requests.rows, self.attempts.move)
-        self.chain = Filters(self).chain(self.end_in_trouble)
+        self.chain = Filters(self).chain(self.end_with_error)
         self.explainer = Explainer(self, self.ring, self.requests)
         self.refusals = RefusalReport(self, self.roster, self.pairing)
         self.invariants = PlacementInvariants(self, self.pairing)
@@ -182,7 +182,7 @@
         """Queued work of a kind that is gone is refused at once; that of one now in another group goes to its queue."""
         kind = plan["kinds"].get(request.kind_name)
         if kind is None:
-            return self.end_in_trouble(
+            return self.end_with_error(
                 request, ServiceError("unknown_kind", kind=request.kind_name)
             )
         if kind["group"] == request.group:
@@ -191,8 +191,8 @@
         request.kind, request.group, request.admitted_mark = kind, kind["group"], self.image.mark
         try:
             self.credit.enqueue(request.group, request)
-        except ServiceError as trouble:
-            self.end_in_trouble(request, trouble)
+        except ServiceError as error:
+            self.end_with_error(request, error)
 
     def _pace_at_first(self):
         """This router's even part of what all runners read, until its own queue has shown its pace."""
@@ -402,20 +402,20 @@
             self.callers.answer(request, status, headers, body)
         self._close(request, f"status {status}")
 
-    def end_in_trouble(self, request, trouble):
+    def end_with_error(self, request, error):
         if request.state == states.ENDED:
             return
         self.attempts.leave_runner(request)
-        is_refused = trouble.done == "no"
+        is_refused = error.done == "no"
         self.counts["refused" if is_refused else "troubled"] += 1
         told = {
-            **trouble.detail,
+            **error.detail,
             "request": request.id,
             "kind": request.kind_name,
-            "code": trouble.code,
+            "code": error.code,
         }
         if is_refused:
-            self.refusals.note(trouble)
+            self.refusals.note(error)
             self.ports.log(2103, **told)
         else:
             self.ports.log(2102, **{**request.times(self.now_us()), **told})
@@ -424,12 +424,12 @@
         if is_refused and request.claim_key:
             self.keys.give_back(request)
         call = request.call
-        self._close(request, trouble.code)
+        self._close(request, error.code)
         if call.is_ended:
             return
         if not call.is_begun:
-            return self.callers.refuse(request, trouble)
-        self.callers.break_off(request, trouble)
+            return self.callers.refuse(request, error)
+        self.callers.break_off(request, error)
 
     def _close(self, request, outcome):
         if request.state == states.QUEUED:
@@ -448,7 +448,7 @@
 
     def _lose_caller(self, request):
         if request.state != states.ENDED:
-            self.end_in_trouble(request, ServiceError("caller_gone"))
+            self.end_with_error(request, ServiceError("caller_gone"))
 
     def _keep_deadlines(self, now_us):
         for request in self.requests.rows():
@@ -456,7 +456,7 @@
                 continue
             if request.has_begun:
                 self.attempts.note_unanswered(request)
-                self.end_in_trouble(
+                self.end_with_error(
                     request, ServiceError("deadline", retry_us=self.credit.wait_us(request.group))
                 )
                 continue
@@ -465,7 +465,7 @@
                 self.invariants.check_hold(request)
             self.unserved[cause] = self.unserved.get(cause, 0) + 1
             retry_us = max(1_000_000, self.credit.wait_us(request.group))
-            self.end_in_trouble(
+            self.end_with_error(
                 request, ServiceError("deadline_unserved", retry_us=retry_us, cause=cause)
             )
 
@@ -484,9 +484,9 @@
             return
         for request in self.requests.rows():
             if request.state == states.QUEUED:
-                self.end_in_trouble(request, self.say_closed())
+                self.end_with_error(request, self.say_closed())
             elif request.parked:
-                self.end_in_trouble(
+                self.end_with_error(
                     request, self.say_closed("unknown" if request.has_begun else None)
                 )
 
@@ -532,7 +532,7 @@
     def _refuse_waiting(self):
         for request in self.requests.rows():
             if not request.has_begun and request.part is None:
-                self.end_in_trouble(request, ServiceError("draining", retry_us=self.away_us()))
+                self.end_with_error(request, ServiceError("draining", retry_us=self.away_us()))
 
     def _drain(self, now_us):
         if not self.is_draining or self.on_drained is None:
@@ -541,7 +541,7 @@
             return
         if now_us - self.drain_us >= self.terms.drain_us:
             for request in self.requests.rows():
-                self.end_in_trouble(request, ServiceError("cut_by_drain"))
+                self.end_with_error(request, ServiceError("cut_by_drain"))
         if not self.requests:
             self.ring.say_bye()
             drained, self.on_drained = self.on_drained, None
--- a/packages/router/src/linkhaven/router/refusals.py
+++ b/packages/router/src/linkhaven/router/refusals.py
@@ -28,10 +28,10 @@
         self.told_us = node.now_us()
         node.systems.append(self.tick)
 
-    def note(self, trouble):
+    def note(self, error):
         """Count a refusal, if it was for want of a runner."""
-        if trouble.code in NO_ROOM:
-            self.causes[trouble.detail.get("why") or trouble.code] += 1
+        if error.code in NO_ROOM:
+            self.causes[error.detail.get("why") or error.code] += 1
 
     def tick(self, now_us):
         """Log what was counted, at most once in `REPORT_US`."""
--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -45,7 +45,7 @@
 
     def _break(self, why):
         self.request.part.abandon()
-        self.attempts.node.end_in_trouble(self.request, ServiceError("stream_broken", why=why))
+        self.attempts.node.end_with_error(self.request, ServiceError("stream_broken", why=why))
 
     def on_piece(self, piece):
         if self.is_over():
@@ -98,10 +98,10 @@
             return plain.note_failed(self.runner)
         plain.note_answered(self.runner, self.attempts.node.now_us() - request.progress_us)
 
-    def on_trouble(self, trouble, has_begun):
+    def on_error(self, error, has_begun):
         if self.is_over():
             return
-        if trouble.code == "stream_broken":
+        if error.code == "stream_broken":
             self.attempts.leave_runner(self.request)
-            return self.attempts.node.end_in_trouble(self.request, trouble)
-        self.attempts.fail(self.request, self.runner, trouble, has_begun)
+            return self.attempts.node.end_with_error(self.request, error)
+        self.attempts.fail(self.request, self.runner, error, has_begun)
--- a/packages/runner/src/linkhaven/runner/adapter.py
+++ b/packages/runner/src/linkhaven/runner/adapter.py
@@ -1,6 +1,6 @@
 """The client of the runners: prefill, decode, phase orders, reports, and the list of them."""
 
-from linkhaven.api import ServiceError, read_trouble
+from linkhaven.api import ServiceError, read_error
 from linkhaven.runtime import ResponseHandler, read_json, write_json
 
 from .pieces import PieceReader
@@ -15,7 +15,7 @@
 
 
 class Reply:
-    """One JSON answer awaited from a runner; `done(trouble, document, has_begun)` is called once.
+    """One JSON answer awaited from a runner; `done(error, document, has_begun)` is called once.
 
     `has_begun` tells whether the runner may have begun the work; False only if it can't have.
     """
@@ -50,20 +50,20 @@
                 ServiceError("runner_lost", why="an answer that is not JSON"), None, True
             )
         if self.status != OK or not isinstance(document, dict):
-            return self._end(read_trouble(document, "runner_lost"), None, True)
+            return self._end(read_error(document, "runner_lost"), None, True)
         self._end(None, document, True)
 
-    def on_trouble(self, has_begun):
+    def on_error(self, has_begun):
         """End as `runner_lost`: the connection failed."""
         self._end(
             ServiceError("runner_lost", done="unknown" if has_begun else "no"), None, has_begun
         )
 
-    def _end(self, trouble, document, has_begun):
+    def _end(self, error, document, has_begun):
         if self.is_done:
             return
         self.is_done = True
-        self.done(trouble, document, has_begun)
+        self.done(error, document, has_begun)
 
     def close(self):
         """Close the call."""
@@ -80,7 +80,7 @@
     """The event stream that answers a decode.
 
     Its handler hears `on_begin(run, after)` once, `on_piece(piece)` for each piece, and at last
-    either `on_done(piece)` or `on_trouble(trouble, has_begun)`.
+    either `on_done(piece)` or `on_error(error, has_begun)`.
     """
 
     __slots__ = ("request", "hearer", "outing", "status", "body", "reader", "is_over")
@@ -114,8 +114,8 @@
             return
         try:
             pieces = self.reader.feed(data)
-        except ServiceError as trouble:
-            return self._end(trouble)
+        except ServiceError as error:
+            return self._end(error)
         for piece in pieces:
             if self.is_over:
                 return
@@ -125,7 +125,7 @@
                 self.is_over = True
                 self.hearer.on_done(piece)
             else:
-                self._end(read_trouble(piece.document, "runner_lost"))
+                self._end(read_error(piece.document, "runner_lost"))
 
     def on_end(self):
         """End as `runner_lost` if the stream was cut, else with the error that the runner told."""
@@ -135,19 +135,19 @@
             document = read_json(self.body)
         except ServiceError:
             document = None
-        self._end(read_trouble(document, "runner_lost"))
+        self._end(read_error(document, "runner_lost"))
 
-    def on_trouble(self, has_begun):
+    def on_error(self, has_begun):
         """End as `runner_lost`: the connection failed."""
         self._end(ServiceError("runner_lost", done="unknown" if has_begun else "no"), has_begun)
 
-    def _end(self, trouble, has_begun=True):
+    def _end(self, error, has_begun=True):
         if self.is_over:
             return
         self.is_over = True
         if self.outing is not None:
             self.outing.close()
-        self.hearer.on_trouble(trouble, has_begun)
+        self.hearer.on_error(error, has_begun)
 
     def abandon(self):
         """Close the call; the handler hears nothing more."""
@@ -174,7 +174,7 @@
 
     def _call(self, address, method, path, document, part):
         body = write_json(document) if document is not None else b""
-        hearer = ResponseHandler(part.on_head, part.on_data, part.on_end, part.on_trouble)
+        hearer = ResponseHandler(part.on_head, part.on_data, part.on_end, part.on_error)
         part.outing = self.node.ports.wire.open(address, method, path, HEADERS, body, hearer)
         return part
 
@@ -190,12 +190,12 @@
     def prefill(self, runner, request, done):
         """Have a runner read the request's prompt; return the pending reply.
 
-        `done(trouble, handle, has_begun)` gets the handle of the KV cache that the runner holds.
+        `done(error, handle, has_begun)` gets the handle of the KV cache that the runner holds.
         """
 
-        def check(trouble, document, has_begun):
-            if trouble is not None:
-                return done(trouble, None, has_begun)
+        def check(error, document, has_begun):
+            if error is not None:
+                return done(error, None, has_begun)
             if not self.is_answer_to(request, runner, document):
                 return done(
                     ServiceError("runner_lost", why="an answer for another request"), None, True
--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -78,9 +78,9 @@
         """
         try:
             return self.reader.read(line)
-        except ServiceError as trouble:
-            self.ports.log(1006, code=trouble.code, **trouble.detail)
-            if trouble.code != "message_malformed":
+        except ServiceError as error:
+            self.ports.log(1006, code=error.code, **error.detail)
+            if error.code != "message_malformed":
                 raise
             return None
 
@@ -121,12 +121,12 @@
             stem, _, rest = path.rpartition("/")
             serve = self.paths.get((call.method, stem + "/"))
         if serve is None:
-            return call.answer_trouble(ServiceError("unknown_path", path=path, method=call.method))
+            return call.answer_error(ServiceError("unknown_path", path=path, method=call.method))
         try:
             serve(call) if rest is None else serve(call, rest)
-        except ServiceError as trouble:
+        except ServiceError as error:
             if not call.is_ended and not call.is_begun:
-                call.answer_trouble(trouble)
+                call.answer_error(error)
 
     def rest_us(self):
         """How long after this tick the next may follow; more than 0 with nothing to wait for."""
--- a/packages/runtime/src/linkhaven/runtime/ports.py
+++ b/packages/runtime/src/linkhaven/runtime/ports.py
@@ -22,16 +22,16 @@
 
 
 class ResponseHandler:
-    """What becomes of an outgoing call: its head, its data, then one of end and trouble."""
+    """What becomes of an outgoing call: its head, its data, then one of end and error."""
 
-    __slots__ = ("on_head", "on_data", "on_end", "on_trouble")
+    __slots__ = ("on_head", "on_data", "on_end", "on_error")
 
-    def __init__(self, on_head, on_data, on_end, on_trouble):
-        """`on_trouble` is told whether any byte of the request may have been handed over."""
+    def __init__(self, on_head, on_data, on_end, on_error):
+        """`on_error` is told whether any byte of the request may have been handed over."""
         self.on_head = on_head
         self.on_data = on_data
         self.on_end = on_end
-        self.on_trouble = on_trouble
+        self.on_error = on_error
 
 
 class Call:
@@ -76,12 +76,12 @@
             status, {"content-type": "application/json", **(headers or {})}, write_json(document)
         )
 
-    def answer_trouble(self, trouble, headers=None):
+    def answer_error(self, error, headers=None):
         """Write an error as the whole answer, with Retry-After in whole seconds if it has one."""
         headers = dict(headers or {})
-        if trouble.retry_us is not None:
-            headers["retry-after"] = str(max(1, -(-trouble.retry_us // 1_000_000)))
-        self.answer_json(trouble.status, trouble.as_document(), headers)
+        if error.retry_us is not None:
+            headers["retry-after"] = str(max(1, -(-error.retry_us // 1_000_000)))
+        self.answer_json(error.status, error.as_document(), headers)
 
     def has_gone(self):
         """The caller closed its connection before the answer ended."""
--- a/packages/stage/src/linkhaven/stage/control.py
+++ b/packages/stage/src/linkhaven/stage/control.py
@@ -44,7 +44,7 @@
 RACERS = (2, 4, 8)
 RACES = 2
 LEGS = (NEW, WIPED, RESTARTED, WOKEN, ALL_KILLED, ALL_POWERLESS, RESTARTED, WIPED)
-TROUBLES = (
+FAULTS = (
     KILL_NEW,
     WIPE_NEW,
     FREEZE_NEW,
@@ -191,7 +191,7 @@
             if repair_us is None:
                 yield f"replace/{seats}/{how}", {"not_repaired": [seed]}
                 continue
-            for place, what in enumerate((*TROUBLES, LOSE_OTHER)):
+            for place, what in enumerate((*FAULTS, LOSE_OTHER)):
                 share = 1.0 if what == LOSE_OTHER else SHARES[(place + seed) % len(SHARES)]
                 course = ReplaceCourse(seed, seats).run(how, what, share, repair_us)
                 found = judge_replacement(course, seats, what, share)
--- a/packages/stage/src/linkhaven/stage/core.py
+++ b/packages/stage/src/linkhaven/stage/core.py
@@ -80,7 +80,7 @@
         host = self.machines[name] if name else self.machines[next(iter(self.voting().values()))]
         told = []
         host.node.plan_desk.put_document(
-            base, revision, document, plan, lambda trouble, value: told.append((trouble, value))
+            base, revision, document, plan, lambda error, value: told.append((error, value))
         )
         if wait:
             self.world.wait_for(lambda: told, 5_000_000, 10_000)
@@ -89,7 +89,7 @@
     def read(self, name=None):
         host = self.machines[name] if name else self.machines[next(iter(self.voting().values()))]
         told = []
-        host.node.plan_desk.read_document(lambda trouble, value: told.append((trouble, value)))
+        host.node.plan_desk.read_document(lambda error, value: told.append((error, value)))
         self.world.wait_for(lambda: told, 5_000_000, 10_000)
         return told[0]
 
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -211,17 +211,15 @@
 def put(machine, base, revision, document, done):
     """An operator's order at a member; done(code, detail, value) hears its answer."""
 
-    def end(trouble, value):
-        done(trouble and trouble.code, trouble and trouble.detail, value)
+    def end(error, value):
+        done(error and error.code, error and error.detail, value)
 
     machine.node.plan_desk.put_document(base, revision, document, PLAN, end)
 
 
 def read(machine, done):
     """An operator's read at a member; done(code, value) hears its answer."""
-    machine.node.plan_desk.read_document(
-        lambda trouble, value: done(trouble and trouble.code, value)
-    )
+    machine.node.plan_desk.read_document(lambda error, value: done(error and error.code, value))
 
 
 def leave(machine, done):
--- a/packages/stage/src/linkhaven/stage/explore/walk.py
+++ b/packages/stage/src/linkhaven/stage/explore/walk.py
@@ -26,7 +26,7 @@
     "put": 5,
     "read": 2,
 }
-TROUBLES = {
+FAULTS = {
     "crash": 5,
     "restart": 12,
     "wipe": 3,
@@ -129,7 +129,7 @@
     def _calm(self):
         for _ in range(self.dice.randrange(1, CALM)):
             if self.dice.random() < 0.3:
-                self._draw(TROUBLES)
+                self._draw(FAULTS)
             self.run.play(("round",))
 
     def _disturbed(self):
--- a/packages/stage/src/linkhaven/stage/loopback.py
+++ b/packages/stage/src/linkhaven/stage/loopback.py
@@ -206,8 +206,8 @@
                     "/v1/plan",
                     {"expect": expect, "put_id": f"fleet-{expect}", "plan": plan},
                 )
-            except ServiceError as trouble:
-                if trouble.done != "no" or trouble.code == "mark_conflict":
+            except ServiceError as error:
+                if error.done != "no" or error.code == "mark_conflict":
                     raise
         raise RuntimeError("no registry took the plan")
 
--- a/packages/stage/src/linkhaven/stage/orders.py
+++ b/packages/stage/src/linkhaven/stage/orders.py
@@ -126,16 +126,16 @@
         world, host = self.core.world, self.core.machines[member]
         epoch = host.epoch
 
-        def hear(trouble, value):
+        def hear(error, value):
             if told.ended_us is None:
-                self._note(told, trouble, value)
+                self._note(told, error, value)
                 on_end(told)
 
-        def answer(trouble, value):
+        def answer(error, value):
             if host.epoch != epoch or self._is_killed(host):
                 return
             if self.dice.random() >= self.lost_share:
-                world.after(ON_THE_WAY_US, lambda: hear(trouble, value))
+                world.after(ON_THE_WAY_US, lambda: hear(error, value))
 
         def arrive():
             if host.node is None or host.epoch != epoch:
@@ -159,15 +159,15 @@
         told.ended_us, told.outcome, told.code = self.now_us, outcome, code
         on_end(told)
 
-    def _note(self, told, trouble, value):
+    def _note(self, told, error, value):
         told.ended_us = self.now_us
-        if trouble is None:
+        if error is None:
             told.outcome = TAKEN
             told.revision = (value or {}).get("revision") or 0
             told.document = (value or {}).get("document")
             return
-        told.code = trouble.code
-        told.outcome = REFUSED if trouble.status in CLIENT_ERRORS else UNCLEAR
+        told.code = error.code
+        told.outcome = REFUSED if error.status in CLIENT_ERRORS else UNCLEAR
 
 
 class History:
--- a/packages/stage/src/linkhaven/stage/replacecourse.py
+++ b/packages/stage/src/linkhaven/stage/replacecourse.py
@@ -139,7 +139,7 @@
         if len(seats) != len(set(seats)):
             self.double_votes.append((self.core.world.now_us, voters))
 
-    def trouble(self, what):
+    def error(self, what):
         """One more trouble now."""
         world = self.core.world
         if what == SECOND_NEW:
@@ -184,7 +184,7 @@
         self.keep_calling()
         self._watch(int(share * repair_us))
         if what != NONE:
-            self.trouble(what)
+            self.error(what)
         self._watch(AFTER_US)
         self.is_over = True
         self._watch(4 * SECOND)
--- a/packages/stage/src/linkhaven/stage/slopes/meter.py
+++ b/packages/stage/src/linkhaven/stage/slopes/meter.py
@@ -160,7 +160,7 @@
             on_head,
             on_data,
             lambda: watch.run(own, channel, hearer.on_end),
-            lambda *given: watch.run(own, channel, hearer.on_trouble, *given),
+            lambda *given: watch.run(own, channel, hearer.on_error, *given),
         )
         return watch.step_out(
             lambda: self.wire.open(address, method, path, headers, body, heard, *more, **named)
--- a/packages/stage/src/linkhaven/stage/soak/operators.py
+++ b/packages/stage/src/linkhaven/stage/soak/operators.py
@@ -64,18 +64,18 @@
         while True:
             try:
                 answer = call_json(self._next_address(), "PUT", PATH, order)
-            except ServiceError as trouble:
-                if trouble.code == "mark_conflict":
-                    return self._conflict(put_id, trouble)
+            except ServiceError as error:
+                if error.code == "mark_conflict":
+                    return self._conflict(put_id, error)
                 if self.is_over.wait(PACE_S):
                     return
                 continue
             self.mark = answer["mark"]
             return self.record("acked", put_id=put_id, mark=self.mark)
 
-    def _conflict(self, put_id, trouble):
-        self.record("unacked", put_id=put_id, status=409, code=trouble.code, done=trouble.done)
-        self.mark = trouble.detail.get("mark", self.mark)
+    def _conflict(self, put_id, error):
+        self.record("unacked", put_id=put_id, status=409, code=error.code, done=error.done)
+        self.mark = error.detail.get("mark", self.mark)
 
     def read(self, address, **facts):
         """Read the plan in force; answers whether it was told."""
--- a/packages/stage/src/linkhaven/stage/standins.py
+++ b/packages/stage/src/linkhaven/stage/standins.py
@@ -377,7 +377,7 @@
             document = read_json(told["body"] or b"null")
             if told["status"] != 200:
                 code = document.get("code") if isinstance(document, dict) else None
-                return job.call.answer_trouble(
+                return job.call.answer_error(
                     ServiceError(
                         code if code in ("handle_lapsed", "handle_foreign") else "hand_over_failed"
                     )
@@ -393,12 +393,12 @@
             if not self.is_trusting and (
                 document["request"] != ask["request"] or document["shot"] != ask["shot"]
             ):
-                return job.call.answer_trouble(ServiceError("handle_foreign"))
+                return job.call.answer_error(ServiceError("handle_foreign"))
             self._wait_for_memory(job)
 
-        def on_trouble(has_begun):
+        def on_error(has_begun):
             if not job.is_gone:
-                job.call.answer_trouble(ServiceError("hand_over_failed"))
+                job.call.answer_error(ServiceError("hand_over_failed"))
 
         body = write_json(
             {
@@ -414,7 +414,7 @@
             "/v1/kv",
             {"content-type": "application/json"},
             body,
-            ResponseHandler(on_head, on_data, on_end, on_trouble),
+            ResponseHandler(on_head, on_data, on_end, on_error),
         )
 
     def _wait_for_memory(self, job):
@@ -504,7 +504,7 @@
 
     def serve_phase(self, call):
         order = check_document("PhaseOrder", read_json(call.body))
-        trouble = None if self.is_trusting else self._find_fault(order)
+        error = None if self.is_trusting else self._find_fault(order)
         self.record(
             "order",
             runner=self.name,
@@ -513,11 +513,11 @@
             fence=order["fence"],
             mark=order["mark"],
             holder=order["holder"],
-            is_taken=trouble is None,
+            is_taken=error is None,
             sent_us=self._sent_us(call),
         )
-        if trouble is not None:
-            raise trouble
+        if error is not None:
+            raise error
         self.mark = max(self.mark, order["mark"])
         self.fence = max(self.fence, order["fence"])
         self.phase = order["phase"]
@@ -540,7 +540,7 @@
             if then != self._finish_prefill:
                 kept.append((job, then))
             elif not job.is_gone:
-                job.call.answer_trouble(ServiceError("phase_wrong", phase=self.phase))
+                job.call.answer_error(ServiceError("phase_wrong", phase=self.phase))
         self.reads = kept
 
 
--- a/packages/stage/src/linkhaven/stage/world.py
+++ b/packages/stage/src/linkhaven/stage/world.py
@@ -373,7 +373,7 @@
     def connect(self, method, path, headers, body):
         world = self.world
         if self.server is None:
-            return world.after(LATENCY_US, lambda: self._tell_trouble(False))
+            return world.after(LATENCY_US, lambda: self._tell_error(False))
         world.conns[self] = True
         world.after(CONNECT_US, self._give_up)
 
@@ -382,7 +382,7 @@
             if self.is_over:
                 return
             if server.node is None:
-                return world.link(server, self.client).send(lambda: self._tell_trouble(False))
+                return world.link(server, self.client).send(lambda: self._tell_error(False))
             self.is_connected = True
             self.server_epoch = server.epoch
             self.call = SimCall(self, method, path, dict(headers), body)
@@ -401,13 +401,13 @@
 
     def _give_up(self):
         if not self.is_over and not self.is_connected:
-            self.client.do(lambda: self._tell_trouble(False))
+            self.client.do(lambda: self._tell_error(False))
 
-    def _tell_trouble(self, has_begun):
+    def _tell_error(self, has_begun):
         if self.is_over or self.client.epoch != self.client_epoch:
             return
         self._end()
-        self.hearer.on_trouble(has_begun)
+        self.hearer.on_error(has_begun)
 
     def _end(self):
         self.is_over = True
@@ -420,14 +420,14 @@
                 self.world.link(self.client, self.server).send(self.call.has_gone)
             return
         if self.is_connected:
-            self.world.link(self.server, self.client).send(lambda: self._tell_trouble(True))
+            self.world.link(self.server, self.client).send(lambda: self._tell_error(True))
 
     def break_off(self):
         """The conn fails under both ends."""
         if self.is_over or self.call is None:
             return
         self.server.do(self.call.has_gone)
-        self.client.do(lambda: self._tell_trouble(True))
+        self.client.do(lambda: self._tell_error(True))
 
     def close(self):
         if self.is_over:
@@ -501,7 +501,7 @@
         if self.is_ended:
             return
         self.is_ended = True
-        self.conn.to_client(lambda: self.conn._tell_trouble(True))
+        self.conn.to_client(lambda: self.conn._tell_error(True))
 
 
 class SimDisk:
--- a/packages/wire/src/linkhaven/wire/console.py
+++ b/packages/wire/src/linkhaven/wire/console.py
@@ -7,7 +7,7 @@
 from cleo.exceptions import CleoError
 from cleo.helpers import option
 
-from linkhaven.api import ServiceError, read_trouble
+from linkhaven.api import ServiceError, read_error
 
 from .settings import check_settings, read_settings, split_address
 
@@ -47,30 +47,28 @@
     finally:
         conn.close()
     if answer.status != 200:
-        raise read_trouble(told, "unreachable")
+        raise read_error(told, "unreachable")
     return told
 
 
-def code_of(trouble):
-    if trouble.code == "settings_invalid" or trouble.code == "address_taken":
+def code_of(error):
+    if error.code == "settings_invalid" or error.code == "address_taken":
         return UNFIT
-    if trouble.done == "unknown":
+    if error.done == "unknown":
         return UNKNOWN
-    return UNREACHABLE if trouble.code == "unreachable" else REFUSED
+    return UNREACHABLE if error.code == "unreachable" else REFUSED
 
 
 class CodedCommand(Command):
-    """A command whose troubles become a coded message and an exit code."""
+    """A command whose errors become a coded message and an exit code."""
 
     def handle(self):
         try:
             return self.act() or DONE
-        except ServiceError as trouble:
-            self.line_error(
-                f"<error>{trouble.code}</error> (done: {trouble.done}): {trouble.remedy}"
-            )
-            self.tell_detail(trouble.detail)
-            return code_of(trouble)
+        except ServiceError as error:
+            self.line_error(f"<error>{error.code}</error> (done: {error.done}): {error.remedy}")
+            self.tell_detail(error.detail)
+            return code_of(error)
 
     def tell_detail(self, detail):
         for name, value in detail.items():
--- a/packages/wire/src/linkhaven/wire/inlet.py
+++ b/packages/wire/src/linkhaven/wire/inlet.py
@@ -199,9 +199,9 @@
         if sock not in self.server._clients:
             event.stop()
 
-    def _answer_raw(self, sock, trouble):
-        body = write_json(trouble.as_document())
-        head = f"HTTP/1.1 {trouble.status} Refused\r\ncontent-type: application/json\r\ncontent-length: {len(body)}\r\nconnection: close\r\n\r\n"
+    def _answer_raw(self, sock, error):
+        body = write_json(error.as_document())
+        head = f"HTTP/1.1 {error.status} Refused\r\ncontent-type: application/json\r\ncontent-length: {len(body)}\r\nconnection: close\r\n\r\n"
         self.fire(write(sock, head.encode() + body))
         self.fire(close(sock))
         self.http._buffers.pop(sock, None)
@@ -218,10 +218,10 @@
     @handler("httperror", priority=1)
     def _on_fault(self, event, req, res, code=None, **kwargs):
         event.stop()
-        trouble = ServiceError(CODES.get(code, "bad_request"))
-        res.status = trouble.status
+        error = ServiceError(CODES.get(code, "bad_request"))
+        res.status = error.status
         res.headers["content-type"] = "application/json"
-        res.body = write_json(trouble.as_document())
+        res.body = write_json(error.as_document())
         res.close = True
         self.fire(response(res))
 
--- a/packages/wire/src/linkhaven/wire/pool.py
+++ b/packages/wire/src/linkhaven/wire/pool.py
@@ -168,7 +168,7 @@
     def _leave_spoiled(self):
         """Bytes that came before the request was sent belong to another: it is still unsent.
 
-        On a connection that had served others it goes out on a further one, else it is a trouble.
+        On a connection that had served others it goes out on a further one, else it is an error.
 
         Test: `test_bytes_before_the_request_was_sent_are_no_answer_to_it`.
         """
@@ -238,7 +238,7 @@
         if self.is_over:
             return
         self.close()
-        self.hearer.on_trouble(has_begun)
+        self.hearer.on_error(has_begun)
 
     def hold(self):
         if not self.is_over:
--- a/tests/recorded_world.py
+++ b/tests/recorded_world.py
@@ -240,7 +240,7 @@
 
 
 def _plain(told):
-    return [[trouble and trouble.code, value] for trouble, value in told]
+    return [[error and error.code, value] for error, value in told]
 
 
 def fleet(deployment, seed, steps, rate=None):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -209,8 +209,8 @@
     named = set(digests_of(newcomer.node.seat.cell("plan").value))
     assert named and named <= bodies_on_disk(newcomer)
     core.machines["core-1"].kill()
-    trouble, value = core.read("core-9")
-    assert (trouble, value["document"], value["plan"]) == (None, "text 3", plan_of(3.0))
+    error, value = core.read("core-9")
+    assert (error, value["document"], value["plan"]) == (None, "text 3", plan_of(3.0))
     assert not watch.bare
 
 
--- a/tests/test_catalogues.py
+++ b/tests/test_catalogues.py
@@ -45,7 +45,7 @@
     assert {word for word in told if isinstance(word, int)} == set(EVENTS)
 
 
-def test_the_troubles_page_is_the_catalogue_and_the_code_uses_all_of_it():
+def test_the_errors_page_is_the_catalogue_and_the_code_uses_all_of_it():
     assert read_rows("troubles.md") == [
         (code, str(status), done, remedy) for code, (status, done, remedy) in CATALOGUE.items()
     ]
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -295,7 +295,7 @@
         how=st.sampled_from(["close", "reset", "forget"]),
         room=st.sampled_from([0, 60, 200]),
     )
-    def trouble(self, what, pick, how, room):
+    def inject_fault(self, what, pick, how, room):
         if what == "narrow":
             self.world.room = room
         elif what == "dark":
@@ -378,7 +378,7 @@
     def take_close(self, has_begun, is_eof):
         if not self.is_over:
             self.close()
-            self.hearer.on_end() if self.is_answered else self.hearer.on_trouble(has_begun)
+            self.hearer.on_end() if self.is_answered else self.hearer.on_error(has_begun)
 
     monkeypatch.setattr(pool.Exchange, "take_close", take_close)
 
@@ -399,7 +399,7 @@
 
 
 def promise_always(monkeypatch):
-    monkeypatch.setattr(callers, "status_of", lambda trouble: 503)
+    monkeypatch.setattr(callers, "status_of", lambda error: 503)
 
 
 def change_the_status(monkeypatch):
--- a/tests/test_control_replacement.py
+++ b/tests/test_control_replacement.py
@@ -26,7 +26,7 @@
 SECOND = 1_000_000
 ANSWER_US = 2 * SECOND
 SHARES = (0.1, 0.5, 0.9, 1.0)
-TROUBLES = (
+FAULTS = (
     KILL_NEW,
     WIPE_NEW,
     FREEZE_NEW,
@@ -40,7 +40,7 @@
     (seats, how, what, SHARES[(place + len(how)) % len(SHARES)])
     for seats in (3, 5)
     for how in (PLANNED, KILLED, HELD_NEWEST)
-    for place, what in enumerate(TROUBLES)
+    for place, what in enumerate(FAULTS)
 ]
 SECOND_LOSSES = [
     (seats, how, LOSE_OTHER, share)
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("seats, how, what, share", CASES + SECOND_LOSSES)
-def test_a_second_trouble_during_or_after_a_repair_loses_nothing_and_leaves_an_answer(
+def test_a_second_fault_during_or_after_a_repair_loses_nothing_and_leaves_an_answer(
     seats, how, what, share
 ):
     repaired_us = repair_us(seats, how)
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -54,8 +54,8 @@
     def may_start(self):
         return True
 
-    def end_in_trouble(self, request, trouble):
-        self.ended[request.id] = trouble.done
+    def end_with_error(self, request, error):
+        self.ended[request.id] = error.done
         if request.state == QUEUED:
             self.queue.remove(request)
 
@@ -160,7 +160,7 @@
 class Failing(Attempts):
     __slots__ = ("failed",)
 
-    def fail(self, request, runner, trouble, has_begun):
+    def fail(self, request, runner, error, has_begun):
         self.failed.append(request.id)
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -122,7 +122,7 @@
     assert closing is None or (closing["kind"], closing.get("how", "")) in CLOSINGS
 
 
-def test_each_trouble_and_each_variant_of_it_is_in_a_day_for_either_site():
+def test_each_fault_and_each_variant_of_it_is_in_a_day_for_either_site():
     wanted = {
         (part, kind, how)
         for part, known in (("plan", PLANNED), ("faults", FAULTS))
@@ -180,7 +180,7 @@
     assert wanted <= set(by_kind)
 
 
-def test_each_trouble_stands_alone_in_a_day_and_with_another_in_a_pair():
+def test_each_fault_stands_alone_in_a_day_and_with_another_in_a_pair():
     alone = {
         tuple(sorted({entry["kind"] for _, entry in entries(read(path))}))
         for path in FILES
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -108,7 +108,7 @@
     assert held < 12 << 20, held
 
 
-def test_a_folder_that_cannot_be_opened_is_a_coded_trouble(tmp_path):
+def test_a_folder_that_cannot_be_opened_is_a_coded_error(tmp_path):
     (tmp_path / "file").write_text("not a folder")
     with pytest.raises(ServiceError) as caught:
         module.LmdbDisk(str(tmp_path / "file"))
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -58,16 +58,16 @@
 
 
 def code(told):
-    trouble, _ = told[0]
-    return trouble and trouble.code
+    error, _ = told[0]
+    return error and error.code
 
 
 def test_a_document_is_kept_as_it_was_sent_and_sent_again_it_is_taken():
     core = make_core()
     assert code(core.put(0, 4, "text", PLAN)) is None
     assert code(core.put(0, 4, "text", PLAN, "core-3")) is None
-    trouble, value = core.read("core-2")
-    assert (trouble, value["mark"], value["document"], value["revision"], value["plan"]) == (
+    error, value = core.read("core-2")
+    assert (error, value["mark"], value["document"], value["revision"], value["plan"]) == (
         None,
         1,
         "text",
@@ -293,8 +293,8 @@
     core = make_core()
     chain(core, 3)
     for name in core.machines:
-        trouble, taken = core.put(0, 3, "text 3", PLAN, name)[0]
-        assert (trouble, taken) == (None, {"mark": 1, "revision": 3})
+        error, taken = core.put(0, 3, "text 3", PLAN, name)[0]
+        assert (error, taken) == (None, {"mark": 1, "revision": 3})
         assert code(core.put(3, 5, "text 5", PLAN, name)) is None
     value = core.read()[1]
     assert (value["mark"], value["revision"], value["document"]) == (3, 7, "text 7")
--- a/tests/test_gone_runner.py
+++ b/tests/test_gone_runner.py
@@ -7,7 +7,7 @@
 from linkhaven.router.request import READING, Request
 
 
-def failed_with(trouble):
+def failed_with(error):
     """What the roster and the pairing hear of a runner at which a read failed."""
     heard = []
     node = SimpleNamespace(
@@ -30,7 +30,7 @@
     request.state, request.attempt = READING, "r-1/1"
     request.runner = runner = SimpleNamespace(name="runner-1", is_plain=lambda: False)
     attempts = Attempts(node, pairing, SimpleNamespace(reads_are_runs=False), roster, None)
-    attempts.fail(request, runner, trouble, True)
+    attempts.fail(request, runner, error, True)
     return heard, request
 
 
--- a/tests/test_large_plans.py
+++ b/tests/test_large_plans.py
@@ -109,7 +109,7 @@
 
 def test_groups_without_requests_cost_nothing_between_changes():
     node = type("Router", (), {"systems": [], "now_us": lambda self: 0})()
-    queues = AdmissionQueues(node, lambda: 1_000, lambda request, trouble: None)
+    queues = AdmissionQueues(node, lambda: 1_000, lambda request, error: None)
     queues.apply_configuration(decode_configuration(large()))
     looked = queues.scheduler.accounts = Looked(queues.accounts)
     for name in ("g-3", "g-900"):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -25,14 +25,14 @@
 
 
 def acked(core, base, revision, name=None):
-    trouble, value = core.put(base, revision, f"text {revision}", PLAN, name)[0]
-    assert trouble is None, trouble
+    error, value = core.put(base, revision, f"text {revision}", PLAN, name)[0]
+    assert error is None, error
     assert value["revision"] == revision
 
 
 def held(core, name=None):
-    trouble, value = core.read(name)
-    assert trouble is None, trouble
+    error, value = core.read(name)
+    assert error is None, error
     return value["revision"]
 
 
@@ -166,8 +166,8 @@
             revision, revision + 1, f"text {revision + 1}", PLAN, "core-1", wait=False
         )
         assert core.world.wait_for(lambda answer=answer: answer, 5 * SECOND, 1_000)
-        trouble, value = answer[0]
-        assert trouble is None, trouble
+        error, value = answer[0]
+        assert error is None, error
         revision = value["revision"]
     assert told
     core.machines["core-1"].kill()
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -112,10 +112,10 @@
     for attempt in range(RESENDS_AT_MOST):
         try:
             return call_json(addresses[attempt % len(addresses)], method, "/v1/plan", document)
-        except ServiceError as trouble:
-            if trouble.done != "unknown" and trouble.code != "core_unready":
+        except ServiceError as error:
+            if error.done != "unknown" and error.code != "core_unready":
                 raise
-            last = trouble
+            last = error
     raise last
 
 
@@ -126,10 +126,10 @@
         document = {"expect": mark, "put_id": put_id, "plan": plan}
         try:
             return call_until_clear(addresses, "PUT", document)["mark"]
-        except ServiceError as trouble:
-            if trouble.code != "mark_conflict":
+        except ServiceError as error:
+            if error.code != "mark_conflict":
                 raise
-            mark = trouble.detail["mark"]
+            mark = error.detail["mark"]
     raise AssertionError("each put met a newer mark")
 
 
@@ -155,8 +155,8 @@
                     "/v1/plan",
                     document,
                 )
-            except ServiceError as trouble:
-                self.mark = trouble.detail.get("mark", self.mark)
+            except ServiceError as error:
+                self.mark = error.detail.get("mark", self.mark)
                 continue
             self.mark = told["mark"]
             self.record("acked", mark=self.mark, put_id=f"put-{serial}")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,7 +20,7 @@
 
 
 class Course:
-    """One core, its orders, and the troubles that meet it."""
+    """One core, its orders, and the faults that meet it."""
 
     def __init__(self, seed, seats):
         self.core = SimCore(seed * 7 + seats, seats=seats).bootstrap(3, seats - 3)
@@ -81,7 +81,7 @@
             len(self.fit()) > self.seats // 2 + 1
         )
 
-    def trouble(self):
+    def inject_fault(self):
         deeds = [self.kill_for_good, self.restart, self.wipe, self.freeze, self.cut_off]
         if len(self.spares()) < 2:
             deeds = [self.add, self.add, *deeds]
@@ -210,7 +210,7 @@
         self.acked_us = self.world.now_us
         while self.world.now_us < end_us:
             if self.world.now_us >= next_us:
-                self.trouble()
+                self.inject_fault()
                 next_us = self.world.now_us + self.dice.randrange(100_000, 3 * SECOND)
             self.order()
             self.run(lambda: False, 50_000)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -232,8 +232,8 @@
     node.hearers["other"] = heard.append
     try:
         hear_line(node, line)
-    except ServiceError as trouble:
-        assert trouble.code == "bad_request" and not heard
+    except ServiceError as error:
+        assert error.code == "bad_request" and not heard
     return heard, [number for number, _ in node.ports.events]
 
 
@@ -292,8 +292,8 @@
 def as_we_read(body):
     try:
         return read_json(body)
-    except ServiceError as trouble:
-        return trouble.as_document()
+    except ServiceError as error:
+        return error.as_document()
 
 
 def assert_read_as_before(body):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,7 +11,7 @@
 from linkhaven.platform.callers import PlatformCallers, status_of
 from linkhaven.platform.operator import read_plan
 from linkhaven.platform.programs import SettingsWatch
-from linkhaven.platform.runners import EventReader, PlatformRunners, Stream, trouble_of
+from linkhaven.platform.runners import EventReader, PlatformRunners, Stream, error_of
 from linkhaven.platform.settings import Place
 
 ROOT = Path(__file__).parents[1]
@@ -116,11 +116,9 @@
 
 
 def test_only_a_runner_that_says_so_did_not_run_a_request():
-    assert (
-        trouble_of(503, {}) is None and trouble_of(500, {}) is None and trouble_of(504, {}) is None
-    )
-    assert trouble_of(503, {names.NOT_RUN: "1"}).done == "no"
-    assert trouble_of(421, {names.RUNNER: "i-1"}).done == "no"
+    assert error_of(503, {}) is None and error_of(500, {}) is None and error_of(504, {}) is None
+    assert error_of(503, {names.NOT_RUN: "1"}).done == "no"
+    assert error_of(421, {names.RUNNER: "i-1"}).done == "no"
 
 
 def test_events_are_passed_on_whole_with_their_numbers():
@@ -285,8 +283,8 @@
     def on_answer(self, status, headers, body):
         self.heard.append(("answer", status, body))
 
-    def on_trouble(self, trouble, has_begun):
-        self.heard.append((trouble.code, trouble.done, has_begun))
+    def on_error(self, error, has_begun):
+        self.heard.append((error.code, error.done, has_begun))
 
 
 EVENTS = {"content-type": "text/event-stream", names.SEAL: "s", names.REQUEST_ID: "r-1"}
@@ -442,12 +440,12 @@
     PlatformRunners(node).prefill(
         SimpleNamespace(name="i-1", address="10.0.0.1:1"), request, lambda *told: heard.append(told)
     )
-    ((trouble, handle, _),) = heard
+    ((error, handle, _),) = heard
     if is_own:
         assert handle == ("h" if status == 200 else None)
-        assert trouble is None or trouble.done == "no"
+        assert error is None or error.done == "no"
     else:
-        assert handle is None and (trouble.code, trouble.done) == ("runner_lost", "unknown")
+        assert handle is None and (error.code, error.done) == ("runner_lost", "unknown")
 
 
 def test_a_stream_that_ends_within_an_event_does_not_look_complete():
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -28,9 +28,9 @@
 def forget_one_time(monkeypatch):
     fail = Attempts.fail
 
-    def forgetful(self, request, runner, trouble, has_begun):
+    def forgetful(self, request, runner, error, has_begun):
         request.has_begun = False
-        fail(self, request, runner, trouble, has_begun)
+        fail(self, request, runner, error, has_begun)
 
     monkeypatch.setattr(Attempts, "fail", forgetful)
 
@@ -152,7 +152,7 @@
 
 
 def refuse_what_was_begun(monkeypatch):
-    monkeypatch.setattr(Attempts, "_unknown", lambda self, trouble: type(trouble)("no_runner"))
+    monkeypatch.setattr(Attempts, "_unknown", lambda self, error: type(error)("no_runner"))
 
 
 def share_without_counting(monkeypatch):
@@ -448,7 +448,5 @@
     class Walker:
         place = 0
 
-    Chain([refuse, walked.append], lambda request, trouble: answers.append(trouble.code)).walk(
-        Walker()
-    )
+    Chain([refuse, walked.append], lambda request, error: answers.append(error.code)).walk(Walker())
     assert (answers, walked) == (["queue_full"], [])
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -20,14 +20,14 @@
 
 
 def acked(core, base, revision, name=None):
-    trouble, value = core.put(base, revision, f"text {revision}", PLAN, name)[0]
-    assert trouble is None, trouble
+    error, value = core.put(base, revision, f"text {revision}", PLAN, name)[0]
+    assert error is None, error
     assert value["revision"] == revision
 
 
 def held(core, name=None):
-    trouble, value = core.read(name)
-    assert trouble is None, trouble
+    error, value = core.read(name)
+    assert error is None, error
     return value["revision"]
 
 
@@ -256,8 +256,8 @@
 
 
 def held_or_none(core):
-    trouble, value = core.read()
-    return value["revision"] if trouble is None and value else None
+    error, value = core.read()
+    return value["revision"] if error is None and value else None
 
 
 def test_a_core_begins_anew_only_with_as_many_machines_as_seats():
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -57,11 +57,11 @@
         poll(lambda: log.exists() and event in log.read_text())
         processes = psutil.Process(soak.pid).children(recursive=True)
         soak.send_signal(number)
-        told, troubles = soak.communicate(timeout=PATIENCE_S)
+        told, errors = soak.communicate(timeout=PATIENCE_S)
     finally:
         soak.kill()
     assert soak.returncode == 130
     assert told == ""
-    assert "interrupted, not judged" in troubles
+    assert "interrupted, not judged" in errors
     assert len(processes) > LICENSING.routers
     assert psutil.wait_procs(processes, 0)[1] == []
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -133,8 +133,8 @@
         self.headers = None
         self.body = b""
         self.is_whole = False
-        self.troubles = []
-        self.hearer = ResponseHandler(self._head, self._data, self._end, self.troubles.append)
+        self.errors = []
+        self.hearer = ResponseHandler(self._head, self._data, self._end, self.errors.append)
 
     def _head(self, status, headers):
         self.status, self.headers = status, headers
@@ -147,7 +147,7 @@
         self.is_whole = True
 
     def is_over(self):
-        return self.is_whole or bool(self.troubles)
+        return self.is_whole or bool(self.errors)
 
 
 class Runner:
@@ -778,7 +778,7 @@
         runner.address, "GET", "/x", {}, b"", two.hearer, keep=True, most=1
     ).is_reused
     runner.until(two.is_over)
-    assert bench.outlet.opened == 1 and not one.troubles and not two.troubles
+    assert bench.outlet.opened == 1 and not one.errors and not two.errors
 
 
 def test_the_request_goes_out_with_its_fields_in_order_and_the_host_told(bench):
@@ -855,7 +855,7 @@
     exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.hearer, keep=True)
     assert not exchange.is_reused
     runner.until(heard.is_over)
-    assert heard.body == b"next" and not heard.troubles and len(runner.got) == 2
+    assert heard.body == b"next" and not heard.errors and len(runner.got) == 2
 
 
 def test_bytes_before_the_request_was_sent_are_no_answer_to_it(bench):
@@ -866,7 +866,7 @@
     assert exchange.is_reused
     exchange.connection.plug.on_data(whole(b"surplus"))
     runner.until(heard.is_over)
-    assert heard.body == b"next" and not heard.troubles and bench.outlet.opened == 2
+    assert heard.body == b"next" and not heard.errors and bench.outlet.opened == 2
     assert bench.outlet.count(runner.address) == 1 and len(runner.got) == 2
 
 
@@ -880,13 +880,13 @@
     assert exchange.is_reused
     exchange.connection.plug.fail()
     runner.until(heard.is_over)
-    assert heard.body == b"next" and not heard.troubles and not exchange.is_reused
+    assert heard.body == b"next" and not heard.errors and not exchange.is_reused
 
 
-def test_a_reused_connection_that_dies_after_the_request_is_a_trouble_that_may_have_run(bench):
+def test_a_reused_connection_that_dies_after_the_request_is_an_error_that_may_have_run(bench):
     runner = Runner(bench, whole(), (b"", True))
     runner.call(keep=True)
-    assert runner.call(keep=True).troubles == [True]
+    assert runner.call(keep=True).errors == [True]
     assert len(runner.got) == 2
 
 
@@ -911,7 +911,7 @@
     heard = Heard()
     assert bench.outlet.open(f"127.0.0.1:{port}", "GET", "/x", {}, b"", heard.hearer, keep=True)
     bench.until(heard.is_over)
-    assert heard.troubles == [False] and not bench.outlet.count(f"127.0.0.1:{port}")
+    assert heard.errors == [False] and not bench.outlet.count(f"127.0.0.1:{port}")
 
 
 def test_a_connection_that_does_not_come_up_has_not_begun(bench):
@@ -927,7 +927,7 @@
     heard = Heard()
     bench.outlet.open(address, "GET", "/x", {}, b"", heard.hearer, keep=True)
     bench.until(heard.is_over)
-    assert heard.troubles == [False]
+    assert heard.errors == [False]
 
 
 def test_a_body_until_close_ends_with_the_close_and_not_with_a_reset(bench):
@@ -942,7 +942,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     sock.close()
     runner.until(cut.is_over)
-    assert cut.troubles == [True]
+    assert cut.errors == [True]
 
 
 def test_interim_answers_are_passed_over(bench):
@@ -1016,11 +1016,11 @@
         data = b"".join(pieces)
         runner = Runner(bench, (data, True), whole(b"next"))
         heard = runner.call(keep=True)
-        assert heard.is_whole != bool(heard.troubles) and len(heard.troubles) <= 1
+        assert heard.is_whole != bool(heard.errors) and len(heard.errors) <= 1
         if heard.is_whole:
             assert read_answers(data, closed=True)[0] == (heard.status, heard.body)
         else:
-            assert heard.troubles == [True]
+            assert heard.errors == [True]
         assert runner.call(keep=True).body == b"next"
     finally:
         bench.close()
