--- a/packages/configuration/src/linkhaven/configuration/news.py
+++ b/packages/configuration/src/linkhaven/configuration/news.py
@@ -97,7 +97,7 @@
         self.seat.directory.learn_seats(message["known"])
         for hear in self.on_ask:
             hear(message)
-        hold_us = message.get("hold_us", self.node.terms.news_hold_us)
+        hold_us = message.get("hold_us", self.node.bounds.news_hold_us)
         ask = Ask(message, now_us + hold_us, now_us + min(URGENT_US, hold_us))
         if message["mark"] > self.held_mark():
             self.image.hear_mark(message["mark"])
@@ -138,7 +138,7 @@
     def shorten_holds(self):
         """Ends long holds soon, each at its own moment: answered together, routers would go on
         asking together, and place by the same news at the same time."""
-        now_us, usual_us = self.node.now_us(), self.node.terms.news_hold_us
+        now_us, usual_us = self.node.now_us(), self.node.bounds.news_hold_us
         for ask in self.asks.values():
             if "hold_us" in ask.facts:
                 soon_us = now_us + self.node.ports.dice.randrange(usual_us)
--- a/packages/configuration/src/linkhaven/configuration/pace.py
+++ b/packages/configuration/src/linkhaven/configuration/pace.py
@@ -12,11 +12,11 @@
     lease, and of `plan_stale_us` where that is set. The seat that tells the list of runners holds
     half as long. A seat answers at once what can't wait, whatever the hold."""
 
-    __slots__ = ("terms", "count_routers", "told_us")
+    __slots__ = ("bounds", "count_routers", "told_us")
 
-    def __init__(self, terms, count_routers):
+    def __init__(self, bounds, count_routers):
         """`count_routers()` gives how many routers are known to run, this one among them."""
-        self.terms = terms
+        self.bounds = bounds
         self.count_routers = count_routers
         self.told_us = {}
 
@@ -43,20 +43,20 @@
 
     def longest_us(self):
         """The hold at a seat whose duties this router doesn't wait for."""
-        terms = self.terms
-        grown_us = terms.news_hold_us * self.count_routers() // SMALL_FLEET
-        bounds = [LONGEST_US, terms.lease_us // 3, grown_us]
-        if terms.plan_stale_us is not None:
-            bounds.append(terms.plan_stale_us // 3)
-        return max(terms.news_hold_us, min(bounds))
+        bounds = self.bounds
+        grown_us = bounds.news_hold_us * self.count_routers() // SMALL_FLEET
+        limits_us = [LONGEST_US, bounds.lease_us // 3, grown_us]
+        if bounds.plan_stale_us is not None:
+            limits_us.append(bounds.plan_stale_us // 3)
+        return max(bounds.news_hold_us, min(limits_us))
 
     def hold_us(self, seat, is_pressed, now_us):
         """The hold of the next ask at a seat; `is_pressed`: this router waits for a larger share."""
         longest_us = self.longest_us()
-        if longest_us == self.terms.news_hold_us:
+        if longest_us == self.bounds.news_hold_us:
             return longest_us
         if is_pressed and self.is_teller(seat, "shares", now_us):
-            return self.terms.news_hold_us
+            return self.bounds.news_hold_us
         if self.is_teller(seat, "roster", now_us):
-            return max(self.terms.news_hold_us, longest_us // 2)
+            return max(self.bounds.news_hold_us, longest_us // 2)
         return longest_us
--- a/packages/configuration/src/linkhaven/configuration/reader.py
+++ b/packages/configuration/src/linkhaven/configuration/reader.py
@@ -89,7 +89,7 @@
         self.node = node
         self.directory = directory
         self.image = image
-        self.majority = majority or node.terms.seats // 2 + 1
+        self.majority = majority or node.bounds.seats // 2 + 1
         self.told = {}
         self.serial = 0
         self.facts = []
@@ -97,7 +97,7 @@
         self.confirmed_us = None
         self.lacking = None
         self.held = None
-        self.pace = AskPace(node.terms, count_routers)
+        self.pace = AskPace(node.bounds, count_routers)
         self.is_pressed = lambda: False
         self.takes_changes = True
         node.hearers["news"] = self.hear_news
@@ -107,7 +107,7 @@
         """Whether the plan held here may be served by now."""
         if self.image.configuration is None:
             return False
-        stale_us = self.node.terms.plan_stale_us
+        stale_us = self.node.bounds.plan_stale_us
         if stale_us is None:
             return True
         if self.image.is_behind or self.confirmed_us is None:
@@ -150,7 +150,7 @@
         }
         if wants_plan and self.held is not None and self.takes_changes:
             facts["holds"] = self.held[0]["bodies"]["plan"]
-        if told.hold_us != self.node.terms.news_hold_us:
+        if told.hold_us != self.node.bounds.news_hold_us:
             facts["hold_us"] = told.hold_us
         for add in self.facts:
             add(facts, seat)
@@ -166,7 +166,7 @@
         told = self.told.get(seat)
         if told is None:
             return False
-        longest_us = max(self.node.terms.news_hold_us, told.hold_us) + LATE_US
+        longest_us = max(self.node.bounds.news_hold_us, told.hold_us) + LATE_US
         return now_us - told.quiet_us > longest_us
 
     def _by_nearness(self):
@@ -188,7 +188,7 @@
         """No answer is awaited from the seat, or none can come any more, or it would come late."""
         if told.id is None or now_us - told.sent_us > told.hold_us + LATE_US:
             return True
-        least_us = self.node.terms.news_hold_us
+        least_us = self.node.bounds.news_hold_us
         if told.hold_us == least_us or now_us - told.sent_us < least_us:
             return False
         if told.asked != place:
@@ -199,7 +199,7 @@
         lacking, seats = self.lacking, self.directory.seats()
         if lacking is None or now_us < lacking.ask_us:
             return
-        lacking.ask_us = now_us + self.node.terms.body_wait_us
+        lacking.ask_us = now_us + self.node.bounds.body_wait_us
         tellers = [seat for seat in self._by_nearness() if seat in lacking.tellers]
         if not tellers:
             return
@@ -294,7 +294,7 @@
         if lacking is not None and mark < lacking.mark:
             return
         if lacking is None or mark > lacking.mark:
-            ask_us = now_us + self.node.terms.body_wait_us
+            ask_us = now_us + self.node.bounds.body_wait_us
             lacking = self.lacking = Lacking(mark, message.get("digest"), ask_us)
         lacking.tellers[message["seat"]] = (
             message.get("digest"),
--- a/packages/consensus/src/linkhaven/consensus/leaving.py
+++ b/packages/consensus/src/linkhaven/consensus/leaving.py
@@ -15,7 +15,7 @@
 | HOLDING | a majority without it holds all | PAUSED: it votes no more, compares the rest |
 | PAUSED | a majority without it holds all | GONE |
 | PAUSED | a member falls silent | HOLDING: it votes again |
-| any | `terms.drain_us` have passed | GONE |
+| any | `bounds.drain_us` have passed | GONE |
 
 Invariant: what a successor votes with holds everything that the leaving member ever voted for,
 since the pages after
@@ -83,14 +83,14 @@
         self.on_gone = on_gone
         self.began_us = self.node.now_us()
         self.state = LeavingState.CHOOSING
-        self.node.ports.clock.call_in(self.node.terms.drain_us, self._go_at_bound)
+        self.node.ports.clock.call_in(self.node.bounds.drain_us, self._go_at_bound)
         self._choose(self.began_us)
 
     def _go_at_bound(self):
         """By a timer of its own: a tick after the bound would be late by up to a tick."""
         if self.state in (LeavingState.STAYING, LeavingState.GONE):
             return
-        if self.node.now_us() - self.began_us >= self.node.terms.drain_us:
+        if self.node.now_us() - self.began_us >= self.node.bounds.drain_us:
             self._go()
 
     def tick(self, now_us):
--- a/packages/consensus/src/linkhaven/consensus/occupants.py
+++ b/packages/consensus/src/linkhaven/consensus/occupants.py
@@ -110,7 +110,7 @@
             if fellow.is_up:
                 self.gone_us.pop(seat, None)
                 return False
-        return now_us - self.gone_us.setdefault(seat, now_us) >= self.node.terms.vacant_us
+        return now_us - self.gone_us.setdefault(seat, now_us) >= self.node.bounds.vacant_us
 
     def is_taken(self, message):
         """By another than the one who asks."""
@@ -154,7 +154,7 @@
         """Every disk of the core is lost: as many spares as there are seats, and a router, know of no seat that was
         ever taken. They take the seats in the order of their names and begin as a first start does."""
         directory = self.seat.directory
-        vacant_us = self.node.terms.vacant_us
+        vacant_us = self.node.bounds.vacant_us
         if not self._is_core_lost(directory):
             self.lost_us = None
             return
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -91,7 +91,7 @@
         """`silent_us` None: every change waits for its deadline."""
         self.node = node
         self.directory = directory
-        self.majority = majority or node.terms.seats // 2 + 1
+        self.majority = majority or node.bounds.seats // 2 + 1
         self.counter = 0
         self.changes = {}
         self.serial = 0
--- a/packages/consensus/src/linkhaven/consensus/rejoin.py
+++ b/packages/consensus/src/linkhaven/consensus/rejoin.py
@@ -26,7 +26,7 @@
 
     A disk that was read is whole unless it lost what it had synced. So a seat with a disk needs the others only to
     make good such a loss: a majority with disks goes on once the rest has answered that it has none, and where the
-    rest is silent, after `terms.alone_us`."""
+    rest is silent, after `bounds.alone_us`."""
 
     __slots__ = (
         "node",
@@ -205,7 +205,7 @@
                 return self._adopt(self.told.values())
             if not is_any_empty:
                 return self._adopt(self.told.values())
-        is_alone = now_us - self.started_us >= self.node.terms.alone_us
+        is_alone = now_us - self.started_us >= self.node.bounds.alone_us
         if not seat.is_empty and (have_all_answered or is_alone):
             fit = [state for state in self.told.values() if not state["is_empty"]]
             if len(fit) + 1 >= seat.majority:
--- a/packages/consensus/src/linkhaven/consensus/seat.py
+++ b/packages/consensus/src/linkhaven/consensus/seat.py
@@ -285,7 +285,7 @@
         self.is_empty = self.is_failing = False
         self.sealed = None
         self.standing = VOTING
-        wait_us = self.node.terms.lease_us if wait_us is None else wait_us
+        wait_us = self.node.bounds.lease_us if wait_us is None else wait_us
         self.votes_from_us = 0 if is_first else self.node.now_us() + wait_us
         if self.is_learned:
             self.directory.sit(self.seat, self.incarnation)
--- a/packages/controller/src/linkhaven/controller/contact.py
+++ b/packages/controller/src/linkhaven/controller/contact.py
@@ -34,7 +34,7 @@
 
     def is_held(self):
         """Whether a majority answered what was asked within the bound."""
-        since_us = self.node.now_us() - self.node.terms.contact_us
+        since_us = self.node.now_us() - self.node.bounds.contact_us
         heard = sum(sent_us >= since_us for sent_us in self.answered_us.values())
         return heard + 1 >= self.seat.majority
 
@@ -66,7 +66,7 @@
             self.answered_us = {}
             self.asked_us = None
             return
-        pace_us = self.node.terms.contact_us // ASKS_IN_A_BOUND
+        pace_us = self.node.bounds.contact_us // ASKS_IN_A_BOUND
         if self.asked_us is not None and now_us - self.asked_us < pace_us:
             return
         self._ask(now_us)
--- a/packages/controller/src/linkhaven/controller/keeper.py
+++ b/packages/controller/src/linkhaven/controller/keeper.py
@@ -51,14 +51,14 @@
         self.platform = platform
         self.needs = needs
         self.runners = Table()
-        self.polled_us = -node.terms.poll_us
+        self.polled_us = -node.bounds.poll_us
         self.listed_us = None
         self.poll = None
         self.reports = {}
-        self.reported_us = -node.terms.report_us
+        self.reported_us = -node.bounds.report_us
         self.pressed_us = 0
         self.owed_us = {}
-        self.blind_us = max(BLIND_US, 3 * node.terms.poll_us)
+        self.blind_us = max(BLIND_US, 3 * node.bounds.poll_us)
         self.changed = 0
         self.changes = RosterChanges()
         self.heard_us = {}
@@ -141,16 +141,16 @@
             self._begin_list()
             self.heard_us.clear()
             self.silent.clear()
-            self.polled_us = now_us - self.node.terms.poll_us
-            self.reported_us = now_us - self.node.terms.report_us
+            self.polled_us = now_us - self.node.bounds.poll_us
+            self.reported_us = now_us - self.node.bounds.report_us
             self.owed_us.clear()
         if now_us - max(self.since_us, self.listed_us or 0) >= self.blind_us:
             self.on_blind()
-        if now_us - self.polled_us >= self.node.terms.poll_us:
+        if now_us - self.polled_us >= self.node.bounds.poll_us:
             self._poll(now_us)
         self._judge_silent(now_us)
         self._reopen_plain(now_us)
-        if now_us - self.reported_us >= self.node.terms.report_us:
+        if now_us - self.reported_us >= self.node.bounds.report_us:
             self.reported_us = self.pressed_us = now_us
             for runner in self.runners.rows():
                 self._ask_report(runner, now_us)
@@ -349,15 +349,15 @@
         for runner in self.runners.rows():
             if not (runner.is_plain() and runner.is_dark):
                 continue
-            if now_us - self.heard_us.get(runner.name, 0) >= self.node.terms.dark_us:
+            if now_us - self.heard_us.get(runner.name, 0) >= self.node.bounds.dark_us:
                 self._hear_alive(runner, now_us)
 
     def _judge_dark(self, runner, now_us):
-        terms = self.node.terms
+        bounds = self.node.bounds
         heard_us = self.heard_us.setdefault(runner.name, now_us)
-        if 2 * terms.report_us > terms.dark_us:
+        if 2 * bounds.report_us > bounds.dark_us:
             heard_us = max(heard_us, self.owed_us.get(runner.name, now_us))
-        if now_us - heard_us > terms.dark_us and not runner.is_dark:
+        if now_us - heard_us > bounds.dark_us and not runner.is_dark:
             self._darken(runner)
 
     def _darken(self, runner):
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -78,14 +78,14 @@
         incarnation,
         seat,
         platform,
-        terms=None,
+        bounds=None,
         contacts=(),
         contact=None,
         desk_of=RunnerDesk,
     ):
         """`seat` None: the disk says it, a first start's contacts say it, or it is learned."""
-        super().__init__(name, address, ports, terms)
-        seats = SEATS[: self.terms.seats]
+        super().__init__(name, address, ports, bounds)
+        seats = SEATS[: self.bounds.seats]
         self.incarnation = incarnation
         self.image = ConfigurationSnapshot()
         self.is_draining = False
@@ -102,7 +102,7 @@
         self.ring = Membership(
             self, "registry", zone, seeds, incarnation, seat or "", mark_of=lambda: self.image.mark
         )
-        self.proposer = Proposer(self, self.ring, silent_us=self.terms.silent_us)
+        self.proposer = Proposer(self, self.ring, silent_us=self.bounds.silent_us)
         self.seat = Replica(
             self, seat, seats, self.ring, self._hear_change, self._hear_votes, self._claim_terms
         )
@@ -168,7 +168,7 @@
         if (
             self.seat.seat
             or not self.seat.is_empty
-            or not self.terms.bootstrap
+            or not self.bounds.bootstrap
             or contact not in self.contacts
         ):
             return
@@ -316,7 +316,7 @@
     def _watch_edge(self, now_us):
         """A seat that no router asks any more, though routers run, serves nobody with its duties."""
         if (
-            now_us - self.news.asked_us < 2 * self.terms.news_hold_us + UNASKED_US
+            now_us - self.news.asked_us < 2 * self.bounds.news_hold_us + UNASKED_US
             or not self.ring.live("router")
         ):
             return
--- a/packages/controller/src/linkhaven/controller/switcher.py
+++ b/packages/controller/src/linkhaven/controller/switcher.py
@@ -87,7 +87,7 @@
         self.surveyed_us = 0
         self.surveyed_change = None
         self.won_us = 0
-        self.woken_us = -node.terms.thaw_us
+        self.woken_us = -node.bounds.thaw_us
         self.serial = 0
         self.settled = {}
         self.orders = 0
@@ -113,12 +113,12 @@
         That is so at once where no announcement of another was seen for long enough, else a lease
         after the duty was won; also where the former holder released it.
         """
-        if now_us - self.woken_us < self.node.terms.thaw_us:
+        if now_us - self.woken_us < self.node.bounds.thaw_us:
             return False
         if self.duty.are_others_idle():
             return True
         least_us = self.duty.lease_us if self.duty.is_succession else 0
-        return now_us - self.won_us >= max(self.node.terms.orders_after_us, least_us)
+        return now_us - self.won_us >= max(self.node.bounds.orders_after_us, least_us)
 
     def forget(self):
         """Drop what was being ordered and all that was seen of the pools."""
@@ -204,7 +204,7 @@
         """How long a side may stand empty: to be sure of it, to order, to switch and to see it."""
         told = (self.image.configuration.get("pools") or {}).get(pool.name) or {}
         switch_us = told.get("switch_us", SWITCH_US)
-        seen_us = BARE_US + LOOK_US + 2 * self.node.terms.report_us
+        seen_us = BARE_US + LOOK_US + 2 * self.node.bounds.report_us
         if phase == DECODE:
             return seen_us + READ_END_US + switch_us
         deadlines = [kind["deadline_us"] for kind in self.image.configuration["kinds"].values()]
--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -84,7 +84,7 @@
 
     def _is_settling(self, now_us):
         """Whether a router may still hold a grant of an earlier holder that it didn't report."""
-        return self.lease.fence > 1 and now_us - self.elected_us < self.node.terms.lease_us
+        return self.lease.fence > 1 and now_us - self.elected_us < self.node.bounds.lease_us
 
     # what routers report
 
@@ -101,7 +101,7 @@
 
     def _record(self, name, router, report, now_us):
         self._demands_for(name).record(router, report.wanted, now_us)
-        expires_us = now_us + self.node.terms.lease_us
+        expires_us = now_us + self.node.bounds.lease_us
         grants = self._grants_of(name, now_us)
         grants.confirm(router, report.grant, report.rate, expires_us, now_us)
 
@@ -158,7 +158,7 @@
     def _grant(self, name, router, amount, now_us):
         self.serial += 1
         number = self.lease.fence * GRANT_NUMBERS_PER_FENCE + self.serial
-        expires_us = now_us + self.node.terms.lease_us
+        expires_us = now_us + self.node.bounds.lease_us
         self._grants_of(name, now_us).add(router, number, amount, expires_us)
         return AllocatedGrant(amount, number)
 
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -96,7 +96,7 @@
         self.on_won = on_won
         self.on_lapsed = on_lapsed
         self.set_rank(rank)
-        self.lease_us = node.terms.lease_us
+        self.lease_us = node.bounds.lease_us
         self.renew_us = self.lease_us // RENEWALS_A_LEASE
         self.quiet_us = self.lease_us * QUIET_SHARE[0] // QUIET_SHARE[1]
         self.fence = None
--- a/packages/membership/src/linkhaven/membership/ring.py
+++ b/packages/membership/src/linkhaven/membership/ring.py
@@ -394,13 +394,13 @@
             return True
         now_us = self.node.now_us()
         watcher = self.fellows[name]
-        if watcher.spoke_us is not None and now_us - watcher.spoke_us <= self.node.terms.missed_us:
+        if watcher.spoke_us is not None and now_us - watcher.spoke_us <= self.node.bounds.missed_us:
             return True
         if watcher.probed_us is None or (watcher.spoke_us or 0) > watcher.probed_us:
             watcher.probed_us = now_us
             self.node.send(watcher.address, hello_of(self.me.as_member()))
             return True
-        return now_us - watcher.probed_us <= self.node.terms.missed_us
+        return now_us - watcher.probed_us <= self.node.bounds.missed_us
 
     def _doubt(self, record):
         """Another holds for up whom this node holds for down: those who judged are asked again.
@@ -453,7 +453,7 @@
 
     def tick(self, now_us):
         """Beat, watch and gossip, each at its pace."""
-        if now_us - self.beat_us >= self.node.terms.beat_us:
+        if now_us - self.beat_us >= self.node.bounds.beat_us:
             self.beat_us = now_us
             self._beat()
             self._watch(now_us)
@@ -490,7 +490,7 @@
                 continue
             if member.heard_us is None:
                 member.heard_us = now_us
-            if now_us - member.heard_us > self.node.terms.missed_us and not member.verdicts.get(
+            if now_us - member.heard_us > self.node.bounds.missed_us and not member.verdicts.get(
                 self.node.name
             ):
                 self._judge(member, True)
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -46,7 +46,7 @@
             error = (
                 ServiceError("runner_lost", why="a fault at its start")
                 if may_be_sent
-                else ServiceError("no_runner", retry_us=self.node.terms.retry_least_us)
+                else ServiceError("no_runner", retry_us=self.node.bounds.retry_least_us)
             )
             self.node.end_with_error(request, error)
             return not is_queued
@@ -129,19 +129,19 @@
 
     def _spent_us(self, request, now_us):
         """Where a caller isn't held for long, the target counts from its arrival."""
-        return now_us - request.arrived_us if self.node.terms.hold_share is not None else 0
+        return now_us - request.arrived_us if self.node.bounds.hold_share is not None else 0
 
     def _room_us(self, decision, ttft_us):
         """When the soonest of the candidates should be able to meet the target again."""
         return max(
-            self.node.terms.retry_least_us,
+            self.node.bounds.retry_least_us,
             min(candidate.total_us for candidate in decision.candidates) - ttft_us,
         )
 
     def _is_hopeless(self, request, decision, now_us):
         """Whether the answer, or where it is enough its beginning, would come after the deadline."""
         soonest_us = now_us + decision.winner.total_us
-        if self.node.terms.hold_share is None:
+        if self.node.bounds.hold_share is None:
             soonest_us += self.pairing.estimator.answer_us(request.answer_tokens)
         return soonest_us > request.deadline_us
 
@@ -153,20 +153,20 @@
         ttft_us = request.kind["ttft_us"]
         if min(candidate.e_us + candidate.t_us for candidate in decision.candidates) >= ttft_us:
             return BEYOND_TARGET
-        if self.node.terms.hold_share is not None:
+        if self.node.bounds.hold_share is not None:
             return "held_its_share" if has_waited else None
         return "waited_half_the_deadline" if self._has_waited_half(request, now_us) else None
 
     def _has_waited_its_share(self, request, now_us):
-        """Whether it was held for as long as the terms let a request be held that isn't placed."""
-        hold_share = self.node.terms.hold_share
+        """Whether it was held for as long as the bounds let a request be held that isn't placed."""
+        hold_share = self.node.bounds.hold_share
         if hold_share is None:
             return False
         return now_us - request.arrived_us >= request.kind["ttft_us"] * hold_share
 
     def _has_waited_half(self, request, now_us):
         """Where callers may be held: whether half of the deadline went by in the queue."""
-        if self.node.terms.hold_share is not None:
+        if self.node.bounds.hold_share is not None:
             return False
         return now_us - request.arrived_us >= request.kind["deadline_us"] // 2
 
@@ -402,7 +402,7 @@
 
     def _spent(self, request, error):
         if not request.has_begun:
-            return ServiceError("no_runner", retry_us=self.node.terms.retry_least_us)
+            return ServiceError("no_runner", retry_us=self.node.bounds.retry_least_us)
         return ServiceError("extra_spent", retry_us=1_000_000, after=error.code)
 
     def move(self, request, target, why):
--- a/packages/router/src/linkhaven/router/invariants.py
+++ b/packages/router/src/linkhaven/router/invariants.py
@@ -57,7 +57,7 @@
 
     def check_hold(self, request):
         """A request ends that was not placed."""
-        hold_share = self.node.terms.hold_share
+        hold_share = self.node.bounds.hold_share
         if hold_share is None or not request.kind:
             return
         held_us = self.node.now_us() - max(request.arrived_us, self.node.calm_since_us)
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -95,12 +95,12 @@
         seeds,
         incarnation,
         requests_at_most=2_000,
-        terms=None,
+        bounds=None,
         callers=None,
         desk_of=RunnerDesk,
     ):
-        super().__init__(name, address, ports, terms)
-        majority = self.terms.seats // 2 + 1
+        super().__init__(name, address, ports, bounds)
+        majority = self.bounds.seats // 2 + 1
         self.callers = callers or NativeCallers()
         self.doors = Doors()
         self.incarnation = incarnation
@@ -249,9 +249,9 @@
         shares = message.get("shares")
         if shares is not None:
             for group, (rate, grant) in shares["rates"].items():
-                self.credit.apply_grant(group, rate, grant, sent_us + self.terms.lease_us)
+                self.credit.apply_grant(group, rate, grant, sent_us + self.bounds.lease_us)
             if "extra" in shares:
-                self.extra.apply_grant(*shares["extra"], sent_us + self.terms.lease_us)
+                self.extra.apply_grant(*shares["extra"], sent_us + self.bounds.lease_us)
         self.wake_queue()
 
     def _hear_want_image(self, message):
@@ -303,10 +303,10 @@
 
     def is_lingering(self):
         """Stopping, but those who send callers here may not know yet."""
-        return self.now_us() - self.drain_us < self.terms.linger_us
+        return self.now_us() - self.drain_us < self.bounds.linger_us
 
     def away_us(self):
-        return self.terms.retry_least_us
+        return self.bounds.retry_least_us
 
     def serve_request(self, call):
         self.serial += 1
@@ -525,7 +525,7 @@
         self.on_drained = on_drained
         self.drain_us = self.now_us()
         self.ports.log(1002, running=len(self.requests))
-        if not self.terms.linger_us:
+        if not self.bounds.linger_us:
             self._refuse_waiting()
             self.ring.say_bye()
 
@@ -539,7 +539,7 @@
             return
         if self.is_lingering():
             return
-        if now_us - self.drain_us >= self.terms.drain_us:
+        if now_us - self.drain_us >= self.bounds.drain_us:
             for request in self.requests.rows():
                 self.end_with_error(request, ServiceError("cut_by_drain"))
         if not self.requests:
--- a/packages/runner/src/linkhaven/runner/roster.py
+++ b/packages/runner/src/linkhaven/runner/roster.py
@@ -207,7 +207,7 @@
 
     def is_fresh(self):
         """Whether the list is recent enough to place work by it."""
-        stale_us = self.node.terms.roster_stale_us
+        stale_us = self.node.bounds.roster_stale_us
         return self.taken_us is not None and (
             stale_us is None or self.node.now_us() - self.taken_us <= stale_us
         )
@@ -281,7 +281,7 @@
             runner.take_report({**record, "is_leaving": record["is_leaving"]}, now_us)
         runner.is_leaving = runner.is_leaving or record["is_leaving"]
         if runner.is_leaving and was_serving:
-            runner.serves_until_us = before_us + self.node.terms.stand_in_us
+            runner.serves_until_us = before_us + self.node.bounds.stand_in_us
         runner.is_told_dark = record["is_dark"]
         self._weigh_dark(runner, now_us)
 
--- a/packages/runtime/src/linkhaven/runtime/__init__.py
+++ b/packages/runtime/src/linkhaven/runtime/__init__.py
@@ -1,5 +1,6 @@
 """What every node rests on: the node's base, its ports, typed messages, JSON and tables."""
 
+from .bounds import Bounds
 from .messages import (
     PROTOCOL_VERSION,
     LineReader,
@@ -11,7 +12,6 @@
 from .node import Node
 from .ports import Call, Ports, ResponseHandler
 from .tables import Table
-from .terms import Bounds
 from .text import read_json, write_json
 
 __all__ = [
--- a/packages/runtime/src/linkhaven/runtime/terms.py
+++ b/packages/runtime/src/linkhaven/runtime/bounds.py
@@ -76,7 +76,7 @@
         """The defaults, but for the bounds given here."""
         unknown = set(given) - set(self.DEFAULTS)
         if unknown:
-            raise TypeError(f"no such terms: {sorted(unknown)}")
+            raise TypeError(f"no such bounds: {sorted(unknown)}")
         for name, value in {**self.DEFAULTS, **given}.items():
             setattr(self, name, value)
 
--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -4,8 +4,8 @@
 
 from linkhaven.api import ServiceError
 
+from .bounds import Bounds
 from .messages import LineReader, Message
-from .terms import Bounds
 
 LATE_TICK_US = 1_000_000
 """A tick this late tells that the process was paused."""
@@ -33,12 +33,12 @@
         "ticked_us",
         "on_late",
         "on_hear",
-        "terms",
+        "bounds",
     )
 
-    def __init__(self, name, address, ports, terms=None):
-        """Nothing is registered yet; `terms` are the bounds that its settings say."""
-        self.terms = terms or Bounds()
+    def __init__(self, name, address, ports, bounds=None):
+        """Nothing is registered yet; `bounds` are those that its settings say."""
+        self.bounds = bounds or Bounds()
         self.name = name
         self.address = address
         self.ports = ports
--- a/packages/stage/src/linkhaven/stage/core.py
+++ b/packages/stage/src/linkhaven/stage/core.py
@@ -11,13 +11,13 @@
 class SimCore:
     """A core whose seats are learned: machines come and go, and only the first start knows its contacts."""
 
-    __slots__ = ("world", "machines", "terms", "platform", "contacts")
+    __slots__ = ("world", "machines", "bounds", "platform", "contacts")
 
-    def __init__(self, seed, seats=3, **terms):
+    def __init__(self, seed, seats=3, **bounds):
         self.world = World(seed)
         self.world.is_tracing = True
         self.machines = {}
-        self.terms = {"seats": seats, "alone_us": 1_000_000, **terms}
+        self.bounds = {"seats": seats, "alone_us": 1_000_000, **bounds}
         self.contacts = []
         self.platform = Host(
             self.world,
@@ -33,7 +33,7 @@
         is_first = [bootstrap]
 
         def build(host, ports):
-            terms = Bounds(**self.terms, bootstrap=is_first[0])
+            bounds = Bounds(**self.bounds, bootstrap=is_first[0])
             is_first[0] = False
             seeds = [
                 other.address
@@ -49,8 +49,8 @@
                 host.wall_us() + host.starts,
                 None,
                 PLATFORM,
-                terms,
-                contacts=self.contacts if terms.bootstrap else (),
+                bounds,
+                contacts=self.contacts if bounds.bootstrap else (),
             )
 
         host = self.machines[name] = Host(
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -24,7 +24,7 @@
 SKIPPED = frozenset(
     (
         "ports",
-        "terms",
+        "bounds",
         "hearers",
         "handlers",
         "reader",
@@ -56,12 +56,12 @@
 
     __slots__ = ("ring", "proposer", "seat", "image", "bodies", "plan_desk", "duty")
 
-    def __init__(self, name, address, ports, terms, has_duty, contacts):
-        super().__init__(name, address, ports, terms)
+    def __init__(self, name, address, ports, bounds, has_duty, contacts):
+        super().__init__(name, address, ports, bounds)
         self.ring = Membership(self, "registry", "z", [], ports.clock.now_us() + ports.clock.start)
         self.systems.remove(self.ring.tick)
         self.proposer = Proposer(self, self.ring)
-        seats = SEATS[: terms.seats]
+        seats = SEATS[: bounds.seats]
         self.seat = Replica(self, None, seats, self.ring, lambda key: None, self._hear_votes)
         self.seat.occupants.contact = address
         self.image = ConfigurationSnapshot()
@@ -83,9 +83,9 @@
     def build(machine, ports):
         is_first = machine.address in contacts and machine.address not in begun
         begun.add(machine.address)
-        terms = Bounds(seats=seats)
+        bounds = Bounds(seats=seats)
         node = CoreNode(
-            machine.name, machine.address, ports, terms, has_duty, contacts if is_first else ()
+            machine.name, machine.address, ports, bounds, has_duty, contacts if is_first else ()
         )
         introduce(machine, node)
         return node
@@ -105,7 +105,7 @@
         other.node.ring.on_members(Members([node.ring.me.as_member()], sender=node.name))
 
 
-def build_registry(seats, contacts, **terms):
+def build_registry(seats, contacts, **bounds):
     """Builds the whole core member: ring, register, occupants, duties, desks."""
     begun = set()
 
@@ -124,7 +124,7 @@
             ports.clock.now_us() + machine.starts,
             None,
             "10.9.0.1:80",
-            Bounds(seats=seats, alone_us=1_000_000, bootstrap=is_first, **terms),
+            Bounds(seats=seats, alone_us=1_000_000, bootstrap=is_first, **bounds),
             contacts=contacts if is_first else (),
         )
 
--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -622,7 +622,7 @@
             "a",
             place.seeds,
             1,
-            terms=place.terms,
+            bounds=place.bounds,
             callers=PlatformCallers(),
             desk_of=PlatformRunners,
         )
--- a/tests/pooled_fleet.py
+++ b/tests/pooled_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet of one pool, with the terms of the users' platform, for tests of placement."""
+"""A simulated fleet of one pool, with the bounds of the users' platform, for tests of placement."""
 
 from collections import Counter
 
@@ -64,7 +64,7 @@
     __slots__ = ()
 
     def _build_router(self, host, ports):
-        terms = Bounds(
+        bounds = Bounds(
             hold_share=0.2,
             retry_least_us=100_000,
             roster_stale_us=None,
@@ -72,7 +72,7 @@
         )
         incarnation = host.wall_us() + host.starts
         return RouterNode(
-            host.name, host.address, ports, host.zone, self.seeds, incarnation, terms=terms
+            host.name, host.address, ports, host.zone, self.seeds, incarnation, bounds=bounds
         )
 
     def list_runners(self, at_once=False, **states):
--- a/tests/test_ask_pace.py
+++ b/tests/test_ask_pace.py
@@ -1,4 +1,4 @@
-"""How long seats hold a router's asks, by the fleet's size, the terms and the duties."""
+"""How long seats hold a router's asks, by the fleet's size, the bounds and the duties."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 PARTS = ("roster", "steward", "shares")
 
 
-def pace_of(routers, **terms):
-    return AskPace(Bounds(**terms), lambda: routers)
+def pace_of(routers, **bounds):
+    return AskPace(Bounds(**bounds), lambda: routers)
 
 
 @pytest.mark.parametrize("routers", [1, 3, SMALL_FLEET])
@@ -22,13 +22,13 @@
 @pytest.mark.parametrize("stale_us", [None, 1_500_000, 900_000])
 @pytest.mark.parametrize("lease_us", [3_000_000, 1_200_000])
 def test_a_hold_stays_within_a_third_of_what_it_must_renew(routers, stale_us, lease_us):
-    terms = Bounds(plan_stale_us=stale_us, lease_us=lease_us)
-    pace = AskPace(terms, lambda: routers)
+    bounds = Bounds(plan_stale_us=stale_us, lease_us=lease_us)
+    pace = AskPace(bounds, lambda: routers)
     longest_us = pace.longest_us()
-    assert terms.news_hold_us <= longest_us <= LONGEST_US
-    assert longest_us * 3 <= max(3 * terms.news_hold_us, lease_us)
+    assert bounds.news_hold_us <= longest_us <= LONGEST_US
+    assert longest_us * 3 <= max(3 * bounds.news_hold_us, lease_us)
     if stale_us is not None:
-        assert longest_us * 3 <= max(3 * terms.news_hold_us, stale_us)
+        assert longest_us * 3 <= max(3 * bounds.news_hold_us, stale_us)
 
 
 def test_the_seats_that_matter_are_asked_more_often_at_a_large_fleet():
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -23,8 +23,8 @@
     return {"groups": {"g": {"weight": weight}}, "kinds": {"k": kind}}
 
 
-def started(seed=1, count=3, **terms):
-    core = SimCore(seed, **terms).bootstrap(count)
+def started(seed=1, count=3, **bounds):
+    core = SimCore(seed, **bounds).bootstrap(count)
     assert core.wait_voting(count)
     core.world.run_for(SECOND)
     return core
@@ -105,7 +105,7 @@
             host.zone,
             seeds,
             host.wall_us() + host.starts,
-            terms=Bounds(**core.terms),
+            bounds=Bounds(**core.bounds),
         )
 
     router = Host(core.world, name, zone, address, build)
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -93,13 +93,13 @@
     assert breach in judge_cut(CutCourse(4, 3, HOLDER, BOTH, SILENT).run(HOLDER))
 
 
-def add_router(core, name, terms):
+def add_router(core, name, bounds):
     """A router that knows every core member, and may not reach them."""
     seeds = [host.address for host in core.machines.values()]
 
     def build(host, ports):
         return RouterNode(
-            host.name, host.address, ports, host.zone, seeds, host.starts, terms=terms
+            host.name, host.address, ports, host.zone, seeds, host.starts, bounds=bounds
         )
 
     return Host(core.world, name, "z", f"10.1.0.{len(core.world.hosts)}:7000", build)
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -45,7 +45,7 @@
         self.queue = deque()
         self.systems = []
         self.rooms = {}
-        self.terms = SimpleNamespace(hold_share=None, retry_least_us=1_000_000)
+        self.bounds = SimpleNamespace(hold_share=None, retry_least_us=1_000_000)
         self.ports = SimpleNamespace(log=Logged())
 
     def now_us(self):
@@ -103,13 +103,13 @@
 
 
 class Router:
-    """Time and terms of a router, by hand."""
+    """Time and bounds of a router, by hand."""
 
     def __init__(self):
         self.us = 10_000_000
         self.systems = []
         self.held = []
-        self.terms = SimpleNamespace(
+        self.bounds = SimpleNamespace(
             roster_stale_us=None,
             hold_share=None,
             poll_us=500_000,
--- a/tests/test_empty_sides.py
+++ b/tests/test_empty_sides.py
@@ -27,21 +27,21 @@
 READERS = 3
 """What the ratio search wants of five runners while there is no traffic."""
 
-TERMS = {
+BOUNDS = {
     "lease_us": LEASE_US,
     "orders_after_us": LEASE_US,
     "poll_us": 500 * MS,
     "report_us": SECOND,
     "thaw_us": 500 * MS,
 }
-"""The core's terms as the users' platform gives them for a notice of three seconds."""
+"""The core's bounds as the users' platform gives them for a notice of three seconds."""
 
 SURE_US = UNANSWERED_US + PRESS_US
 """From an unanswered ask to the certainty that a runner is dark."""
 
 
 class SidesFleet(PooledFleet):
-    """The pooled fleet whose core has the platform's terms too."""
+    """The pooled fleet whose core has the platform's bounds too."""
 
     __slots__ = ()
 
@@ -56,7 +56,7 @@
                 host.wall_us() + host.starts,
                 seat,
                 self.platform.address,
-                terms=Bounds(**TERMS),
+                bounds=Bounds(**BOUNDS),
             )
 
         return build
@@ -107,16 +107,16 @@
     keys = [name.replace("-", "_") for name in names]
     if way == "departure":
         one.list_runners(**{key: "leaving" for key in keys})
-        one.world.run_for(one.platform.node.lag_us + TERMS["poll_us"])
+        one.world.run_for(one.platform.node.lag_us + BOUNDS["poll_us"])
     elif way == "replacement":
         for name in names:
             one.runners[name].kill()
         one.list_runners(**{key: "gone" for key in keys})
-        one.world.run_for(one.platform.node.lag_us + TERMS["poll_us"])
+        one.world.run_for(one.platform.node.lag_us + BOUNDS["poll_us"])
     else:
         for name in names:
             strike(one.runners[name], way)
-        one.world.run_for(Bounds(**TERMS).dark_us + TERMS["report_us"])
+        one.world.run_for(Bounds(**BOUNDS).dark_us + BOUNDS["report_us"])
 
 
 def strike(host, way):
@@ -225,7 +225,7 @@
     again_us = one.world.now_us
     left = {f"runner_{place}": "leaving" for place in (4, 5)}
     one.list_runners(**left, **{covering[0].replace("-", "_"): "leaving"})
-    one.world.run_for(one.platform.node.lag_us + TERMS["poll_us"])
+    one.world.run_for(one.platform.node.lag_us + BOUNDS["poll_us"])
     known_us = one.world.now_us
     sent_us = wait_for_order(one, DECODE, again_us, 3 * SECOND)
     assert sent_us - known_us <= 50 * MS, "the dwell after the former order holds this one back"
@@ -309,7 +309,7 @@
     switcher = holder(one).switcher
     began_us = one.world.now_us
     strike(one.runners["runner-4"], way)
-    one.world.run_for(TERMS["report_us"])
+    one.world.run_for(BOUNDS["report_us"])
     switcher.begin_change(switcher.keeper.runners["runner-5"], PREFILL, one.world.now_us)
     one.world.run_for(3 * SECOND)
     assert not orders(one, PREFILL, began_us)
--- a/tests/test_exchanged_address.py
+++ b/tests/test_exchanged_address.py
@@ -31,7 +31,7 @@
 
 class Node:
     def __init__(self):
-        self.terms, self.ports, self.systems, self.us = Bounds(), Ports(), [], 1_000_000
+        self.bounds, self.ports, self.systems, self.us = Bounds(), Ports(), [], 1_000_000
 
     def now_us(self):
         return self.us
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -55,7 +55,7 @@
             now_us=lambda: self.time_us,
             systems=[],
             on_late=[],
-            terms=Bounds(),
+            bounds=Bounds(),
             ports=SimpleNamespace(
                 dice=random.Random(name),
                 log=lambda number, **facts: self.events.append((number, facts["fence"])),
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -15,8 +15,8 @@
 }
 
 
-def started(seed, seats=3, spares=(), **terms):
-    core = SimCore(seed, seats=seats, **terms).bootstrap(3, seats - 3)
+def started(seed, seats=3, spares=(), **bounds):
+    core = SimCore(seed, seats=seats, **bounds).bootstrap(3, seats - 3)
     assert core.wait_voting(seats, 10 * SECOND), core.voting()
     for name in spares:
         core.add(name).start()
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -423,7 +423,7 @@
 
 def make_member():
     node = make_node()
-    node.terms = Bounds()
+    node.bounds = Bounds()
     return node, Membership(node, "router", "north", [], 1)
 
 
--- a/tests/test_plain_requests.py
+++ b/tests/test_plain_requests.py
@@ -52,7 +52,7 @@
         now_us=lambda: 5,
         may_start=lambda: True,
         systems=[],
-        terms=SimpleNamespace(hold_share=0.2),
+        bounds=SimpleNamespace(hold_share=0.2),
         ports=SimpleNamespace(log=lambda *told, **facts: None),
     )
     extra = SimpleNamespace(spend=lambda why, *part, **cost: True)
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -152,7 +152,7 @@
     for _ in range(3):
         keeper.hear_evidence({"evidence": [["i-1", runner.incarnation, "dark", 0]]})
         assert runner.is_dark
-        core.world.run_for(keeper.node.terms.dark_us + 100_000)
+        core.world.run_for(keeper.node.bounds.dark_us + 100_000)
         assert runner.is_open()
 
 
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -73,7 +73,7 @@
 
 
 def test_without_its_lingering_they_would_be_refused(world):
-    world.node.terms.linger_us = 0
+    world.node.bounds.linger_us = 0
     stop(world)
     assert status_of(world, "/safe/x") == 503
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -247,10 +247,10 @@
 
 def test_bounds_become_terms_with_a_margin():
     place = Place(SETTINGS)
-    assert place.terms.seats == 5 and place.terms.lease_us == 3_000_000 and place.margin < 54
-    assert place.terms.drain_us < 8_000_000 and place.terms.linger_us < place.terms.drain_us
-    assert place.terms.poll_us + place.terms.report_us < 3_000_000
-    assert 10 * place.terms.body_wait_us < 2_000_000
+    assert place.bounds.seats == 5 and place.bounds.lease_us == 3_000_000 and place.margin < 54
+    assert place.bounds.drain_us < 8_000_000 and place.bounds.linger_us < place.bounds.drain_us
+    assert place.bounds.poll_us + place.bounds.report_us < 3_000_000
+    assert 10 * place.bounds.body_wait_us < 2_000_000
 
 
 @pytest.mark.parametrize(
--- a/tests/test_recovery_speed.py
+++ b/tests/test_recovery_speed.py
@@ -11,8 +11,8 @@
 }
 
 
-def started(seed=1, count=3, **terms):
-    core = SimCore(seed, **terms).bootstrap(count)
+def started(seed=1, count=3, **bounds):
+    core = SimCore(seed, **bounds).bootstrap(count)
     assert core.wait_voting(count), core.voting()
     core.world.run_for(SECOND)
     return core
--- a/tests/test_renewed_lines.py
+++ b/tests/test_renewed_lines.py
@@ -38,7 +38,7 @@
         on_hear=[],
         now_us=lambda: 5,
         send=lambda address, message: None,
-        terms=SimpleNamespace(beat_us=1, missed_us=1),
+        bounds=SimpleNamespace(beat_us=1, missed_us=1),
     )
     return Membership(node, "core", "north", [], 1), wire
 
--- a/tests/test_ring_standing.py
+++ b/tests/test_ring_standing.py
@@ -56,7 +56,7 @@
             on_hear=[],
             now_us=lambda: self.now_us,
             send=send,
-            terms=SimpleNamespace(beat_us=250_000, missed_us=1_000_000),
+            bounds=SimpleNamespace(beat_us=250_000, missed_us=1_000_000),
         )
         return Membership(node, "router", "north", [], 1)
 
--- a/tests/test_roster_changes.py
+++ b/tests/test_roster_changes.py
@@ -14,7 +14,7 @@
     class Bounds:
         roster_stale_us = None
 
-    terms = Bounds()
+    bounds = Bounds()
 
     def __init__(self):
         self.at_us = 10 * SECOND
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -12,8 +12,8 @@
 }
 
 
-def started(seed=1, count=3, more=0, **terms):
-    core = SimCore(seed, **terms).bootstrap(count, more)
+def started(seed=1, count=3, more=0, **bounds):
+    core = SimCore(seed, **bounds).bootstrap(count, more)
     assert core.wait_voting(count + more, 10 * SECOND), core.voting()
     core.world.run_for(SECOND)
     return core
@@ -218,7 +218,7 @@
             host.zone,
             seeds,
             host.wall_us() + host.starts,
-            terms=Bounds(**core.terms),
+            bounds=Bounds(**core.bounds),
         )
 
     router = Host(core.world, "router-1", "z", "10.5.0.1:7000", build)
