--- a/packages/configuration/src/linkhaven/configuration/__init__.py
+++ b/packages/configuration/src/linkhaven/configuration/__init__.py
@@ -1,13 +1,13 @@
 """The plan: its checks, its place in the register, and how routers hear of it."""
 
-from .bodies import BlobStore
+from .blobs import BlobStore
 from .check import decode_configuration, diff_documents, list_document_faults
-from .desk import ConfigurationStore
-from .image import ConfigurationSnapshot
-from .news import WatchServer
 from .overlay import apply_overlay, effective_configuration
 from .packing import write_plan
-from .reader import ConfigurationWatcher
+from .snapshot import ConfigurationSnapshot
+from .store import ConfigurationStore
+from .watch_server import WatchServer
+from .watcher import ConfigurationWatcher
 
 __all__ = [
     "BlobStore",
--- a/packages/configuration/src/linkhaven/configuration/bodies.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -11,14 +11,14 @@
 
 from linkhaven.runtime import read_json
 
-from .messages import Bodies, WantBodies
-from .packing import BodyMismatchError, open_body, pack_body, write_plan
-from .taken import digest_of
+from .history import digest_of
+from .messages import BlobRequest, Blobs
+from .packing import BlobMismatchError, open_blob, pack_blob, write_plan
 
 KEY = "plan"
 STORED = "body/"
 PLAN, DOCUMENT = "plan", "document"
-KEPT_BODIES = 24
+KEPT_BLOBS = 24
 WAITING_AT_MOST = 32
 ASK_AGAIN_US = 100_000
 WAIT_MOST_US = 2_000_000
@@ -29,7 +29,7 @@
     return list(((value or {}).get("bodies") or {}).values())
 
 
-def name_bodies(plan, document):
+def name_blobs(plan, document):
     """What each part of a value is named, and the text of each name."""
     texts = {PLAN: write_plan(plan)}
     if document is not None:
@@ -80,8 +80,8 @@
         self._guard("accept", self._values_of_accept)
         self._guard("rejoin_page", self._values_of_page)
         self._guard("holders_late", self._values_of_late)
-        node.on_message(WantBodies, self._on_want)
-        node.on_message(Bodies, self._on_bodies)
+        node.on_message(BlobRequest, self._on_want)
+        node.on_message(Blobs, self._on_bodies)
         node.systems.append(self._tick)
 
     def _load(self):
@@ -112,7 +112,7 @@
             digest = value["bodies"][PLAN]
             return digest, self.held[digest]
         text = write_plan(value["plan"])
-        return digest_of(text), pack_body(text)
+        return digest_of(text), pack_blob(text)
 
     def plan_of(self, value):
         """The plan that a value names. Its body must be held."""
@@ -136,13 +136,13 @@
         return {**value, "plan": self.plan_of(value)}
 
     def _text(self, digest):
-        return open_body(digest, self.held[digest])
+        return open_blob(digest, self.held[digest])
 
     def put(self, text):
         """A body made here; answers its digest."""
         digest = digest_of(text)
         if digest not in self.held:
-            self._hold(digest, pack_body(text))
+            self._hold(digest, pack_blob(text))
         return digest
 
     def take(self, digest, packed):
@@ -150,8 +150,8 @@
         if digest in self.held:
             return True
         try:
-            open_body(digest, packed)
-        except BodyMismatchError as fault:
+            open_blob(digest, packed)
+        except BlobMismatchError as fault:
             self.node.ports.log(1304, digest=digest, why=str(fault))
             return False
         self._hold(digest, packed)
@@ -164,7 +164,7 @@
         for waiting in self.waiting:
             kept.update(waiting.digests)
         for other in list(self.held):
-            if len(self.held) <= KEPT_BODIES:
+            if len(self.held) <= KEPT_BLOBS:
                 return
             if other not in kept and other != digest:
                 del self.held[other]
@@ -248,10 +248,10 @@
 
     def send(self, texts):
         """Bodies made here, to every seat, ahead of the accept that names them."""
-        bodies = {digest: self.held[digest] for digest in map(self.put, texts)}
+        blobs = {digest: self.held[digest] for digest in map(self.put, texts)}
         for address, _ in self.seat.directory.seats().values():
-            if bodies and address != self.node.address:
-                self.node.send(address, Bodies(bodies=bodies))
+            if blobs and address != self.node.address:
+                self.node.send(address, Blobs(blobs=blobs))
 
     def _ask(self, now_us):
         asked = {}
@@ -264,7 +264,7 @@
             if source is not None:
                 asked.setdefault(source, []).append(digest)
         for address, digests in asked.items():
-            self.node.send(address, WantBodies(digests=digests))
+            self.node.send(address, BlobRequest(digests=digests))
 
     def _source_of(self, wanted):
         if wanted.tries == 0 and wanted.hint not in (None, self.node.address):
@@ -277,12 +277,12 @@
         return others[wanted.tries % len(others)] if others else None
 
     def _on_want(self, message):
-        bodies = {digest: self.held[digest] for digest in message.digests if digest in self.held}
-        if bodies:
-            self.node.send(message.reply_to, Bodies(bodies=bodies))
+        blobs = {digest: self.held[digest] for digest in message.digests if digest in self.held}
+        if blobs:
+            self.node.send(message.reply_to, Blobs(blobs=blobs))
 
     def _on_bodies(self, message):
-        for digest, packed in message.bodies.items():
+        for digest, packed in message.blobs.items():
             self.take(digest, packed)
         self._go_on()
 
--- a/packages/configuration/src/linkhaven/configuration/document_order.py
+++ b/packages/configuration/src/linkhaven/configuration/document_update.py
@@ -2,10 +2,10 @@
 
 from linkhaven.api import ServiceError
 
-from .taken import find_order, knows_revision
+from .history import find_update, knows_revision
 
 
-class DocumentOrder:
+class DocumentUpdate:
     """One order: a whole document, or a patch of the one in force.
 
     `base` and `revision` are its sender's numbers of the document that it builds on and of the one
@@ -14,7 +14,7 @@
     the text of a whole one, None of a patch.
     """
 
-    __slots__ = ("base", "revision", "digest", "make", "needs_bodies", "document")
+    __slots__ = ("base", "revision", "digest", "make", "needs_blobs", "document")
 
     def __init__(self, base, revision, digest):
         """Say what is ordered by `make`, next."""
@@ -22,7 +22,7 @@
         self.revision = revision
         self.digest = digest
         self.make = None
-        self.needs_bodies = False
+        self.needs_blobs = False
         self.document = None
 
     @property
@@ -32,7 +32,7 @@
 
     def is_taken(self, value):
         """Whether it was taken before; also by a version of this program that kept no history."""
-        taken = find_order(value, self.revision)
+        taken = find_update(value, self.revision)
         if taken is not None:
             return taken.digest == self.digest
         return (
@@ -47,7 +47,7 @@
         held = (value or {}).get("revision") or 0
         if held == self.base:
             return self._refusal_as_old(held)
-        is_found = find_order(value, self.revision) is not None
+        is_found = find_update(value, self.revision) is not None
         may_be_taken = self.base < self.revision <= held and not is_found
         if may_be_taken and not knows_revision(value, self.revision):
             return ServiceError("put_unknown", put_id=self.put_id)
--- a/packages/configuration/src/linkhaven/configuration/taken.py
+++ b/packages/configuration/src/linkhaven/configuration/history.py
@@ -9,7 +9,7 @@
 import hashlib
 import json
 
-KEPT_ORDERS = 128
+KEPT_UPDATES = 128
 DIGEST_DIGITS = 24
 ORDER_DIGITS = 16
 
@@ -19,17 +19,17 @@
     return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_DIGITS]
 
 
-def digest_of_order(text):
+def digest_of_update(text):
     """Tells two orders under one number or id apart; shorter, since each vote carries many."""
     return digest_of(text)[:ORDER_DIGITS]
 
 
-def digest_of_ordered(document):
+def digest_of_json(document):
     """The same of a document in JSON, however its members are ordered."""
-    return digest_of_order(json.dumps(document, sort_keys=True, separators=(",", ":")))
+    return digest_of_update(json.dumps(document, sort_keys=True, separators=(",", ":")))
 
 
-class TakenOrder:
+class CommittedUpdate:
     """One change that was acknowledged, or may have been.
 
     `order` is what its sender calls it: the number of a document, or the id of a put of our own."""
@@ -52,7 +52,7 @@
 
 def read_row(mark, order, digest, revision=None):
     """What as_row wrote."""
-    return TakenOrder(mark, order, digest, order if revision is None else revision)
+    return CommittedUpdate(mark, order, digest, order if revision is None else revision)
 
 
 def read_history(value):
@@ -63,15 +63,15 @@
 def extend_history(value, taken):
     """The rows of the next value: those of the value before it and the order that it takes."""
     rows = (value or {}).get("taken", [])
-    return [*rows, taken.as_row()][-KEPT_ORDERS:]
+    return [*rows, taken.as_row()][-KEPT_UPDATES:]
 
 
-def find_order(value, order):
+def find_update(value, order):
     """The order as it was taken, or None where the history has no row of it."""
     return next((taken for taken in read_history(value) if taken.order == order), None)
 
 
-def knows_mark(value, mark):
+def knows_version(value, mark):
     """Whether the history tells which order, if any, got this mark."""
     if value is None:
         return True
--- a/packages/configuration/src/linkhaven/configuration/pace.py
+++ b/packages/configuration/src/linkhaven/configuration/long_poll.py
@@ -5,7 +5,7 @@
 HOLDER_US = 3_000_000
 
 
-class AskPace:
+class LongPollHold:
     """A router's asks: at small fleets every seat holds them for `news_hold_us`.
 
     With the fleet the hold grows, since all routers ask every seat. It stays within a third of a
--- a/packages/configuration/src/linkhaven/configuration/packing.py
+++ b/packages/configuration/src/linkhaven/configuration/packing.py
@@ -5,16 +5,16 @@
 import json
 import zlib
 
-from .taken import digest_of
+from .history import digest_of
 
 MOST_BODY_BYTES = 64 << 20
 
 
-class BodyMismatchError(ValueError):
+class BlobMismatchError(ValueError):
     """A packed body that can't be opened, or whose text has another digest than its name."""
 
 
-def pack_body(text):
+def pack_blob(text):
     """A text as one word of JSON-safe letters."""
     return base64.b64encode(zlib.compress(text.encode())).decode()
 
@@ -26,17 +26,17 @@
         raw = opener.decompress(base64.b64decode(packed, validate=True), MOST_BODY_BYTES)
         text = raw.decode()
     except (zlib.error, binascii.Error, ValueError, TypeError) as fault:
-        raise BodyMismatchError(repr(fault)) from None
+        raise BlobMismatchError(repr(fault)) from None
     if not opener.eof:
-        raise BodyMismatchError("it has no end")
+        raise BlobMismatchError("it has no end")
     return text
 
 
-def open_body(digest, packed):
+def open_blob(digest, packed):
     """The text with this digest; raises BodyMismatchError for anything else."""
     text = open_packed(packed)
     if digest_of(text) != digest:
-        raise BodyMismatchError(f"it is not the text named {digest}")
+        raise BlobMismatchError(f"it is not the text named {digest}")
     return text
 
 
--- a/packages/configuration/src/linkhaven/configuration/desk.py
+++ b/packages/configuration/src/linkhaven/configuration/store.py
@@ -1,9 +1,17 @@
 from linkhaven.api import ServiceError, check_document
 from linkhaven.runtime import read_json
 
-from .bodies import digests_of, name_bodies
+from .blobs import digests_of, name_blobs
 from .check import decode_configuration, list_document_faults
-from .document_order import DocumentOrder
+from .document_update import DocumentUpdate
+from .history import (
+    CommittedUpdate,
+    digest_of_json,
+    digest_of_update,
+    extend_history,
+    find_update,
+    knows_version,
+)
 from .overlay import (
     apply_overlay,
     attach_overlay_kind,
@@ -12,14 +20,6 @@
     remove_overlay_group,
 )
 from .patch import apply_to_mappings, read_mapping_patch
-from .taken import (
-    TakenOrder,
-    digest_of_order,
-    digest_of_ordered,
-    extend_history,
-    find_order,
-    knows_mark,
-)
 
 KEY = "plan"
 SHOWN = ("mark", "put_id", "plan", "document", "revision", "overlay")
@@ -113,7 +113,7 @@
 
 def is_put_taken(value, put_id, digest):
     """Also of a value that an earlier version of this program wrote, without a history."""
-    taken = find_order(value, put_id)
+    taken = find_update(value, put_id)
     if taken is not None:
         return taken.digest == digest
     return value is not None and "taken" not in value and value["put_id"] == put_id
@@ -122,11 +122,11 @@
 def refuse_put(value, expect, put_id):
     """Why a put that the history has no row of isn't taken now; None where it may be."""
     mark = value["mark"] if value else 0
-    if find_order(value, put_id) is not None:
+    if find_update(value, put_id) is not None:
         return ServiceError("put_id_used", put_id=put_id)
     if mark == expect:
         return None
-    if expect < mark and not knows_mark(value, expect + 1):
+    if expect < mark and not knows_version(value, expect + 1):
         return ServiceError("put_unknown", put_id=put_id)
     return ServiceError("mark_conflict", expect=expect, mark=mark)
 
@@ -134,20 +134,20 @@
 def digest_of_put(call, ordered):
     """What a native order asks for: where, and its document without the mark and the id."""
     asked = {key: ordered[key] for key in ordered if key not in ("expect", "put_id")}
-    return digest_of_ordered([call.method, call.path.partition("?")[0], asked])
+    return digest_of_json([call.method, call.path.partition("?")[0], asked])
 
 
 class ConfigurationStore:
     """Operators' side of the plan: check, show and put, each answered over HTTP by a registry."""
 
-    __slots__ = ("node", "proposer", "bodies", "image")
+    __slots__ = ("node", "proposer", "blobs", "snapshot")
 
-    def __init__(self, node, proposer, bodies, image):
+    def __init__(self, node, proposer, blobs, snapshot):
         """Its paths are the node's from here on."""
         self.node = node
         self.proposer = proposer
-        self.bodies = bodies
-        self.image = image
+        self.blobs = blobs
+        self.snapshot = snapshot
         node.paths.update(
             {
                 ("GET", "/v1/plan"): self.serve_show,
@@ -195,26 +195,26 @@
                 )
             if value is None:
                 return done(None, None)
-            self.bodies.gather(value, lambda is_held: show(is_held, value))
+            self.blobs.gather(value, lambda is_held: show(is_held, value))
 
         def show(is_held, value):
             if not is_held:
                 return done(lacking_body(), None)
-            self._take_image(value)
-            done(None, self.bodies.opened(value))
+            self._take_snapshot(value)
+            done(None, self.blobs.opened(value))
 
         self.proposer.read(KEY, end)
 
-    def _take_image(self, value):
+    def _take_snapshot(self, value):
         """As soon as its plan is here; who made a change has it, who repeats one may not."""
-        if not self.image.is_news(value):
+        if not self.snapshot.is_newer(value):
             return
 
         def take(is_held):
             if is_held:
-                self.image.take(self.bodies.with_plan(value))
+                self.snapshot.take(self.blobs.with_plan(value))
 
-        self.bodies.gather(value, take)
+        self.blobs.gather(value, take)
 
     def _sender_of(self, texts):
         """Sends bodies once, whatever the number of rounds, and only those that the value before lacks."""
@@ -222,7 +222,7 @@
 
         def send(value):
             known = digests_of(value)
-            self.bodies.send([text for digest, text in unsent.items() if digest not in known])
+            self.blobs.send([text for digest, text in unsent.items() if digest not in known])
             unsent.clear()
 
         return send
@@ -233,7 +233,7 @@
         done(error, taken): `taken` has the mark and the revision that the order got, now or when
         it came before.
         """
-        order = DocumentOrder(base, revision, digest_of_order(document))
+        order = DocumentUpdate(base, revision, digest_of_update(document))
         order.document = document
         order.make = lambda held: (document, plan)
         self._order_document(order, done)
@@ -244,9 +244,9 @@
         `merge(document)` gives the next document and its plan, or raises; the document is None
         where none is in force. done(error, taken): as for `put_document`.
         """
-        order = DocumentOrder(base, revision, digest_of_ordered(["patch", patch]))
+        order = DocumentUpdate(base, revision, digest_of_json(["patch", patch]))
         order.make = merge
-        order.needs_bodies = True
+        order.needs_blobs = True
         self._order_document(order, done)
 
     def _order_document(self, order, done, tries=GATHER_TRIES):
@@ -258,7 +258,7 @@
             error = order.refusal(value)
             if error is not None:
                 return "stop", error
-            if order.needs_bodies and value is not None and not self.bodies.has(value):
+            if order.needs_blobs and value is not None and not self.blobs.has(value):
                 lacking.append(value)
                 return "stop", lacking_body()
             return self._ordered(value, order)
@@ -270,12 +270,12 @@
 
         def end(outcome, value):
             if outcome == "stopped" and lacking and value.code == "core_unready":
-                return self.bodies.gather(lacking[-1], again)
+                return self.blobs.gather(lacking[-1], again)
             self._log_outcome(outcome, value, order.base, order.put_id)
             if outcome != "chosen":
                 return done(outcome_error(outcome, value, order.put_id), None)
-            self._take_image(value)
-            taken = find_order(value, order.revision)
+            self._take_snapshot(value)
+            taken = find_update(value, order.revision)
             mark = taken.mark if taken is not None else value["mark"]
             done(None, {"mark": mark, "revision": order.revision})
 
@@ -283,13 +283,13 @@
 
     def _ordered(self, value, order):
         """Return the step that sets the document that the order makes, its bodies on their way."""
-        held = self.bodies.document_of(value) if order.needs_bodies and value else None
+        held = self.blobs.document_of(value) if order.needs_blobs and value else None
         try:
             document, plan = order.make(held)
             decode_configuration(plan)
         except ServiceError as error:
             return "stop", error
-        names, texts = name_bodies(plan, document)
+        names, texts = name_blobs(plan, document)
         self._sender_of(texts)(value)
         mark = (value["mark"] if value else 0) + 1
         return "set", {
@@ -299,7 +299,7 @@
             "revision": order.revision,
             "overlay": overlay_of(value),
             "taken": extend_history(
-                value, TakenOrder(mark, order.revision, order.digest, order.revision)
+                value, CommittedUpdate(mark, order.revision, order.digest, order.revision)
             ),
         }
 
@@ -321,7 +321,7 @@
         document = check_document(part.schema, read_json(call.body))
 
         def edit(value):
-            opened = self.bodies.opened(value) if value else {}
+            opened = self.blobs.opened(value) if value else {}
             if opened.get("document") is not None:
                 overlay = overlay_of(value)
                 edited = part.edit_beside(opened["plan"], overlay, name, document)
@@ -338,7 +338,7 @@
         patch = read_mapping_patch(document)
 
         def edit(value):
-            opened = self.bodies.opened(value) if value else {}
+            opened = self.blobs.opened(value) if value else {}
             if opened.get("document") is not None:
                 fault = "came as a document; its sender changes it by name"
                 raise ServiceError("plan_invalid", places=[{"place": ".", "fault": fault}])
@@ -363,9 +363,9 @@
                 "overlay": overlay_of(None),
             }
 
-        self.change(expect, put_id, edit, call, {"plan": plan}, needs_bodies=False)
+        self.change(expect, put_id, edit, call, {"plan": plan}, needs_blobs=False)
 
-    def change(self, expect, put_id, edit, call, ordered, needs_bodies=True, tries=GATHER_TRIES):
+    def change(self, expect, put_id, edit, call, ordered, needs_blobs=True, tries=GATHER_TRIES):
         """`edit` makes the next value of the one with the expected mark, plan and document in it.
 
         `ordered` is what was asked for, by which the order is known when it is sent again. Where the
@@ -379,24 +379,24 @@
             error = refuse_put(value, expect, put_id)
             if error is not None:
                 return "stop", error
-            if needs_bodies and value is not None and not self.bodies.has(value):
+            if needs_blobs and value is not None and not self.blobs.has(value):
                 lacking.append(value)
                 return "stop", lacking_body()
-            return self._edited(value, edit, put_id, TakenOrder(expect + 1, put_id, digest, 0))
+            return self._edited(value, edit, put_id, CommittedUpdate(expect + 1, put_id, digest, 0))
 
         def again(is_held):
             if not is_held or tries <= 1:
                 return call.answer_error(lacking_body())
-            self.change(expect, put_id, edit, call, ordered, needs_bodies, tries - 1)
+            self.change(expect, put_id, edit, call, ordered, needs_blobs, tries - 1)
 
         def done(outcome, value):
             if outcome == "stopped" and lacking and value.code == "core_unready":
-                return self.bodies.gather(lacking[-1], again)
+                return self.blobs.gather(lacking[-1], again)
             self._log_outcome(outcome, value, expect, put_id)
             if outcome != "chosen":
                 return call.answer_error(outcome_error(outcome, value, put_id))
-            self._take_image(value)
-            taken = find_order(value, put_id)
+            self._take_snapshot(value)
+            taken = find_update(value, put_id)
             mark = taken.mark if taken is not None else value["mark"]
             call.answer_json(200, {"mark": mark, "put_id": put_id})
 
@@ -408,7 +408,7 @@
             edited = edit(value)
         except ServiceError as error:
             return "stop", error
-        names, texts = name_bodies(edited["plan"], edited.get("document"))
+        names, texts = name_blobs(edited["plan"], edited.get("document"))
         self._sender_of(texts)(value)
         taken.revision = edited.get("revision") or 0
         return "set", {
--- a/packages/configuration/src/linkhaven/configuration/news.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -10,7 +10,7 @@
 
 from .changes import diff_of
 from .overlay import overlay_of
-from .packing import open_body, pack_body
+from .packing import open_blob, pack_blob
 
 READ_US = 100_000
 URGENT_US = 100_000
@@ -21,7 +21,7 @@
 KEY = "plan"
 
 
-class Ask:
+class Poll:
     """One open ask of a router: what it holds, what it heard of, whether it wants the body here.
 
     `holds`: the digest of the plan that changes may build on, None where it wants the whole.
@@ -61,54 +61,54 @@
         "node",
         "seat",
         "proposer",
-        "image",
-        "bodies",
-        "asks",
+        "snapshot",
+        "blobs",
+        "polls",
         "extras",
         "is_urgent",
         "on_ask",
         "is_reading",
         "read_us",
-        "asked_us",
+        "polled_us",
         "has_contact",
         "changes",
     )
 
-    def __init__(self, node, seat, proposer, image, bodies):
+    def __init__(self, node, seat, proposer, snapshot, blobs):
         self.node = node
         self.seat = seat
         self.proposer = proposer
-        self.image = image
-        self.bodies = bodies
-        self.asks = {}
+        self.snapshot = snapshot
+        self.blobs = blobs
+        self.polls = {}
         self.extras = []
         self.is_urgent = lambda facts: False
         self.on_ask = []
         self.is_reading = False
         self.read_us = 0
-        self.asked_us = node.now_us()
+        self.polled_us = node.now_us()
         self.has_contact = lambda: True
         self.changes = LRUCache(KEPT_CHANGES)
-        node.hearers["ask"] = self.hear_ask
+        node.hearers["ask"] = self.on_watch_request
         node.systems.append(self.tick)
 
-    def hear_ask(self, message):
-        now_us = self.asked_us = self.node.now_us()
+    def on_watch_request(self, message):
+        now_us = self.polled_us = self.node.now_us()
         self.seat.directory.learn_seats(message["known"])
         for hear in self.on_ask:
             hear(message)
         hold_us = message.get("hold_us", self.node.bounds.news_hold_us)
-        ask = Ask(message, now_us + hold_us, now_us + min(URGENT_US, hold_us))
-        if message["mark"] > self.held_mark():
-            self.image.hear_mark(message["mark"])
-        self.asks[ask.back] = ask
+        ask = Poll(message, now_us + hold_us, now_us + min(URGENT_US, hold_us))
+        if message["mark"] > self.held_version():
+            self.snapshot.observe_version(message["mark"])
+        self.polls[ask.back] = ask
         if self._has_news(ask):
             self._answer(ask)
 
     def _value(self):
         return self.seat.cell(KEY).value
 
-    def held_mark(self):
+    def held_version(self):
         value = self._value()
         return value["mark"] if value else 0
 
@@ -120,18 +120,18 @@
         return (
             self.seat.is_voting
             and self.seat.is_known_chosen(KEY)
-            and self.image.highest <= self.held_mark()
-            and self.bodies.has(self._value())
+            and self.snapshot.highest_version <= self.held_version()
+            and self.blobs.has(self._value())
         )
 
     def _has_news(self, ask):
         if not self.is_current():
             return False
         known = ask.mark if ask.wants_plan else max(ask.mark, ask.heard)
-        return self.held_mark() > known
+        return self.held_version() > known
 
-    def spread(self):
-        for ask in list(self.asks.values()):
+    def answer_waiting(self):
+        for ask in list(self.polls.values()):
             if self._has_news(ask):
                 self._answer(ask)
 
@@ -139,18 +139,18 @@
         """Ends long holds soon, each at its own moment: answered together, routers would go on
         asking together, and place by the same news at the same time."""
         now_us, usual_us = self.node.now_us(), self.node.bounds.news_hold_us
-        for ask in self.asks.values():
+        for ask in self.polls.values():
             if "hold_us" in ask.facts:
                 soon_us = now_us + self.node.ports.dice.randrange(usual_us)
                 ask.until_us = min(ask.until_us, soon_us)
 
     def answer_all(self):
-        for ask in list(self.asks.values()):
+        for ask in list(self.polls.values()):
             self._answer(ask)
 
     def _answer(self, ask):
-        if self.asks.get(ask.back) is ask:
-            del self.asks[ask.back]
+        if self.polls.get(ask.back) is ask:
+            del self.polls[ask.back]
         is_current = self.is_current()
         value = self._value()
         facts = {
@@ -158,7 +158,7 @@
             "seat": self.seat.seat,
             "incarnation": self.seat.incarnation,
             "is_current": is_current,
-            "mark": self.held_mark(),
+            "mark": self.held_version(),
             "known": self.seat.known_of_all(),
         }
         if is_current and value and value["mark"] > ask.mark:
@@ -169,9 +169,9 @@
 
     def _add_plan(self, ask, value, facts):
         if ask.is_of_earlier:
-            facts["plan"] = self.bodies.with_plan(value)
+            facts["plan"] = self.blobs.with_plan(value)
             return
-        facts["digest"], packed = self.bodies.named_plan(value)
+        facts["digest"], packed = self.blobs.named_plan(value)
         if not ask.wants_plan:
             return
         changes = self._changes(ask.holds, facts["digest"])
@@ -189,20 +189,20 @@
 
     def _changes(self, held, newest):
         """Return the packed changes from one plan to another, None where the whole is no longer."""
-        if held is None or held not in self.bodies.held:
+        if held is None or held not in self.blobs.held:
             return None
         key = (held, newest)
         if key not in self.changes:
-            packed, whole = self.bodies.held[held], self.bodies.held[newest]
-            old, new = read_json(open_body(held, packed)), read_json(open_body(newest, whole))
-            changes = pack_body(diff_of(old, new).write())
+            packed, whole = self.blobs.held[held], self.blobs.held[newest]
+            old, new = read_json(open_blob(held, packed)), read_json(open_blob(newest, whole))
+            changes = pack_blob(diff_of(old, new).write())
             self.changes[key] = changes if len(changes) < len(whole) else None
         return self.changes[key]
 
     def tick(self, now_us):
         if not self._is_newest_known() and self.seat.is_voting:
             self._read(now_us)
-        for ask in list(self.asks.values()):
+        for ask in list(self.polls.values()):
             if now_us >= ask.until_us or self._is_urgent(ask, now_us):
                 self._answer(ask)
 
@@ -220,8 +220,8 @@
             self.is_reading = False
             if outcome != "chosen":
                 return
-            if self.image.is_news(value) and self.bodies.has_plan(value):
-                self.image.take(self.bodies.with_plan(value))
-            self.spread()
+            if self.snapshot.is_newer(value) and self.blobs.has_plan(value):
+                self.snapshot.take(self.blobs.with_plan(value))
+            self.answer_waiting()
 
         self.proposer.read(KEY, done)
--- a/packages/configuration/src/linkhaven/configuration/reader.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -14,9 +14,9 @@
 from linkhaven.runtime import read_json
 
 from .changes import apply_changes, read_changes
-from .pace import AskPace
-from .packing import BodyMismatchError, open_body, open_packed, pack_body, write_plan
-from .taken import digest_of
+from .history import digest_of
+from .long_poll import LongPollHold
+from .packing import BlobMismatchError, open_blob, open_packed, pack_blob, write_plan
 
 LATE_US = 350_000
 TOLD = ("mark", "put_id", "revision", "overlay")
@@ -33,7 +33,7 @@
     """A value that a seat of an earlier version told whole: as it is told now, and its body."""
     text = write_plan(value["plan"])
     told = {name: value[name] for name in TOLD if name in value}
-    return {**told, "bodies": {"plan": digest_of(text)}}, pack_body(text)
+    return {**told, "bodies": {"plan": digest_of(text)}}, pack_blob(text)
 
 
 class Told:
@@ -70,7 +70,7 @@
     __slots__ = (
         "node",
         "directory",
-        "image",
+        "snapshot",
         "majority",
         "told",
         "serial",
@@ -84,11 +84,11 @@
         "takes_changes",
     )
 
-    def __init__(self, node, directory, image, majority=None, count_routers=lambda: 1):
+    def __init__(self, node, directory, snapshot, majority=None, count_routers=lambda: 1):
         """Hears news and asks for more from here on."""
         self.node = node
         self.directory = directory
-        self.image = image
+        self.snapshot = snapshot
         self.majority = majority or node.bounds.seats // 2 + 1
         self.told = {}
         self.serial = 0
@@ -97,30 +97,30 @@
         self.confirmed_us = None
         self.lacking = None
         self.held = None
-        self.pace = AskPace(node.bounds, count_routers)
+        self.pace = LongPollHold(node.bounds, count_routers)
         self.is_pressed = lambda: False
         self.takes_changes = True
-        node.hearers["news"] = self.hear_news
+        node.hearers["news"] = self.on_watch_response
         node.systems.append(self.tick)
 
     def is_fresh(self):
         """Whether the plan held here may be served by now."""
-        if self.image.configuration is None:
+        if self.snapshot.configuration is None:
             return False
         stale_us = self.node.bounds.plan_stale_us
         if stale_us is None:
             return True
-        if self.image.is_behind or self.confirmed_us is None:
+        if self.snapshot.is_behind or self.confirmed_us is None:
             return False
         return self.node.now_us() - self.confirmed_us <= stale_us
 
-    def as_told(self):
+    def packed_configuration(self):
         """The value and the packed body that the image was taken from; None before there was one."""
         if self.held is None:
             return None
         value, body = self.held
         if body is None:
-            body = pack_body(write_plan(self.image.value["plan"]))
+            body = pack_blob(write_plan(self.snapshot.value["plan"]))
             self.held = (value, body)
         return value, body
 
@@ -141,8 +141,8 @@
             self.lacking.tried.add(seat)
         facts = {
             "id": told.id,
-            "mark": self.image.mark,
-            "heard": self.lacking.mark if self.lacking is not None else self.image.mark,
+            "mark": self.snapshot.version,
+            "heard": self.lacking.mark if self.lacking is not None else self.snapshot.version,
             "wants_plan": wants_plan,
             "known": {
                 seat: incarnation for seat, (_, incarnation) in self.directory.seats().items()
@@ -211,7 +211,7 @@
 
     # Hearing
 
-    def hear_news(self, message):
+    def on_watch_response(self, message):
         """The answer to the ask that is open at this seat; any other is late and says nothing."""
         told = self.told.get(message["seat"])
         if told is None or told.id != message["id"]:
@@ -222,7 +222,7 @@
         known = self.directory.seats().get(message["seat"])
         is_newest = known is not None and known[1] <= message["incarnation"]
         if is_newest and message["is_current"]:
-            self._hear_current(message, told)
+            self._on_current_configuration(message, told)
         for hear in self.on_news:
             hear(message, told.sent_us)
         told.id = None
@@ -230,26 +230,26 @@
         if known is not None:
             self._ask(message["seat"], known, now_us)
 
-    def _hear_current(self, message, told):
+    def _on_current_configuration(self, message, told):
         mark = message["mark"]
-        self.image.hear_mark(mark)
+        self.snapshot.observe_version(mark)
         if "changes" in message:
             self._take_changes(message["plan"], message["base"], message["changes"])
         elif "body" in message:
             self._take_body(message["plan"], message["body"])
         elif "plan" in message:
             self._take_body(*apart(message["plan"]))
-        if mark > self.image.mark:
+        if mark > self.snapshot.version:
             return self._note_lacking(message, told)
-        if mark == self.image.mark and self._is_other_body(message):
+        if mark == self.snapshot.version and self._is_other_body(message):
             return
         self._confirm_at(told, told.sent_us, message["incarnation"])
 
     def _take_body(self, value, body):
         digest = value["bodies"]["plan"]
         try:
-            plan = read_json(open_body(digest, body))
-        except BodyMismatchError as fault:
+            plan = read_json(open_blob(digest, body))
+        except BlobMismatchError as fault:
             return self.node.ports.log(1304, digest=digest, why=str(fault))
         self._take_plan(value, plan, body)
 
@@ -260,27 +260,27 @@
         digest = value["bodies"]["plan"]
         try:
             if self.held is None or self.held[0]["bodies"]["plan"] != base:
-                raise BodyMismatchError(f"the plan held here isn't {base}")
+                raise BlobMismatchError(f"the plan held here isn't {base}")
             changes = read_changes(open_packed(packed))
-            plan = apply_changes(self.image.value["plan"], changes)
+            plan = apply_changes(self.snapshot.value["plan"], changes)
             if digest_of(write_plan(plan)) != digest:
-                raise BodyMismatchError(f"the changes don't lead to the plan named {digest}")
-        except (BodyMismatchError, msgspec.ValidationError, ServiceError) as fault:
+                raise BlobMismatchError(f"the changes don't lead to the plan named {digest}")
+        except (BlobMismatchError, msgspec.ValidationError, ServiceError) as fault:
             self.takes_changes = False
             return self.node.ports.log(1304, digest=digest, why=str(fault))
         self._take_plan(value, plan, None)
 
     def _take_plan(self, value, plan, body):
-        if not self.image.take({**value, "plan": plan}):
+        if not self.snapshot.take({**value, "plan": plan}):
             return
         self.held = (value, body)
         self.takes_changes = True
         digest = value["bodies"]["plan"]
         lacking = self.lacking
-        if lacking is None or lacking.mark > self.image.mark:
+        if lacking is None or lacking.mark > self.snapshot.version:
             return
         self.lacking = None
-        if lacking.mark == self.image.mark:
+        if lacking.mark == self.snapshot.version:
             self._confirm_tellers(lacking, digest)
 
     def _confirm_tellers(self, lacking, digest):
--- a/packages/controller/src/linkhaven/controller/contact.py
+++ b/packages/controller/src/linkhaven/controller/contact.py
@@ -18,14 +18,14 @@
 class Contact:
     """Asks the other seats at a steady pace and remembers as of when a majority answered."""
 
-    __slots__ = ("node", "seat", "directory", "image", "answered_us", "asked_us")
+    __slots__ = ("node", "seat", "directory", "snapshot", "answered_us", "asked_us")
 
-    def __init__(self, node, seat, directory, image):
+    def __init__(self, node, seat, directory, snapshot):
         """Hear and answer from the start; ask only while this seat votes."""
         self.node = node
         self.seat = seat
         self.directory = directory
-        self.image = image
+        self.snapshot = snapshot
         self.answered_us = {}
         self.asked_us = None
         node.on_message(ContactAsk, self.on_ask)
@@ -46,7 +46,7 @@
             seat=self.seat.seat,
             incarnation=self.seat.incarnation,
             sent_us=message.sent_us,
-            mark=self.image.mark,
+            mark=self.snapshot.version,
         )
         self.node.send(message.reply_to, answer)
 
@@ -56,7 +56,7 @@
         known = self.directory.seats().get(seat)
         if known is None or known[1] > message.incarnation or seat == self.seat.seat:
             return
-        self.image.hear_mark(message.mark)
+        self.snapshot.observe_version(message.mark)
         held_us = self.answered_us.get(seat, message.sent_us)
         self.answered_us[seat] = max(held_us, message.sent_us)
 
--- a/packages/controller/src/linkhaven/controller/gate.py
+++ b/packages/controller/src/linkhaven/controller/gate.py
@@ -13,14 +13,14 @@
 class KeyGate:
     """A core that began empty grants no keys until the routers told which they won before."""
 
-    __slots__ = ("node", "seat", "ring", "image", "places", "asked_us", "was_behind")
+    __slots__ = ("node", "seat", "ring", "snapshot", "places", "asked_us", "was_behind")
 
-    def __init__(self, node, seat, ring, image):
+    def __init__(self, node, seat, ring, snapshot):
         """`was_behind` is set by the node where a router knows a plan that the core lost."""
         self.node = node
         self.seat = seat
         self.ring = ring
-        self.image = image
+        self.snapshot = snapshot
         self.places = {}
         self.asked_us = 0
         self.was_behind = False
@@ -55,10 +55,10 @@
             return False
         if not self.was_behind:
             return True
-        if self.image.configuration is None:
+        if self.snapshot.configuration is None:
             return False
         answered = sum(place is None for place in self.places.values())
-        return answered > self.image.configuration["fleet"]["routers"] // 2
+        return answered > self.snapshot.configuration["fleet"]["routers"] // 2
 
     def on_keys(self, message):
         """Keep a page of a router's keys, and ask for the next one once that is synced."""
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -38,10 +38,10 @@
         "ring",
         "seat",
         "proposer",
-        "image",
-        "bodies",
-        "plan_desk",
-        "news",
+        "snapshot",
+        "blobs",
+        "configuration_store",
+        "watch_server",
         "duties",
         "desk",
         "keeper",
@@ -87,7 +87,7 @@
         super().__init__(name, address, ports, bounds)
         seats = SEATS[: self.bounds.seats]
         self.incarnation = incarnation
-        self.image = ConfigurationSnapshot()
+        self.snapshot = ConfigurationSnapshot()
         self.is_draining = False
         self.told_image = None
         self.usage = {}
@@ -100,7 +100,13 @@
         self.has_left_seat = False
         self.rewritten = set()
         self.ring = Membership(
-            self, "registry", zone, seeds, incarnation, seat or "", mark_of=lambda: self.image.mark
+            self,
+            "registry",
+            zone,
+            seeds,
+            incarnation,
+            seat or "",
+            mark_of=lambda: self.snapshot.version,
         )
         self.proposer = Proposer(self, self.ring, silent_us=self.bounds.silent_us)
         self.seat = Replica(
@@ -109,35 +115,37 @@
         self.seat.occupants.contact = contact or address
         self.seat.holders.on_stuck = self._rewrite
         self.contacts = sorted(contacts)
-        self.gate = KeyGate(self, self.seat, self.ring, self.image)
+        self.gate = KeyGate(self, self.seat, self.ring, self.snapshot)
         self.proposer.held_of = self.seat.held_of
-        self.bodies = BlobStore(self, self.seat)
-        self.plan_desk = ConfigurationStore(self, self.proposer, self.bodies, self.image)
-        self.contact = Contact(self, self.seat, self.ring, self.image)
-        self.news = WatchServer(self, self.seat, self.proposer, self.image, self.bodies)
-        self.news.has_contact = self.contact.is_held
+        self.blobs = BlobStore(self, self.seat)
+        self.configuration_store = ConfigurationStore(
+            self, self.proposer, self.blobs, self.snapshot
+        )
+        self.contact = Contact(self, self.seat, self.ring, self.snapshot)
+        self.watch_server = WatchServer(self, self.seat, self.proposer, self.snapshot, self.blobs)
+        self.watch_server.has_contact = self.contact.is_held
         self.desk = desk_of(self)
         self.duties = {duty: Lease(self, duty, self.proposer, self.seat) for duty in DUTIES}
         for duty in self.duties.values():
             duty.incarnation_of = self._incarnation_of
         self._rank_duties()
-        self.duties["roster"].on_won = self.news.answer_all
+        self.duties["roster"].on_won = self.watch_server.answer_all
         self.keeper = RunnerDiscovery(
             self, self.desk, platform, (self.duties["roster"], self.duties["steward"])
         )
         self.keeper.on_blind = self.duties["roster"].step_down
-        self.keeper.on_ready = self.news.answer_all
+        self.keeper.on_ready = self.watch_server.answer_all
         self.switcher = RoleBalancer(
-            self, self.duties["steward"], self.keeper, self.desk, self.image
+            self, self.duties["steward"], self.keeper, self.desk, self.snapshot
         )
-        self.bursar = QuotaAllocator(self, self.duties["bursar"], self.image)
-        self.bursar.on_won = self.news.shorten_holds
+        self.bursar = QuotaAllocator(self, self.duties["bursar"], self.snapshot)
+        self.bursar.on_won = self.watch_server.shorten_holds
         self.ring.on_mark.append(self._hear_mark)
         self.views = Views(self, "views")
         self.outcomes = Views(self, "outcomes")
         self.lines = Views(self, "lines")
         self.status = CoreStatus(self, self._core_facts)
-        self.news.on_ask += [
+        self.watch_server.on_ask += [
             self.views.hear_ask,
             self.outcomes.hear_ask,
             self.lines.hear_ask,
@@ -148,8 +156,8 @@
             self._hear_fences,
             self._hear_usage,
         ]
-        self.news.extras += [self._add_roster, self.bursar.add_shares]
-        self.news.is_urgent = self._is_urgent
+        self.watch_server.extras += [self._add_roster, self.bursar.add_shares]
+        self.watch_server.is_urgent = self._is_urgent
         self.on_message(Image, self._on_image)
         self.systems += [self._adopt_image, self._watch_edge, self._leave_in_time]
         self.paths.update(
@@ -184,8 +192,8 @@
 
     def _claim_terms(self):
         return (
-            self.image.configuration["claims"]
-            if self.image.configuration is not None
+            self.snapshot.configuration["claims"]
+            if self.snapshot.configuration is not None
             else default_terms()
         )
 
@@ -193,10 +201,10 @@
         if key != "plan":
             return
         value = self.seat.cell(key).value
-        if self.seat.is_known_chosen(key) and self.image.is_news(value):
-            if self.bodies.has_plan(value):
-                self.image.take(self.bodies.with_plan(value))
-        self.news.spread()
+        if self.seat.is_known_chosen(key) and self.snapshot.is_newer(value):
+            if self.blobs.has_plan(value):
+                self.snapshot.take(self.blobs.with_plan(value))
+        self.watch_server.answer_waiting()
 
     def _hear_votes(self):
         self.voted_us = self.now_us()
@@ -215,7 +223,7 @@
         return fellow.incarnation if fellow.is_up and not fellow.has_left else 0
 
     def _hear_mark(self, mark, fellow):
-        self.image.hear_mark(mark)
+        self.snapshot.observe_version(mark)
         if fellow.kind == "router" and self._is_behind(mark):
             self.send(fellow.address, WantImage())
 
@@ -239,14 +247,14 @@
             return self._tell_groups(call)
 
         def done(error, value):
-            if error is not None or self.image.configuration is None:
+            if error is not None or self.snapshot.configuration is None:
                 return call.answer_error(error or ServiceError("plan_absent", retry_us=2_000_000))
             self._tell_groups(call)
 
-        self.plan_desk.read_document(done)
+        self.configuration_store.read_document(done)
 
     def _tell_groups(self, call):
-        plan = self.image.configuration
+        plan = self.snapshot.configuration
         if plan is None:
             raise ServiceError("plan_absent", retry_us=2_000_000)
         told = [
@@ -263,7 +271,9 @@
             }
             for name, terms in plan["groups"].items()
         }
-        call.answer_json(200, {"mark": self.image.mark, "routers": len(told), "groups": groups})
+        call.answer_json(
+            200, {"mark": self.snapshot.version, "routers": len(told), "groups": groups}
+        )
 
     def _hear_fences(self, message):
         for name, fence in message["fences"].items():
@@ -276,10 +286,10 @@
     def _on_image(self, message):
         """What a router holds: the value that news brought it, and the body of its plan."""
         value = message.value
-        if not self.bodies.take(value["bodies"]["plan"], message.body):
+        if not self.blobs.take(value["bodies"]["plan"], message.body):
             return
         if self.told_image is None or message.mark > self.told_image["mark"]:
-            self.told_image = {**value, "plan": self.bodies.plan_of(value)}
+            self.told_image = {**value, "plan": self.blobs.plan_of(value)}
 
     def _adopt_image(self, now_us):
         told = self.told_image
@@ -288,7 +298,7 @@
         if (
             self.voted_us is None
             or now_us - self.voted_us < IMAGE_WAIT_US
-            or told["mark"] < self.image.highest
+            or told["mark"] < self.snapshot.highest_version
         ):
             return
         if not self._is_behind(told["mark"]):
@@ -300,15 +310,15 @@
         def step(value):
             if value is not None and value["mark"] >= told["mark"]:
                 return "keep", None
-            self.bodies.send([write_plan(told["plan"])])
+            self.blobs.send([write_plan(told["plan"])])
             return "set", {name: told[name] for name in told if name != "plan"}
 
         def done(outcome, value):
             self.is_adopting = False
             if outcome == "chosen":
                 self.ports.log(1207, mark=value["mark"])
-                if self.image.is_news(value) and self.bodies.has_plan(value):
-                    self.image.take(self.bodies.with_plan(value))
+                if self.snapshot.is_newer(value) and self.blobs.has_plan(value):
+                    self.snapshot.take(self.blobs.with_plan(value))
                 self.told_image = None
 
         self.proposer.change("plan", step, done)
@@ -316,7 +326,7 @@
     def _watch_edge(self, now_us):
         """A seat that no router asks any more, though routers run, serves nobody with its duties."""
         if (
-            now_us - self.news.asked_us < 2 * self.bounds.news_hold_us + UNASKED_US
+            now_us - self.watch_server.polled_us < 2 * self.bounds.news_hold_us + UNASKED_US
             or not self.ring.live("router")
         ):
             return
@@ -407,8 +417,8 @@
             "is_empty": self.seat.is_empty,
             "is_failing": self.seat.is_failing,
             "why": self.seat.rejoin.wait_reason,
-            "mark": self.news.held_mark(),
-            "highest_mark": self.image.highest,
+            "mark": self.watch_server.held_version(),
+            "highest_mark": self.snapshot.highest_version,
             "seats": {
                 seat: {"address": address, "incarnation": incarnation}
                 for seat, (address, incarnation) in seats.items()
@@ -439,8 +449,8 @@
                 "name": self.name,
                 "kind": "registry",
                 "zone": self.ring.me.zone,
-                "mark": self.image.mark,
-                "is_current": self.news.is_current(),
+                "mark": self.snapshot.version,
+                "is_current": self.watch_server.is_current(),
                 "seat": self.seat.seat,
                 "standing": self.seat.standing,
                 "fellows": [fellow.as_record() for fellow in self.ring.fellows.values()],
--- a/packages/controller/src/linkhaven/controller/switcher.py
+++ b/packages/controller/src/linkhaven/controller/switcher.py
@@ -59,7 +59,7 @@
         "duty",
         "keeper",
         "desk",
-        "image",
+        "snapshot",
         "pools",
         "rates",
         "changes",
@@ -73,13 +73,13 @@
         "settled",
     )
 
-    def __init__(self, node, duty, keeper, desk, image):
+    def __init__(self, node, duty, keeper, desk, snapshot):
         """Stand ready to order; nothing is ordered before the duty is won."""
         self.node = node
         self.duty = duty
         self.keeper = keeper
         self.desk = desk
-        self.image = image
+        self.snapshot = snapshot
         self.pools = {}
         self.rates = {}
         self.changes = {}
@@ -155,7 +155,7 @@
         if (
             not self.duty.is_held()
             or not self.keeper.is_ready()
-            or self.image.configuration is None
+            or self.snapshot.configuration is None
         ):
             return
         self._forget_settled(now_us)
@@ -191,7 +191,7 @@
             self.pools.setdefault(name, Pool(name)).take(sides, now_us)
 
     def _is_searched(self):
-        return self.image.configuration["taichi"]["search"]
+        return self.snapshot.configuration["taichi"]["search"]
 
     def _watch(self, pool, may_order, now_us):
         for phase in PHASES:
@@ -202,12 +202,12 @@
 
     def _empty_most_us(self, pool, phase):
         """How long a side may stand empty: to be sure of it, to order, to switch and to see it."""
-        told = (self.image.configuration.get("pools") or {}).get(pool.name) or {}
+        told = (self.snapshot.configuration.get("pools") or {}).get(pool.name) or {}
         switch_us = told.get("switch_us", SWITCH_US)
         seen_us = BARE_US + LOOK_US + 2 * self.node.bounds.report_us
         if phase == DECODE:
             return seen_us + READ_END_US + switch_us
-        deadlines = [kind["deadline_us"] for kind in self.image.configuration["kinds"].values()]
+        deadlines = [kind["deadline_us"] for kind in self.snapshot.configuration["kinds"].values()]
         return seen_us + TOLD_US + max(deadlines, default=0) + switch_us
 
     # an empty side
@@ -269,7 +269,7 @@
 
     def _look(self, pool, now_us):
         """Weigh the ratio, once each runner of the pool has reported and none is switching."""
-        sides, taichi = pool.now, self.image.configuration["taichi"]
+        sides, taichi = pool.now, self.snapshot.configuration["taichi"]
         if sides.unreported or any(sides.arriving.values()):
             return
         reading, decoding = sides.sound[PREFILL], sides.sound[DECODE]
@@ -393,7 +393,7 @@
         order = {
             "phase": change.phase,
             "fence": fence,
-            "mark": self.image.mark,
+            "mark": self.snapshot.version,
             "holder": self.node.name,
             "incarnation": runner.incarnation,
         }
@@ -435,4 +435,4 @@
         self._drop(change)
         pool = self.pools.get(change.pool)
         if pool is not None:
-            pool.dwell_until_us = now_us + self.image.configuration["taichi"]["dwell_us"]
+            pool.dwell_until_us = now_us + self.snapshot.configuration["taichi"]["dwell_us"]
--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -43,7 +43,7 @@
     __slots__ = (
         "node",
         "lease",
-        "image",
+        "snapshot",
         "elected_us",
         "grants",
         "demands",
@@ -53,11 +53,11 @@
         "on_won",
     )
 
-    def __init__(self, node, lease, image):
+    def __init__(self, node, lease, snapshot):
         """Allocate under `lease`, by the configuration of which `image` holds a copy."""
         self.node = node
         self.lease = lease
-        self.image = image
+        self.snapshot = snapshot
         self.elected_us = None
         self.grants = {}
         self.demands = {}
@@ -121,7 +121,11 @@
 
     def add_shares(self, ask, answer):
         """Add the grants to the answer to a router's question, if the lease is held."""
-        if self.elected_us is None or not self.lease.is_held() or self.image.configuration is None:
+        if (
+            self.elected_us is None
+            or not self.lease.is_held()
+            or self.snapshot.configuration is None
+        ):
             return
         now_us = self.node.now_us()
         rates = self._grant_rates(ask, now_us)
@@ -133,7 +137,7 @@
 
     def _grant_rates(self, ask, now_us):
         """Return the grants, by group, for the groups on which the router reported."""
-        router, groups = ask["name"], self.image.configuration["groups"]
+        router, groups = ask["name"], self.snapshot.configuration["groups"]
         rates = {}
         for name, fields in ask.get("credit", {}).items():
             allowance = read_allowance(groups[name]) if name in groups else None
@@ -151,7 +155,7 @@
         attempts = report.rate
         if not self._is_settling(now_us):
             attempts = self._attempts_for(
-                router, self.image.configuration["extra"]["margin"], now_us
+                router, self.snapshot.configuration["extra"]["margin"], now_us
             )
         return self._grant(RETRY_BUDGET, router, attempts, now_us)
 
@@ -175,7 +179,7 @@
         if demands.total > 0:
             share = EVEN_SHARE * even_share + DEMAND_SHARE * demand / demands.total
         total_rate = allowance.tokens * MICROSECONDS / allowance.period_us
-        rate = total_rate * max(share, self.image.configuration["floor"])
+        rate = total_rate * max(share, self.snapshot.configuration["floor"])
         return max(0.0, min(rate, self._unallocated(group, router, total_rate, now_us)))
 
     def _unallocated(self, group, router, total_rate, now_us):
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -98,7 +98,7 @@
 
     def _switch_us(self, request):
         """How long a runner takes to play another part: sooner, none is open again."""
-        pools = (self.node.image.configuration or {}).get("pools", {})
+        pools = (self.node.snapshot.configuration or {}).get("pools", {})
         return pools.get(request.pool, {}).get("switch_us", SWITCH_US)
 
     def _give_up(self, request, decision, why, retry_us):
@@ -312,7 +312,7 @@
         if code in FULL:
             self.pairing.note_turned_away(runner)
         if code == "mark_old":
-            self.node.image.hear_mark(error.detail.get("mark", 0))
+            self.node.snapshot.observe_version(error.detail.get("mark", 0))
 
     def note_unanswered(self, request):
         """The deadline passed while a runner owed an answer."""
--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -52,7 +52,7 @@
         return PASS
 
     def kind(self, request):
-        plan = self.node.image.configuration
+        plan = self.node.snapshot.configuration
         if request.kind_name is None:
             request.kind_name = self.node.doors.find(request.host, request.path)
         kind = plan["kinds"].get(request.kind_name)
@@ -63,7 +63,7 @@
         request.pool = self.node.choose_pool(kind)
         if self.node.pairing.is_plain(request.pool):
             request.prompt_tokens, request.parts = 0, ()
-        request.admitted_mark = self.node.image.mark
+        request.admitted_mark = self.node.snapshot.version
         request.answer_tokens = request.answer_tokens or kind["answer_tokens"]
         request.deadline_us = request.arrived_us + min(
             kind["deadline_us"], request.patience_us or kind["deadline_us"]
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -48,8 +48,8 @@
     __slots__ = (
         "ring",
         "proposer",
-        "image",
-        "news",
+        "snapshot",
+        "watcher",
         "roster",
         "desk",
         "pairing",
@@ -104,13 +104,15 @@
         self.callers = callers or NativeCallers()
         self.doors = Doors()
         self.incarnation = incarnation
-        self.image = ConfigurationSnapshot()
+        self.snapshot = ConfigurationSnapshot()
         self.ring = Membership(
-            self, "router", zone, seeds, incarnation, mark_of=lambda: self.image.mark
+            self, "router", zone, seeds, incarnation, mark_of=lambda: self.snapshot.version
         )
-        self.ring.on_mark.append(lambda mark, fellow: self.image.hear_mark(mark))
+        self.ring.on_mark.append(lambda mark, fellow: self.snapshot.observe_version(mark))
         self.proposer = Proposer(self, self.ring, majority)
-        self.news = ConfigurationWatcher(self, self.ring, self.image, majority, self._count_routers)
+        self.watcher = ConfigurationWatcher(
+            self, self.ring, self.snapshot, majority, self._count_routers
+        )
         self.roster = Roster(self)
         self.desk = desk_of(self)
         self.keys = Keys(self, self.proposer)
@@ -142,10 +144,10 @@
         self.rooms = {}
         self.typical_tokens = {}
         self.on_end = []
-        self.image.on_new.append(self._take_plan)
-        self.news.facts.append(self._add_facts)
-        self.news.is_pressed = self._is_pressed
-        self.news.on_news.append(self._hear_news)
+        self.snapshot.on_new.append(self._take_plan)
+        self.watcher.facts.append(self._add_facts)
+        self.watcher.is_pressed = self._is_pressed
+        self.watcher.on_news.append(self._hear_news)
         self.roster.on_new.append(self.wake_queue)
         self.hearers["want_image"] = self._hear_want_image
         self.systems += [
@@ -163,7 +165,7 @@
         }
 
     def _take_plan(self):
-        plan = self.image.configuration
+        plan = self.snapshot.configuration
         self.pairing.apply_configuration(plan)
         self.extra.apply_configuration(plan)
         self.credit.apply_configuration(plan)
@@ -172,7 +174,7 @@
         self.rooms = rooms_for_others(plan)
         for kind in [kind for kind in self.typical_tokens if kind not in plan["kinds"]]:
             del self.typical_tokens[kind]
-        self.ports.log(2001, mark=self.image.mark)
+        self.ports.log(2001, mark=self.snapshot.version)
         for request in self.requests.rows():
             if request.state == states.QUEUED:
                 self._place_anew(request, plan)
@@ -188,7 +190,11 @@
         if kind["group"] == request.group:
             return
         self.credit.remove(request.group, request)
-        request.kind, request.group, request.admitted_mark = kind, kind["group"], self.image.mark
+        request.kind, request.group, request.admitted_mark = (
+            kind,
+            kind["group"],
+            self.snapshot.version,
+        )
         try:
             self.credit.enqueue(request.group, request)
         except ServiceError as error:
@@ -207,7 +213,7 @@
 
     def _add_facts(self, facts, seat):
         """What a seat is told: its duties' holders hear what only these need."""
-        now_us, pace = self.now_us(), self.news.pace
+        now_us, pace = self.now_us(), self.watcher.pace
         is_roster = pace.is_teller(seat, "roster", now_us)
         if pace.is_teller(seat, "shares", now_us):
             facts["credit"] = self.credit.demand_reports()
@@ -255,19 +261,19 @@
         self.wake_queue()
 
     def _hear_want_image(self, message):
-        held = self.news.as_told()
+        held = self.watcher.packed_configuration()
         if held is not None:
             value, body = held
             self.tell(message["back"], "image", value=value, body=body)
 
     def may_start(self):
-        return self.news.is_fresh() and self.roster.is_fresh()
+        return self.watcher.is_fresh() and self.roster.is_fresh()
 
     def check_fresh(self):
         if (
-            self.image.configuration is None
-            and not self.image.is_behind
-            and self.news.confirmed_us is not None
+            self.snapshot.configuration is None
+            and not self.snapshot.is_behind
+            and self.watcher.confirmed_us is not None
         ):
             raise ServiceError("plan_absent", retry_us=2_000_000)
         if not self.may_start():
@@ -276,8 +282,10 @@
     def say_closed(self, done=None):
         """A router that takes no work is expected to be closed for as long again as it has been."""
         retry_us = min(CLOSED_MOST_US, max(1_000_000, self.now_us() - self.closed_us))
-        if not self.news.is_fresh():
-            return ServiceError("plan_stale", done=done, retry_us=retry_us, mark=self.image.mark)
+        if not self.watcher.is_fresh():
+            return ServiceError(
+                "plan_stale", done=done, retry_us=retry_us, mark=self.snapshot.version
+            )
         return ServiceError("roster_stale", done=done, retry_us=retry_us)
 
     def choose_pool(self, kind):
@@ -293,7 +301,7 @@
 
     def connections_at_most(self, runner):
         """This router's even part of the connections that all routers together may have to a runner."""
-        pool = (self.image.configuration or {}).get("pools", {}).get(runner.pool)
+        pool = (self.snapshot.configuration or {}).get("pools", {}).get(runner.pool)
         if pool is None:
             return None
         return max(2, pool["conns"] * 4 // (5 * (1 + len(self.ring.live("router")))))
@@ -505,9 +513,11 @@
         self.is_open = is_open
         self.closed_us = now_us
         if is_open:
-            return self.ports.log(2003, mark=self.image.mark)
-        why = "roster" if self.news.is_fresh() else "plan"
-        self.ports.log(2002, why=why, mark=self.image.mark, highest=self.image.highest)
+            return self.ports.log(2003, mark=self.snapshot.version)
+        why = "roster" if self.watcher.is_fresh() else "plan"
+        self.ports.log(
+            2002, why=why, mark=self.snapshot.version, highest=self.snapshot.highest_version
+        )
 
     def _rate(self, now_us):
         passed_us = now_us - self.rated_us
@@ -555,8 +565,8 @@
                 "name": self.name,
                 "kind": "router",
                 "zone": self.ring.me.zone,
-                "mark": self.image.mark,
-                "is_fresh": self.news.is_fresh(),
+                "mark": self.snapshot.version,
+                "is_fresh": self.watcher.is_fresh(),
                 "is_draining": self.is_draining,
                 "roster_age_us": now_us - self.roster.taken_us
                 if self.roster.taken_us is not None
--- a/packages/runner/src/linkhaven/runner/adapter.py
+++ b/packages/runner/src/linkhaven/runner/adapter.py
@@ -182,7 +182,7 @@
         return {
             "request": request.id,
             "shot": request.attempts,
-            "mark": self.node.image.mark,
+            "mark": self.node.snapshot.version,
             "one_time": request.is_one_time,
             "prompt": request.prompt,
         }
--- a/packages/stage/src/linkhaven/stage/changecourse.py
+++ b/packages/stage/src/linkhaven/stage/changecourse.py
@@ -184,7 +184,7 @@
     def _is_back(self, node, found):
         return (
             node.seat.is_voting
-            and node.news.is_current()
+            and node.watch_server.is_current()
             and revision_of(node.seat.cell("plan").value) >= found.newest
         )
 
@@ -197,7 +197,7 @@
                 continue
             if host.node.seat.is_voting and found.leg in (RESTARTED, WIPED, NEW):
                 found.early.append((now_us, host.name, revision))
-            if host.node.news.is_current():
+            if host.node.watch_server.is_current():
                 found.old_news.append((now_us, host.name, revision))
         nodes = [host.node for host in self.core.machines.values() if host.node]
         for duty in DUTIES:
--- a/packages/stage/src/linkhaven/stage/core.py
+++ b/packages/stage/src/linkhaven/stage/core.py
@@ -79,7 +79,7 @@
     def put(self, base, revision, document, plan, name=None, wait=True):
         host = self.machines[name] if name else self.machines[next(iter(self.voting().values()))]
         told = []
-        host.node.plan_desk.put_document(
+        host.node.configuration_store.put_document(
             base, revision, document, plan, lambda error, value: told.append((error, value))
         )
         if wait:
@@ -89,7 +89,9 @@
     def read(self, name=None):
         host = self.machines[name] if name else self.machines[next(iter(self.voting().values()))]
         told = []
-        host.node.plan_desk.read_document(lambda error, value: told.append((error, value)))
+        host.node.configuration_store.read_document(
+            lambda error, value: told.append((error, value))
+        )
         self.world.wait_for(lambda: told, 5_000_000, 10_000)
         return told[0]
 
--- a/packages/stage/src/linkhaven/stage/cutcourse.py
+++ b/packages/stage/src/linkhaven/stage/cutcourse.py
@@ -33,7 +33,7 @@
     def __init__(self, at_us, node):
         """Read straight from the node: no call of an operator shows it."""
         self.at_us = at_us
-        self.is_current = node.news.is_current()
+        self.is_current = node.watch_server.is_current()
         self.duties = [name for name in DUTIES if node.duties[name].is_held()]
         self.revision = (node.seat.cell("plan").value or {}).get("revision") or 0
 
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -2,7 +2,7 @@
 messages say, how it is asked, and what it holds. A rename in the nodes is followed here."""
 
 from linkhaven.configuration import BlobStore, ConfigurationSnapshot, ConfigurationStore
-from linkhaven.configuration.taken import digest_of_order, read_history
+from linkhaven.configuration.history import digest_of_update, read_history
 from linkhaven.consensus import Proposer, Replica
 from linkhaven.controller import ControllerNode
 from linkhaven.leases import Lease
@@ -54,7 +54,7 @@
     """The register alone: proposer, acceptor with its rejoin, operators' desk and one duty, all real. The ring
     only says who has which seat: it judges nobody, as its timers aren't called."""
 
-    __slots__ = ("ring", "proposer", "seat", "image", "bodies", "plan_desk", "duty")
+    __slots__ = ("ring", "proposer", "seat", "snapshot", "blobs", "configuration_store", "duty")
 
     def __init__(self, name, address, ports, bounds, has_duty, contacts):
         super().__init__(name, address, ports, bounds)
@@ -64,9 +64,11 @@
         seats = SEATS[: bounds.seats]
         self.seat = Replica(self, None, seats, self.ring, lambda key: None, self._hear_votes)
         self.seat.occupants.contact = address
-        self.image = ConfigurationSnapshot()
-        self.bodies = BlobStore(self, self.seat)
-        self.plan_desk = ConfigurationStore(self, self.proposer, self.bodies, self.image)
+        self.snapshot = ConfigurationSnapshot()
+        self.blobs = BlobStore(self, self.seat)
+        self.configuration_store = ConfigurationStore(
+            self, self.proposer, self.blobs, self.snapshot
+        )
         self.duty = Lease(self, DUTY, self.proposer, self.seat) if has_duty else None
         if contacts and self.seat.is_empty and not self.seat.seat:
             self.seat.begin_first(seats[contacts.index(address)], contacts)
@@ -160,7 +162,7 @@
 
 def order_of(revision, document):
     """The same of an order as it is sent."""
-    return revision, digest_of_order(document)
+    return revision, digest_of_update(document)
 
 
 def fence_won(number, facts):
@@ -214,12 +216,14 @@
     def end(error, value):
         done(error and error.code, error and error.detail, value)
 
-    machine.node.plan_desk.put_document(base, revision, document, PLAN, end)
+    machine.node.configuration_store.put_document(base, revision, document, PLAN, end)
 
 
 def read(machine, done):
     """An operator's read at a member; done(code, value) hears its answer."""
-    machine.node.plan_desk.read_document(lambda error, value: done(error and error.code, value))
+    machine.node.configuration_store.read_document(
+        lambda error, value: done(error and error.code, value)
+    )
 
 
 def leave(machine, done):
--- a/packages/stage/src/linkhaven/stage/explore/linearizability.py
+++ b/packages/stage/src/linkhaven/stage/explore/linearizability.py
@@ -73,7 +73,7 @@
     return [place for place in left if operations[place].begun <= first_end]
 
 
-def find_order(operations):
+def find_update(operations):
     """An order of the operations that explains all answers, as a list, or None where there is none.
 
     Reads and orders without an answer may stay out: the former tell nothing, the latter may never take effect."""
@@ -105,4 +105,4 @@
 
 def is_linearizable(operations):
     """Whether one register could have given these answers."""
-    return find_order(operations) is not None
+    return find_update(operations) is not None
--- a/packages/stage/src/linkhaven/stage/line_costs.py
+++ b/packages/stage/src/linkhaven/stage/line_costs.py
@@ -7,8 +7,8 @@
 import json
 import timeit
 
-from linkhaven.configuration.packing import pack_body
-from linkhaven.configuration.taken import digest_of
+from linkhaven.configuration.history import digest_of
+from linkhaven.configuration.packing import pack_blob
 from linkhaven.controller.messages import Image, Keys, WantKeys
 from linkhaven.membership.messages import Beat, MemberRecord, Members
 from linkhaven.pairing.messages import QueueView, QueueViews
@@ -29,7 +29,7 @@
     }
     text = json.dumps({"kinds": kinds, "fleet": {"routers": 7}})
     value = {"mark": 17, "put_id": "a/1/1", "bodies": {"plan": digest_of(text)}}
-    return Image(value, pack_body(text), **ENVELOPE)
+    return Image(value, pack_blob(text), **ENVELOPE)
 
 
 def _member(number):
--- a/packages/stage/src/linkhaven/stage/measure.py
+++ b/packages/stage/src/linkhaven/stage/measure.py
@@ -127,7 +127,7 @@
     world.wait_for(lambda: acked, 5 * SECOND, 1_000)
     left, delays = dict(fleet.routers), []
     while left and world.now_us < acked[0] + 5 * SECOND:
-        for name in [name for name, host in left.items() if host.node.image.mark > mark]:
+        for name in [name for name, host in left.items() if host.node.snapshot.version > mark]:
             del left[name]
             delays.append(max(0, world.now_us - acked[0]))
         world.run_for(1_000)
--- a/packages/stage/src/linkhaven/stage/orders.py
+++ b/packages/stage/src/linkhaven/stage/orders.py
@@ -93,7 +93,7 @@
         """Send an order to one member, once."""
 
         def serve(node, done):
-            node.plan_desk.put_document(
+            node.configuration_store.put_document(
                 order.base, order.revision, order.document, order.plan, done
             )
 
@@ -102,7 +102,7 @@
     def read(self, member, on_end=lambda told: None):
         """Ask one member for the newest configuration, once."""
         return self._call(
-            member, None, lambda node, done: node.plan_desk.read_document(done), on_end
+            member, None, lambda node, done: node.configuration_store.read_document(done), on_end
         )
 
     def pursue(self, order, members, on_end=lambda told: None, rounds=8):
--- a/packages/stage/src/linkhaven/stage/slopes/hollow.py
+++ b/packages/stage/src/linkhaven/stage/slopes/hollow.py
@@ -1,6 +1,6 @@
 import gc
 
-from linkhaven.configuration.taken import KEPT_ORDERS
+from linkhaven.configuration.history import KEPT_UPDATES
 from linkhaven.controller import DUTIES
 
 from ..fleet import Deployment, SimFleet
@@ -133,11 +133,11 @@
 
     def fill_history(self):
         """As many changes as a value remembers: what one more then adds is there for good."""
-        for _ in range(KEPT_ORDERS):
+        for _ in range(KEPT_UPDATES):
             self.change_configuration()
             self.world.wait_for(self._has_answers, SETTLE_US, STEP_US)
-        if len(self.acked) < KEPT_ORDERS:
-            raise RuntimeError(f"only {len(self.acked)} of {KEPT_ORDERS} changes were taken")
+        if len(self.acked) < KEPT_UPDATES:
+            raise RuntimeError(f"only {len(self.acked)} of {KEPT_UPDATES} changes were taken")
         self.acked, self.unacked = [], []
 
     def _has_answers(self):
--- a/packages/stage/src/linkhaven/stage/slopes/large.py
+++ b/packages/stage/src/linkhaven/stage/slopes/large.py
@@ -89,7 +89,7 @@
         """From an operator's put until each router takes the new configuration."""
         fleet, world = self.fleet, self.fleet.world
         held = {
-            host.name: host.node.image.value
+            host.name: host.node.snapshot.value
             for host in fleet.routers.values()
             if host.node is not None
         }
@@ -100,7 +100,7 @@
             for name in [
                 name
                 for name, value in held.items()
-                if fleet.routers[name].node.image.value is not value
+                if fleet.routers[name].node.snapshot.value is not value
             ]:
                 del held[name]
                 delays.append((world.now_us - begun_us) / 1_000)
--- a/tests/test_bodies.py
+++ b/tests/test_blobs.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from linkhaven.configuration.bodies import KEPT_BODIES, BlobStore, digests_of
-from linkhaven.configuration.messages import Bodies
-from linkhaven.configuration.packing import BodyMismatchError, open_body, pack_body
-from linkhaven.configuration.taken import digest_of
+from linkhaven.configuration.blobs import KEPT_BLOBS, BlobStore, digests_of
+from linkhaven.configuration.history import digest_of
+from linkhaven.configuration.messages import Blobs
+from linkhaven.configuration.packing import BlobMismatchError, open_blob, pack_blob
 from linkhaven.consensus.seat import RegisterState
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Bounds, kind_of
@@ -42,7 +42,7 @@
     return bool(told) and told[0][0] is None
 
 
-def drop(host, kind=Bodies, is_dropped=lambda message: True):
+def drop(host, kind=Blobs, is_dropped=lambda message: True):
     """The node hears none of these messages; the list of what it missed."""
     hear, missed = host.node.handlers[kind], []
 
@@ -120,16 +120,16 @@
 
 
 def weight_at(router):
-    plan = router.node.image.configuration
+    plan = router.node.snapshot.configuration
     return plan and plan["groups"]["g"]["weight"]
 
 
 def source_of(router):
     """The host of the seat whose answers bring the body."""
-    news = router.node.news
+    watcher = router.node.watcher
     now_us = router.node.now_us()
     seats = router.node.ring.seats()
-    (source,) = [seat for seat in seats if news._is_source(seat, now_us)]
+    (source,) = [seat for seat in seats if watcher._is_source(seat, now_us)]
     return next(host for host in router.world.hosts.values() if host.address == seats[source][0])
 
 
@@ -143,13 +143,13 @@
     lost = []
     for name in ("core-2", "core-3"):
         missed = drop(core.machines[name], is_dropped=lambda m, name=name: not lost.count(name))
-        hear = core.machines[name].node.handlers[Bodies]
+        hear = core.machines[name].node.handlers[Blobs]
 
         def hear_once_lost(message, name=name, hear=hear):
             hear(message)
             lost.append(name)
 
-        core.machines[name].node.handlers[Bodies] = hear_once_lost
+        core.machines[name].node.handlers[Blobs] = hear_once_lost
         assert missed == []
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
@@ -253,9 +253,9 @@
     core = started()
     assert is_taken(put(core, 1))
     host = core.machines["core-3"]
-    assert host.node.bodies.synced
+    assert host.node.blobs.synced
     host.node.seat.retire()
-    assert not host.node.bodies.synced
+    assert not host.node.blobs.synced
     core.world.run_for(10 * MS)
     assert not bodies_on_disk(host)
     watch = VoteWatch(core)
@@ -289,16 +289,16 @@
     return [event for event in core.world.events if event[2] == number]
 
 
-@pytest.mark.parametrize("packed", ("", "junk", pack_body("another"), pack_body("x")[:-4]))
+@pytest.mark.parametrize("packed", ("", "junk", pack_blob("another"), pack_blob("x")[:-4]))
 def test_a_body_that_is_not_the_one_of_its_digest_is_refused(packed):
     core = started()
     host = core.machines["core-2"]
     digest = digest_of("x")
-    host.node.hear(Bodies(sender="core-1", reply_to="10.0.0.1:7000", bodies={digest: packed}))
-    assert digest not in host.node.bodies.held
+    host.node.hear(Blobs(sender="core-1", reply_to="10.0.0.1:7000", blobs={digest: packed}))
+    assert digest not in host.node.blobs.held
     assert len(events(core, 1304)) == 1
-    with pytest.raises(BodyMismatchError):
-        open_body(digest, packed)
+    with pytest.raises(BlobMismatchError):
+        open_blob(digest, packed)
 
 
 def test_a_body_spoiled_on_the_disk_is_had_from_another_seat_before_it_is_told():
@@ -307,16 +307,16 @@
     host = core.machines["core-2"]
     host.kill()
     for digest in bodies_on_disk(host):
-        host.disk.synced[f"body/{digest}"] = pack_body("spoiled")
+        host.disk.synced[f"body/{digest}"] = pack_blob("spoiled")
     host.start()
     assert len(events(core, 1304)) == 2
     missed = drop(host)
     core.world.run_for(4 * SECOND)
-    assert missed and not host.node.news.is_current()
+    assert missed and not host.node.watch_server.is_current()
     host.kill()
     host.start()
     assert core.wait_voting(3)
-    assert core.world.wait_for(host.node.news.is_current)
+    assert core.world.wait_for(host.node.watch_server.is_current)
     assert core.read("core-2")[1]["document"] == "text 1"
 
 
@@ -324,12 +324,12 @@
     core = started()
     assert is_taken(put(core, 1))
     for host in core.machines.values():
-        host.node.bodies.held.clear()
-        host.node.image.__init__()
+        host.node.blobs.held.clear()
+        host.node.snapshot.__init__()
     router = with_router(core)
     assert core.read()[0].code == "core_unready"
-    assert router.node.image.configuration is None
-    assert not any(host.node.news.is_current() for host in core.machines.values())
+    assert router.node.snapshot.configuration is None
+    assert not any(host.node.watch_server.is_current() for host in core.machines.values())
     assert is_taken(put(core, 2))
     core.world.run_for(SECOND)
     assert core.read()[1]["document"] == "text 2" and weight_at(router) == 2.0
@@ -337,17 +337,17 @@
 
 def test_what_a_disk_holds_and_a_restart_reads_is_bounded_whatever_the_number_of_changes():
     core = started()
-    for revision in range(1, 4 * KEPT_BODIES):
+    for revision in range(1, 4 * KEPT_BLOBS):
         assert is_taken(put(core, revision))
     for host in core.machines.values():
-        assert len(host.node.bodies.held) <= KEPT_BODIES
+        assert len(host.node.blobs.held) <= KEPT_BLOBS
         assert len(bodies_on_disk(host)) <= 4
         assert len(json.dumps(host.disk.synced)) < 8_000
     host = core.machines["core-3"]
     host.kill()
     host.start()
     assert core.wait_voting(3)
-    assert core.read("core-3")[1]["revision"] == 4 * KEPT_BODIES - 1
+    assert core.read("core-3")[1]["revision"] == 4 * KEPT_BLOBS - 1
 
 
 def test_a_value_written_before_bodies_stood_apart_is_still_read_and_built_on():
@@ -445,11 +445,11 @@
     source = source_of(router)
     core.world.slow[(source.name, router.name)] = 20 * MS
     told = put(core, 2, wait=False)
-    news = router.node.news
-    assert core.world.wait_for(lambda: news.lacking is not None, SECOND, 1 * MS)
-    assert router.node.image.is_behind and not news.is_fresh()
+    watcher = router.node.watcher
+    assert core.world.wait_for(lambda: watcher.lacking is not None, SECOND, 1 * MS)
+    assert router.node.snapshot.is_behind and not watcher.is_fresh()
     assert core.world.wait_for(lambda: weight_at(router) == 2.0, 200 * MS, 1 * MS)
-    assert is_taken(told) and news.is_fresh() and news.lacking is None
+    assert is_taken(told) and watcher.is_fresh() and watcher.lacking is None
 
 
 @pytest.mark.parametrize("spoiled_part", ("body", "changes", "both"))
@@ -459,7 +459,7 @@
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
     source, hear, spoiled = source_of(router), router.node.hearers["news"], []
-    router.node.news.takes_changes = spoiled_part != "body"
+    router.node.watcher.takes_changes = spoiled_part != "body"
     core.world.run_for(SECOND)
 
     def spoil(message):
@@ -467,7 +467,7 @@
             is_spoiled = spoiled_part in (part, "both") and message["name"] == source.name
             if part in message and is_spoiled:
                 spoiled.append(message["mark"])
-                message[part] = pack_body("another text")
+                message[part] = pack_blob("another text")
         hear(message)
 
     router.node.hearers["news"] = spoil
@@ -481,12 +481,12 @@
     router = with_router(core)
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
-    news, image = router.node.news, router.node.image
-    message = {"seat": "a", "mark": image.mark, "digest": "0" * 24}
-    assert news._is_other_body(message)
+    watcher, snapshot = router.node.watcher, router.node.snapshot
+    message = {"seat": "a", "mark": snapshot.version, "digest": "0" * 24}
+    assert watcher._is_other_body(message)
     assert events(core, 1305)[0][3]["named"] == "0" * 24
-    held = news.as_told()[0]["bodies"]["plan"]
-    assert not news._is_other_body({**message, "digest": held})
+    held = watcher.packed_configuration()[0]["bodies"]["plan"]
+    assert not watcher._is_other_body({**message, "digest": held})
 
 
 def test_news_between_changes_carry_no_body_and_no_document():
@@ -547,16 +547,16 @@
     seat.ports.wire = Earlier
     ask = {"say": "ask", "name": "old", "back": "10.5.0.9:7000", "id": "1", "mark": 0}
     facts = {"known": {}, "credit": {}, "usage": {}, "extra": [0, 0], "evidence": [], "fences": {}}
-    seat.news.on_ask.clear()
-    seat.news.extras.clear()
-    seat.news.hear_ask({**ask, **facts})
+    seat.watch_server.on_ask.clear()
+    seat.watch_server.extras.clear()
+    seat.watch_server.on_watch_request({**ask, **facts})
     assert told[0]["plan"]["plan"] == plan_of(1.0) and "body" not in told[0]
 
 
 def test_a_router_takes_a_plan_that_a_seat_of_an_earlier_version_tells_whole():
     core = started()
     router = with_router(core)
-    news = router.node.news
+    watcher = router.node.watcher
     value = {
         "mark": 3,
         "put_id": "p",
@@ -566,7 +566,7 @@
         "overlay": {"groups": {}, "kinds": {}},
     }
     message = {"seat": "a", "mark": 3, "incarnation": 1, "plan": value}
-    news._hear_current(message, news.told["a"])
-    assert weight_at(router) == 3.0 and news.lacking is None
-    held, body = news.as_told()
-    assert json.loads(open_body(held["bodies"]["plan"], body)) == plan_of(3.0)
+    watcher._on_current_configuration(message, watcher.told["a"])
+    assert weight_at(router) == 3.0 and watcher.lacking is None
+    held, body = watcher.packed_configuration()
+    assert json.loads(open_blob(held["bodies"]["plan"], body)) == plan_of(3.0)
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -132,15 +132,15 @@
 @pytest.mark.parametrize("seats", [3, 5])
 def test_a_fresh_router_is_not_given_an_old_configuration_by_a_member_that_is_cut_off(seats):
     router, core = meet_a_fresh_router(seats)
-    assert (router.image.configuration, router.is_ready()) == (None, False)
+    assert (router.snapshot.configuration, router.is_ready()) == (None, False)
     core.world.heal()
-    assert core.world.wait_for(lambda: router.image.mark == 2, 2 * SECOND, TICK_US)
+    assert core.world.wait_for(lambda: router.snapshot.version == 2, 2 * SECOND, TICK_US)
 
 
 def test_without_contact_a_fresh_router_is_given_an_old_configuration(monkeypatch):
     serve_without_contact(monkeypatch)
     router, _ = meet_a_fresh_router(3)
-    assert router.image.mark == 1
+    assert router.snapshot.version == 1
 
 
 @pytest.mark.parametrize("direction", [BOTH, OUT, IN])
@@ -149,7 +149,7 @@
     core = core_with_plan(3)
     router = add_router(core, "edge-1", Bounds(plan_stale_us=stale_us))
     router.start()
-    assert core.world.wait_for(lambda: router.node.news.is_fresh(), 5 * SECOND, TICK_US)
+    assert core.world.wait_for(lambda: router.node.watcher.is_fresh(), 5 * SECOND, TICK_US)
     names = list(core.machines)
     if direction in (BOTH, OUT):
         core.world.cut(["edge-1"], names, both=False)
@@ -158,11 +158,11 @@
     core.world.run_for(SECOND)
     assert core.put(4, 9, "later", PLAN)[0][0] is None
     core.world.run_for((stale_us or 20 * SECOND) + 2 * TICK_US)
-    assert router.node.news.is_fresh() == (stale_us is None)
-    assert router.node.image.mark == 1
+    assert router.node.watcher.is_fresh() == (stale_us is None)
+    assert router.node.snapshot.version == 1
     core.world.heal()
-    assert core.world.wait_for(lambda: router.node.image.mark == 2, SECOND, TICK_US)
-    assert core.world.wait_for(lambda: router.node.news.is_fresh(), SECOND, TICK_US)
+    assert core.world.wait_for(lambda: router.node.snapshot.version == 2, SECOND, TICK_US)
+    assert core.world.wait_for(lambda: router.node.watcher.is_fresh(), SECOND, TICK_US)
 
 
 class Answered(Call):
--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from linkhaven.configuration import desk
+from linkhaven.configuration import store
 from linkhaven.consensus.rejoin import Recovery
 from linkhaven.controller.contact import Contact
 from linkhaven.stage.changecourse import (
@@ -50,7 +50,7 @@
     def extend_without_end(value, taken):
         return [*(value or {}).get("taken", []), taken.as_row()]
 
-    monkeypatch.setattr(desk, "extend_history", extend_without_end)
+    monkeypatch.setattr(store, "extend_history", extend_without_end)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_control_races.py
+++ b/tests/test_control_races.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from linkhaven.configuration import document_order
+from linkhaven.configuration import document_update
 from linkhaven.consensus import Proposer
 from linkhaven.stage.control import judge_race
 from linkhaven.stage.core import SimCore
@@ -57,7 +57,7 @@
 
 
 def test_without_the_history_a_winner_that_is_sent_late_is_refused(monkeypatch):
-    monkeypatch.setattr(document_order, "find_order", lambda value, order: None)
+    monkeypatch.setattr(document_update, "find_update", lambda value, order: None)
     course = RaceCourse(1, 3, 2).run(2)
     course.send_late()
     assert "refused_though_taken" in judge_race(course)
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -64,7 +64,7 @@
     fleet.world.run_for(100_000)
     second = fleet.ask("seat-question", [router.address])
     fleet.world.run_for(100_000)
-    assert router.node.image.is_behind
+    assert router.node.snapshot.is_behind
     assert first.ended_us is None
     assert second.code == "plan_stale"
     assert not [
@@ -83,7 +83,9 @@
     fleet.put_plan(fleet.plan, 1, "a", 0, lambda status, document: told.append(fleet.world.now_us))
     assert fleet.world.wait_for(lambda: told, SECOND, 5_000)
     assert fleet.world.wait_for(
-        lambda: all(host.node.image.mark == 2 for host in fleet.routers.values()), 2 * SECOND, 5_000
+        lambda: all(host.node.snapshot.version == 2 for host in fleet.routers.values()),
+        2 * SECOND,
+        5_000,
     )
     assert fleet.world.now_us - told[0] < 500_000
 
@@ -723,7 +725,7 @@
             "out": sum(map(len, core.bursar.grants.values())),
             "fellows": len(core.ring.fellows),
             "rates": len(core.switcher.rates),
-            "asks": len(core.news.asks),
+            "asks": len(core.watch_server.polls),
         }
 
     seen = []
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -8,7 +8,12 @@
     effective_configuration,
     list_document_faults,
 )
-from linkhaven.configuration.taken import KEPT_ORDERS, TakenOrder, digest_of_order, extend_history
+from linkhaven.configuration.history import (
+    KEPT_UPDATES,
+    CommittedUpdate,
+    digest_of_update,
+    extend_history,
+)
 from linkhaven.controller import program
 from linkhaven.runtime import Call
 from linkhaven.stage.core import SimCore
@@ -154,7 +159,7 @@
     assert in_force(core)["kinds"]["other"]["group"] == "mine"
     core.world.run_for(SECOND)
     assert {
-        host.node.image.configuration["groups"]["g"]["credit"]["tokens"]
+        host.node.snapshot.configuration["groups"]["g"]["credit"]["tokens"]
         for host in core.machines.values()
     } == {100}
     assert command(core, "DELETE", "/v1/groups/mine")[1]["code"] == "plan_invalid"
@@ -311,8 +316,8 @@
 
 def test_an_order_older_than_the_history_has_no_clear_answer_and_a_newer_one_has():
     core = make_core()
-    last = chain(core, KEPT_ORDERS + 2)
-    assert len(core.read()[1]["taken"]) == KEPT_ORDERS
+    last = chain(core, KEPT_UPDATES + 2)
+    assert len(core.read()[1]["taken"]) == KEPT_UPDATES
     assert code(core.put(0, 3, "text 3", PLAN)) == "put_unknown"
     assert code(core.put(3, 5, "another text", PLAN)) == "put_unknown"
     assert code(core.put(5, 7, "text 7", PLAN)) is None
@@ -323,10 +328,10 @@
 
 def test_the_history_of_the_longest_row_of_orders_stays_small():
     rows = []
-    for mark in range(1, 3 * KEPT_ORDERS):
-        taken = TakenOrder(mark, 10_000 + mark, digest_of_order(str(mark)), 10_000 + mark)
+    for mark in range(1, 3 * KEPT_UPDATES):
+        taken = CommittedUpdate(mark, 10_000 + mark, digest_of_update(str(mark)), 10_000 + mark)
         rows = extend_history({"taken": rows}, taken)
-    assert len(rows) == KEPT_ORDERS
+    assert len(rows) == KEPT_UPDATES
     assert len(json.dumps(rows)) < 5_000
 
 
@@ -365,7 +370,7 @@
 
 def test_a_native_put_older_than_the_history_has_no_clear_answer():
     core = make_core()
-    chain(core, KEPT_ORDERS + 1)
+    chain(core, KEPT_UPDATES + 1)
     status, told = put_whole(core, 0, "first", PLAN)
     assert (status, told["code"]) == (504, "put_unknown")
     assert put_whole(core, 1, "first", PLAN)[1]["code"] == "mark_conflict"
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -96,8 +96,8 @@
     """A read doesn't ask a majority."""
 
     def read(self, done):
-        value = self.bodies.seat.cell("plan").value
-        done(None, self.bodies.opened(value) if value else None)
+        value = self.blobs.seat.cell("plan").value
+        done(None, self.blobs.opened(value) if value else None)
 
     monkeypatch.setattr(ConfigurationStore, "read_document", read)
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -297,7 +297,7 @@
     assert core.world.wait_for(lambda: told, 3 * SECOND, STEP)
     cell = core.machines["core-3"].node.seat.cell("plan")
     assert cell.value["revision"] == 3
-    assert core.machines["core-3"].node.bodies.has(cell.value)
+    assert core.machines["core-3"].node.blobs.has(cell.value)
     core.world.run_for(SECOND)
     assert held(core, "core-3") == 3
 
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -10,7 +10,7 @@
     TAKEN,
     Operation,
     RegisterState,
-    find_order,
+    find_update,
     is_linearizable,
 )
 
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("name", GOOD)
 def test_a_history_of_one_register_is_explained(name):
-    order = find_order(GOOD[name])
+    order = find_update(GOOD[name])
     assert order is not None
     state = RegisterState()
     for operation in order:
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("name", BAD)
 def test_a_history_of_no_register_is_told(name):
-    assert find_order(BAD[name]) is None
+    assert find_update(BAD[name]) is None
 
 
 def drawn_history(seed, count=14):
--- a/tests/test_ask_pace.py
+++ b/tests/test_long_poll.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from linkhaven.configuration.pace import HOLDER_US, LONGEST_US, SMALL_FLEET, AskPace
+from linkhaven.configuration.long_poll import HOLDER_US, LONGEST_US, SMALL_FLEET, LongPollHold
 from linkhaven.runtime import Bounds
 
 PARTS = ("roster", "steward", "shares")
 
 
 def pace_of(routers, **bounds):
-    return AskPace(Bounds(**bounds), lambda: routers)
+    return LongPollHold(Bounds(**bounds), lambda: routers)
 
 
 @pytest.mark.parametrize("routers", [1, 3, SMALL_FLEET])
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("lease_us", [3_000_000, 1_200_000])
 def test_a_hold_stays_within_a_third_of_what_it_must_renew(routers, stale_us, lease_us):
     bounds = Bounds(plan_stale_us=stale_us, lease_us=lease_us)
-    pace = AskPace(bounds, lambda: routers)
+    pace = LongPollHold(bounds, lambda: routers)
     longest_us = pace.longest_us()
     assert bounds.news_hold_us <= longest_us <= LONGEST_US
     assert longest_us * 3 <= max(3 * bounds.news_hold_us, lease_us)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -176,7 +176,7 @@
         told = []
         self.tried += 1
         base, revision = self.acked, self.tried
-        self.core.machines[name].node.plan_desk.put_document(
+        self.core.machines[name].node.configuration_store.put_document(
             base, revision, f"text {revision}", PLAN, lambda *answer: told.append(answer)
         )
         self.run(lambda: told, 3 * SECOND)
@@ -186,7 +186,7 @@
         host = self.core.machines.get(name)
         if host is None or host.node is None:
             return
-        host.node.plan_desk.read_document(lambda *answer: seen.append(answer))
+        host.node.configuration_store.read_document(lambda *answer: seen.append(answer))
         self.run(lambda: seen, 3 * SECOND)
         if seen and seen[0][0] is None and seen[0][1]:
             assert seen[0][1]["revision"] >= self.acked, self.log
--- a/tests/test_patch.py
+++ b/tests/test_patch.py
@@ -54,7 +54,7 @@
 def operate(core, name, method, path, body=b"", base=0, wait=True):
     call = OperatorCall(method, path, {"base-version": str(base)}, body)
     node = core.machines[name].node
-    OperatorDoor(node.plan_desk, 0.2, 10).serve(call)
+    OperatorDoor(node.configuration_store, 0.2, 10).serve(call)
     if wait:
         core.world.wait_for(lambda: call.is_ended, 5 * SECOND, 10_000)
     return call
@@ -147,7 +147,7 @@
     }
     core.world.run_for(SECOND)
     for host in core.machines.values():
-        assert set(host.node.image.configuration["kinds"]) == {"r-2", "r-3"}
+        assert set(host.node.snapshot.configuration["kinds"]) == {"r-2", "r-3"}
 
 
 @pytest.mark.parametrize(
@@ -231,7 +231,7 @@
 def test_a_member_that_lacks_the_document_gathers_it_for_a_patch(seed):
     core = make_core(seed)
     put(core)
-    store = core.machines["core-2"].node.bodies
+    store = core.machines["core-2"].node.blobs
     for digest in list(store.held):
         del store.held[digest]
     assert patch(core, 4, 9, {}, {"route_rules": ["r-1"]}, "core-2").status == 200
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -3,10 +3,10 @@
 import random
 
 import pytest
-from test_bodies import MS, add_router, started
+from test_blobs import MS, add_router, started
 
 from linkhaven.configuration.changes import apply_changes, diff_of, read_changes
-from linkhaven.configuration.packing import open_packed, pack_body, write_plan
+from linkhaven.configuration.packing import open_packed, pack_blob, write_plan
 
 SECOND = 1_000_000
 MANY = 1_440
@@ -90,10 +90,10 @@
     for revision in range(2, 6):
         plan = alter(plan, dice)
         put(core, revision, plan)
-        assert router.node.image.value["plan"] == plan
+        assert router.node.snapshot.value["plan"] == plan
     assert [part for part, _ in heard] == ["body"] + ["changes"] * 4
     assert max(count for _, count in heard[1:]) < heard[0][1] / 20
-    value, body = router.node.news.as_told()
+    value, body = router.node.watcher.packed_configuration()
     assert open_packed(body) == write_plan(plan) and value["mark"] == 5
 
 
@@ -109,19 +109,19 @@
             message["changes"] = "spoiled"
         if how == "items":
             text = open_packed(message["changes"]).replace('"priority":9', '"priority":8')
-            message["changes"] = pack_body(text)
+            message["changes"] = pack_blob(text)
         if how == "base":
             message["base"] = "another"
         if how == "shape":
-            message["changes"] = pack_body('{"upserts":7}')
+            message["changes"] = pack_blob('{"upserts":7}')
 
     heard, plan = listen(router, spoil), large(dice, 60)
     put(core, 1, plan)
     plan = alter(plan, dice)
     put(core, 2, plan)
-    assert router.node.image.value["plan"] == plan and router.node.image.mark == 2
+    assert router.node.snapshot.value["plan"] == plan and router.node.snapshot.version == 2
     assert [part for part, _ in heard] == ["body", "changes", "body"]
-    assert router.node.news.takes_changes
+    assert router.node.watcher.takes_changes
 
 
 def test_a_router_that_starts_again_and_one_far_behind_get_the_whole():
@@ -135,5 +135,5 @@
         put(core, revision, plan)
     router.wake()
     heard = listen(router)
-    core.world.wait_for(lambda: router.node.image.mark == 39, 5 * SECOND, 5 * MS)
-    assert {part for part, _ in heard} == {"body"} and router.node.image.value["plan"] == plan
+    core.world.wait_for(lambda: router.node.snapshot.version == 39, 5 * SECOND, 5 * MS)
+    assert {part for part, _ in heard} == {"body"} and router.node.snapshot.value["plan"] == plan
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -104,7 +104,7 @@
     ]
     service = {"name": "pool-1", "health_path": "/health", "max_connections": 360}
     document = {"revision": mark, "route_rules": routes, "services": [service]}
-    world.node.image.take({"mark": mark, "plan": read_plan(document, 0.2, 50)})
+    world.node.snapshot.take({"mark": mark, "plan": read_plan(document, 0.2, 50)})
 
 
 def test_a_route_that_is_added_later_is_served_as_the_first_ones_are(world):
@@ -138,9 +138,9 @@
 
 @pytest.mark.parametrize("is_behind", [True, False])
 def test_a_router_without_a_plan_denies_nothing(world, is_behind):
-    world.node.image.configuration = None
-    world.node.image.highest = 7 if is_behind else 0
-    world.node.news.confirmed_us = world.clock.us
+    world.node.snapshot.configuration = None
+    world.node.snapshot.highest_version = 7 if is_behind else 0
+    world.node.watcher.confirmed_us = world.clock.us
     assert status_of(world, "/safe/x") == 503
 
 
--- a/tests/test_recovery_speed.py
+++ b/tests/test_recovery_speed.py
@@ -92,7 +92,7 @@
 
     def told():
         return all(
-            host.node.roster.taken_us is not None and host.node.image.configuration
+            host.node.roster.taken_us is not None and host.node.snapshot.configuration
             for host in fleet.routers.values()
         )
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -155,9 +155,9 @@
     assert put(fleet, 2, "b")[0] == 200
     fleet.world.run_for(SECOND)
     assert not old.node.seat.is_voting or old.node.seat.cell("plan").value["mark"] < 3
-    assert not old.node.news.is_current()
+    assert not old.node.watch_server.is_current()
     router = next(iter(fleet.routers.values())).node
-    assert router.image.mark == 3
+    assert router.snapshot.version == 3
 
 
 def test_a_seat_that_lost_acknowledged_writes_rebuilds_them_before_it_votes():
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -86,7 +86,7 @@
 
 def trust_any_plan(monkeypatch):
     monkeypatch.setattr(
-        ConfigurationWatcher, "is_fresh", lambda self: self.image.configuration is not None
+        ConfigurationWatcher, "is_fresh", lambda self: self.snapshot.configuration is not None
     )
     monkeypatch.setattr("linkhaven.runner.Roster.is_fresh", lambda self: True)
 
@@ -263,7 +263,7 @@
         self.configuration = decode_configuration(value["plan"])
 
     monkeypatch.setattr(ConfigurationSnapshot, "take", take)
-    monkeypatch.setattr(ConfigurationSnapshot, "hear_mark", lambda self, mark: None)
+    monkeypatch.setattr(ConfigurationSnapshot, "observe_version", lambda self, version: None)
     monkeypatch.setattr(ConfigurationWatcher, "_is_source", lambda self, seat, now_us: True)
 
 
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -239,7 +239,7 @@
     router = add_router(core)
     acked(core, 0, 7)
     core.world.run_for(2 * SECOND)
-    assert router.node.image.mark == 1
+    assert router.node.snapshot.version == 1
     lose_all_disks(core)
     for host in core.machines.values():
         core.world.after(core.world.dice.randrange(SECOND), host.start)
