--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -94,7 +94,7 @@
 
     def on_watch_request(self, message):
         now_us = self.polled_us = self.node.now_us()
-        self.seat.directory.learn_seats(message["known"])
+        self.seat.directory.learn_incarnations(message["known"])
         for hear in self.on_ask:
             hear(message)
         hold_us = message.get("hold_us", self.node.bounds.news_hold_us)
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -172,7 +172,7 @@
     def _by_nearness(self):
         """Seats in this router's zone come first; beyond that routers spread over the seats."""
         zone, name = self.directory.me.zone, self.node.name
-        holders = self.directory.seat_holders()
+        holders = self.directory.replica_members()
         return sorted(holders, key=lambda seat: (holders[seat].zone != zone, spread(name, seat)))
 
     def tick(self, now_us):
@@ -218,7 +218,7 @@
             return
         now_us = self.node.now_us()
         told.quiet_us = now_us
-        self.directory.learn_seats(message["known"])
+        self.directory.learn_incarnations(message["known"])
         known = self.directory.seats().get(message["seat"])
         is_newest = known is not None and known[1] <= message["incarnation"]
         if is_newest and message["is_current"]:
--- a/packages/consensus/src/linkhaven/consensus/leaving.py
+++ b/packages/consensus/src/linkhaven/consensus/leaving.py
@@ -122,11 +122,11 @@
         if not self.seat.is_learned:
             return []
         spares = [
-            fellow
-            for fellow in self.seat.directory.live("registry")
-            if not fellow.seat and not self._was_tried(fellow.name)
+            member
+            for member in self.seat.directory.live_members("registry")
+            if not member.seat and not self._was_tried(member.name)
         ]
-        return sorted(spares, key=lambda fellow: fellow.name)
+        return sorted(spares, key=lambda member: member.name)
 
     def _was_tried(self, name):
         """A spare that gave up, or fell silent, may be well again later."""
@@ -139,9 +139,9 @@
     def _is_alone(self):
         """So many others left in order that no majority remains without this member: there's
         nobody to wait for."""
-        holders = self.seat.directory.seat_holders()
+        holders = self.seat.directory.replica_members()
         left = [
-            seat for seat, fellow in holders.items() if seat != self.seat.seat and fellow.has_left
+            seat for seat, member in holders.items() if seat != self.seat.seat and member.has_left
         ]
         known = [seat for seat in holders if seat != self.seat.seat]
         return len(known) - len(left) < self.seat.majority
--- a/packages/consensus/src/linkhaven/consensus/occupants.py
+++ b/packages/consensus/src/linkhaven/consensus/occupants.py
@@ -42,14 +42,14 @@
 
     def emptied(self):
         """Seats whose last occupant runs and has none: its disk is lost, and nothing more will come from it."""
-        fellows = self.seat.directory.fellows
+        members = self.seat.directory.peers
         return {
             seat
             for seat, (_, _, name, address) in self.records.items()
-            if name in fellows
-            and fellows[name].is_up
-            and fellows[name].address == address
-            and not fellows[name].seat
+            if name in members
+            and members[name].is_up
+            and members[name].address == address
+            and not members[name].seat
         }
 
     def name_of(self, seat):
@@ -86,14 +86,14 @@
 
     def _learn(self):
         is_new = False
-        for seat, fellow in self.seat.directory.seat_holders().items():
+        for seat, member in self.seat.directory.replica_members().items():
             held = self.records.get(seat)
-            if seat == self.seat.seat or held is not None and fellow.seat_incarnation < held[0]:
+            if seat == self.seat.seat or held is not None and member.seat_incarnation < held[0]:
                 continue
-            start = held[1] if held is not None and held[0] == fellow.seat_incarnation else ""
-            if start and held[2] != fellow.name:
+            start = held[1] if held is not None and held[0] == member.seat_incarnation else ""
+            if start and held[2] != member.name:
                 continue
-            record = [fellow.seat_incarnation, start, fellow.name, fellow.address]
+            record = [member.seat_incarnation, start, member.name, member.address]
             if record != held:
                 self.records[seat] = record
                 is_new = True
@@ -103,11 +103,11 @@
         held = self.records.get(seat)
         if held is None:
             return True
-        fellow = self.seat.directory.seat_holders().get(seat)
-        if fellow is not None and fellow.seat_incarnation >= held[0]:
-            if fellow.has_left:
+        member = self.seat.directory.replica_members().get(seat)
+        if member is not None and member.seat_incarnation >= held[0]:
+            if member.has_left:
                 return True
-            if fellow.is_up:
+            if member.is_up:
                 self.gone_us.pop(seat, None)
                 return False
         return now_us - self.gone_us.setdefault(seat, now_us) >= self.node.bounds.vacant_us
@@ -160,21 +160,23 @@
             return
         if self.lost_us is None:
             self.lost_us = now_us
-        is_called = any(fellow.seat for fellow in directory.fellows.values())
+        is_called = any(member.seat for member in directory.peers.values())
         if now_us - self.lost_us < vacant_us * (CALLED_VACANCIES if is_called else LOST_VACANCIES):
             return
         self.lost_us = None
-        names = sorted([self.node.name, *(fellow.name for fellow in directory.live("registry"))])
+        names = sorted(
+            [self.node.name, *(member.name for member in directory.live_members("registry"))]
+        )
         place = names.index(self.node.name)
         if place < len(self.seat.seats):
             self.seat.take_anew(self.seat.seats[place])
 
     def _is_core_lost(self, directory):
-        if self.told or not self.seat.is_empty or not directory.live("router"):
+        if self.told or not self.seat.is_empty or not directory.live_members("router"):
             return False
-        if any(fellow.seat and fellow.seat_incarnation for fellow in directory.fellows.values()):
+        if any(member.seat and member.seat_incarnation for member in directory.peers.values()):
             return False
-        return len(directory.live("registry")) + 1 >= len(self.seat.seats)
+        return len(directory.live_members("registry")) + 1 >= len(self.seat.seats)
 
     def _choose(self):
         now_us = self.node.now_us()
@@ -191,9 +193,9 @@
             [
                 self.node.name,
                 *(
-                    fellow.name
-                    for fellow in self.seat.directory.live("registry")
-                    if not fellow.seat
+                    member.name
+                    for member in self.seat.directory.live_members("registry")
+                    if not member.seat
                 ),
             ]
         )
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -153,7 +153,7 @@
             )
 
     def _vote_of(self, message, phase):
-        self.directory.learn_seats(message.get("known") or {})
+        self.directory.learn_incarnations(message.get("known") or {})
         change = self.changes.get(message["id"])
         is_answer = message["is_yes"] or message.get("why") == "ballot"
         if is_answer:
--- a/packages/consensus/src/linkhaven/consensus/seat.py
+++ b/packages/consensus/src/linkhaven/consensus/seat.py
@@ -132,7 +132,7 @@
             node.ports.log(1209)
         if self.is_learned:
             directory.me.seat, directory.me.seat_incarnation = self.seat, self.incarnation
-            directory.raises_own = False
+            directory.adopts_learned_incarnation = False
             directory.add_seeds(self.occupants.addresses())
 
     @property
@@ -198,7 +198,7 @@
         """The whole core lost its disks: this seat is taken without a vote, and announced as never voted on."""
         self.take(seat)
         self.rejoin.is_anew = True
-        self.directory.sit(seat, 0)
+        self.directory.announce_replica(seat, 0)
 
     def retire(self):
         """Back to a spare that keeps nothing which votes."""
@@ -215,7 +215,7 @@
         self.node.ports.disk.write(dict.fromkeys(dropped), lambda is_kept: None)
         for hear in self.on_retired:
             hear()
-        self.directory.sit("", 0)
+        self.directory.announce_replica("", 0)
         self.node.ports.log(1209)
 
     def seal(self, successor, done):
@@ -288,8 +288,8 @@
         wait_us = self.node.bounds.lease_us if wait_us is None else wait_us
         self.votes_from_us = 0 if is_first else self.node.now_us() + wait_us
         if self.is_learned:
-            self.directory.sit(self.seat, self.incarnation)
-        self.directory.learn_seats(self.known_of_all())
+            self.directory.announce_replica(self.seat, self.incarnation)
+        self.directory.learn_incarnations(self.known_of_all())
         self.node.ports.log(1202, seat=self.seat, incarnation=self.incarnation)
         self.on_votes()
         self.successor.tell_taken()
--- a/packages/controller/src/linkhaven/controller/__init__.py
+++ b/packages/controller/src/linkhaven/controller/__init__.py
@@ -1,5 +1,5 @@
 """The control plane: the node of a core seat and its program."""
 
-from .node import DUTIES, ControllerNode
+from .node import SINGLETON_ROLES, ControllerNode
 
-__all__ = ["DUTIES", "ControllerNode"]
+__all__ = ["SINGLETON_ROLES", "ControllerNode"]
--- a/packages/controller/src/linkhaven/controller/gate.py
+++ b/packages/controller/src/linkhaven/controller/gate.py
@@ -13,13 +13,13 @@
 class KeyGate:
     """A core that began empty grants no keys until the routers told which they won before."""
 
-    __slots__ = ("node", "seat", "ring", "snapshot", "places", "asked_us", "was_behind")
+    __slots__ = ("node", "seat", "membership", "snapshot", "places", "asked_us", "was_behind")
 
-    def __init__(self, node, seat, ring, snapshot):
+    def __init__(self, node, seat, membership, snapshot):
         """`was_behind` is set by the node where a router knows a plan that the core lost."""
         self.node = node
         self.seat = seat
-        self.ring = ring
+        self.membership = membership
         self.snapshot = snapshot
         self.places = {}
         self.asked_us = 0
@@ -35,7 +35,7 @@
         if self.seat.are_claims_open or not self.seat.is_voting or now_us - self.asked_us < ASK_US:
             return
         self.asked_us = now_us
-        routers = self.ring.live("router")
+        routers = self.membership.live_members("router")
         for router in routers:
             place = self.places.setdefault(router.name, 0)
             if place is not None:
--- a/packages/controller/src/linkhaven/controller/keeper.py
+++ b/packages/controller/src/linkhaven/controller/keeper.py
@@ -130,7 +130,7 @@
         return {"serial": self.serial, "age_us": age_us, "since": held, **changed}
 
     def tick(self, now_us):
-        if not any(duty.is_held() or duty.is_quiet() for duty in self.needs):
+        if not any(lease.is_held() or lease.is_holder_suspected() for lease in self.needs):
             self.since_us = None
             return
         if self.since_us is None:
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -1,4 +1,4 @@
-from msgspec.structs import asdict
+from msgspec import to_builtins
 
 from linkhaven.api import ServiceError
 from linkhaven.configuration import (
@@ -29,20 +29,20 @@
 UNASKED_US = 700_000
 SEATS = ("a", "b", "c", "d", "e")
 DEPUTY = {"a": 0.3, "b": 0.5, "c": 0.7, "d": 0.8, "e": 0.9}
-NO_LEASE = LeaseRecord(holder=None, fence=0, renewal=0)
-DUTIES = ("steward", "bursar", "roster")
+NO_LEASE = LeaseRecord(holder=None, fencing_token=0, renewal=0)
+SINGLETON_ROLES = ("steward", "bursar", "roster")
 
 
 class ControllerNode(Node):
     __slots__ = (
-        "ring",
+        "membership",
         "seat",
         "proposer",
         "snapshot",
         "blobs",
         "configuration_store",
         "watch_server",
-        "duties",
+        "leases",
         "desk",
         "keeper",
         "switcher",
@@ -99,7 +99,7 @@
         self.unreleased = set()
         self.has_left_seat = False
         self.rewritten = set()
-        self.ring = Membership(
+        self.membership = Membership(
             self,
             "registry",
             zone,
@@ -108,39 +108,47 @@
             seat or "",
             mark_of=lambda: self.snapshot.version,
         )
-        self.proposer = Proposer(self, self.ring, silent_us=self.bounds.silent_us)
+        self.proposer = Proposer(self, self.membership, silent_us=self.bounds.silent_us)
         self.seat = Replica(
-            self, seat, seats, self.ring, self._hear_change, self._hear_votes, self._claim_terms
+            self,
+            seat,
+            seats,
+            self.membership,
+            self._hear_change,
+            self._hear_votes,
+            self._claim_terms,
         )
         self.seat.occupants.contact = contact or address
         self.seat.holders.on_stuck = self._rewrite
         self.contacts = sorted(contacts)
-        self.gate = KeyGate(self, self.seat, self.ring, self.snapshot)
+        self.gate = KeyGate(self, self.seat, self.membership, self.snapshot)
         self.proposer.held_of = self.seat.held_of
         self.blobs = BlobStore(self, self.seat)
         self.configuration_store = ConfigurationStore(
             self, self.proposer, self.blobs, self.snapshot
         )
-        self.contact = Contact(self, self.seat, self.ring, self.snapshot)
+        self.contact = Contact(self, self.seat, self.membership, self.snapshot)
         self.watch_server = WatchServer(self, self.seat, self.proposer, self.snapshot, self.blobs)
         self.watch_server.has_contact = self.contact.is_held
         self.desk = desk_of(self)
-        self.duties = {duty: Lease(self, duty, self.proposer, self.seat) for duty in DUTIES}
-        for duty in self.duties.values():
+        self.leases = {
+            duty: Lease(self, duty, self.proposer, self.seat) for duty in SINGLETON_ROLES
+        }
+        for duty in self.leases.values():
             duty.incarnation_of = self._incarnation_of
         self._rank_duties()
-        self.duties["roster"].on_won = self.watch_server.answer_all
+        self.leases["roster"].on_won = self.watch_server.answer_all
         self.keeper = RunnerDiscovery(
-            self, self.desk, platform, (self.duties["roster"], self.duties["steward"])
+            self, self.desk, platform, (self.leases["roster"], self.leases["steward"])
         )
-        self.keeper.on_blind = self.duties["roster"].step_down
+        self.keeper.on_blind = self.leases["roster"].step_down
         self.keeper.on_ready = self.watch_server.answer_all
         self.switcher = RoleBalancer(
-            self, self.duties["steward"], self.keeper, self.desk, self.snapshot
+            self, self.leases["steward"], self.keeper, self.desk, self.snapshot
         )
-        self.bursar = QuotaAllocator(self, self.duties["bursar"], self.snapshot)
+        self.bursar = QuotaAllocator(self, self.leases["bursar"], self.snapshot)
         self.bursar.on_won = self.watch_server.shorten_holds
-        self.ring.on_mark.append(self._hear_mark)
+        self.membership.on_mark.append(self._hear_mark)
         self.views = Views(self, "views")
         self.outcomes = Views(self, "outcomes")
         self.lines = Views(self, "lines")
@@ -187,7 +195,7 @@
     def _rank_duties(self):
         seats = self.seat.seats
         own = seats.index(self.seat.seat) if self.seat.seat else 0
-        for place, duty in enumerate(self.duties.values()):
+        for place, duty in enumerate(self.leases.values()):
             duty.set_rank((place - own) % len(seats))
 
     def _claim_terms(self):
@@ -211,21 +219,21 @@
         self._rank_duties()
         self.keeper.begin_serials(self.seat.incarnation)
         if not self.seat.votes_from_us:
-            for duty in self.duties.values():
+            for duty in self.leases.values():
                 duty.allow_election_now()
         elif self.seat.rejoin.has_met_no_vote:
-            self.duties["roster"].assume_vacant()
+            self.leases["roster"].assume_vacant()
 
     def _incarnation_of(self, name):
-        fellow = self.ring.fellows.get(name)
-        if fellow is None:
+        member = self.membership.peers.get(name)
+        if member is None:
             return None
-        return fellow.incarnation if fellow.is_up and not fellow.has_left else 0
+        return member.incarnation if member.is_up and not member.has_left else 0
 
-    def _hear_mark(self, mark, fellow):
+    def _hear_mark(self, mark, member):
         self.snapshot.observe_version(mark)
-        if fellow.kind == "router" and self._is_behind(mark):
-            self.send(fellow.address, WantImage())
+        if member.kind == "router" and self._is_behind(mark):
+            self.send(member.address, WantImage())
 
     def _hear_asked_mark(self, message):
         if self._is_behind(message["mark"]):
@@ -277,7 +285,7 @@
 
     def _hear_fences(self, message):
         for name, fence in message["fences"].items():
-            self.duties[name].observe_fence(fence)
+            self.leases[name].observe_fencing_token(fence)
 
     def _is_behind(self, mark):
         value = self.seat.cell("plan").value
@@ -327,10 +335,10 @@
         """A seat that no router asks any more, though routers run, serves nobody with its duties."""
         if (
             now_us - self.watch_server.polled_us < 2 * self.bounds.news_hold_us + UNASKED_US
-            or not self.ring.live("router")
+            or not self.membership.live_members("router")
         ):
             return
-        for duty in self.duties.values():
+        for duty in self.leases.values():
             duty.step_down()
 
     def _add_roster(self, ask, facts):
@@ -348,8 +356,8 @@
 
     def _is_urgent(self, ask):
         """Whether the asker lacks an order of the switcher, or what happened to a runner."""
-        steward = self.duties["steward"]
-        place = (steward.fence, self.switcher.serial)
+        steward = self.leases["steward"]
+        place = (steward.fencing_token, self.switcher.serial)
         if steward.is_held() and place > tuple(ask.get("steward") or (0, 0)):
             return True
         rank = self._roster_rank()
@@ -359,21 +367,21 @@
 
     def _roster_rank(self):
         """The fence while the duty is held. While its holder is quiet a deputy stands between that fence and the next."""
-        duty = self.duties["roster"]
+        duty = self.leases["roster"]
         if duty.is_held():
-            return duty.fence
-        if not duty.is_quiet():
+            return duty.fencing_token
+        if not duty.is_holder_suspected():
             return None
         last = duty.record()
-        return (last.fence if last else 0) + DEPUTY[self.seat.seat]
+        return (last.fencing_token if last else 0) + DEPUTY[self.seat.seat]
 
     def drain(self, on_drained):
         self.is_draining = True
         self.ports.log(1002, running=0)
         self.on_drained = on_drained
         self.leave_by_us = self.now_us() + RELEASE_US
-        self.unreleased = set(self.duties)
-        for name, duty in self.duties.items():
+        self.unreleased = set(self.leases)
+        for name, duty in self.leases.items():
             duty.release(lambda name=name: self._hear_released(name))
         self.seat.leaving.begin(self._hear_left_seat)
 
@@ -399,7 +407,7 @@
         on_drained, self.on_drained = self.on_drained, None
         if on_drained is None:
             return
-        self.ring.say_bye()
+        self.membership.send_leave()
         on_drained()
 
     def _leave_in_time(self, now_us):
@@ -407,7 +415,7 @@
             self._leave()
 
     def _core_facts(self):
-        seats = self.ring.seats()
+        seats = self.membership.seats()
         return {
             "seat": self.seat.seat,
             "standing": self.seat.standing,
@@ -430,9 +438,9 @@
             "duties": {
                 name: {
                     "held": duty.is_held(),
-                    **asdict(duty.record() or NO_LEASE),
+                    **to_builtins(duty.record() or NO_LEASE),
                 }
-                for name, duty in self.duties.items()
+                for name, duty in self.leases.items()
             },
         }
 
@@ -448,12 +456,12 @@
             {
                 "name": self.name,
                 "kind": "registry",
-                "zone": self.ring.me.zone,
+                "zone": self.membership.me.zone,
                 "mark": self.snapshot.version,
                 "is_current": self.watch_server.is_current(),
                 "seat": self.seat.seat,
                 "standing": self.seat.standing,
-                "fellows": [fellow.as_record() for fellow in self.ring.fellows.values()],
+                "fellows": [member.as_record() for member in self.membership.peers.values()],
                 "runners": [runner.as_record(now_us) for runner in self.keeper.runners.values()],
                 **self.switcher.as_record(),
             },
--- a/packages/controller/src/linkhaven/controller/status.py
+++ b/packages/controller/src/linkhaven/controller/status.py
@@ -37,19 +37,19 @@
 
     def serve(self, call):
         """Ask all; the answer goes out from `on_told` or `tick`."""
-        fellows = [
-            fellow
-            for fellow in self.node.ring.fellows.values()
-            if fellow.kind == "registry" and not fellow.has_left
+        members = [
+            member
+            for member in self.node.membership.peers.values()
+            if member.kind == "registry" and not member.has_left
         ]
         self.serial += 1
-        ask = StatusAsk(call, self.node.now_us() + ANSWER_US, {fellow.name for fellow in fellows})
+        ask = StatusAsk(call, self.node.now_us() + ANSWER_US, {member.name for member in members})
         while len(self.asks) >= ASKS_AT_MOST:
             self._answer(next(iter(self.asks)))
         self.asks[self.serial] = ask
-        for fellow in fellows:
-            self.node.tell(fellow.address, "core_ask", id=self.serial)
-        if not fellows:
+        for member in members:
+            self.node.tell(member.address, "core_ask", id=self.serial)
+        if not members:
             self._answer(self.serial)
 
     def on_ask(self, message):
@@ -95,12 +95,12 @@
         ask = self.asks.pop(serial)
         members = {self.node.name: self.member(), **ask.told}
         for name in ask.missing:
-            fellow = self.node.ring.fellows.get(name)
+            member = self.node.membership.peers.get(name)
             members[name] = {
-                "seat": fellow.seat if fellow else "",
+                "seat": member.seat if member else "",
                 "standing": SILENT,
-                "incarnation": fellow.seat_incarnation if fellow else 0,
-                "address": fellow.address if fellow else "",
+                "incarnation": member.seat_incarnation if member else 0,
+                "address": member.address if member else "",
                 "learning": None,
                 "leaving": None,
             }
@@ -110,7 +110,7 @@
     def _losses(self, members):
         """How many of those that vote may be lost now so that a majority still answers."""
         seat = self.node.seat
-        newest = self.node.ring.seats()
+        newest = self.node.membership.seats()
         voting = sorted(
             member["seat"]
             for member in members.values()
--- a/packages/controller/src/linkhaven/controller/switcher.py
+++ b/packages/controller/src/linkhaven/controller/switcher.py
@@ -56,7 +56,7 @@
 
     __slots__ = (
         "node",
-        "duty",
+        "lease",
         "keeper",
         "desk",
         "snapshot",
@@ -73,10 +73,10 @@
         "settled",
     )
 
-    def __init__(self, node, duty, keeper, desk, snapshot):
+    def __init__(self, node, lease, keeper, desk, snapshot):
         """Stand ready to order; nothing is ordered before the duty is won."""
         self.node = node
-        self.duty = duty
+        self.lease = lease
         self.keeper = keeper
         self.desk = desk
         self.snapshot = snapshot
@@ -91,8 +91,8 @@
         self.serial = 0
         self.settled = {}
         self.orders = 0
-        duty.on_won = self.win
-        duty.on_lapsed = self.forget
+        lease.on_won = self.win
+        lease.on_lapsed = self.forget
         node.systems.append(self.tick)
         node.on_late.append(self.wake)
 
@@ -115,9 +115,9 @@
         """
         if now_us - self.woken_us < self.node.bounds.thaw_us:
             return False
-        if self.duty.are_others_idle():
+        if self.lease.are_others_idle():
             return True
-        least_us = self.duty.lease_us if self.duty.is_succession else 0
+        least_us = self.lease.lease_us if self.lease.is_succession else 0
         return now_us - self.won_us >= max(self.node.bounds.orders_after_us, least_us)
 
     def forget(self):
@@ -135,9 +135,9 @@
 
     def add_news(self, facts):
         """Which runners are changing, and which have just changed."""
-        if self.duty.is_held():
+        if self.lease.is_held():
             facts["steward"] = {
-                "fence": self.duty.fence,
+                "fence": self.lease.fencing_token,
                 "serial": self.serial,
                 "changing": list(self.changes),
                 "settled": {name: phase for name, (phase, _) in self.settled.items()},
@@ -153,7 +153,7 @@
     def tick(self, now_us):
         """Count the sides, cover an empty one, work off changes, weigh the ratio when due."""
         if (
-            not self.duty.is_held()
+            not self.lease.is_held()
             or not self.keeper.is_ready()
             or self.snapshot.configuration is None
         ):
@@ -382,14 +382,14 @@
 
         A quorum records first that an order follows, so that a successor knows of it.
         """
-        if not self.duty.is_held() or not self.may_order(now_us):
+        if not self.lease.is_held() or not self.may_order(now_us):
             return
-        if not self.duty.may_act():
-            return self.duty.request_action(lambda: self._send_announced(change))
-        self.duty.use_action()
+        if not self.lease.may_act():
+            return self.lease.announce_action(lambda: self._send_announced(change))
+        self.lease.consume_action()
         change.is_sent = True
         change.sent_us = now_us
-        fence = self.duty.fence
+        fence = self.lease.fencing_token
         order = {
             "phase": change.phase,
             "fence": fence,
@@ -402,7 +402,7 @@
             if error is not None:
                 change.is_refused = True
                 self.node.ports.log(1502, runner=runner.name, code=error.code)
-                self.duty.observe_fence(error.detail.get("fence", 0))
+                self.lease.observe_fencing_token(error.detail.get("fence", 0))
 
         self.orders += 1
         pool = self.pools.get(change.pool)
--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -84,7 +84,7 @@
 
     def _is_settling(self, now_us):
         """Whether a router may still hold a grant of an earlier holder that it didn't report."""
-        return self.lease.fence > 1 and now_us - self.elected_us < self.node.bounds.lease_us
+        return self.lease.fencing_token > 1 and now_us - self.elected_us < self.node.bounds.lease_us
 
     # what routers report
 
@@ -129,10 +129,10 @@
             return
         now_us = self.node.now_us()
         rates = self._grant_rates(ask, now_us)
-        shares = AllocatedShares(self.lease.fence, rates)
+        shares = AllocatedShares(self.lease.fencing_token, rates)
         if "extra" in ask:
             extra = self._grant_attempts(ask["name"], read_demand(ask["extra"]), now_us)
-            shares = AllocatedShares(self.lease.fence, rates, extra)
+            shares = AllocatedShares(self.lease.fencing_token, rates, extra)
         answer["shares"] = write_fields(shares)
 
     def _grant_rates(self, ask, now_us):
@@ -161,7 +161,7 @@
 
     def _grant(self, name, router, amount, now_us):
         self.serial += 1
-        number = self.lease.fence * GRANT_NUMBERS_PER_FENCE + self.serial
+        number = self.lease.fencing_token * GRANT_NUMBERS_PER_FENCE + self.serial
         expires_us = now_us + self.node.bounds.lease_us
         self._grants_of(name, now_us).add(router, number, amount, expires_us)
         return AllocatedGrant(amount, number)
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -16,7 +16,7 @@
 
 import math
 
-from .messages import LeaseRecord, read_record, write_record
+from .records import LeaseRecord, read_record, write_record
 
 MARGIN_US = 200_000
 """What another node waits beyond the lease, for clocks that run at different speeds."""
@@ -54,7 +54,7 @@
         "key",
         "proposer",
         "seat",
-        "fence",
+        "fencing_token",
         "renewal",
         "expires_us",
         "requested_us",
@@ -99,7 +99,7 @@
         self.lease_us = node.bounds.lease_us
         self.renew_us = self.lease_us // RENEWALS_A_LEASE
         self.quiet_us = self.lease_us * QUIET_SHARE[0] // QUIET_SHARE[1]
-        self.fence = None
+        self.fencing_token = None
         self.renewal = 0
         self.least_fence = 0
         self.expires_us = 0
@@ -135,9 +135,9 @@
 
     def is_held(self):
         """Whether this node holds the lease now."""
-        return self.fence is not None and self.node.now_us() < self.expires_us
+        return self.fencing_token is not None and self.node.now_us() < self.expires_us
 
-    def is_quiet(self):
+    def is_holder_suspected(self):
         """Whether nobody renewed for a while, or the holder is gone.
 
         A node that may soon hold the duty can make ready then.
@@ -148,17 +148,17 @@
             return True
         return self.node.now_us() - self.last_seen_us > self.quiet_us
 
-    def request_action(self, on_announced=lambda: None):
+    def announce_action(self, on_announced=lambda: None):
         """Have a quorum record that this holder acts next, then call `on_announced`.
 
         Nothing is called where the lease is lost meanwhile; `may_act` tells whether it may act.
         """
-        if self.fence is None:
+        if self.fencing_token is None:
             return
         self.is_action_requested = True
         self.on_announced = on_announced
         if not self.is_requesting:
-            self._request(self.node.now_us(), self.fence, self.renewal + 1)
+            self._request(self.node.now_us(), self.fencing_token, self.renewal + 1)
 
     def may_act(self):
         """Whether one action was announced and may still be taken."""
@@ -166,7 +166,7 @@
             return False
         return self.node.now_us() - self.announced_us < self.renew_us
 
-    def use_action(self):
+    def consume_action(self):
         """The announced action is taken: the next one is announced anew."""
         self.announced_us = None
 
@@ -184,13 +184,13 @@
         self._observe(self.record(), self.node.now_us())
         self.is_vacant = True
 
-    def observe_fence(self, fence):
+    def observe_fencing_token(self, fence):
         """Somebody was told a fence: the next one must be above it, whatever the core forgot."""
         self.least_fence = max(self.least_fence, math.ceil(fence))
 
     def step_down(self):
         """The holder can't do the duty: it lets the lease lapse and stands back for another."""
-        if self.fence is None:
+        if self.fencing_token is None:
             return
         self._lapse()
         self._wait_anew(self.node.now_us() + self.lease_us)
@@ -198,14 +198,14 @@
     def release(self, done):
         """The holder stops: a successor needn't wait for its lease to run out."""
         self.is_closed = True
-        if self.fence is None:
+        if self.fencing_token is None:
             return done()
-        fence = self.fence
+        fence = self.fencing_token
         self._lapse()
 
         def step(value):
             record = read_record(value)
-            if not record or record.fence != fence or record.holder != self.node.name:
+            if not record or record.fencing_token != fence or record.holder != self.node.name:
                 return "stop", value
             vacant = LeaseRecord(None, fence, record.renewal + 1, record.actions)
             return "set", write_record(vacant)
@@ -216,7 +216,7 @@
 
     def on_late_tick(self, now_us):
         """After a pause of this process nothing is known of the lease."""
-        if self.fence is not None:
+        if self.fencing_token is not None:
             self._lapse()
 
     def tick(self, now_us):
@@ -225,11 +225,11 @@
         if not self.seat.is_voting:
             return self._stand_by(now_us)
         self._observe(self.record(), now_us)
-        if self.fence is not None and now_us >= self.expires_us:
+        if self.fencing_token is not None and now_us >= self.expires_us:
             self._lapse()
         if self.is_requesting or self.is_closed:
             return
-        if self.fence is not None:
+        if self.fencing_token is not None:
             return self._renew_if_due(now_us)
         if self._may_stand(now_us):
             seen_fence, _ = self.last_seen or NOTHING_SEEN
@@ -237,17 +237,17 @@
 
     def _stand_by(self, now_us):
         """A seat without votes holds no lease, and waits for a whole one once it votes."""
-        if self.fence is not None:
+        if self.fencing_token is not None:
             self._lapse()
         self.last_seen_us = now_us
         self.is_vacant = False
         self._wait_anew(now_us)
 
     def _renew_if_due(self, now_us):
-        if self.least_fence > self.fence:
+        if self.least_fence > self.fencing_token:
             self._request(now_us, self.least_fence + 1, 0)
         elif self.is_action_requested or now_us - self.requested_us >= self.renew_us:
-            self._request(now_us, self.fence, self.renewal + 1)
+            self._request(now_us, self.fencing_token, self.renewal + 1)
 
     def _may_stand(self, now_us):
         if now_us < self.election_from_us or now_us < self.seat.votes_from_us + self.rank_us:
@@ -266,8 +266,8 @@
         self.election_from_us = now_us + self.lease_us + MARGIN_US + self.rank_us + spread_us
 
     def _lapse(self):
-        self.node.ports.log(1402, duty=self.name, fence=self.fence)
-        self.fence = None
+        self.node.ports.log(1402, duty=self.name, fence=self.fencing_token)
+        self.fencing_token = None
         self.is_action_requested = False
         self.announced_us = None
         self.on_lapsed()
@@ -279,7 +279,7 @@
         if record is None or record.holder is None:
             return False
         if record.holder == self.node.name:
-            return self.fence is None and not self.is_requesting
+            return self.fencing_token is None and not self.is_requesting
         incarnation = self.incarnation_of(record.holder)
         if self.holder_incarnation is None:
             self.holder_incarnation = incarnation
@@ -309,9 +309,11 @@
         """Ask the register for the lease, or for its renewal, counted from now."""
         self.is_requesting = True
         self.requested_us = now_us
-        expected = (self.fence, self.renewal) if self.fence is not None else self.last_seen
-        is_announcing = self.is_action_requested and fence == self.fence
-        actions = self.actions if self.fence is not None else self.seen_actions or 0
+        expected = (
+            (self.fencing_token, self.renewal) if self.fencing_token is not None else self.last_seen
+        )
+        is_announcing = self.is_action_requested and fence == self.fencing_token
+        actions = self.actions if self.fencing_token is not None else self.seen_actions or 0
         wanted = LeaseRecord(self.node.name, fence, renewal, actions + is_announcing)
         is_succession = self.is_vacant and bool(self.last_seen)
 
@@ -332,7 +334,7 @@
             if outcome != "chosen" or read_record(value) != wanted:
                 return self._rest()
             self._hold(wanted, now_us + self.lease_us, is_succession)
-            if is_announcing and self.fence == fence:
+            if is_announcing and self.fencing_token == fence:
                 self.is_action_requested = False
                 self.announced_us = now_us
                 self.on_announced()
@@ -343,14 +345,14 @@
         """The register chose this node's record; an answer that came too late is no lease."""
         if self.node.now_us() >= expires_us:
             return
-        is_new = self.fence != record.fence
-        self.fence = record.fence
+        is_new = self.fencing_token != record.fencing_token
+        self.fencing_token = record.fencing_token
         self.renewal = record.renewal
         self.actions = record.actions
         self.expires_us = expires_us
         if is_new:
             self.is_succession = is_succession
-            self.node.ports.log(1401, duty=self.name, fence=record.fence)
+            self.node.ports.log(1401, duty=self.name, fence=record.fencing_token)
             self.on_won()
 
     def _rest(self):
--- a/packages/leases/src/linkhaven/leases/messages.py
+++ b/packages/leases/src/linkhaven/leases/records.py
@@ -9,7 +9,7 @@
     holder: str | None
     """The name of the node that holds the duty, or None once it released the lease."""
 
-    fence: int
+    fencing_token: int = msgspec.field(name="fence")
     """The fencing token: one higher with each new holder; runners refuse lower ones."""
 
     renewal: int
@@ -21,7 +21,7 @@
     @property
     def version(self):
         """What tells a newer record from an older one."""
-        return (self.fence, self.renewal)
+        return (self.fencing_token, self.renewal)
 
 
 def read_record(value):
--- a/packages/membership/src/linkhaven/membership/__init__.py
+++ b/packages/membership/src/linkhaven/membership/__init__.py
@@ -1,6 +1,6 @@
 """Membership and failure detection of the fleet."""
 
 from .member import Member
-from .ring import Membership
+from .membership import Membership
 
 __all__ = ["Member", "Membership"]
--- a/packages/membership/src/linkhaven/membership/ring.py
+++ b/packages/membership/src/linkhaven/membership/membership.py
@@ -23,15 +23,15 @@
 
 from .member import Member
 from .messages import (
-    Beat,
-    Bye,
-    Doubt,
+    Departures,
+    Heartbeat,
     Hello,
-    Left,
-    Members,
-    MembersDigest,
-    Verdict,
-    hello_of,
+    Leave,
+    MemberList,
+    MemberListDigest,
+    Suspicion,
+    SuspicionQuery,
+    make_hello,
 )
 
 WATCHERS = 3
@@ -69,13 +69,13 @@
         "node",
         "me",
         "seeds",
-        "fellows",
+        "peers",
         "beat_us",
         "gossip_us",
         "on_standing",
         "on_mark",
         "mark_of",
-        "seat_marks",
+        "replica_incarnations",
         "order",
         "watcher_names",
         "watched",
@@ -84,7 +84,7 @@
         "seat_key",
         "digest",
         "gossips",
-        "raises_own",
+        "adopts_learned_incarnation",
         "sought_us",
         "seek_until_us",
     )
@@ -93,34 +93,34 @@
         """Know nobody but the seeds' addresses; `mark_of` says this node's version of the plan."""
         self.node = node
         self.seeds = list(seeds)
-        self.fellows = Table()
+        self.peers = Table()
         self.me = Member(node.name, incarnation)
         self.me.address, self.me.kind, self.me.zone, self.me.seat = node.address, kind, zone, seat
         self.mark_of = mark_of
         self.on_standing = []
         self.on_mark = []
-        self.seat_marks = {}
+        self.replica_incarnations = {}
         self.seat_table = self.seat_key = self.digest = None
         self.gossips = 0
         self._forget_order()
-        self.raises_own = True
+        self.adopts_learned_incarnation = True
         self.beat_us = self.gossip_us = self.sought_us = 0
         self.seek_until_us = node.now_us() + SEEK_FOR_US
         node.on_message(Hello, self.on_hello)
-        node.on_message(Members, self.on_members)
-        node.on_message(MembersDigest, self.on_members_digest)
-        node.on_message(Beat, self.on_beat)
-        node.on_message(Verdict, self.on_verdict)
-        node.on_message(Bye, self.on_bye)
-        node.on_message(Left, self.on_left)
-        node.on_message(Doubt, self.on_doubt)
+        node.on_message(MemberList, self.on_members)
+        node.on_message(MemberListDigest, self.on_members_digest)
+        node.on_message(Heartbeat, self.on_beat)
+        node.on_message(Suspicion, self.on_verdict)
+        node.on_message(Leave, self.on_bye)
+        node.on_message(Departures, self.on_left)
+        node.on_message(SuspicionQuery, self.on_doubt)
         node.systems.append(self.tick)
         node.on_late.append(self.wake)
         node.on_hear.append(self.note_speaker)
 
     def note_speaker(self, name):
         """Whatever a member says tells that it runs."""
-        member = self.fellows.get(name)
+        member = self.peers.get(name)
         if member is not None:
             member.spoke_us = self.node.now_us()
 
@@ -132,13 +132,13 @@
         self.watcher_names = {}
         self.live_by_kind = {}
 
-    def live(self, kind=None):
+    def live_members(self, kind=None):
         """Those that are up and have not left; the caller must not change the list."""
         found = self.live_by_kind.get(kind)
         if found is None:
             found = self.live_by_kind[kind] = [
                 member
-                for member in self.fellows.values()
+                for member in self.peers.values()
                 if member.is_up and not member.has_left and kind in (None, member.kind)
             ]
         return found
@@ -151,17 +151,17 @@
             if address and address not in self.seeds and address != self.node.address
         ]
 
-    def sit(self, seat, seat_incarnation):
+    def announce_replica(self, seat, seat_incarnation):
         """This node took a seat, or left it: a new incarnation, told to everyone at once."""
-        self.raises_own = False
+        self.adopts_learned_incarnation = False
         self.me.incarnation += 1
         self.me.seat, self.me.seat_incarnation = seat, seat_incarnation
         self.me.mark = self.mark_of()
         self.seat_table = None
         if seat:
-            self.learn_seats({seat: seat_incarnation})
-        for member in self.live():
-            self.node.send(member.address, Members([self.me.as_member()]))
+            self.learn_incarnations({seat: seat_incarnation})
+        for member in self.live_members():
+            self.node.send(member.address, MemberList([self.me.as_member()]))
 
     def seats(self):
         """Each seat's address and newest incarnation; the caller must not change the table."""
@@ -169,15 +169,18 @@
         if self.seat_table is None or self.seat_key != key:
             self.seat_key = key
             self.seat_table = {
-                seat: (member.address, max(member.seat_incarnation, self.seat_marks.get(seat, 0)))
-                for seat, member in self.seat_holders().items()
+                seat: (
+                    member.address,
+                    max(member.seat_incarnation, self.replica_incarnations.get(seat, 0)),
+                )
+                for seat, member in self.replica_members().items()
             }
         return self.seat_table
 
-    def seat_holders(self):
+    def replica_members(self):
         """The newest occupant that is known of each seat."""
         found = {}
-        for member in [self.me, *self.fellows.values()]:
+        for member in [self.me, *self.peers.values()]:
             if not member.seat:
                 continue
             held = found.get(member.seat)
@@ -190,18 +193,18 @@
             return member.seat_incarnation > held.seat_incarnation
         return member.incarnation > held.incarnation
 
-    def learn_seats(self, known):
+    def learn_incarnations(self, known):
         """Take in the newest incarnation of each seat that somebody knows."""
         for seat, incarnation in known.items():
-            if incarnation > self.seat_marks.get(seat, 0):
-                self.seat_marks[seat] = incarnation
+            if incarnation > self.replica_incarnations.get(seat, 0):
+                self.replica_incarnations[seat] = incarnation
                 self.seat_table = None
         if (
-            self.raises_own
+            self.adopts_learned_incarnation
             and self.me.seat in known
             and known[self.me.seat] > self.me.seat_incarnation
         ):
-            self.me.seat_incarnation = self.seat_marks[self.me.seat]
+            self.me.seat_incarnation = self.replica_incarnations[self.me.seat]
 
     def watchers_of(self, name):
         """The next names on the ring after this one's place, of those that are up."""
@@ -212,7 +215,7 @@
 
     def _find_watchers(self, name):
         if self.order is None:
-            names = [member.name for member in self.live()]
+            names = [member.name for member in self.live_members()]
             self.order = sorted((place_of(other), other) for other in (*names, self.node.name))
         start = bisect_left(self.order, (place_of(name), name))
         found = []
@@ -226,10 +229,10 @@
 
     def on_hello(self, message):
         """Take the sender in, and tell it all members."""
-        member = self._take(message.fellow, is_first_hand=True)
+        member = self._take(message.member, is_first_hand=True)
         if member is not None:
             self._note_version(member, message.version)
-        self.node.send(message.reply_to, Members(self._records()))
+        self.node.send(message.reply_to, MemberList(self._records()))
 
     def _note_version(self, member, version):
         """A member of another version is logged once for each of its starts."""
@@ -243,31 +246,31 @@
         self.me.mark = self.mark_of()
         return [
             self.me.as_member(),
-            *(member.as_member() for member in self.fellows.values() if not member.has_left),
+            *(member.as_member() for member in self.peers.values() if not member.has_left),
         ]
 
     def on_members(self, message):
         """Take in what the sender knows; only what it says of itself is first-hand."""
         gone = []
-        for record in message.fellows:
+        for record in message.members:
             self._take(record, is_first_hand=record.name == message.sender)
             self._doubt(record)
             if self._has_left(record):
                 gone.append((record.name, record.incarnation))
         if gone:
-            self.node.send(message.reply_to, Left(gone))
+            self.node.send(message.reply_to, Departures(gone))
         if message.is_asking:
-            self.node.send(message.reply_to, Members(self._records()))
+            self.node.send(message.reply_to, MemberList(self._records()))
 
     def _has_left(self, record):
         """Whether this node heard the bye of a member that another still counts in."""
-        member = self.fellows.get(record.name)
+        member = self.peers.get(record.name)
         return member is not None and member.has_left and member.incarnation >= record.incarnation
 
     def on_left(self, message):
         """A bye that this node missed: nobody watches who has left, so no verdict comes either."""
-        for name, incarnation in message.fellows:
-            member = self.fellows.get(name)
+        for name, incarnation in message.members:
+            member = self.peers.get(name)
             if member is not None and not member.has_left and member.incarnation <= incarnation:
                 self._count_out(member)
 
@@ -278,7 +281,7 @@
             rows = sorted(
                 f"{member.name} {member.incarnation} {member.address} {member.seat} "
                 f"{member.seat_incarnation}"
-                for member in (self.me, *self.live())
+                for member in (self.me, *self.live_members())
             )
             told = hashlib.blake2b("\n".join(rows).encode(), digest_size=PLACE_BYTES).hexdigest()
             self.digest = (key, told)
@@ -286,13 +289,13 @@
 
     def on_members_digest(self, message):
         """Whose list differs is told the whole of this one, and tells its own."""
-        self._take(message.fellow, is_first_hand=True)
+        self._take(message.member, is_first_hand=True)
         if message.digest != self._members_digest():
-            self.node.send(message.reply_to, Members(self._records(), is_asking=True))
+            self.node.send(message.reply_to, MemberList(self._records(), is_asking=True))
 
     def on_beat(self, message):
         """The sender runs, whatever this node's verdict was."""
-        member = self._take(message.fellow, is_first_hand=True)
+        member = self._take(message.member, is_first_hand=True)
         if member is None:
             return
         member.heard_us = self.node.now_us()
@@ -303,7 +306,7 @@
         """The member that a record is of, with what is new in it; None where it tells nothing."""
         if record.name == self.node.name:
             return self._outlive(record.incarnation)
-        member = self.fellows.get(record.name)
+        member = self.peers.get(record.name)
         if member is not None and record.incarnation < member.incarnation:
             return None
         if member is None or record.incarnation > member.incarnation:
@@ -327,7 +330,7 @@
         """A member's new start; the connection to its former one may hang."""
         if before is not None and before.address == record.address:
             self.node.ports.wire.renew(record.address)
-        member = self.fellows[record.name] = Member(record.name, record.incarnation)
+        member = self.peers[record.name] = Member(record.name, record.incarnation)
         self._forget_order()
         self._set_facts(member, record)
         member.seat_incarnation = record.seat_incarnation
@@ -342,7 +345,7 @@
             member.seat_incarnation = record.seat_incarnation
             self.seat_table = self.digest = None
         if record.seat:
-            self.learn_seats({record.seat: member.seat_incarnation})
+            self.learn_incarnations({record.seat: member.seat_incarnation})
         member.mark = max(member.mark, record.mark)
         for hear in self.on_mark:
             hear(record.mark, member)
@@ -361,13 +364,13 @@
 
     def _judge(self, member, is_down):
         member.verdicts[self.node.name] = is_down
-        for other in self.live():
-            self.node.send(other.address, Verdict(member.name, member.incarnation, is_down))
+        for other in self.live_members():
+            self.node.send(other.address, Suspicion(member.name, member.incarnation, is_down))
         self._weigh(member)
 
     def on_verdict(self, message):
         """Weigh a watcher's word on the start of a member that it names."""
-        member = self.fellows.get(message.about)
+        member = self.peers.get(message.about)
         if member is None or member.incarnation != message.incarnation:
             return
         member.verdicts[message.sender] = message.is_down
@@ -393,12 +396,12 @@
         if name == self.node.name or name in about.verdicts:
             return True
         now_us = self.node.now_us()
-        watcher = self.fellows[name]
+        watcher = self.peers[name]
         if watcher.spoke_us is not None and now_us - watcher.spoke_us <= self.node.bounds.missed_us:
             return True
         if watcher.probed_us is None or (watcher.spoke_us or 0) > watcher.probed_us:
             watcher.probed_us = now_us
-            self.node.send(watcher.address, hello_of(self.me.as_member()))
+            self.node.send(watcher.address, make_hello(self.me.as_member()))
             return True
         return now_us - watcher.probed_us <= self.node.bounds.missed_us
 
@@ -407,29 +410,29 @@
 
         A withdrawn verdict is told once, to those whom its teller then holds for up; who missed it
         would hold the verdict for as long as that start runs."""
-        member = self.fellows.get(record.name)
+        member = self.peers.get(record.name)
         if member is None or member.is_up or member.has_left or not record.is_up:
             return
         if member.incarnation != record.incarnation:
             return
         for name, is_down in member.verdicts.items():
-            judge = self.fellows.get(name)
+            judge = self.peers.get(name)
             if is_down and judge is not None:
-                self.node.send(judge.address, Doubt(member.name, member.incarnation))
+                self.node.send(judge.address, SuspicionQuery(member.name, member.incarnation))
 
     def on_doubt(self, message):
         """Say again what this node holds as a watcher; who watches no more has no verdict."""
-        member = self.fellows.get(message.about)
+        member = self.peers.get(message.about)
         if member is None or member.incarnation != message.incarnation:
             return
         is_watched = member.name in self._find_watched()
         is_down = is_watched and bool(member.verdicts.get(self.node.name))
-        verdict = Verdict(member.name, member.incarnation, is_down)
+        verdict = Suspicion(member.name, member.incarnation, is_down)
         self.node.send(message.reply_to, verdict)
 
     def on_bye(self, message):
         """The sender stopped on purpose."""
-        member = self.fellows.get(message.sender)
+        member = self.peers.get(message.sender)
         if member is not None:
             self._count_out(member)
 
@@ -440,14 +443,14 @@
         member.down_us = self.node.now_us()
         self._spread(member)
 
-    def say_bye(self):
+    def send_leave(self):
         """Tell all that this node stops."""
-        for member in self.live():
-            self.node.send(member.address, Bye())
+        for member in self.live_members():
+            self.node.send(member.address, Leave())
 
     def wake(self, now_us):
         """After a pause of this process its silence tells nothing of others."""
-        for member in self.fellows.values():
+        for member in self.peers.values():
             member.heard_us = None
         self.beat_us = 0
 
@@ -470,21 +473,21 @@
         self.sought_us = now_us
         self.me.mark = self.mark_of()
         for seed in self._missing_seeds():
-            self.node.send(seed, hello_of(self.me.as_member()))
+            self.node.send(seed, make_hello(self.me.as_member()))
 
     def _missing_seeds(self):
-        known = {member.address for member in self.live()}
+        known = {member.address for member in self.live_members()}
         return [seed for seed in self.seeds if seed not in known and seed != self.node.address]
 
     def _beat(self):
         self.me.mark = self.mark_of()
-        beat = Beat(self.me.as_member())
+        beat = Heartbeat(self.me.as_member())
         for name in self.watchers_of(self.node.name):
-            self.node.send(self.fellows[name].address, beat)
+            self.node.send(self.peers[name].address, beat)
 
     def _watch(self, now_us):
         watched = self._find_watched()
-        for member in self.fellows.rows():
+        for member in self.peers.rows():
             if member.has_left or member.name not in watched:
                 member.heard_us = None
                 continue
@@ -494,43 +497,41 @@
                 self.node.name
             ):
                 self._judge(member, True)
-        for member in self.fellows.rows():
+        for member in self.peers.rows():
             if member.is_up and member.verdicts and any(member.verdicts.values()):
                 self._weigh(member)
 
     def _find_watched(self):
         """The names that this node watches, until it hears of a change."""
         if self.watched is None:
-            self.watched = {
-                name for name in self.fellows if self.node.name in self.watchers_of(name)
-            }
+            self.watched = {name for name in self.peers if self.node.name in self.watchers_of(name)}
         return self.watched
 
     def _gossip(self, now_us):
         self.me.mark = self.mark_of()
         for seed in self._missing_seeds():
-            self.node.send(seed, hello_of(self.me.as_member()))
-        fellows = self.live() or self.fellows.rows()
-        if fellows:
-            self._tell_list(fellows[self.node.ports.dice.randrange(len(fellows))])
+            self.node.send(seed, make_hello(self.me.as_member()))
+        peers = self.live_members() or self.peers.rows()
+        if peers:
+            self._tell_list(peers[self.node.ports.dice.randrange(len(peers))])
         self._call_downs(now_us)
 
     def _tell_list(self, other):
         """The list's digest; now and then the list itself, for what the digest leaves out."""
         self.gossips += 1
         if self.gossips % WHOLE_EVERY == 1:
-            self.node.send(other.address, Members(self._records(), is_asking=True))
+            self.node.send(other.address, MemberList(self._records(), is_asking=True))
             return
-        digest = MembersDigest(self.me.as_member(), self._members_digest())
+        digest = MemberListDigest(self.me.as_member(), self._members_digest())
         self.node.send(other.address, digest)
 
     def _call_downs(self, now_us):
-        downs = [member for member in self.fellows.values() if not member.is_up]
+        downs = [member for member in self.peers.values() if not member.is_up]
         for member in downs:
             if now_us - member.down_us > FORGET_US:
-                self.fellows.drop(member.name)
+                self.peers.drop(member.name)
                 self._forget_order()
                 self.seat_table = None
         if downs:
             other = downs[self.node.ports.dice.randrange(len(downs))]
-            self.node.send(other.address, hello_of(self.me.as_member()))
+            self.node.send(other.address, make_hello(self.me.as_member()))
--- a/packages/membership/src/linkhaven/membership/messages.py
+++ b/packages/membership/src/linkhaven/membership/messages.py
@@ -33,33 +33,33 @@
 class Hello(Message, tag="hello", frozen=True):
     """A member that wants to be known, or to know if another one runs; `Members` answers it."""
 
-    fellow: MemberRecord
+    member: MemberRecord = msgspec.field(name="fellow")
     version: int = UNTOLD_VERSION
     """The sender's `PROTOCOL_VERSION`."""
 
 
-class Members(Message, tag="members", frozen=True):
+class MemberList(Message, tag="members", frozen=True):
     """Members that the sender knows."""
 
-    fellows: list[MemberRecord]
+    members: list[MemberRecord] = msgspec.field(name="fellows")
     is_asking: bool = False
     """Whether the sender wants to be told the same in return."""
 
 
-class MembersDigest(Message, tag="digest", frozen=True):
+class MemberListDigest(Message, tag="digest", frozen=True):
     """The sender and a hash of the members it knows; whose hash differs answers with `Members`."""
 
-    fellow: MemberRecord
+    member: MemberRecord = msgspec.field(name="fellow")
     digest: str
 
 
-class Beat(Message, tag="beat", frozen=True):
+class Heartbeat(Message, tag="beat", frozen=True):
     """The heartbeat of a member, to those that watch it."""
 
-    fellow: MemberRecord
+    member: MemberRecord = msgspec.field(name="fellow")
 
 
-class Verdict(Message, tag="verdict", frozen=True):
+class Suspicion(Message, tag="verdict", frozen=True):
     """A watcher's word on whether a member is down."""
 
     about: str
@@ -67,24 +67,24 @@
     is_down: bool
 
 
-class Bye(Message, tag="bye", frozen=True):
+class Leave(Message, tag="bye", frozen=True):
     """The sender stops and wants to be watched no longer."""
 
 
-class Doubt(Message, tag="doubt", frozen=True):
+class SuspicionQuery(Message, tag="doubt", frozen=True):
     """Asks a watcher for its verdict again: another holds up whom the sender holds down."""
 
     about: str
     incarnation: int
 
 
-class Left(Message, tag="left", frozen=True):
+class Departures(Message, tag="left", frozen=True):
     """Members that the sender heard say `Bye`, told to one that still counts them in."""
 
-    fellows: list[tuple[str, int]]
+    members: list[tuple[str, int]] = msgspec.field(name="fellows")
     """Name and incarnation of each."""
 
 
-def hello_of(record):
+def make_hello(record):
     """The hello of a member with this record, in this version."""
     return Hello(record, PROTOCOL_VERSION)
--- a/packages/router/src/linkhaven/router/explain.py
+++ b/packages/router/src/linkhaven/router/explain.py
@@ -17,11 +17,11 @@
     """Bounded records of ended requests and of what happened in the fleet around them, as this router saw it; a
     request of another router is asked there."""
 
-    __slots__ = ("node", "ring", "requests", "ended", "events", "asked")
+    __slots__ = ("node", "membership", "requests", "ended", "events", "asked")
 
-    def __init__(self, node, ring, requests):
+    def __init__(self, node, membership, requests):
         self.node = node
-        self.ring = ring
+        self.membership = membership
         self.requests = requests
         self.ended = FIFOCache(EXPLAINED)
         self.events = deque(maxlen=EVENTS)
@@ -60,7 +60,7 @@
         record = self._record(id)
         if record is not None:
             return call.answer_json(200, record)
-        owner = self.ring.fellows.get(id.rsplit("-", 2)[0])
+        owner = self.membership.peers.get(id.rsplit("-", 2)[0])
         if owner is None or not owner.is_up:
             raise ServiceError("no_such_request", request=id)
         self.asked.setdefault(id, []).append((call, self.node.now_us() + ASK_US))
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -46,7 +46,7 @@
 
 class RouterNode(Node):
     __slots__ = (
-        "ring",
+        "membership",
         "proposer",
         "snapshot",
         "watcher",
@@ -105,25 +105,25 @@
         self.doors = Doors()
         self.incarnation = incarnation
         self.snapshot = ConfigurationSnapshot()
-        self.ring = Membership(
+        self.membership = Membership(
             self, "router", zone, seeds, incarnation, mark_of=lambda: self.snapshot.version
         )
-        self.ring.on_mark.append(lambda mark, fellow: self.snapshot.observe_version(mark))
-        self.proposer = Proposer(self, self.ring, majority)
+        self.membership.on_mark.append(lambda mark, member: self.snapshot.observe_version(mark))
+        self.proposer = Proposer(self, self.membership, majority)
         self.watcher = ConfigurationWatcher(
-            self, self.ring, self.snapshot, majority, self._count_routers
+            self, self.membership, self.snapshot, majority, self._count_routers
         )
         self.roster = Roster(self)
         self.desk = desk_of(self)
         self.keys = Keys(self, self.proposer)
-        self.pairing = Pairing(self, self.roster, lambda: self.ring.live("router"))
+        self.pairing = Pairing(self, self.roster, lambda: self.membership.live_members("router"))
         self.extra = RetryBudget(self)
         self.credit = AdmissionQueues(self, self._pace_at_first, self.end_with_error)
         self.requests = Table()
         self.attempts = Attempts(self, self.pairing, self.desk, self.roster, self.extra)
         self.flow = Flow(self, self.pairing, self.roster, self.requests.rows, self.attempts.move)
         self.chain = Filters(self).chain(self.end_with_error)
-        self.explainer = Explainer(self, self.ring, self.requests)
+        self.explainer = Explainer(self, self.membership, self.requests)
         self.refusals = RefusalReport(self, self.roster, self.pairing)
         self.invariants = PlacementInvariants(self, self.pairing)
         self.calm_since_us = self.now_us()
@@ -202,10 +202,10 @@
 
     def _pace_at_first(self):
         """This router's even part of what all runners read, until its own queue has shown its pace."""
-        return self.pairing.reading_pace() // (1 + len(self.ring.live("router")))
+        return self.pairing.reading_pace() // (1 + len(self.membership.live_members("router")))
 
     def _count_routers(self):
-        return 1 + len(self.ring.live("router"))
+        return 1 + len(self.membership.live_members("router"))
 
     def _is_pressed(self):
         """Whether this router waits for a larger share than it has."""
@@ -304,7 +304,7 @@
         pool = (self.snapshot.configuration or {}).get("pools", {}).get(runner.pool)
         if pool is None:
             return None
-        return max(2, pool["conns"] * 4 // (5 * (1 + len(self.ring.live("router")))))
+        return max(2, pool["conns"] * 4 // (5 * (1 + len(self.membership.live_members("router")))))
 
     def is_ready(self):
         return self.may_start() and not self.is_draining
@@ -537,7 +537,7 @@
         self.ports.log(1002, running=len(self.requests))
         if not self.bounds.linger_us:
             self._refuse_waiting()
-            self.ring.say_bye()
+            self.membership.send_leave()
 
     def _refuse_waiting(self):
         for request in self.requests.rows():
@@ -553,7 +553,7 @@
             for request in self.requests.rows():
                 self.end_with_error(request, ServiceError("cut_by_drain"))
         if not self.requests:
-            self.ring.say_bye()
+            self.membership.send_leave()
             drained, self.on_drained = self.on_drained, None
             drained()
 
@@ -564,7 +564,7 @@
             {
                 "name": self.name,
                 "kind": "router",
-                "zone": self.ring.me.zone,
+                "zone": self.membership.me.zone,
                 "mark": self.snapshot.version,
                 "is_fresh": self.watcher.is_fresh(),
                 "is_draining": self.is_draining,
@@ -572,7 +572,7 @@
                 if self.roster.taken_us is not None
                 else None,
                 "runners": [runner.as_record(now_us) for runner in self.roster.runners.values()],
-                "fellows": [fellow.as_record() for fellow in self.ring.fellows.values()],
+                "fellows": [member.as_record() for member in self.membership.peers.values()],
                 "groups": {
                     account.name: {
                         "queued": len(account.queue),
--- a/packages/simulator/src/linkhaven/simulator/question.py
+++ b/packages/simulator/src/linkhaven/simulator/question.py
@@ -5,7 +5,7 @@
 from linkhaven.api import ServiceError
 from linkhaven.api.fields import NAME, list_places, number, whole
 from linkhaven.configuration import list_document_faults
-from linkhaven.controller import DUTIES
+from linkhaven.controller import SINGLETON_ROLES
 from linkhaven.stage.faults import ALL
 from linkhaven.stage.fleet import DEPLOYMENTS
 
@@ -138,7 +138,7 @@
     if fault in SEAT_FAULTS:
         return ("a", "b", "c")
     if fault in DUTY_FAULTS:
-        return DUTIES
+        return SINGLETON_ROLES
     if fault in ROUTER_FAULTS:
         return [f"edge-{place + 1}" for place in range(fleet["routers"])]
     if fault in RUNNER_FAULTS:
--- a/packages/stage/src/linkhaven/stage/changecourse.py
+++ b/packages/stage/src/linkhaven/stage/changecourse.py
@@ -15,7 +15,7 @@
 | `ALL_POWERLESS` | the same, and what wasn't synced | all at once |
 """
 
-from linkhaven.controller import DUTIES
+from linkhaven.controller import SINGLETON_ROLES
 from linkhaven.runtime import write_json
 
 from .core import SimCore
@@ -200,10 +200,10 @@
             if host.node.watch_server.is_current():
                 found.old_news.append((now_us, host.name, revision))
         nodes = [host.node for host in self.core.machines.values() if host.node]
-        for duty in DUTIES:
-            holders = [node.name for node in nodes if node.duties[duty].is_held()]
+        for role in SINGLETON_ROLES:
+            holders = [node.name for node in nodes if node.leases[role].is_held()]
             if len(holders) > 1:
-                found.holders.append((now_us, duty, holders))
+                found.holders.append((now_us, role, holders))
 
 
 def revision_of(value):
--- a/packages/stage/src/linkhaven/stage/checkers.py
+++ b/packages/stage/src/linkhaven/stage/checkers.py
@@ -244,9 +244,9 @@
             if holders.setdefault(facts["fence"], facts["node"]) != facts["node"]:
                 yield f"fence {facts['fence']} was won by {holders[facts['fence']]} and {facts['node']}"
         elif kind == "held":
-            for duty, names in facts["duties"].items():
+            for role, names in facts["duties"].items():
                 if len(names) > 1:
-                    yield f"{duty} was held by {' and '.join(names)} at {at_us}"
+                    yield f"{role} was held by {' and '.join(names)} at {at_us}"
         elif kind == "order":
             fence = facts["fence"]
             if holders.setdefault(fence, facts["holder"]) != facts["holder"]:
--- a/packages/stage/src/linkhaven/stage/control.py
+++ b/packages/stage/src/linkhaven/stage/control.py
@@ -98,7 +98,7 @@
         ],
         "refused_though_right": history.refused_though_right(course.newest),
         "current": [s.at_us for s in while_cut if s.is_current and s.at_us > current_until_us],
-        "duties": [s.at_us for s in while_cut if s.duties and s.at_us > held_until_us],
+        "duties": [s.at_us for s in while_cut if s.roles and s.at_us > held_until_us],
         "not_back": not_back(course, back_by_us),
     }
     return keep_found(found)
--- a/packages/stage/src/linkhaven/stage/cutcourse.py
+++ b/packages/stage/src/linkhaven/stage/cutcourse.py
@@ -5,7 +5,7 @@
 go on. What is sampled beside the operators' history: whether the member calls its configuration
 current, and what duties it holds."""
 
-from linkhaven.controller import DUTIES
+from linkhaven.controller import SINGLETON_ROLES
 
 from .core import SimCore
 from .orders import REFUSED, TAKEN, Operators, Order
@@ -28,13 +28,13 @@
 class Sample:
     """What the member that is cut off held at a moment."""
 
-    __slots__ = ("at_us", "is_current", "duties", "revision")
+    __slots__ = ("at_us", "is_current", "roles", "revision")
 
     def __init__(self, at_us, node):
         """Read straight from the node: no call of an operator shows it."""
         self.at_us = at_us
         self.is_current = node.watch_server.is_current()
-        self.duties = [name for name in DUTIES if node.duties[name].is_held()]
+        self.roles = [name for name in SINGLETON_ROLES if node.leases[name].is_held()]
         self.revision = (node.seat.cell("plan").value or {}).get("revision") or 0
 
 
@@ -81,7 +81,7 @@
         return names[self.core.world.dice.randrange(len(names))]
 
     def _is_holder(self, name):
-        return any(duty.is_held() for duty in self.core.machines[name].node.duties.values())
+        return any(lease.is_held() for lease in self.core.machines[name].node.leases.values())
 
     def order(self, base=None):
         """A new order, on the newest acknowledged version unless told otherwise."""
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -7,7 +7,7 @@
 from linkhaven.controller import ControllerNode
 from linkhaven.leases import Lease
 from linkhaven.membership import Membership
-from linkhaven.membership.messages import Members
+from linkhaven.membership.messages import MemberList
 from linkhaven.runtime import Bounds, Node
 
 SEATS = ("a", "b", "c", "d", "e")
@@ -16,7 +16,7 @@
     "kinds": {"k": {"group": "g", "ttft_us": 1, "tpot_us": 1, "deadline_us": 9}},
 }
 DUTY = "roster"
-DUTY_WON = 1401
+LEASE_WON = 1401
 PLAN_KEY = "plan"
 VOTES = {"promise": False, "accepted": True}
 REFUSED_CODES = ("revision_conflict", "revision_old")
@@ -54,28 +54,38 @@
     """The register alone: proposer, acceptor with its rejoin, operators' desk and one duty, all real. The ring
     only says who has which seat: it judges nobody, as its timers aren't called."""
 
-    __slots__ = ("ring", "proposer", "seat", "snapshot", "blobs", "configuration_store", "duty")
+    __slots__ = (
+        "membership",
+        "proposer",
+        "seat",
+        "snapshot",
+        "blobs",
+        "configuration_store",
+        "duty",
+    )
 
     def __init__(self, name, address, ports, bounds, has_duty, contacts):
         super().__init__(name, address, ports, bounds)
-        self.ring = Membership(self, "registry", "z", [], ports.clock.now_us() + ports.clock.start)
-        self.systems.remove(self.ring.tick)
-        self.proposer = Proposer(self, self.ring)
+        self.membership = Membership(
+            self, "registry", "z", [], ports.clock.now_us() + ports.clock.start
+        )
+        self.systems.remove(self.membership.tick)
+        self.proposer = Proposer(self, self.membership)
         seats = SEATS[: bounds.seats]
-        self.seat = Replica(self, None, seats, self.ring, lambda key: None, self._hear_votes)
+        self.seat = Replica(self, None, seats, self.membership, lambda key: None, self._hear_votes)
         self.seat.occupants.contact = address
         self.snapshot = ConfigurationSnapshot()
         self.blobs = BlobStore(self, self.seat)
         self.configuration_store = ConfigurationStore(
             self, self.proposer, self.blobs, self.snapshot
         )
-        self.duty = Lease(self, DUTY, self.proposer, self.seat) if has_duty else None
+        self.lease = Lease(self, DUTY, self.proposer, self.seat) if has_duty else None
         if contacts and self.seat.is_empty and not self.seat.seat:
             self.seat.begin_first(seats[contacts.index(address)], contacts)
 
     def _hear_votes(self):
-        if self.duty is not None and not self.seat.votes_from_us:
-            self.duty.allow_election_now()
+        if self.lease is not None and not self.seat.votes_from_us:
+            self.lease.allow_election_now()
 
 
 def build_core(seats, has_duty, contacts):
@@ -103,8 +113,12 @@
         if other is not machine and other.node is not None
     ]
     for other in others:
-        node.ring.on_members(Members([other.node.ring.me.as_member()], sender=other.name))
-        other.node.ring.on_members(Members([node.ring.me.as_member()], sender=node.name))
+        node.membership.on_members(
+            MemberList([other.node.membership.me.as_member()], sender=other.name)
+        )
+        other.node.membership.on_members(
+            MemberList([node.membership.me.as_member()], sender=node.name)
+        )
 
 
 def build_registry(seats, contacts, **bounds):
@@ -167,7 +181,7 @@
 
 def fence_won(number, facts):
     """Duty and fence, where a log event says that a duty was won."""
-    return (facts["duty"], facts["fence"]) if number == DUTY_WON else None
+    return (facts["duty"], facts["fence"]) if number == LEASE_WON else None
 
 
 def _newest_occupants(world):
@@ -238,7 +252,7 @@
         return False
     if machine.node.proposer.is_cut_off:
         return False
-    marks = machine.node.ring.seat_marks
+    marks = machine.node.membership.replica_incarnations
     if any(epoch > marks.get(seat, 0) for seat, epoch in message["known"].items()):
         return False
     change = machine.node.proposer.changes.get(message["id"])
--- a/packages/stage/src/linkhaven/stage/faults/core.py
+++ b/packages/stage/src/linkhaven/stage/faults/core.py
@@ -19,9 +19,9 @@
         host.freeze()
         return host.wake
 
-    def freeze_holder(self, duty="steward"):
+    def freeze_holder(self, role="steward"):
         for host in self.fleet.registries.values():
-            if host.node and host.node.duties[duty].is_held():
+            if host.node and host.node.leases[role].is_held():
                 host.freeze()
                 return host.wake
         return None
--- a/packages/stage/src/linkhaven/stage/faults/runners.py
+++ b/packages/stage/src/linkhaven/stage/faults/runners.py
@@ -140,6 +140,6 @@
     def cut_platform_from_holder(self):
         """The seat that keeps the list of runners loses the platform alone."""
         for host in self.fleet.registries.values():
-            if host.node and host.node.duties["roster"].is_held():
+            if host.node and host.node.leases["roster"].is_held():
                 self.world.cut([host.name], [self.fleet.platform.name])
         return self.world.heal
--- a/packages/stage/src/linkhaven/stage/fleet.py
+++ b/packages/stage/src/linkhaven/stage/fleet.py
@@ -1,6 +1,6 @@
 import random
 
-from linkhaven.controller import DUTIES, ControllerNode
+from linkhaven.controller import SINGLETON_ROLES, ControllerNode
 from linkhaven.router import RouterNode
 from linkhaven.runtime import read_json
 
@@ -320,7 +320,7 @@
 
     def are_duties_held(self):
         nodes = [host.node for host in self.registries.values() if host.node]
-        return all(any(node.duties[duty].is_held() for node in nodes) for duty in DUTIES)
+        return all(any(node.leases[role].is_held() for node in nodes) for role in SINGLETON_ROLES)
 
     def is_ready(self):
         return all(
--- a/packages/stage/src/linkhaven/stage/line_costs.py
+++ b/packages/stage/src/linkhaven/stage/line_costs.py
@@ -10,7 +10,7 @@
 from linkhaven.configuration.history import digest_of
 from linkhaven.configuration.packing import pack_blob
 from linkhaven.controller.messages import Image, Keys, WantKeys
-from linkhaven.membership.messages import Beat, MemberRecord, Members
+from linkhaven.membership.messages import Heartbeat, MemberList, MemberRecord
 from linkhaven.pairing.messages import QueueView, QueueViews
 from linkhaven.runtime import LineReader, Node, write_json, write_line
 
@@ -44,8 +44,10 @@
     keys = [(f"claim/group-1/{number:040x}", f"router-1-{number}") for number in range(KEYS_A_PAGE)]
     view = QueueView("runner-17", 1_796_190_863_255_515, 3, 5_120, 20_480, 9)
     return {
-        "a heartbeat (beat)": Beat(_member(1), **ENVELOPE),
-        f"a list of {MEMBERS} members": Members([_member(n) for n in range(MEMBERS)], **ENVELOPE),
+        "a heartbeat (beat)": Heartbeat(_member(1), **ENVELOPE),
+        f"a list of {MEMBERS} members": MemberList(
+            [_member(n) for n in range(MEMBERS)], **ENVELOPE
+        ),
         "one view of a queue (books)": QueueViews([view], **ENVELOPE),
         "a small message (want_keys)": WantKeys("core-1/123456/789", 500, **ENVELOPE),
         f"a page of {KEYS_A_PAGE} keys": Keys("core-1/123456/789", 0, keys, False, **ENVELOPE),
--- a/packages/stage/src/linkhaven/stage/measure.py
+++ b/packages/stage/src/linkhaven/stage/measure.py
@@ -180,20 +180,20 @@
         delays = []
         for seed in range(1, seeds + 1):
             fleet = make_fleet(deployment, seed)
-            for duty in ("steward", "bursar", "roster"):
-                holder = _holder(fleet, duty)
+            for role in ("steward", "bursar", "roster"):
+                holder = _holder(fleet, role)
                 begun_us = fleet.world.now_us
                 getattr(holder, deed)()
-                fleet.world.wait_for(partial(_holder, fleet, duty), 12 * SECOND, 10_000)
+                fleet.world.wait_for(partial(_holder, fleet, role), 12 * SECOND, 10_000)
                 delays.append(fleet.world.now_us - begun_us)
                 holder.wake() if deed == "freeze" else holder.start()
                 fleet.world.run_for(8 * SECOND)
         tell({"holder": deed, "samples": len(delays), **_spread_ms(delays)})
 
 
-def _holder(fleet, duty):
+def _holder(fleet, role):
     for host in fleet.registries.values():
-        if host.node and not host.is_frozen and host.node.duties[duty].is_held():
+        if host.node and not host.is_frozen and host.node.leases[role].is_held():
             return host
     return None
 
--- a/packages/stage/src/linkhaven/stage/scenario.py
+++ b/packages/stage/src/linkhaven/stage/scenario.py
@@ -1,4 +1,4 @@
-from linkhaven.controller import DUTIES
+from linkhaven.controller import SINGLETON_ROLES
 
 from .checkers import judge
 from .faults import Faults
@@ -34,8 +34,8 @@
         fleet.world.note(
             "held",
             duties={
-                duty: [node.name for node in nodes if node.duties[duty].is_held()]
-                for duty in DUTIES
+                role: [node.name for node in nodes if node.leases[role].is_held()]
+                for role in SINGLETON_ROLES
             },
         )
         fleet.world.after(250_000, self._probe)
--- a/packages/stage/src/linkhaven/stage/slopes/hollow.py
+++ b/packages/stage/src/linkhaven/stage/slopes/hollow.py
@@ -1,7 +1,7 @@
 import gc
 
 from linkhaven.configuration.history import KEPT_UPDATES
-from linkhaven.controller import DUTIES
+from linkhaven.controller import SINGLETON_ROLES
 
 from ..fleet import Deployment, SimFleet
 from ..standins import Speeds
@@ -152,11 +152,11 @@
 
     def roles(self):
         roles = {"router": [host for host in self.routers.values() if host.node is not None]}
-        for duty in DUTIES:
-            roles[duty] = [
+        for role in SINGLETON_ROLES:
+            roles[role] = [
                 host
                 for host in self.registries.values()
-                if host.node is not None and host.node.duties[duty].is_held()
+                if host.node is not None and host.node.leases[role].is_held()
             ]
         roles["runner"] = [host for host in self.runners.values() if host.node is not None]
         return roles
--- a/packages/stage/src/linkhaven/stage/slopes/large.py
+++ b/packages/stage/src/linkhaven/stage/slopes/large.py
@@ -76,7 +76,7 @@
 
     def _count_views(self):
         hosts = [host for host in self.fleet.routers.values() if host.node is not None]
-        counts = [len(host.node.ring.live("router")) + 1 for host in hosts]
+        counts = [len(host.node.membership.live_members("router")) + 1 for host in hosts]
         seen = [len(host.node.roster.open_runners()) for host in hosts]
         return {
             "routers_up": len(hosts),
@@ -133,7 +133,7 @@
         )
 
     def _sees_router(self, host, dead):
-        return any(other.name in dead for other in host.node.ring.live("router"))
+        return any(other.name in dead for other in host.node.membership.live_members("router"))
 
     def _sees_runner(self, host, dead):
         return any(other.name in dead for other in host.node.roster.open_runners())
--- a/packages/stage/src/linkhaven/stage/world.py
+++ b/packages/stage/src/linkhaven/stage/world.py
@@ -12,7 +12,7 @@
 ROOM_BYTES = 65_536
 STALLED_AT_MOST = 200
 SYNC_US = 1_000
-DUTY_WON, SHUT = 1401, 2002
+LEASE_WON, SHUT = 1401, 2002
 SILENT, RESET, REFUSAL = "silent", "reset", "refusal"
 
 
@@ -223,7 +223,7 @@
         return self.is_frozen or self.is_held
 
     def _log(self, number, **facts):
-        if number == DUTY_WON:
+        if number == LEASE_WON:
             self.world.note("won", node=self.name, duty=facts["duty"], fence=facts["fence"])
         if number == SHUT:
             self.world.note("shut", node=self.name, address=self.address)
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -128,7 +128,7 @@
     """The host of the seat whose answers bring the body."""
     watcher = router.node.watcher
     now_us = router.node.now_us()
-    seats = router.node.ring.seats()
+    seats = router.node.membership.seats()
     (source,) = [seat for seat in seats if watcher._is_source(seat, now_us)]
     return next(host for host in router.world.hosts.values() if host.address == seats[source][0])
 
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -74,7 +74,7 @@
 
 
 def forget_grants(monkeypatch):
-    monkeypatch.setattr(Lease, "is_held", lambda self: self.fence is not None)
+    monkeypatch.setattr(Lease, "is_held", lambda self: self.fencing_token is not None)
     monkeypatch.setattr(Lease, "_lapse", lambda self: None)
 
 
@@ -222,8 +222,8 @@
             assert told.document["detail"]["why"] == "no_majority"
     standing = call(core, "core-1", "GET", "/v1/standing").document
     assert standing["is_current"] is False
-    duties = call(core, "core-1", "GET", "/v1/core").document["duties"]
-    assert not any(duty["held"] for duty in duties.values())
+    leases = call(core, "core-1", "GET", "/v1/core").document["duties"]
+    assert not any(lease["held"] for lease in leases.values())
 
 
 @pytest.mark.parametrize("seats", [3, 5])
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -27,7 +27,7 @@
         (
             host
             for host in fleet.registries.values()
-            if host.node and not host.is_frozen and host.node.duties[duty].is_held()
+            if host.node and not host.is_frozen and host.node.leases[duty].is_held()
         ),
         None,
     )
@@ -114,7 +114,7 @@
         fleet.routers[name].kill()
     fleet.world.run_for(8 * SECOND)
     for host in [*fleet.registries.values(), fleet.routers["edge-1"]]:
-        assert [name for name in dead if host.node.ring.fellows[name].is_up] == []
+        assert [name for name in dead if host.node.membership.peers[name].is_up] == []
 
 
 def test_a_node_that_cannot_hear_does_not_talk_others_down():
@@ -137,29 +137,29 @@
 
     def build_with_old_clock(host, ports):
         node = build(host, ports)
-        node.ring.me.incarnation = 0
+        node.membership.me.incarnation = 0
         return node
 
     host.build = build_with_old_clock
     host.start()
     fleet.world.run_for(6 * SECOND)
-    assert fleet.registries["a"].node.ring.fellows["edge-1"].is_up
+    assert fleet.registries["a"].node.membership.peers["edge-1"].is_up
 
 
 @pytest.mark.parametrize("duty", ["steward", "bursar", "roster"])
 def test_a_vacant_duty_is_filled_by_exactly_one_with_a_higher_fence(duty):
     fleet, _ = make(LICENSING, 7)
     old = holder_of(fleet, duty)
-    fence = old.node.duties[duty].fence
+    fence = old.node.leases[duty].fencing_token
     old.kill()
     killed_us = fleet.world.now_us
     assert fleet.world.wait_for(lambda: holder_of(fleet, duty), 10 * SECOND, 10_000)
     assert fleet.world.now_us - killed_us < 4_500_000
     new = holder_of(fleet, duty)
-    assert new.node.duties[duty].fence > fence
+    assert new.node.leases[duty].fencing_token > fence
     fleet.world.run_for(5 * SECOND)
     held = [
-        host for host in fleet.registries.values() if host.node and host.node.duties[duty].is_held()
+        host for host in fleet.registries.values() if host.node and host.node.leases[duty].is_held()
     ]
     assert held == [new]
 
@@ -173,7 +173,7 @@
     fleet.world.run_for(300_000)
     old.freeze()
     assert fleet.world.wait_for(lambda: holder_of(fleet, "steward"), 10 * SECOND)
-    fence = holder_of(fleet, "steward").node.duties["steward"].fence
+    fence = holder_of(fleet, "steward").node.leases["steward"].fencing_token
     fleet.world.run_for(2 * SECOND)
     woke_us = fleet.world.now_us
     old.wake()
@@ -471,7 +471,8 @@
     fleet.world.run_for(4 * SECOND)
     others = [other for name, other in fleet.routers.items() if name != "edge-2"]
     assert all(
-        other.node.ring.fellows["edge-2"].is_up for other in [*others, *fleet.registries.values()]
+        other.node.membership.peers["edge-2"].is_up
+        for other in [*others, *fleet.registries.values()]
     )
     assert {event[3]["fellow"] for event in events(fleet, 1102, since_us)} <= {"edge-2"}
 
@@ -551,20 +552,20 @@
     }
     assert holder_of(fleet, "roster") is not old
     marks = {host.node.roster.place[0] for host in fleet.routers.values()}
-    assert marks == {holder_of(fleet, "roster").node.duties["roster"].fence}
+    assert marks == {holder_of(fleet, "roster").node.leases["roster"].fencing_token}
 
 
 def test_a_holder_that_was_only_slow_to_renew_is_heard_above_its_deputies():
     fleet, _ = make(LICENSING, 28)
     world = fleet.world
     old = holder_of(fleet, "roster")
-    fence = old.node.duties["roster"].fence
+    fence = old.node.leases["roster"].fencing_token
     world.cut([old.name], [host.name for host in fleet.registries.values()])
     world.run_for(2_700_000)
     world.heal()
     world.run_for(4 * SECOND)
     assert fleet.is_ready()
-    held = holder_of(fleet, "roster").node.duties["roster"].fence
+    held = holder_of(fleet, "roster").node.leases["roster"].fencing_token
     assert held > fence
     assert {host.node.roster.place[0] for host in fleet.routers.values()} == {held}
 
@@ -580,7 +581,7 @@
     world.run_for(8 * SECOND)
     assert fleet.is_ready()
     assert old.node.seat.standing == "fenced"
-    assert not any(duty.is_held() for duty in old.node.duties.values())
+    assert not any(duty.is_held() for duty in old.node.leases.values())
     asked = fleet.ask("seat-question")
     world.run_for(5 * SECOND)
     assert asked.how == "done"
@@ -723,7 +724,7 @@
             "heard": len(core.keeper.heard_us),
             "leaving": len(core.keeper.leaving),
             "out": sum(map(len, core.bursar.grants.values())),
-            "fellows": len(core.ring.fellows),
+            "fellows": len(core.membership.peers),
             "rates": len(core.switcher.rates),
             "asks": len(core.watch_server.polls),
         }
@@ -862,7 +863,7 @@
     fleet.world.run_for(2 * SECOND)
     begun_us = fleet.world.now_us
     lone = next(
-        seat for seat, host in fleet.registries.items() if host.node.duties["roster"].is_held()
+        seat for seat, host in fleet.registries.items() if host.node.leases["roster"].is_held()
     )
     faults.begin("cut_seat_from_edge", lone)
     fleet.world.run_for(12 * SECOND)
--- a/tests/test_empty_sides.py
+++ b/tests/test_empty_sides.py
@@ -83,7 +83,7 @@
         (
             host.node
             for host in one.registries.values()
-            if host.node and not host.is_still and host.node.duties["steward"].is_held()
+            if host.node and not host.is_still and host.node.leases["steward"].is_held()
         ),
         None,
     )
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -83,7 +83,7 @@
     one.run(10 * SECOND_US)
     assert one.lease.is_held() and one.changes == ["won"] and one.events == [(1401, 1)]
     record = one.lease.record()
-    assert (record.holder, record.fence) == ("one", 1) and record.renewal >= 9
+    assert (record.holder, record.fencing_token) == ("one", 1) and record.renewal >= 9
     assert all(register.patient) and len(register.patient) == record.renewal + 1
 
 
@@ -185,12 +185,12 @@
 def test_a_new_holder_has_a_fence_above_any_that_was_observed():
     register = Register()
     one = Member(register, "one")
-    one.lease.observe_fence(7.5)
+    one.lease.observe_fencing_token(7.5)
     one.run(TICK_US)
-    assert one.lease.fence == 9
-    one.lease.observe_fence(12)
+    assert one.lease.fencing_token == 9
+    one.lease.observe_fencing_token(12)
     one.run(TICK_US)
-    assert one.lease.fence == 13 and one.changes == ["won", "won"]
+    assert one.lease.fencing_token == 13 and one.changes == ["won", "won"]
 
 
 def test_a_seat_without_votes_neither_asks_nor_holds():
@@ -199,13 +199,13 @@
     one.run(TICK_US)
     one.seat.is_voting = False
     one.run(TICK_US)
-    assert not one.lease.is_held() and not one.lease.is_quiet()
+    assert not one.lease.is_held() and not one.lease.is_holder_suspected()
     one.run(10 * SECOND_US)
     one.seat.is_voting = True
     one.run(LEASE_US)
     assert not one.lease.is_held()
     one.run(SECOND_US)
-    assert one.lease.is_held() and one.lease.fence == 2
+    assert one.lease.is_held() and one.lease.fencing_token == 2
 
 
 @pytest.mark.parametrize(
@@ -217,7 +217,7 @@
     two.lease.incarnation_of = lambda name: next(known)
     one.run(TICK_US)
     two.run(TICK_US)
-    assert two.lease.is_quiet() is is_quiet
+    assert two.lease.is_holder_suspected() is is_quiet
 
 
 def test_a_record_of_a_newer_version_is_read_and_one_that_is_none_is_refused():
@@ -236,7 +236,7 @@
     one.run(TICK_US)
     assert not one.lease.may_act()
     register.held, announced = [], []
-    one.lease.request_action(lambda: announced.append(one.lease.may_act()))
+    one.lease.announce_action(lambda: announced.append(one.lease.may_act()))
     one.run(TICK_US)
     assert not one.lease.may_act() and not announced
     register.held.pop()()
@@ -244,10 +244,10 @@
     one.time_us += one.lease.renew_us
     assert not one.lease.may_act()
     register.held = None
-    one.lease.request_action()
+    one.lease.announce_action()
     one.run(TICK_US)
     assert one.lease.may_act()
-    one.lease.use_action()
+    one.lease.consume_action()
     assert not one.lease.may_act() and register.value["actions"] == 2
 
 
@@ -255,7 +255,7 @@
     register = Register()
     one = Member(register, "one")
     one.run(TICK_US)
-    one.lease.request_action()
+    one.lease.announce_action()
     one.run(TICK_US)
     one.lease.on_late_tick(one.time_us)
     assert not one.lease.may_act()
@@ -271,7 +271,7 @@
         one.run(SECOND_US)
         two.run(SECOND_US)
     assert two.lease.are_others_idle()
-    one.lease.request_action()
+    one.lease.announce_action()
     one.run(TICK_US)
     two.run(TICK_US)
     assert one.lease.may_act() and not two.lease.are_others_idle()
@@ -286,7 +286,7 @@
     one = Member(register, "one")
     one.run(6 * SECOND_US)
     assert one.lease.are_others_idle()
-    one.lease.request_action()
+    one.lease.announce_action()
     one.run(3 * TICK_US)
     assert one.lease.may_act() and one.lease.are_others_idle()
 
@@ -321,10 +321,10 @@
             if not member.lease.are_others_idle():
                 continue
             if member.lease.may_act():
-                member.lease.use_action()
+                member.lease.consume_action()
                 acted.append((member.time_us, member.node.name))
             elif dice.random() < 0.05:
-                member.lease.request_action()
+                member.lease.announce_action()
     assert len({name for _, name in acted}) > 1
     for (before_us, before), (after_us, after) in zip(acted, acted[1:], strict=False):
         assert before == after or after_us - before_us >= LEASE_US
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -13,13 +13,13 @@
 from linkhaven.controller.messages import ContactAnswer, ContactAsk, Image, Keys
 from linkhaven.membership import Membership
 from linkhaven.membership.messages import (
-    Beat,
-    Bye,
+    Heartbeat,
+    Leave,
+    MemberList,
+    MemberListDigest,
     MemberRecord,
-    Members,
-    MembersDigest,
-    Verdict,
-    hello_of,
+    Suspicion,
+    make_hello,
 )
 from linkhaven.pairing.messages import LinkSample, QueueView, QueueViews, RunnerShunned
 from linkhaven.router.messages import Explanation, WantExplanation
@@ -430,21 +430,21 @@
 @pytest.mark.parametrize(
     "message, line",
     [
-        (hello_of(MemberRecord(*RECORD)), {"say": "hello", "fellow": RECORD, "version": 1}),
+        (make_hello(MemberRecord(*RECORD)), {"say": "hello", "fellow": RECORD, "version": 1}),
         (
-            Members([MemberRecord(*RECORD)]),
+            MemberList([MemberRecord(*RECORD)]),
             {"say": "members", "fellows": [RECORD], "is_asking": False},
         ),
         (
-            MembersDigest(MemberRecord(*RECORD), "d"),
+            MemberListDigest(MemberRecord(*RECORD), "d"),
             {"say": "digest", "fellow": RECORD, "digest": "d"},
         ),
-        (Beat(MemberRecord(*RECORD)), {"say": "beat", "fellow": RECORD}),
+        (Heartbeat(MemberRecord(*RECORD)), {"say": "beat", "fellow": RECORD}),
         (
-            Verdict("router-2", 5, True),
+            Suspicion("router-2", 5, True),
             {"say": "verdict", "about": "router-2", "incarnation": 5, "is_down": True},
         ),
-        (Bye(), {"say": "bye"}),
+        (Leave(), {"say": "bye"}),
     ],
 )
 def test_the_rings_messages_stand_on_the_wire_as_before(message, line):
@@ -469,7 +469,7 @@
     node, ring = make_member()
     envelope = {"name": "router-2", "back": "10.0.0.2:7000"}
     hear_line(node, write_json({"say": "beat", "fellow": record, **envelope}))
-    assert ("router-2" in ring.fellows) is is_fit
+    assert ("router-2" in ring.peers) is is_fit
     assert [number for number, _ in node.ports.events] == ([1101] if is_fit else [1006])
 
 
@@ -481,7 +481,7 @@
     envelope = {"name": "router-2", "back": "10.0.0.2:7000"}
     for _ in range(3):
         hear_line(node, write_json({"say": "hello", "fellow": RECORD, **told, **envelope}))
-    assert ring.fellows["router-2"].version == told.get("version", 0)
+    assert ring.peers["router-2"].version == told.get("version", 0)
     logged = [facts for number, facts in node.ports.events if number == 1103]
     assert logged == (
         [{"fellow": "router-2", "version": told.get("version", 0), "own": 1}] if is_logged else []
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -140,7 +140,7 @@
     assert core.wait_voting(3)
     core.world.run_for(10 * SECOND)
     keeper = next(
-        host.node.keeper for host in core.machines.values() if host.node.duties["roster"].is_held()
+        host.node.keeper for host in core.machines.values() if host.node.leases["roster"].is_held()
     )
     return core, keeper
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -219,7 +219,7 @@
 class Shell:
     def __init__(self):
         self.node = SimpleNamespace(
-            ring=Membership(),
+            membership=Membership(),
             systems=[],
             ports=SimpleNamespace(log=lambda number, **facts: self.logged.append(number)),
         )
@@ -234,12 +234,12 @@
     shell = Shell()
     watch = SettingsWatch(shell)
     watch.look(2_000_000)
-    assert shell.node.ring.seeds == []
+    assert shell.node.membership.seeds == []
     path.write_text(json.dumps({**SETTINGS, "seed_nodes": ["10.0.0.44:90"]}))
     watch.look(4_000_000)
-    assert shell.node.ring.seeds == ["10.0.0.44:7720"]
+    assert shell.node.membership.seeds == ["10.0.0.44:7720"]
     shell.on_hangup()
-    assert shell.node.ring.seeds == ["10.0.0.44:7720"] * 2
+    assert shell.node.membership.seeds == ["10.0.0.44:7720"] * 2
     path.write_text("{")
     watch.look(6_000_000)
     assert shell.logged == [1005]
--- a/tests/test_recovery_speed.py
+++ b/tests/test_recovery_speed.py
@@ -31,8 +31,8 @@
     core.world.run_for((len(core.machines) - 1) * gap_us + 1)
 
 
-def holder_of(nodes, duty):
-    return next((host for host in nodes if host.node and host.node.duties[duty].is_held()), None)
+def holder_of(nodes, role):
+    return next((host for host in nodes if host.node and host.node.leases[role].is_held()), None)
 
 
 def test_a_page_that_is_being_written_is_not_asked_for_again():
@@ -97,7 +97,7 @@
         )
 
     assert world.wait_for(told, 600 * MS, 5 * MS)
-    assert not any(host.node.duties["roster"].is_held() for host in fleet.registries.values())
+    assert not any(host.node.leases["roster"].is_held() for host in fleet.registries.values())
 
 
 @pytest.mark.parametrize("how", ["kill", "freeze"])
@@ -123,8 +123,8 @@
     assert core.world.wait_for(lambda: holder_of(core.machines.values(), "roster"), 8 * SECOND)
     core.world.run_for(2 * SECOND)
     old = holder_of(core.machines.values(), "roster")
-    fences = {name: duty.record().fence for name, duty in old.node.duties.items()}
-    held = {name for name, duty in old.node.duties.items() if duty.is_held()}
+    fences = {name: lease.record().fencing_token for name, lease in old.node.leases.items()}
+    held = {name for name, lease in old.node.leases.items() if lease.is_held()}
     left = []
     old.node.drain(lambda: left.append(core.world.now_us))
     assert core.world.wait_for(lambda: left, 200 * MS, 5 * MS)
@@ -134,7 +134,7 @@
         lambda: all(holder_of(others, name) for name in held), 600 * MS, 5 * MS
     )
     for name in held:
-        assert holder_of(others, name).node.duties[name].fence > fences[name]
+        assert holder_of(others, name).node.leases[name].fencing_token > fences[name]
 
 
 def test_a_successor_gives_no_orders_until_a_grant_has_passed():
@@ -146,5 +146,5 @@
     others = [host for host in core.machines.values() if host is not old]
     assert core.world.wait_for(lambda: holder_of(others, "steward"), SECOND, 5 * MS)
     switcher = holder_of(others, "steward").node.switcher
-    assert not switcher.may_order(core.world.now_us + switcher.duty.lease_us - 20 * MS)
-    assert switcher.may_order(core.world.now_us + switcher.duty.lease_us)
+    assert not switcher.may_order(core.world.now_us + switcher.lease.lease_us - 20 * MS)
+    assert switcher.may_order(core.world.now_us + switcher.lease.lease_us)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -248,7 +248,7 @@
     fleet.registries["a"] = host
     host.start()
     assert fleet.world.wait_for(lambda: standing(fleet, "a") == "voting", 10 * SECOND)
-    assert fleet.registries["b"].node.ring.seats()["a"][0] == "10.0.9.9:7000"
+    assert fleet.registries["b"].node.membership.seats()["a"][0] == "10.0.9.9:7000"
 
 
 def ask_with_keys(fleet, keys, router="edge-1"):
--- a/tests/test_renewed_lines.py
+++ b/tests/test_renewed_lines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from linkhaven.membership import Membership
-from linkhaven.membership.messages import MemberRecord, Members
+from linkhaven.membership.messages import MemberList, MemberRecord
 from linkhaven.runtime import Node as BaseNode
 from linkhaven.wire import Shell
 from linkhaven.wire.outlet import HANGING_US
@@ -45,7 +45,7 @@
 
 def told(ring, incarnation, address=HOME):
     record = MemberRecord("router-1", incarnation, address, "router", "north", "", 0, 0, True)
-    ring.on_members(Members([record], sender="router-1", reply_to=address))
+    ring.on_members(MemberList([record], sender="router-1", reply_to=address))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_ring_standing.py
+++ b/tests/test_ring_standing.py
@@ -6,7 +6,14 @@
 from msgspec.structs import replace
 
 from linkhaven.membership import Membership
-from linkhaven.membership.messages import Bye, Doubt, Hello, MemberRecord, Members, Verdict
+from linkhaven.membership.messages import (
+    Hello,
+    Leave,
+    MemberList,
+    MemberRecord,
+    Suspicion,
+    SuspicionQuery,
+)
 
 NAMES = [f"router-{place}" for place in range(1, 8)]
 
@@ -25,7 +32,7 @@
         for name in names:
             self.rings[name] = self._ring(name)
         for ring in self.rings.values():
-            ring.on_members(of("seed", Members(self._records())))
+            ring.on_members(of("seed", MemberList(self._records())))
             for other in self.rings.values():
                 ring.on_hello(of("nobody", Hello(other.me.as_member())))
         self.said.clear()
@@ -71,8 +78,8 @@
     """The viewer heard the verdict of all watchers, and none of the withdrawals."""
     ring = net.rings[viewer]
     for watcher in ring.watchers_of(about):
-        ring.on_verdict(of(watcher, Verdict(about, 1, True)))
-    assert not ring.fellows[about].is_up
+        ring.on_verdict(of(watcher, Suspicion(about, 1, True)))
+    assert not ring.peers[about].is_up
 
 
 def viewer_and_subject(net):
@@ -87,8 +94,8 @@
     hold_down(net, NAMES[0], about)
     other = next(name for name in NAMES[1:] if name != about)
     net.rings[other]._tell_list(ring.me)
-    assert ring.fellows[about].is_up
-    assert about in [fellow.name for fellow in ring.live("router")]
+    assert ring.peers[about].is_up
+    assert about in [fellow.name for fellow in ring.live_members("router")]
 
 
 def test_a_verdict_that_its_watchers_still_hold_stays():
@@ -96,12 +103,12 @@
     ring, about = viewer_and_subject(net)
     watchers = ring.watchers_of(about)
     for name in watchers:
-        net.rings[name].fellows[about].verdicts[name] = True
+        net.rings[name].peers[about].verdicts[name] = True
     hold_down(net, NAMES[0], about)
     other = next(name for name in NAMES[1:] if name != about)
     net.rings[other]._tell_list(ring.me)
     assert net.says("doubt")
-    assert not ring.fellows[about].is_up
+    assert not ring.peers[about].is_up
 
 
 def test_who_watches_no_more_has_no_verdict():
@@ -110,9 +117,9 @@
     bystander = next(
         name for name in NAMES if name != about and name not in ring.watchers_of(about)
     )
-    net.rings[bystander].fellows[about].verdicts[bystander] = True
-    net.rings[bystander].on_doubt(of(NAMES[0], Doubt(about, 1)))
-    assert ring.fellows[about].verdicts[bystander] is False
+    net.rings[bystander].peers[about].verdicts[bystander] = True
+    net.rings[bystander].on_doubt(of(NAMES[0], SuspicionQuery(about, 1)))
+    assert ring.peers[about].verdicts[bystander] is False
 
 
 def test_equal_lists_are_told_by_their_digest_and_unequal_ones_whole():
@@ -122,11 +129,11 @@
     first._tell_list(second.me)
     assert [say for _, _, say in net.said] == ["digest"]
     record = MemberRecord("router-9", 1, "router-9", "router", "south", "", 0, 0, True)
-    second.on_members(of("router-9", Members([record])))
+    second.on_members(of("router-9", MemberList([record])))
     net.said.clear()
     first._tell_list(second.me)
     assert [say for _, _, say in net.said] == ["digest", "members", "members"]
-    assert "router-9" in first.fellows
+    assert "router-9" in first.peers
 
 
 def test_now_and_then_the_whole_list_is_told():
@@ -141,36 +148,42 @@
 def test_kept_tables_follow_each_change(change):
     net = Net(NAMES)
     ring, about = viewer_and_subject(net)
-    ring.live(), ring.live("router"), ring.seats(), ring._find_watched(), ring._members_digest()
+    (
+        ring.live_members(),
+        ring.live_members("router"),
+        ring.seats(),
+        ring._find_watched(),
+        ring._members_digest(),
+    )
     before = ring._members_digest()
     for name in NAMES:
         ring.watchers_of(name)
     if change == "down":
         hold_down(net, NAMES[0], about)
     elif change == "bye":
-        ring.on_bye(of(about, Bye()))
+        ring.on_bye(of(about, Leave()))
     elif change == "new":
         record = MemberRecord("router-9", 1, "router-9", "router", "south", "", 0, 0, True)
-        ring.on_members(of("router-9", Members([record])))
+        ring.on_members(of("router-9", MemberList([record])))
     elif change == "new start":
         record = MemberRecord(about, 2, "router-22", "registry", "south", "a", 7, 0, True)
-        ring.on_members(of(about, Members([record])))
+        ring.on_members(of(about, MemberList([record])))
         assert ring.seats() == {"a": ("router-22", 7)}
     elif change == "seat":
-        ring.sit("b", 3)
+        ring.announce_replica("b", 3)
         assert ring.seats() == {"b": (NAMES[0], 3)}
     else:
         hold_down(net, NAMES[0], about)
         net.now_us += 100_000_000
         net.rings.pop(about)
         ring._call_downs(net.now_us)
-        assert about not in ring.fellows
-    up = {name for name, fellow in ring.fellows.items() if fellow.is_up and not fellow.has_left}
-    assert {fellow.name for fellow in ring.live()} == up
-    assert all(fellow.kind == "router" for fellow in ring.live("router"))
-    kept = {name: list(ring.watchers_of(name)) for name in ring.fellows}
+        assert about not in ring.peers
+    up = {name for name, fellow in ring.peers.items() if fellow.is_up and not fellow.has_left}
+    assert {fellow.name for fellow in ring.live_members()} == up
+    assert all(fellow.kind == "router" for fellow in ring.live_members("router"))
+    kept = {name: list(ring.watchers_of(name)) for name in ring.peers}
     digest = ring._members_digest()
     ring._forget_order()
-    assert kept == {name: ring.watchers_of(name) for name in ring.fellows}
+    assert kept == {name: ring.watchers_of(name) for name in ring.peers}
     assert ring._members_digest() == digest
     assert digest != before
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -201,7 +201,7 @@
 
 
 def forget_grants(monkeypatch):
-    monkeypatch.setattr(Lease, "is_held", lambda self: self.fence is not None)
+    monkeypatch.setattr(Lease, "is_held", lambda self: self.fencing_token is not None)
     monkeypatch.setattr(Lease, "_lapse", lambda self: None)
 
 
@@ -209,7 +209,7 @@
     """An order to runner-3 without a word to the routers before, as if it had been announced."""
     runner = registry.keeper.runners["runner-3"]
     now_us = registry.now_us()
-    registry.switcher.duty.announced_us = now_us
+    registry.switcher.lease.announced_us = now_us
     registry.switcher.send_order(PhaseChange(runner, phase, now_us), runner, now_us)
 
 
@@ -221,7 +221,7 @@
         return [
             host
             for host in scenario.fleet.registries.values()
-            if not host.is_frozen and host.node.duties["steward"].is_held()
+            if not host.is_frozen and host.node.leases["steward"].is_held()
         ]
 
     old = stewards()[0]
@@ -299,14 +299,14 @@
 
     def steward():
         return next(
-            (host for host in fleet.registries.values() if host.node.duties["steward"].is_held()),
+            (host for host in fleet.registries.values() if host.node.leases["steward"].is_held()),
             None,
         )
 
     old, runner = steward(), fleet.runners["runner-3"]
-    duty = old.node.duties["steward"]
+    lease = old.node.leases["steward"]
     world.cut([old.name], [host.name for host in fleet.registries.values()])
-    world.run_until(duty.expires_us - 20_000)
+    world.run_until(lease.expires_us - 20_000)
     world.slow[(old.name, runner.name)] = 1_300_000
     send_order_now(old.node, "prefill")
     world.run_for(200_000)
@@ -348,11 +348,11 @@
     ask = Lease._request
 
     def renew_only(self, now_us, fence, renewal):
-        if self.fence is not None:
+        if self.fencing_token is not None:
             ask(self, now_us, fence, renewal)
 
     monkeypatch.setattr(Lease, "_request", renew_only)
-    monkeypatch.setattr(Lease, "is_quiet", lambda self: False)
+    monkeypatch.setattr(Lease, "is_holder_suspected", lambda self: False)
 
 
 def lose_the_roster_holder(fleet_of):
@@ -360,7 +360,7 @@
     seat = next(
         seat
         for seat, host in scenario.fleet.registries.items()
-        if host.node.duties["roster"].is_held()
+        if host.node.leases["roster"].is_held()
     )
     return scenario.fault("empty_core", seat).load(3).close().end(calm_s=20)
 
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -46,7 +46,7 @@
     core.world.run_for(SECOND // 2)
     assert core.voting() == {"a": "core-1", "b": "core-2", "c": "core-3"}
     assert core.world.wait_for(
-        lambda: any(host.node.duties["roster"].is_held() for host in core.machines.values()),
+        lambda: any(host.node.leases["roster"].is_held() for host in core.machines.values()),
         2 * SECOND,
     )
 
