--- a/packages/controller/src/linkhaven/controller/gate.py
+++ b/packages/controller/src/linkhaven/controller/claim_admission.py
@@ -1,6 +1,6 @@
 """Claims of one-time keys at a core that began empty: none until the routers told theirs."""
 
-from .messages import Keys, WantKeys
+from .messages import ClaimsRequest, ClaimsResponse
 
 ASK_US = 250_000
 SETTLE_US = 2_000_000
@@ -10,7 +10,7 @@
 """The ballot of a claim that a router told: below any that a proposer makes."""
 
 
-class KeyGate:
+class ClaimAdmission:
     """A core that began empty grants no keys until the routers told which they won before."""
 
     __slots__ = ("node", "seat", "membership", "snapshot", "places", "asked_us", "was_behind")
@@ -24,7 +24,7 @@
         self.places = {}
         self.asked_us = 0
         self.was_behind = False
-        node.on_message(Keys, self.on_keys)
+        node.on_message(ClaimsResponse, self.on_keys)
         node.systems.append(self.tick)
 
     def _start(self):
@@ -45,7 +45,7 @@
             self.seat.open_claims()
 
     def _ask(self, address, place):
-        self.node.send(address, WantKeys(self._start(), place))
+        self.node.send(address, ClaimsRequest(self._start(), place))
 
     def _has_heard_enough(self, routers, now_us):
         """All routers that run; of a fleet that served before, most that the plan counts."""
--- a/packages/controller/src/linkhaven/controller/views.py
+++ b/packages/controller/src/linkhaven/controller/figure_relay.py
@@ -4,7 +4,7 @@
 """A router that told nothing for so long is left out."""
 
 
-class Views:
+class FigureRelay:
     """The sums, told back late.
 
     Each router tells the core its own figures with its asks, in the field named `field` as rows of
@@ -21,12 +21,12 @@
         self.sums = {}
         node.systems.append(self.tick)
 
-    def hear_ask(self, message):
+    def on_watch_request(self, message):
         """Take a router's figures in place of those that it told before."""
         if self.field in message:
             self._replace(message["name"], message[self.field])
 
-    def add_news(self, ask, facts):
+    def add_watch_facts(self, ask, facts):
         """Add what the other routers told to the answer to a router that told its own."""
         if self.field in ask:
             facts[self.field] = self.of_others(ask["name"])
--- a/packages/controller/src/linkhaven/controller/messages.py
+++ b/packages/controller/src/linkhaven/controller/messages.py
@@ -5,14 +5,14 @@
 from linkhaven.runtime import Message
 
 
-class ContactAsk(Message, tag="contact_ask", frozen=True):
+class QuorumContactRequest(Message, tag="contact_ask", frozen=True):
     """A voting seat asks another one whether it can be reached, and votes too."""
 
     sent_us: int
     """When it was asked, by the asker's own clock."""
 
 
-class ContactAnswer(Message, tag="contact", frozen=True):
+class QuorumContactResponse(Message, tag="contact", frozen=True):
     """A seat that votes answers `ContactAsk`."""
 
     seat: str
@@ -24,11 +24,11 @@
     """The newest version of the plan that it knows chosen."""
 
 
-class WantImage(Message, tag="want_image", frozen=True):
+class ConfigurationRequest(Message, tag="want_image", frozen=True):
     """A seat that holds an older plan than a router asks it for its plan."""
 
 
-class Image(Message, tag="image", frozen=True):
+class ConfigurationResponse(Message, tag="image", frozen=True):
     """The plan that a router holds, in answer to `WantImage`."""
 
     value: dict[str, Any]
@@ -48,7 +48,7 @@
         return self.value["mark"]
 
 
-class WantKeys(Message, tag="want_keys", frozen=True):
+class ClaimsRequest(Message, tag="want_keys", frozen=True):
     """A seat that began empty asks a router for a page of the one-time keys it won before."""
 
     start: str
@@ -58,7 +58,7 @@
     """How many keys of the router the seat was told already."""
 
 
-class Keys(Message, tag="keys", frozen=True):
+class ClaimsResponse(Message, tag="keys", frozen=True):
     """A page of one-time keys, in answer to `WantKeys`."""
 
     start: str
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -15,13 +15,13 @@
 from linkhaven.runner import RunnerDesk
 from linkhaven.runtime import Node
 
-from .contact import Contact
-from .gate import KeyGate
-from .keeper import RunnerDiscovery
-from .messages import Image, WantImage
-from .status import CoreStatus
-from .switcher import RoleBalancer
-from .views import Views
+from .claim_admission import ClaimAdmission
+from .figure_relay import FigureRelay
+from .messages import ConfigurationRequest, ConfigurationResponse
+from .quorum_contact import QuorumContact
+from .role_balancer import RoleBalancer
+from .runner_discovery import RunnerDiscovery
+from .status import ClusterStatus
 
 IMAGE_WAIT_US = 1_000_000
 RELEASE_US = 400_000
@@ -44,16 +44,16 @@
         "watch_server",
         "leases",
         "desk",
-        "keeper",
-        "switcher",
-        "gate",
+        "runner_discovery",
+        "role_balancer",
+        "claim_admission",
         "usage",
         "views",
         "outcomes",
         "lines",
         "bursar",
         "is_draining",
-        "told_image",
+        "reported_snapshot",
         "voted_us",
         "contacts",
         "is_adopting",
@@ -89,7 +89,7 @@
         self.incarnation = incarnation
         self.snapshot = ConfigurationSnapshot()
         self.is_draining = False
-        self.told_image = None
+        self.reported_snapshot = None
         self.usage = {}
         self.voted_us = None
         self.is_adopting = False
@@ -121,13 +121,13 @@
         self.seat.occupants.contact = contact or address
         self.seat.holders.on_stuck = self._rewrite
         self.contacts = sorted(contacts)
-        self.gate = KeyGate(self, self.seat, self.membership, self.snapshot)
+        self.claim_admission = ClaimAdmission(self, self.seat, self.membership, self.snapshot)
         self.proposer.held_of = self.seat.held_of
         self.blobs = BlobStore(self, self.seat)
         self.configuration_store = ConfigurationStore(
             self, self.proposer, self.blobs, self.snapshot
         )
-        self.contact = Contact(self, self.seat, self.membership, self.snapshot)
+        self.contact = QuorumContact(self, self.seat, self.membership, self.snapshot)
         self.watch_server = WatchServer(self, self.seat, self.proposer, self.snapshot, self.blobs)
         self.watch_server.has_contact = self.contact.is_held
         self.desk = desk_of(self)
@@ -138,27 +138,27 @@
             duty.incarnation_of = self._incarnation_of
         self._rank_duties()
         self.leases["roster"].on_won = self.watch_server.answer_all
-        self.keeper = RunnerDiscovery(
+        self.runner_discovery = RunnerDiscovery(
             self, self.desk, platform, (self.leases["roster"], self.leases["steward"])
         )
-        self.keeper.on_blind = self.leases["roster"].step_down
-        self.keeper.on_ready = self.watch_server.answer_all
-        self.switcher = RoleBalancer(
-            self, self.leases["steward"], self.keeper, self.desk, self.snapshot
+        self.runner_discovery.on_blind = self.leases["roster"].step_down
+        self.runner_discovery.on_ready = self.watch_server.answer_all
+        self.role_balancer = RoleBalancer(
+            self, self.leases["steward"], self.runner_discovery, self.desk, self.snapshot
         )
         self.bursar = QuotaAllocator(self, self.leases["bursar"], self.snapshot)
         self.bursar.on_won = self.watch_server.shorten_holds
         self.membership.on_mark.append(self._hear_mark)
-        self.views = Views(self, "views")
-        self.outcomes = Views(self, "outcomes")
-        self.lines = Views(self, "lines")
-        self.status = CoreStatus(self, self._core_facts)
+        self.views = FigureRelay(self, "views")
+        self.outcomes = FigureRelay(self, "outcomes")
+        self.lines = FigureRelay(self, "lines")
+        self.status = ClusterStatus(self, self._core_facts)
         self.watch_server.on_ask += [
-            self.views.hear_ask,
-            self.outcomes.hear_ask,
-            self.lines.hear_ask,
-            self.keeper.hear_evidence,
-            self.switcher.hear_ask,
+            self.views.on_watch_request,
+            self.outcomes.on_watch_request,
+            self.lines.on_watch_request,
+            self.runner_discovery.on_evidence,
+            self.role_balancer.on_watch_request,
             self.bursar.on_ask,
             self._hear_asked_mark,
             self._hear_fences,
@@ -166,7 +166,7 @@
         ]
         self.watch_server.extras += [self._add_roster, self.bursar.add_shares]
         self.watch_server.is_urgent = self._is_urgent
-        self.on_message(Image, self._on_image)
+        self.on_message(ConfigurationResponse, self._on_image)
         self.systems += [self._adopt_image, self._watch_edge, self._leave_in_time]
         self.paths.update(
             {
@@ -217,7 +217,7 @@
     def _hear_votes(self):
         self.voted_us = self.now_us()
         self._rank_duties()
-        self.keeper.begin_serials(self.seat.incarnation)
+        self.runner_discovery.start_serials_at(self.seat.incarnation)
         if not self.seat.votes_from_us:
             for duty in self.leases.values():
                 duty.allow_election_now()
@@ -233,12 +233,12 @@
     def _hear_mark(self, mark, member):
         self.snapshot.observe_version(mark)
         if member.kind == "router" and self._is_behind(mark):
-            self.send(member.address, WantImage())
+            self.send(member.address, ConfigurationRequest())
 
     def _hear_asked_mark(self, message):
         if self._is_behind(message["mark"]):
-            self.gate.was_behind = True
-            self.send(message["back"], WantImage())
+            self.claim_admission.was_behind = True
+            self.send(message["back"], ConfigurationRequest())
 
     def _hear_usage(self, message):
         now_us = self.now_us()
@@ -296,11 +296,11 @@
         value = message.value
         if not self.blobs.take(value["bodies"]["plan"], message.body):
             return
-        if self.told_image is None or message.mark > self.told_image["mark"]:
-            self.told_image = {**value, "plan": self.blobs.plan_of(value)}
+        if self.reported_snapshot is None or message.mark > self.reported_snapshot["mark"]:
+            self.reported_snapshot = {**value, "plan": self.blobs.plan_of(value)}
 
     def _adopt_image(self, now_us):
-        told = self.told_image
+        told = self.reported_snapshot
         if told is None or self.is_adopting or now_us - self.adopt_us < IMAGE_WAIT_US:
             return
         if (
@@ -310,7 +310,7 @@
         ):
             return
         if not self._is_behind(told["mark"]):
-            self.told_image = None
+            self.reported_snapshot = None
             return
         self.is_adopting = True
         self.adopt_us = now_us
@@ -327,7 +327,7 @@
                 self.ports.log(1207, mark=value["mark"])
                 if self.snapshot.is_newer(value) and self.blobs.has_plan(value):
                     self.snapshot.take(self.blobs.with_plan(value))
-                self.told_image = None
+                self.reported_snapshot = None
 
         self.proposer.change("plan", step, done)
 
@@ -343,27 +343,27 @@
 
     def _add_roster(self, ask, facts):
         rank = self._roster_rank()
-        if rank is not None and self.keeper.is_ready():
+        if rank is not None and self.runner_discovery.is_ready():
             fence, serial = ask.get("roster") or (None, None)
-            self.views.add_news(ask, facts)
-            self.outcomes.add_news(ask, facts)
-            self.lines.add_news(ask, facts)
+            self.views.add_watch_facts(ask, facts)
+            self.outcomes.add_watch_facts(ask, facts)
+            self.lines.add_watch_facts(ask, facts)
             facts["roster"] = {
                 "fence": rank,
-                **self.keeper.document(serial if fence == rank else None),
+                **self.runner_discovery.document(serial if fence == rank else None),
             }
-        self.switcher.add_news(facts)
+        self.role_balancer.add_watch_facts(facts)
 
     def _is_urgent(self, ask):
         """Whether the asker lacks an order of the switcher, or what happened to a runner."""
         steward = self.leases["steward"]
-        place = (steward.fencing_token, self.switcher.serial)
+        place = (steward.fencing_token, self.role_balancer.serial)
         if steward.is_held() and place > tuple(ask.get("steward") or (0, 0)):
             return True
         rank = self._roster_rank()
-        if rank is None or not self.keeper.is_ready():
+        if rank is None or not self.runner_discovery.is_ready():
             return False
-        return (rank, self.keeper.changes.newest) > tuple(ask.get("roster") or (0, 0))
+        return (rank, self.runner_discovery.changes.newest) > tuple(ask.get("roster") or (0, 0))
 
     def _roster_rank(self):
         """The fence while the duty is held. While its holder is quiet a deputy stands between that fence and the next."""
@@ -462,7 +462,9 @@
                 "seat": self.seat.seat,
                 "standing": self.seat.standing,
                 "fellows": [member.as_record() for member in self.membership.peers.values()],
-                "runners": [runner.as_record(now_us) for runner in self.keeper.runners.values()],
-                **self.switcher.as_record(),
+                "runners": [
+                    runner.as_record(now_us) for runner in self.runner_discovery.runners.values()
+                ],
+                **self.role_balancer.as_record(),
             },
         )
--- a/packages/controller/src/linkhaven/controller/program.py
+++ b/packages/controller/src/linkhaven/controller/program.py
@@ -13,8 +13,8 @@
     run_application,
 )
 
-from .disk import open_disk
 from .node import ControllerNode
+from .storage import open_storage
 
 REGISTRY_OPTION = option(
     "registry", "r", "HTTP address of a registry", flag=False, default="127.0.0.1:8001"
@@ -46,7 +46,7 @@
     def act(self):
         settings = self.read_core()
         log = make_log(settings["name"], **settings["log"])
-        disk = open_disk(settings["data"], settings["data_bytes"], settings["name"], log)
+        disk = open_storage(settings["data"], settings["data_bytes"], settings["name"], log)
 
         def build(ports, incarnation):
             return ControllerNode(
--- a/packages/controller/src/linkhaven/controller/contact.py
+++ b/packages/controller/src/linkhaven/controller/quorum_contact.py
@@ -10,12 +10,12 @@
 counted from the sending, so neither a slow answer nor another's clock makes old contact look
 new."""
 
-from .messages import ContactAnswer, ContactAsk
+from .messages import QuorumContactRequest, QuorumContactResponse
 
 ASKS_IN_A_BOUND = 3
 
 
-class Contact:
+class QuorumContact:
     """Asks the other seats at a steady pace and remembers as of when a majority answered."""
 
     __slots__ = ("node", "seat", "directory", "snapshot", "answered_us", "asked_us")
@@ -28,8 +28,8 @@
         self.snapshot = snapshot
         self.answered_us = {}
         self.asked_us = None
-        node.on_message(ContactAsk, self.on_ask)
-        node.on_message(ContactAnswer, self.on_answer)
+        node.on_message(QuorumContactRequest, self.on_ask)
+        node.on_message(QuorumContactResponse, self.on_answer)
         node.systems.append(self.tick)
 
     def is_held(self):
@@ -42,7 +42,7 @@
         """Only a seat that votes is contact: what others hold may be old."""
         if not self.seat.is_voting:
             return
-        answer = ContactAnswer(
+        answer = QuorumContactResponse(
             seat=self.seat.seat,
             incarnation=self.seat.incarnation,
             sent_us=message.sent_us,
@@ -80,7 +80,7 @@
         answering = [seat for seat in others if self.answered_us.get(seat) == last_us]
         needed = self.seat.majority - 1
         for seat in answering[:needed] if len(answering) >= needed else others:
-            self.node.send(addresses[seat], ContactAsk(now_us))
+            self.node.send(addresses[seat], QuorumContactRequest(now_us))
 
     def _after_own(self, seats):
         """The other seats in the order of the ring of seats, so that each is asked by as many."""
--- a/packages/controller/src/linkhaven/controller/switcher.py
+++ b/packages/controller/src/linkhaven/controller/role_balancer.py
@@ -2,9 +2,9 @@
 
 from linkhaven.runner.roster import DECODE, PREFILL
 
-from .empty_sides import EmptySideWatch
-from .phase_change import PhaseChange
-from .sides import PHASES, Pool, PoolSides
+from .role_change import RoleChange
+from .role_pools import ROLES, PoolRoles, RunnerPool
+from .vacant_roles import VacantRoleMonitor
 
 LOOK_US = 500_000
 """How often the ratio of readers to decoders is weighed."""
@@ -12,7 +12,7 @@
 SURVEY_US = 50_000
 """How often the sides are counted while nothing is known to have changed."""
 
-TOLD_US = 700_000
+NOTICE_US = 700_000
 """How long routers are told of a change before its order leaves."""
 
 QUIET_US = 3_000_000
@@ -21,7 +21,7 @@
 SETTLED_US = 5_000_000
 """How long routers are told which phase a runner has just taken up."""
 
-BARE_US = 700_000
+VACANCY_WAIT_US = 700_000
 """How long an empty side is waited for where reports may merely be late."""
 
 SWITCH_MOST_US = 30_000_000
@@ -51,13 +51,13 @@
     reaches the runner is refused as not executed (421, or 503 while it switches), as is any work
     sent to a runner whose phase the sender took wrongly.
 
-    Invariant: `EmptySideWatch`. Tests: `tests/test_empty_sides.py`.
+    Invariant: `VacantRoleMonitor`. Tests: `tests/test_vacant_roles.py`.
     """
 
     __slots__ = (
         "node",
         "lease",
-        "keeper",
+        "runner_discovery",
         "desk",
         "snapshot",
         "pools",
@@ -73,17 +73,17 @@
         "settled",
     )
 
-    def __init__(self, node, lease, keeper, desk, snapshot):
+    def __init__(self, node, lease, runner_discovery, desk, snapshot):
         """Stand ready to order; nothing is ordered before the duty is won."""
         self.node = node
         self.lease = lease
-        self.keeper = keeper
+        self.runner_discovery = runner_discovery
         self.desk = desk
         self.snapshot = snapshot
         self.pools = {}
         self.rates = {}
         self.changes = {}
-        self.watch = EmptySideWatch(node.ports)
+        self.watch = VacantRoleMonitor(node.ports)
         self.surveyed_us = 0
         self.surveyed_change = None
         self.won_us = 0
@@ -129,11 +129,11 @@
 
     # what routers tell and are told
 
-    def hear_ask(self, message):
+    def on_watch_request(self, message):
         """A router's rates: prompt and answer tokens a second, and the pace it saw readers at."""
         self.rates[message["name"]] = (message.get("rates", [0, 0]), self.node.now_us())
 
-    def add_news(self, facts):
+    def add_watch_facts(self, facts):
         """Which runners are changing, and which have just changed."""
         if self.lease.is_held():
             facts["steward"] = {
@@ -154,7 +154,7 @@
         """Count the sides, cover an empty one, work off changes, weigh the ratio when due."""
         if (
             not self.lease.is_held()
-            or not self.keeper.is_ready()
+            or not self.runner_discovery.is_ready()
             or self.snapshot.configuration is None
         ):
             return
@@ -163,7 +163,7 @@
         may_order = self.may_order(now_us)
         for pool in list(self.pools.values()):
             if may_order:
-                self._cover(pool, now_us)
+                self._fill_vacancies(pool, now_us)
             self._watch(pool, may_order, now_us)
         for change in list(self.changes.values()):
             self._work_off(change, now_us)
@@ -178,23 +178,23 @@
 
     def _survey(self, now_us):
         """Count who plays what: at each change of the list, else after a while."""
-        is_changed = self.keeper.changes.newest != self.surveyed_change
+        is_changed = self.runner_discovery.changes.newest != self.surveyed_change
         if not is_changed and now_us - self.surveyed_us < SURVEY_US:
             return
         self.surveyed_us = now_us
-        self.surveyed_change = self.keeper.changes.newest
-        counted = {name: PoolSides() for name in self.pools}
-        for runner in self.keeper.runners.values():
-            sides = counted.setdefault(runner.pool, PoolSides())
-            sides.add(runner, self.keeper, self.changes.get(runner.name))
-        for name, sides in counted.items():
-            self.pools.setdefault(name, Pool(name)).take(sides, now_us)
+        self.surveyed_change = self.runner_discovery.changes.newest
+        counted = {name: PoolRoles() for name in self.pools}
+        for runner in self.runner_discovery.runners.values():
+            roles = counted.setdefault(runner.pool, PoolRoles())
+            roles.add(runner, self.runner_discovery, self.changes.get(runner.name))
+        for name, roles in counted.items():
+            self.pools.setdefault(name, RunnerPool(name)).take(roles, now_us)
 
     def _is_searched(self):
         return self.snapshot.configuration["taichi"]["search"]
 
     def _watch(self, pool, may_order, now_us):
-        for phase in PHASES:
+        for phase in ROLES:
             if may_order and pool.needs(phase, self._is_searched()):
                 self.watch.watch(pool, phase, self._empty_most_us(pool, phase), now_us)
             else:
@@ -204,24 +204,24 @@
         """How long a side may stand empty: to be sure of it, to order, to switch and to see it."""
         told = (self.snapshot.configuration.get("pools") or {}).get(pool.name) or {}
         switch_us = told.get("switch_us", SWITCH_US)
-        seen_us = BARE_US + LOOK_US + 2 * self.node.bounds.report_us
+        seen_us = VACANCY_WAIT_US + LOOK_US + 2 * self.node.bounds.report_us
         if phase == DECODE:
             return seen_us + READ_END_US + switch_us
         deadlines = [kind["deadline_us"] for kind in self.snapshot.configuration["kinds"].values()]
-        return seen_us + TOLD_US + max(deadlines, default=0) + switch_us
+        return seen_us + NOTICE_US + max(deadlines, default=0) + switch_us
 
     # an empty side
 
-    def _cover(self, pool, now_us):
+    def _fill_vacancies(self, pool, now_us):
         """Order somebody to a side that nobody plays."""
         for phase in (DECODE, PREFILL):
             if not pool.needs(phase, self._is_searched()):
                 continue
-            if pool.is_bare(phase, BARE_US, now_us):
-                self._cover_side(pool, phase, now_us)
+            if pool.must_fill(phase, VACANCY_WAIT_US, now_us):
+                self._fill_role(pool, phase, now_us)
 
-    def _cover_side(self, pool, phase, now_us):
-        notice_us = 0 if phase == DECODE else TOLD_US
+    def _fill_role(self, pool, phase, now_us):
+        notice_us = 0 if phase == DECODE else NOTICE_US
         begun = [
             change
             for change in self.changes.values()
@@ -241,7 +241,7 @@
         if runner is None:
             return
         pool.seen = self._counts(pool)
-        self._begin(PhaseChange(runner, phase, now_us, notice_us))
+        self._begin(RoleChange(runner, phase, now_us, notice_us))
 
     def _pick(self, pool, phase):
         """The sound runner of the other phase that has least to do."""
@@ -269,12 +269,12 @@
 
     def _look(self, pool, now_us):
         """Weigh the ratio, once each runner of the pool has reported and none is switching."""
-        sides, taichi = pool.now, self.snapshot.configuration["taichi"]
-        if sides.unreported or any(sides.arriving.values()):
+        roles, taichi = pool.now, self.snapshot.configuration["taichi"]
+        if roles.unreported or any(roles.arriving.values()):
             return
-        reading, decoding = sides.sound[PREFILL], sides.sound[DECODE]
+        reading, decoding = roles.sound[PREFILL], roles.sound[DECODE]
         pool.seen = self._counts(pool)
-        if not taichi["search"] or not decoding or sides.members() == 1:
+        if not taichi["search"] or not decoding or roles.members() == 1:
             return
         wanted = self._wanted(pool, taichi, now_us)
         if wanted != len(reading):
@@ -318,7 +318,7 @@
         count = min(wanted, max(1, pool.now.members() // AT_ONCE_OF))
         members = pool.now.members() - count + 1
         for runner in self._pick_some(pool, phase, count):
-            change = PhaseChange(runner, phase, now_us, TOLD_US, members)
+            change = RoleChange(runner, phase, now_us, NOTICE_US, members)
             if self._holds(change, runner):
                 self._begin(change)
 
@@ -326,7 +326,7 @@
         """Begin a planned change of this runner, whatever the ratio search says."""
         self._survey(now_us)
         pool = self.pools[runner.pool]
-        self._begin(PhaseChange(runner, phase, now_us, TOLD_US, pool.now.members()))
+        self._begin(RoleChange(runner, phase, now_us, NOTICE_US, pool.now.members()))
 
     # one change
 
@@ -339,18 +339,18 @@
         pool = self.pools.get(change.pool)
         if pool is None:
             return False
-        if change.is_cover() and pool.now.sound[change.phase]:
+        if change.fills_vacancy() and pool.now.sound[change.phase]:
             return False
-        if change.is_cover() and change.phase == DECODE:
+        if change.fills_vacancy() and change.phase == DECODE:
             return True
-        if not change.is_cover() and pool.now.members() < change.members:
+        if not change.fills_vacancy() and pool.now.members() < change.members:
             return False
         needed = pool.needs(runner.phase, self._is_searched())
         return not needed or pool.now.may_spare(runner)
 
     def _work_off(self, change, now_us):
-        runner = self.keeper.runners.get(change.name)
-        if runner is None or not runner.is_listed or runner.is_leaving or runner.is_dark:
+        runner = self.runner_discovery.runners.get(change.name)
+        if runner is None or not runner.is_listed or runner.is_leaving or runner.is_unresponsive:
             return self._lose(change, now_us)
         if not change.is_sent:
             return self._send_when_told(change, runner, now_us)
@@ -372,7 +372,7 @@
             self.send_order(change, runner, now_us)
 
     def _send_announced(self, change):
-        runner = self.keeper.runners.get(change.name)
+        runner = self.runner_discovery.runners.get(change.name)
         is_pending = self.changes.get(change.name) is change and not change.is_sent
         if is_pending and runner is not None:
             self._work_off(change, self.node.now_us())
--- a/packages/controller/src/linkhaven/controller/phase_change.py
+++ b/packages/controller/src/linkhaven/controller/role_change.py
@@ -1,7 +1,7 @@
 """One change of a runner's phase, from the decision to its end."""
 
 
-class PhaseChange:
+class RoleChange:
     """A runner that is to play another phase.
 
     `told_us`: since when routers are told of it. `notice_us`: for how long they are told before
@@ -33,6 +33,6 @@
         self.is_refused = False
         self.sent_us = 0
 
-    def is_cover(self):
+    def fills_vacancy(self):
         """Whether it was begun because nobody plays that phase."""
         return self.members is None
--- a/packages/controller/src/linkhaven/controller/sides.py
+++ b/packages/controller/src/linkhaven/controller/role_pools.py
@@ -3,11 +3,11 @@
 from linkhaven.pairing import RatioSearch
 from linkhaven.runner.roster import DECODE, PREFILL
 
-PHASES = (PREFILL, DECODE)
-OTHER_PHASE = {PREFILL: DECODE, DECODE: PREFILL}
+ROLES = (PREFILL, DECODE)
+OTHER_ROLE = {PREFILL: DECODE, DECODE: PREFILL}
 
 
-class PoolSides:
+class PoolRoles:
     """How the runners of one pool stand at one moment.
 
     `sound`: by phase, those that take work and answer. `uncertain`: by phase, those that may yet
@@ -20,23 +20,32 @@
 
     def __init__(self):
         """No runner is counted yet."""
-        self.sound = {phase: [] for phase in PHASES}
-        self.uncertain = {phase: [] for phase in PHASES}
-        self.arriving = {phase: [] for phase in PHASES}
+        self.sound = {phase: [] for phase in ROLES}
+        self.uncertain = {phase: [] for phase in ROLES}
+        self.arriving = {phase: [] for phase in ROLES}
         self.unreported = 0
 
-    def add(self, runner, keeper, change):
+    def add(self, runner, runner_discovery, change):
         """Count one runner; `change`: what it was ordered to play, if that is under way."""
-        if runner.is_plain() or not runner.is_listed or runner.is_leaving or keeper.is_lost(runner):
+        if (
+            runner.is_plain()
+            or not runner.is_listed
+            or runner.is_leaving
+            or runner_discovery.is_lost(runner)
+        ):
             return
         if runner.reported_us is None:
-            self.unreported += not runner.is_dark
+            self.unreported += not runner.is_unresponsive
         phase = runner.phase
         if change is not None and change.is_sent:
             phase = change.phase
         elif runner.is_switching:
-            phase = OTHER_PHASE[runner.phase]
-        if runner.is_dark or runner.reported_us is None or keeper.is_suspect(runner):
+            phase = OTHER_ROLE[runner.phase]
+        if (
+            runner.is_unresponsive
+            or runner.reported_us is None
+            or runner_discovery.is_suspect(runner)
+        ):
             self.uncertain[phase].append(runner)
         elif phase != runner.phase or runner.is_switching:
             self.arriving[phase].append(runner)
@@ -56,24 +65,24 @@
 
         A reader is asked for only where a decoder is left beside it.
         """
-        spare = len(self.sound[OTHER_PHASE[phase]])
+        spare = len(self.sound[OTHER_ROLE[phase]])
         return not self.sound[phase] and spare > (phase == PREFILL)
 
 
-class Side:
+class RoleVacancy:
     """One phase of one pool, over time."""
 
-    __slots__ = ("was_held", "empty_us", "spell_us", "is_violated")
+    __slots__ = ("was_played", "unplayed_since_us", "vacant_since_us", "is_violated")
 
     def __init__(self):
         """Nobody has been seen to play it."""
-        self.was_held = False
-        self.empty_us = None
-        self.spell_us = None
+        self.was_played = False
+        self.unplayed_since_us = None
+        self.vacant_since_us = None
         self.is_violated = False
 
 
-class Pool:
+class RunnerPool:
     """What the switcher keeps of one pool: its ratio search, its dwell and its two sides.
 
     `name` None: the runners of a deployment without pools, which read prompts in place.
@@ -84,7 +93,7 @@
         "search",
         "looked_us",
         "dwell_until_us",
-        "sides",
+        "roles",
         "now",
         "seen",
         "cover_from_us",
@@ -97,20 +106,20 @@
         self.looked_us = 0
         self.dwell_until_us = 0
         self.cover_from_us = 0
-        self.sides = {phase: Side() for phase in PHASES}
-        self.now = PoolSides()
+        self.roles = {phase: RoleVacancy() for phase in ROLES}
+        self.now = PoolRoles()
         self.seen = {}
 
-    def take(self, sides, now_us):
+    def take(self, roles, now_us):
         """Note how the runners stand now, and since when a side is empty."""
-        self.now = sides
-        for phase, side in self.sides.items():
-            if sides.sound[phase]:
-                side.was_held = True
-            if not sides.is_empty(phase):
-                side.empty_us = None
-            elif side.empty_us is None:
-                side.empty_us = now_us
+        self.now = roles
+        for phase, side in self.roles.items():
+            if roles.sound[phase]:
+                side.was_played = True
+            if not roles.is_empty(phase):
+                side.unplayed_since_us = None
+            elif side.unplayed_since_us is None:
+                side.unplayed_since_us = now_us
 
     def needs(self, phase, is_searched):
         """Whether the pool must have somebody of this phase.
@@ -120,14 +129,14 @@
         """
         return phase == DECODE or is_searched and self.name is not None
 
-    def is_bare(self, phase, wait_us, now_us):
+    def must_fill(self, phase, wait_us, now_us):
         """Whether somebody must be ordered to play this phase now.
 
         At once where those who played it are known to be lost; after `wait_us` where somebody may
         yet prove to play it, or nobody was ever seen to.
         """
-        side = self.sides[phase]
-        if side.empty_us is None or self.now.arriving[phase]:
+        side = self.roles[phase]
+        if side.unplayed_since_us is None or self.now.arriving[phase]:
             return False
-        is_certain = side.was_held and not self.now.uncertain[phase]
-        return is_certain or now_us - side.empty_us >= wait_us
+        is_certain = side.was_played and not self.now.uncertain[phase]
+        return is_certain or now_us - side.unplayed_since_us >= wait_us
--- a/packages/controller/src/linkhaven/controller/keeper.py
+++ b/packages/controller/src/linkhaven/controller/runner_discovery.py
@@ -1,7 +1,7 @@
 from linkhaven.runner import Runner, Starts
 from linkhaven.runtime import Table
 
-from .changes import RosterChanges
+from .runner_list_delta import RunnerListDelta
 
 ABANDON_US = 1_000_000
 PRESS_US = 250_000
@@ -60,7 +60,7 @@
         self.owed_us = {}
         self.blind_us = max(BLIND_US, 3 * node.bounds.poll_us)
         self.changed = 0
-        self.changes = RosterChanges()
+        self.changes = RunnerListDelta()
         self.heard_us = {}
         self.serial = 0
         self.since_us = None
@@ -93,13 +93,13 @@
 
     def is_lost(self, runner):
         """Whether it is dark for sure: by another's word or its silence, and it leaves us unanswered, too."""
-        return runner.is_dark and self.is_suspect(runner)
+        return runner.is_unresponsive and self.is_suspect(runner)
 
-    def begin_serials(self, incarnation):
+    def start_serials_at(self, incarnation):
         """Each start of a seat tells higher serials than those before."""
         self.serial = max(self.serial, incarnation * SERIALS_A_START)
 
-    def hear_evidence(self, message):
+    def on_evidence(self, message):
         now_us = self.node.now_us()
         for name, incarnation, what, age_us in message.get("evidence", []):
             if what == "leaving":
@@ -110,11 +110,11 @@
             if what == "leaving":
                 self._mark_leaving(runner)
             elif what == "alive":
-                self._hear_alive(runner, now_us - age_us)
+                self._on_alive(runner, now_us - age_us)
             elif what == "silent":
-                self._hear_silent(runner, now_us, now_us - age_us)
+                self._on_silent(runner, now_us, now_us - age_us)
             else:
-                self._hear_dark(runner, now_us - age_us)
+                self._on_unresponsive(runner, now_us - age_us)
 
     def document(self, held=None):
         """The whole list; for who holds a serial of this list only what changed since, or only how old it is."""
@@ -148,7 +148,7 @@
             self.on_blind()
         if now_us - self.polled_us >= self.node.bounds.poll_us:
             self._poll(now_us)
-        self._judge_silent(now_us)
+        self._check_silent(now_us)
         self._reopen_plain(now_us)
         if now_us - self.reported_us >= self.node.bounds.report_us:
             self.reported_us = self.pressed_us = now_us
@@ -174,7 +174,7 @@
         """Who owes an answer is asked again sooner than the others."""
         self.pressed_us = now_us
         for runner in self.runners.rows():
-            if runner.is_dark or runner.name in self.owed_us:
+            if runner.is_unresponsive or runner.name in self.owed_us:
                 self._ask_report(runner, now_us)
 
     def _poll(self, now_us):
@@ -262,7 +262,7 @@
             asked[1].abandon()
             del self.reports[runner.name]
         self.owed_us.setdefault(runner.name, now_us)
-        self._judge_dark(runner, now_us)
+        self._check_unresponsive(runner, now_us)
 
         def done(error, document, has_begun):
             self.reports.pop(runner.name, None)
@@ -291,36 +291,36 @@
             self.node.ports.log(1606, runner=runner.name, phase=runner.phase)
         if report["is_leaving"] or (runner.name, runner.incarnation) in self.leaving:
             self._mark_leaving(runner)
-        self._hear_alive(runner, now_us)
+        self._on_alive(runner, now_us)
         self.serial += 1
         if self.changes.note_report(before, runner, self.serial):
             self.changed = self.serial
 
-    def _hear_alive(self, runner, seen_us):
+    def _on_alive(self, runner, seen_us):
         """By its own report, or by a router that it answers."""
         if seen_us <= self.heard_us.get(runner.name, -1):
             return
         self.heard_us[runner.name] = seen_us
         self.owed_us.pop(runner.name, None)
         self.silent.pop(runner.name, None)
-        if not runner.is_dark:
+        if not runner.is_unresponsive:
             return
-        runner.is_dark = False
+        runner.is_unresponsive = False
         self._change(runner)
         self.node.ports.log(1602, runner=runner.name)
 
-    def _hear_dark(self, runner, seen_us):
+    def _on_unresponsive(self, runner, seen_us):
         """A router lost it after it was last heard: closed until it is heard again."""
-        if runner.is_dark or seen_us <= self.heard_us.get(runner.name, -1):
+        if runner.is_unresponsive or seen_us <= self.heard_us.get(runner.name, -1):
             return
         self.heard_us[runner.name] = seen_us
-        self._darken(runner)
+        self._mark_unresponsive(runner)
 
-    def _hear_silent(self, runner, now_us, seen_us):
+    def _on_silent(self, runner, now_us, seen_us):
         """A router waits for its bytes: it is asked at once, and is dark where it leaves that unanswered, too."""
         if (
             self.since_us is None
-            or runner.is_dark
+            or runner.is_unresponsive
             or runner.name in self.silent
             or seen_us <= self.heard_us.get(runner.name, -1)
         ):
@@ -328,17 +328,17 @@
         self.silent[runner.name] = now_us
         self._ask_report(runner, now_us)
 
-    def _judge_silent(self, now_us):
+    def _check_silent(self, now_us):
         for name, told_us in list(self.silent.items()):
             runner = self.runners.get(name)
-            if runner is None or runner.is_dark:
+            if runner is None or runner.is_unresponsive:
                 del self.silent[name]
             elif (
                 now_us - told_us >= UNANSWERED_US
                 and now_us - self.owed_us.get(name, now_us) >= UNANSWERED_US
             ):
                 del self.silent[name]
-                self._darken(runner)
+                self._mark_unresponsive(runner)
 
     def _reopen_plain(self, now_us):
         """Let routers try a dark runner that gives no report again, once `dark_us` has passed.
@@ -347,20 +347,20 @@
         `test_a_dark_plain_runner_is_tried_again_and_closed_anew_by_evidence`.
         """
         for runner in self.runners.rows():
-            if not (runner.is_plain() and runner.is_dark):
+            if not (runner.is_plain() and runner.is_unresponsive):
                 continue
             if now_us - self.heard_us.get(runner.name, 0) >= self.node.bounds.dark_us:
-                self._hear_alive(runner, now_us)
+                self._on_alive(runner, now_us)
 
-    def _judge_dark(self, runner, now_us):
+    def _check_unresponsive(self, runner, now_us):
         bounds = self.node.bounds
         heard_us = self.heard_us.setdefault(runner.name, now_us)
         if 2 * bounds.report_us > bounds.dark_us:
             heard_us = max(heard_us, self.owed_us.get(runner.name, now_us))
-        if now_us - heard_us > bounds.dark_us and not runner.is_dark:
-            self._darken(runner)
+        if now_us - heard_us > bounds.dark_us and not runner.is_unresponsive:
+            self._mark_unresponsive(runner)
 
-    def _darken(self, runner):
-        runner.is_dark = True
+    def _mark_unresponsive(self, runner):
+        runner.is_unresponsive = True
         self._change(runner)
         self.node.ports.log(1601, runner=runner.name)
--- a/packages/controller/src/linkhaven/controller/changes.py
+++ b/packages/controller/src/linkhaven/controller/runner_list_delta.py
@@ -12,7 +12,7 @@
     return [record[name] for name in ("queued", "running", "kv_used", "kv_total")]
 
 
-class RosterChanges:
+class RunnerListDelta:
     """The serials at which each runner's record, its figures and its place last changed."""
 
     __slots__ = ("whole", "records", "figures", "gone", "newest")
--- a/packages/controller/src/linkhaven/controller/status.py
+++ b/packages/controller/src/linkhaven/controller/status.py
@@ -8,7 +8,7 @@
 SILENT = "silent"
 
 
-class StatusAsk:
+class StatusQuery:
     """One call that waits for the others' word."""
 
     __slots__ = ("call", "until_us", "missing", "told")
@@ -21,7 +21,7 @@
         self.told = {}
 
 
-class CoreStatus:
+class ClusterStatus:
     """Answers GET /v1/core from what each machine of the core says of itself."""
 
     __slots__ = ("node", "asks", "serial", "own_facts")
@@ -43,7 +43,7 @@
             if member.kind == "registry" and not member.has_left
         ]
         self.serial += 1
-        ask = StatusAsk(call, self.node.now_us() + ANSWER_US, {member.name for member in members})
+        ask = StatusQuery(call, self.node.now_us() + ANSWER_US, {member.name for member in members})
         while len(self.asks) >= ASKS_AT_MOST:
             self._answer(next(iter(self.asks)))
         self.asks[self.serial] = ask
--- a/packages/controller/src/linkhaven/controller/disk.py
+++ b/packages/controller/src/linkhaven/controller/storage.py
@@ -66,7 +66,7 @@
         os.close(handle)
 
 
-class LmdbDisk:
+class LmdbStorage:
     """The data folder: writes of one turn of the loop go into one synced transaction."""
 
     __slots__ = ("env", "clock", "waiting", "folder", "most_bytes", "node", "read")
@@ -232,12 +232,12 @@
     sync_folder(folder)
 
 
-def open_disk(folder, most_bytes, node, log, sets_aside=False):
+def open_storage(folder, most_bytes, node, log, sets_aside=False):
     """Open a member's folder. One that is refused is named in the log; with `sets_aside` a torn or
     foreign one is taken out of the way, and the member counts as one that lost its disk. One of
     another format is whole and good for another release: it is never set aside."""
     try:
-        return LmdbDisk(folder, most_bytes, node)
+        return LmdbStorage(folder, most_bytes, node)
     except ServiceError as error:
         if error.code == "disk_failing":
             raise
@@ -249,4 +249,4 @@
     except OSError as fault:
         raise ServiceError("disk_failing", data=folder, why=str(fault)) from None
     log(1213, data=folder)
-    return LmdbDisk(folder, most_bytes, node)
+    return LmdbStorage(folder, most_bytes, node)
--- a/packages/router/src/linkhaven/router/silence.py
+++ b/packages/router/src/linkhaven/router/silence.py
@@ -55,7 +55,7 @@
     def _is_lost(self, request, now_us):
         """Its runner is dark and sent nothing for a moment, and it can go on elsewhere."""
         runner = request.runner
-        if runner is None or not runner.is_dark or not is_waiting(request):
+        if runner is None or not runner.is_unresponsive or not is_waiting(request):
             return False
         if now_us - max(request.progress_us, runner.alive_us or 0) < DARK_QUIET_US:
             return False
@@ -86,4 +86,4 @@
 def is_suspect(runner, now_us):
     """Whether nothing but this request's own silence is needed to doubt the runner."""
     is_reporting = runner.reported_us is not None and now_us - runner.reported_us < QUIET_US
-    return runner.is_dark or not is_reporting
+    return runner.is_unresponsive or not is_reporting
--- a/packages/runner/src/linkhaven/runner/roster.py
+++ b/packages/runner/src/linkhaven/runner/roster.py
@@ -37,7 +37,7 @@
         "is_listed",
         "reported_us",
         "mark",
-        "is_dark",
+        "is_unresponsive",
         "is_changing",
         "fence",
         "alive_us",
@@ -45,7 +45,7 @@
         "slots",
         "is_switching",
         "silent_us",
-        "is_told_dark",
+        "is_reported_unresponsive",
         "serves_until_us",
     )
 
@@ -65,7 +65,7 @@
         self.reported_us = None
         self.mark = 0
         self.fence = 0
-        self.is_dark = self.is_told_dark = False
+        self.is_unresponsive = self.is_reported_unresponsive = False
         self.is_changing = False
         self.alive_us = None
         self.pool = None
@@ -117,7 +117,7 @@
             self.is_leaving
             and now_us < self.serves_until_us
             and self.is_listed
-            and not (self.is_dark or self.is_changing or self.is_switching)
+            and not (self.is_unresponsive or self.is_changing or self.is_switching)
         )
 
     def is_open(self):
@@ -125,7 +125,7 @@
         return (
             self.is_listed
             and not self.is_leaving
-            and not self.is_dark
+            and not self.is_unresponsive
             and not self.is_changing
             and not self.is_switching
         )
@@ -147,7 +147,7 @@
             "kv_total": self.kv_total,
             "is_leaving": self.is_leaving,
             "is_listed": self.is_listed,
-            "is_dark": self.is_dark,
+            "is_dark": self.is_unresponsive,
             "is_changing": self.is_changing,
             "mark": self.mark,
             "fence": self.fence,
@@ -282,14 +282,16 @@
         runner.is_leaving = runner.is_leaving or record["is_leaving"]
         if runner.is_leaving and was_serving:
             runner.serves_until_us = before_us + self.node.bounds.stand_in_us
-        runner.is_told_dark = record["is_dark"]
+        runner.is_reported_unresponsive = record["is_dark"]
         self._weigh_dark(runner, now_us)
 
     def _weigh_dark(self, runner, now_us):
-        is_dark_by_word = runner.is_told_dark and not self._is_alive_first_hand(runner, now_us)
-        runner.is_dark = is_dark_by_word or self._is_dark_first_hand(runner, now_us)
+        is_reported = runner.is_reported_unresponsive and not self._is_alive_first_hand(
+            runner, now_us
+        )
+        runner.is_unresponsive = is_reported or self._is_unresponsive_first_hand(runner, now_us)
 
-    def _is_dark_first_hand(self, runner, now_us):
+    def _is_unresponsive_first_hand(self, runner, now_us):
         seen = self.evidence.get((runner.name, runner.incarnation, "dark"))
         return seen is not None and now_us - seen <= DARK_US
 
@@ -319,7 +321,7 @@
         """Note that a runner can't be reached, or has been silent for too long."""
         runner.alive_us = None
         self.evidence[(runner.name, runner.incarnation, "dark")] = self.node.now_us()
-        runner.is_dark = True
+        runner.is_unresponsive = True
         self.node.ports.log(1601, runner=runner.name)
 
     def note_leaving(self, runner):
--- a/packages/stage/src/linkhaven/stage/line_costs.py
+++ b/packages/stage/src/linkhaven/stage/line_costs.py
@@ -9,7 +9,7 @@
 
 from linkhaven.configuration.history import digest_of
 from linkhaven.configuration.packing import pack_blob
-from linkhaven.controller.messages import Image, Keys, WantKeys
+from linkhaven.controller.messages import ClaimsRequest, ClaimsResponse, ConfigurationResponse
 from linkhaven.membership.messages import Heartbeat, MemberList, MemberRecord
 from linkhaven.pairing.messages import QueueView, QueueViews
 from linkhaven.runtime import LineReader, Node, write_json, write_line
@@ -29,7 +29,7 @@
     }
     text = json.dumps({"kinds": kinds, "fleet": {"routers": 7}})
     value = {"mark": 17, "put_id": "a/1/1", "bodies": {"plan": digest_of(text)}}
-    return Image(value, pack_blob(text), **ENVELOPE)
+    return ConfigurationResponse(value, pack_blob(text), **ENVELOPE)
 
 
 def _member(number):
@@ -49,8 +49,10 @@
             [_member(n) for n in range(MEMBERS)], **ENVELOPE
         ),
         "one view of a queue (books)": QueueViews([view], **ENVELOPE),
-        "a small message (want_keys)": WantKeys("core-1/123456/789", 500, **ENVELOPE),
-        f"a page of {KEYS_A_PAGE} keys": Keys("core-1/123456/789", 0, keys, False, **ENVELOPE),
+        "a small message (want_keys)": ClaimsRequest("core-1/123456/789", 500, **ENVELOPE),
+        f"a page of {KEYS_A_PAGE} keys": ClaimsResponse(
+            "core-1/123456/789", 0, keys, False, **ENVELOPE
+        ),
         f"a plan of {KINDS} kinds": _sample_image(),
     }
 
--- a/packages/stage/src/linkhaven/stage/soak/node.py
+++ b/packages/stage/src/linkhaven/stage/soak/node.py
@@ -6,7 +6,7 @@
 """
 
 from linkhaven.controller import ControllerNode
-from linkhaven.controller.disk import open_disk
+from linkhaven.controller.storage import open_storage
 from linkhaven.router import RouterNode
 from linkhaven.wire import Shell, make_log
 
@@ -54,7 +54,7 @@
 def run_registry(settings, listen):
     """Run a registry until SIGTERM; gives its exit code."""
     log = make_log(settings["name"], settings["log"]["level"], settings["log"].get("file"))
-    disk = open_disk(settings["data"], settings["data_bytes"], settings["name"], log)
+    disk = open_storage(settings["data"], settings["data_bytes"], settings["name"], log)
 
     def build(ports, incarnation):
         return ControllerNode(
--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -219,7 +219,7 @@
         runner = self.runners.get(address)
         if runner is None:
             sock.error = errno.ECONNREFUSED
-        elif runner.is_dark:
+        elif runner.is_unresponsive:
             self.pending.append((sock, address))
         else:
             sock.end, other = pair()
@@ -371,7 +371,7 @@
         self.name = name
         self.address = address
         self.phase = phase
-        self.is_dark = False
+        self.is_unresponsive = False
         self.connections = []
         self.owed = []
 
@@ -382,7 +382,7 @@
         self.connections.append(end)
 
     def read(self):
-        if self.is_dark:
+        if self.is_unresponsive:
             return
         for end in list(self.connections):
             if end.is_closed:
@@ -761,7 +761,7 @@
         runners = [
             end
             for runner in self.runners
-            if not runner.is_dark
+            if not runner.is_unresponsive
             for end in runner.connections
             if end.room is None
         ]
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -300,7 +300,7 @@
             self.world.room = room
         elif what == "dark":
             runner = self.world.runners[pick % len(self.world.runners)]
-            runner.is_dark = True
+            runner.is_unresponsive = True
         elif what == "replace":
             former = self.world.runners[pick % len(self.world.runners)]
             self.world.place_runner(former.address, former.phase, how)
@@ -335,7 +335,7 @@
                 end.room = None
         if what in ("bright", "all"):
             for runner in self.world.runners:
-                runner.is_dark = False
+                runner.is_unresponsive = False
                 self.world.net.connect_pending(runner.address)
         if what in ("listed", "all"):
             self.world.renew_runners()
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from linkhaven.consensus import Proposer
-from linkhaven.controller.contact import Contact
+from linkhaven.controller.quorum_contact import QuorumContact
 from linkhaven.controller.status import ANSWER_US
 from linkhaven.leases import Lease
 from linkhaven.router import RouterNode
@@ -70,7 +70,7 @@
 
 
 def serve_without_contact(monkeypatch):
-    monkeypatch.setattr(Contact, "is_held", lambda self: True)
+    monkeypatch.setattr(QuorumContact, "is_held", lambda self: True)
 
 
 def forget_grants(monkeypatch):
--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -4,7 +4,7 @@
 
 from linkhaven.configuration import store
 from linkhaven.consensus.rejoin import Recovery
-from linkhaven.controller.contact import Contact
+from linkhaven.controller.quorum_contact import QuorumContact
 from linkhaven.stage.changecourse import (
     RESTARTED,
     WIPED,
@@ -43,7 +43,7 @@
 
 
 def serve_without_contact(monkeypatch):
-    monkeypatch.setattr(Contact, "is_held", lambda self: True)
+    monkeypatch.setattr(QuorumContact, "is_held", lambda self: True)
 
 
 def remember_every_order(monkeypatch):
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -167,9 +167,11 @@
 def test_a_holder_that_slept_past_its_grant_orders_nothing_when_it_wakes():
     fleet, _ = make(LICENSING, 8)
     old = holder_of(fleet, "steward")
-    switcher = old.node.switcher
+    role_balancer = old.node.role_balancer
     fleet.world.run_for(SECOND)
-    switcher.begin_change(old.node.keeper.runners["runner-3"], "prefill", fleet.world.now_us)
+    role_balancer.begin_change(
+        old.node.runner_discovery.runners["runner-3"], "prefill", fleet.world.now_us
+    )
     fleet.world.run_for(300_000)
     old.freeze()
     assert fleet.world.wait_for(lambda: holder_of(fleet, "steward"), 10 * SECOND)
@@ -190,8 +192,10 @@
     fleet, _ = make(LICENSING, 9)
     runner = fleet.runners["runner-3"]
     runner.node.fence = 1_000
-    switcher = holder_of(fleet, "steward").node.switcher
-    switcher.begin_change(switcher.keeper.runners["runner-3"], "prefill", fleet.world.now_us)
+    role_balancer = holder_of(fleet, "steward").node.role_balancer
+    role_balancer.begin_change(
+        role_balancer.runner_discovery.runners["runner-3"], "prefill", fleet.world.now_us
+    )
     fleet.world.run_for(3 * SECOND)
     assert runner.node.phase == "decode"
     assert events(fleet, 1502)
@@ -218,9 +222,11 @@
     assert world.wait_for(lambda: fleet.is_ready() and router.roster.place[0] > known, 12 * SECOND)
     assert world.wait_for(lambda: holder_of(fleet, "steward"), 5 * SECOND)
     fleet.runners["runner-3"].node.fence = 50
-    switcher = holder_of(fleet, "steward").node.switcher
+    role_balancer = holder_of(fleet, "steward").node.role_balancer
     for _ in range(2):
-        switcher.begin_change(switcher.keeper.runners["runner-3"], "prefill", world.now_us)
+        role_balancer.begin_change(
+            role_balancer.runner_discovery.runners["runner-3"], "prefill", world.now_us
+        )
         world.run_for(4 * SECOND)
     assert fleet.runners["runner-3"].node.phase == "prefill"
 
@@ -251,8 +257,10 @@
     fleet, _ = make(LICENSING, 11)
     fleet.load(10.0)
     fleet.world.run_for(2 * SECOND)
-    switcher = holder_of(fleet, "steward").node.switcher
-    switcher.begin_change(switcher.keeper.runners["runner-4"], "prefill", fleet.world.now_us)
+    role_balancer = holder_of(fleet, "steward").node.role_balancer
+    role_balancer.begin_change(
+        role_balancer.runner_discovery.runners["runner-4"], "prefill", fleet.world.now_us
+    )
     fleet.world.run_for(2 * SECOND)
     ordered_us = next(
         at_us for at_us, facts in noted(fleet, "order") if facts["runner"] == "runner-4"
@@ -649,9 +657,9 @@
     router = fleet.routers["edge-1"].node
     router.roster.note_dark(router.roster.runners["runner-4"])
     world.run_for(SECOND)
-    assert {host.node.roster.runners["runner-4"].is_dark for host in fleet.routers.values()} == {
-        True
-    }
+    assert {
+        host.node.roster.runners["runner-4"].is_unresponsive for host in fleet.routers.values()
+    } == {True}
 
 
 def test_what_has_no_prospect_is_refused_at_once_and_what_can_wait_waits():
@@ -721,11 +729,11 @@
             "runners": len(router.roster.runners),
             "evidence": len(router.roster.evidence),
             "shunned": len(router.pairing.shunned),
-            "heard": len(core.keeper.heard_us),
-            "leaving": len(core.keeper.leaving),
+            "heard": len(core.runner_discovery.heard_us),
+            "leaving": len(core.runner_discovery.leaving),
             "out": sum(map(len, core.bursar.grants.values())),
             "fellows": len(core.membership.peers),
-            "rates": len(core.switcher.rates),
+            "rates": len(core.role_balancer.rates),
             "asks": len(core.watch_server.polls),
         }
 
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from linkhaven.controller.keeper import RunnerDiscovery
+from linkhaven.controller.runner_discovery import RunnerDiscovery
 from linkhaven.router.attempts import Attempts
 from linkhaven.router.request import DECODING, QUEUED, READING, Request
 from linkhaven.runner import Roster
@@ -271,7 +271,7 @@
 def test_what_a_dark_runner_has_goes_on_elsewhere_after_a_second(state, name, kind, is_tried):
     fleet = Fleet()
     fleet.sent("r-1", name, state, written=3 if state == DECODING else 0, **{"attempts": 4, **kind})
-    fleet.roster.runners[name].is_dark = True
+    fleet.roster.runners[name].is_unresponsive = True
     fleet.run_for(950_000)
     assert fleet.failed == []
     fleet.run_for(50_000)
@@ -283,12 +283,12 @@
     fleet = Fleet()
     request = fleet.sent("r-1")
     runner = fleet.roster.runners["d-1"]
-    runner.is_dark = True
+    runner.is_unresponsive = True
     fleet.run_for(500_000)
     if change == "no budget":
         fleet.budget = 0
     elif change == "no other":
-        fleet.roster.runners["d-2"].is_dark = True
+        fleet.roster.runners["d-2"].is_unresponsive = True
     elif change == "it speaks":
         fleet.roster.note_alive(runner)
     else:
@@ -325,37 +325,37 @@
         )
 
 
-@pytest.mark.parametrize("is_answered, is_dark", [(True, False), (False, True)])
+@pytest.mark.parametrize("is_answered, is_unresponsive", [(True, False), (False, True)])
 def test_a_runner_silent_to_a_router_is_asked_at_once_and_dark_unless_it_answers(
-    is_answered, is_dark
+    is_answered, is_unresponsive
 ):
     node, desk = Router(), Reports()
-    keeper = RunnerDiscovery(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
+    runner_discovery = RunnerDiscovery(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
 
     def run_for(span_us):
         for _ in range(span_us // 10_000):
             node.us += 10_000
-            keeper.tick(node.us)
+            runner_discovery.tick(node.us)
 
     run_for(20_000)
     report = record("d-1")
     desk.asked.pop()(None, report, True)
     run_for(300_000)
     assert desk.asked == []
-    keeper.hear_evidence({"evidence": [["d-1", 1, "silent", 0]]})
+    runner_discovery.on_evidence({"evidence": [["d-1", 1, "silent", 0]]})
     assert len(desk.asked) == 1
     run_for(200_000)
     if is_answered:
         desk.asked.pop()(None, report, True)
     run_for(350_000)
-    assert keeper.runners["d-1"].is_dark is is_dark
+    assert runner_discovery.runners["d-1"].is_unresponsive is is_unresponsive
 
 
 def test_evidence_older_than_the_last_report_asks_nothing():
     node, desk = Router(), Reports()
-    keeper = RunnerDiscovery(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
-    keeper.tick(node.us)
+    runner_discovery = RunnerDiscovery(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
+    runner_discovery.tick(node.us)
     while desk.asked:
         desk.asked.pop()(None, record("d-1"), True)
-    keeper.hear_evidence({"evidence": [["d-1", 1, "silent", 1_000]]})
+    runner_discovery.on_evidence({"evidence": [["d-1", 1, "silent", 1_000]]})
     assert desk.asked == []
--- a/tests/test_exchanged_address.py
+++ b/tests/test_exchanged_address.py
@@ -1,4 +1,4 @@
-from linkhaven.controller.keeper import RunnerDiscovery
+from linkhaven.controller.runner_discovery import RunnerDiscovery
 from linkhaven.runtime import Bounds
 
 
@@ -52,19 +52,25 @@
 
 def listing(*rounds):
     node, desk = Node(), Desk()
-    keeper = RunnerDiscovery(node, desk, "10.0.0.9:1", (Duty(),))
+    runner_discovery = RunnerDiscovery(node, desk, "10.0.0.9:1", (Duty(),))
     for names in rounds:
         node.us += 1_000_000
-        keeper.tick(node.us)
+        runner_discovery.tick(node.us)
         desk.listed(None, {"runners": [entry(name) for name in names]}, True)
-    return keeper
+    return runner_discovery
 
 
 def test_a_runner_whose_address_went_to_another_is_leaving_before_the_list_drops_it():
-    keeper = listing(["old"], ["new", "old"])
-    assert keeper.runners["old"].is_leaving and not keeper.runners["new"].is_leaving
+    runner_discovery = listing(["old"], ["new", "old"])
+    assert (
+        runner_discovery.runners["old"].is_leaving
+        and not runner_discovery.runners["new"].is_leaving
+    )
 
 
 def test_a_first_list_with_both_closes_neither():
-    keeper = listing(["new", "old"])
-    assert not keeper.runners["old"].is_leaving and not keeper.runners["new"].is_leaving
+    runner_discovery = listing(["new", "old"])
+    assert (
+        not runner_discovery.runners["old"].is_leaving
+        and not runner_discovery.runners["new"].is_leaving
+    )
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -10,7 +10,12 @@
 from hypothesis import strategies as st
 
 from linkhaven.api import ServiceError
-from linkhaven.controller.messages import ContactAnswer, ContactAsk, Image, Keys
+from linkhaven.controller.messages import (
+    ClaimsResponse,
+    ConfigurationResponse,
+    QuorumContactRequest,
+    QuorumContactResponse,
+)
 from linkhaven.membership import Membership
 from linkhaven.membership.messages import (
     Heartbeat,
@@ -407,7 +412,12 @@
 )
 def test_what_a_seat_is_told_is_checked_at_the_edge(line, is_fit):
     node, heard = make_node(), []
-    for message_type in (Image, Keys, ContactAsk, ContactAnswer):
+    for message_type in (
+        ConfigurationResponse,
+        ClaimsResponse,
+        QuorumContactRequest,
+        QuorumContactResponse,
+    ):
         node.on_message(message_type, heard.append)
     hear_line(node, write_json({**line, **ENVELOPE}))
     assert len(heard) == is_fit
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from linkhaven.controller.sides import PoolSides
-from linkhaven.controller.views import Views
+from linkhaven.controller.figure_relay import FigureRelay
+from linkhaven.controller.role_pools import PoolRoles
 from linkhaven.pairing.plain import PlainScheduler
 from linkhaven.runner import PLAIN, Runner
 from linkhaven.stage.core import SimCore
@@ -53,9 +53,9 @@
     def tell(self):
         """Let each router hear the sums of the others' rows."""
         node = type("Seat", (), {"systems": [], "now_us": lambda _: self.now})()
-        sums = Views(node, "outcomes")
+        sums = FigureRelay(node, "outcomes")
         for place, scheduler in enumerate(self.schedulers):
-            sums.hear_ask({"name": place, "outcomes": scheduler.own_rows()})
+            sums.on_watch_request({"name": place, "outcomes": scheduler.own_rows()})
         for place, scheduler in enumerate(self.schedulers):
             scheduler.take_others(sums.of_others(place))
 
@@ -139,25 +139,27 @@
     core.platform.node.set({"i-1": listed}, at_once=True)
     assert core.wait_voting(3)
     core.world.run_for(10 * SECOND)
-    keeper = next(
-        host.node.keeper for host in core.machines.values() if host.node.leases["roster"].is_held()
+    runner_discovery = next(
+        host.node.runner_discovery
+        for host in core.machines.values()
+        if host.node.leases["roster"].is_held()
     )
-    return core, keeper
+    return core, runner_discovery
 
 
 def test_a_dark_plain_runner_is_tried_again_and_closed_anew_by_evidence():
-    core, keeper = plain_core()
-    runner = keeper.runners["i-1"]
-    assert keeper.is_ready() and runner.is_open() and not keeper.reports
+    core, runner_discovery = plain_core()
+    runner = runner_discovery.runners["i-1"]
+    assert runner_discovery.is_ready() and runner.is_open() and not runner_discovery.reports
     for _ in range(3):
-        keeper.hear_evidence({"evidence": [["i-1", runner.incarnation, "dark", 0]]})
-        assert runner.is_dark
-        core.world.run_for(keeper.node.bounds.dark_us + 100_000)
+        runner_discovery.on_evidence({"evidence": [["i-1", runner.incarnation, "dark", 0]]})
+        assert runner.is_unresponsive
+        core.world.run_for(runner_discovery.node.bounds.dark_us + 100_000)
         assert runner.is_open()
 
 
 def test_no_order_of_a_phase_is_ever_weighed_for_a_plain_runner():
-    core, keeper = plain_core()
-    sides = PoolSides()
-    sides.add(keeper.runners["i-1"], keeper, None)
+    core, runner_discovery = plain_core()
+    sides = PoolRoles()
+    sides.add(runner_discovery.runners["i-1"], runner_discovery, None)
     assert sides.members() == 0 and not sides.unreported
--- a/tests/test_recovery_speed.py
+++ b/tests/test_recovery_speed.py
@@ -145,6 +145,6 @@
     old.node.drain(old.kill)
     others = [host for host in core.machines.values() if host is not old]
     assert core.world.wait_for(lambda: holder_of(others, "steward"), SECOND, 5 * MS)
-    switcher = holder_of(others, "steward").node.switcher
-    assert not switcher.may_order(core.world.now_us + switcher.lease.lease_us - 20 * MS)
-    assert switcher.may_order(core.world.now_us + switcher.lease.lease_us)
+    role_balancer = holder_of(others, "steward").node.role_balancer
+    assert not role_balancer.may_order(core.world.now_us + role_balancer.lease.lease_us - 20 * MS)
+    assert role_balancer.may_order(core.world.now_us + role_balancer.lease.lease_us)
--- a/tests/test_roster_changes.py
+++ b/tests/test_runner_list_delta.py
@@ -2,7 +2,7 @@
 
 import random
 
-from linkhaven.controller.changes import RosterChanges
+from linkhaven.controller.runner_list_delta import RunnerListDelta
 from linkhaven.runner import Roster, Runner
 
 SECOND = 1_000_000
@@ -45,7 +45,7 @@
     def __init__(self, clock, names):
         self.clock = clock
         self.serial = 1
-        self.changes = RosterChanges()
+        self.changes = RunnerListDelta()
         self.runners = {}
         self.changes.begin(self.serial)
         self.list(names)
@@ -67,8 +67,8 @@
         self.serial += 1
         return self.changes.note_report(before, runner, self.serial)
 
-    def darken(self, name, is_dark):
-        self.runners[name].is_dark = is_dark
+    def darken(self, name, is_unresponsive):
+        self.runners[name].is_unresponsive = is_unresponsive
         self.serial += 1
         self.changes.note_record(name, self.serial)
 
@@ -85,80 +85,85 @@
 
 
 def seen(roster):
-    names = ("incarnation", "phase", "queued", "running", "kv_used", "is_dark", "is_leaving")
+    names = ("incarnation", "phase", "queued", "running", "kv_used", "is_unresponsive")
+    names += ("is_leaving",)
     return {
         runner.name: [getattr(runner, name) for name in names] for runner in roster.runners.values()
     }
 
 
-def change_something(keeper, dice, extra):
+def change_something(runner_discovery, dice, extra):
     kind = dice.randrange(5)
-    name = dice.choice(list(keeper.runners))
+    name = dice.choice(list(runner_discovery.runners))
     if kind == 0:
-        keeper.list([*(other for other in keeper.runners if other != name), f"runner-{extra}"])
+        runner_discovery.list(
+            [*(other for other in runner_discovery.runners if other != name), f"runner-{extra}"]
+        )
     elif kind == 1:
-        keeper.darken(name, not keeper.runners[name].is_dark)
+        runner_discovery.darken(name, not runner_discovery.runners[name].is_unresponsive)
     elif kind == 2:
-        keeper.report(name, phase=dice.choice(("prefill", "decode")))
+        runner_discovery.report(name, phase=dice.choice(("prefill", "decode")))
     else:
-        keeper.report(name, queued=dice.randrange(9), running=dice.randrange(9))
+        runner_discovery.report(name, queued=dice.randrange(9), running=dice.randrange(9))
 
 
 def test_differences_lead_to_the_same_list_as_the_whole():
     for seed in range(40):
         dice, clock = random.Random(seed), Clock()
-        keeper = Keeper(clock, [f"runner-{place}" for place in range(6)])
+        runner_discovery = Keeper(clock, [f"runner-{place}" for place in range(6)])
         by_whole, by_changes = Roster(clock), Roster(clock)
         parts = 0
         for step in range(60):
             clock.at_us += 100_000
             for _ in range(dice.randrange(4)):
-                change_something(keeper, dice, 10 + 100 * step + dice.randrange(90))
-            document = keeper.document(by_changes.place)
+                change_something(runner_discovery, dice, 10 + 100 * step + dice.randrange(90))
+            document = runner_discovery.document(by_changes.place)
             parts += "since" in document
             by_changes.take(document, clock.at_us)
-            by_whole.take(keeper.whole(), clock.at_us)
+            by_whole.take(runner_discovery.whole(), clock.at_us)
             assert seen(by_changes) == seen(by_whole)
         assert parts > 50
 
 
 def test_a_difference_from_another_list_than_the_held_one_is_not_taken():
     clock = Clock()
-    keeper, roster = Keeper(clock, ["runner-1"]), Roster(clock)
-    roster.take(keeper.whole(), clock.at_us)
+    runner_discovery, roster = Keeper(clock, ["runner-1"]), Roster(clock)
+    roster.take(runner_discovery.whole(), clock.at_us)
     place = roster.place
-    keeper.report("runner-1", queued=5)
-    missed = keeper.document(place)
-    keeper.list(["runner-1", "runner-2"])
-    roster.take(keeper.document(place), clock.at_us)
+    runner_discovery.report("runner-1", queued=5)
+    missed = runner_discovery.document(place)
+    runner_discovery.list(["runner-1", "runner-2"])
+    roster.take(runner_discovery.document(place), clock.at_us)
     assert set(roster.runners) == {"runner-1", "runner-2"}
-    roster.take({**missed, "serial": keeper.serial + 9}, clock.at_us)
-    assert roster.place == (1, keeper.serial)
+    roster.take({**missed, "serial": runner_discovery.serial + 9}, clock.at_us)
+    assert roster.place == (1, runner_discovery.serial)
 
 
 def test_a_list_begun_anew_and_one_that_forgot_the_gone_are_told_whole():
     clock = Clock()
-    keeper = Keeper(clock, ["runner-1"])
-    held = keeper.serial
-    assert keeper.changes.is_known(held, keeper.serial)
+    runner_discovery = Keeper(clock, ["runner-1"])
+    held = runner_discovery.serial
+    assert runner_discovery.changes.is_known(held, runner_discovery.serial)
     for place in range(300):
-        keeper.list(["runner-1", f"other-{place}"])
-    assert not keeper.changes.is_known(held, keeper.serial)
-    keeper.serial += 1
-    keeper.changes.begin(keeper.serial)
-    assert not keeper.changes.is_known(keeper.serial - 1, keeper.serial)
+        runner_discovery.list(["runner-1", f"other-{place}"])
+    assert not runner_discovery.changes.is_known(held, runner_discovery.serial)
+    runner_discovery.serial += 1
+    runner_discovery.changes.begin(runner_discovery.serial)
+    assert not runner_discovery.changes.is_known(
+        runner_discovery.serial - 1, runner_discovery.serial
+    )
 
 
 def test_a_report_without_news_is_no_change_and_is_told_beside_the_next_one():
     clock = Clock()
-    keeper = Keeper(clock, ["runner-1", "runner-2", "runner-3"])
-    for name in keeper.runners:
-        assert keeper.report(name, queued=1)
-    held = keeper.serial
+    runner_discovery = Keeper(clock, ["runner-1", "runner-2", "runner-3"])
+    for name in runner_discovery.runners:
+        assert runner_discovery.report(name, queued=1)
+    held = runner_discovery.serial
     clock.at_us += SECOND // 4
-    assert not keeper.report("runner-1", queued=1)
-    assert keeper.report("runner-2", queued=2)
-    figures = keeper.changes.since(held, keeper.runners, clock.at_us)["figures"]
+    assert not runner_discovery.report("runner-1", queued=1)
+    assert runner_discovery.report("runner-2", queued=2)
+    figures = runner_discovery.changes.since(held, runner_discovery.runners, clock.at_us)["figures"]
     assert [(row[0], row[2], row[-1]) for row in figures] == [
         ("runner-1", 1, 0),
         ("runner-2", 2, 0),
@@ -168,12 +173,12 @@
 def test_a_runner_that_this_router_lost_is_open_again_after_a_while_by_any_difference():
     clock = Clock()
     clock.ports = type("Ports", (), {"log": staticmethod(lambda number, **facts: None)})
-    keeper, roster = Keeper(clock, ["runner-1", "runner-2"]), Roster(clock)
-    keeper.report("runner-1")
-    roster.take(keeper.whole(), clock.at_us)
+    runner_discovery, roster = Keeper(clock, ["runner-1", "runner-2"]), Roster(clock)
+    runner_discovery.report("runner-1")
+    roster.take(runner_discovery.whole(), clock.at_us)
     roster.note_dark(roster.runners["runner-1"])
-    assert roster.runners["runner-1"].is_dark
+    assert roster.runners["runner-1"].is_unresponsive
     clock.at_us += 2 * SECOND
-    keeper.report("runner-2", queued=1)
-    roster.take(keeper.document(roster.place), clock.at_us)
-    assert not roster.runners["runner-1"].is_dark
+    runner_discovery.report("runner-2", queued=1)
+    roster.take(runner_discovery.document(roster.place), clock.at_us)
+    assert not roster.runners["runner-1"].is_unresponsive
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -7,9 +7,9 @@
 from linkhaven.configuration.check import decode_configuration
 from linkhaven.consensus import Replica
 from linkhaven.consensus.seat import REJOINING
-from linkhaven.controller.gate import KeyGate
-from linkhaven.controller.keeper import RunnerDiscovery
-from linkhaven.controller.phase_change import PhaseChange
+from linkhaven.controller.claim_admission import ClaimAdmission
+from linkhaven.controller.role_change import RoleChange
+from linkhaven.controller.runner_discovery import RunnerDiscovery
 from linkhaven.credit import QuotaAllocator, RetryBudget
 from linkhaven.leases import Lease
 from linkhaven.router.attempts import Attempts
@@ -61,8 +61,8 @@
 
 
 def grant_keys_from_an_empty_core(monkeypatch):
-    monkeypatch.setattr(KeyGate, "_has_heard_enough", lambda self, routers, now_us: True)
-    monkeypatch.setattr(KeyGate, "on_keys", lambda self, message: None)
+    monkeypatch.setattr(ClaimAdmission, "_has_heard_enough", lambda self, routers, now_us: True)
+    monkeypatch.setattr(ClaimAdmission, "on_keys", lambda self, message: None)
 
 
 def use_keys_again_after_the_core_was_lost(fleet_of):
@@ -207,10 +207,10 @@
 
 def send_order_now(registry, phase):
     """An order to runner-3 without a word to the routers before, as if it had been announced."""
-    runner = registry.keeper.runners["runner-3"]
+    runner = registry.runner_discovery.runners["runner-3"]
     now_us = registry.now_us()
-    registry.switcher.lease.announced_us = now_us
-    registry.switcher.send_order(PhaseChange(runner, phase, now_us), runner, now_us)
+    registry.role_balancer.lease.announced_us = now_us
+    registry.role_balancer.send_order(RoleChange(runner, phase, now_us), runner, now_us)
 
 
 def sleep_over_an_order(fleet_of):
@@ -225,14 +225,14 @@
         ]
 
     old = stewards()[0]
-    runner = old.node.keeper.runners["runner-3"]
-    old.node.switcher.begin_change(runner, "prefill", world.now_us)
+    runner = old.node.runner_discovery.runners["runner-3"]
+    old.node.role_balancer.begin_change(runner, "prefill", world.now_us)
     world.run_for(300_000)
     old.freeze()
     world.wait_for(stewards)
     world.run_for(SECOND)
-    new = stewards()[0].node.switcher
-    new.begin_change(new.keeper.runners["runner-4"], "prefill", world.now_us)
+    new = stewards()[0].node.role_balancer
+    new.begin_change(new.runner_discovery.runners["runner-4"], "prefill", world.now_us)
     world.run_for(3 * SECOND)
     old.wake()
     send_order_now(old.node, "prefill")
@@ -312,7 +312,9 @@
     world.run_for(200_000)
     assert world.wait_for(steward, SECOND, 10_000)
     new = steward().node
-    new.keeper.runners.setdefault("runner-3", old.node.keeper.runners["runner-3"])
+    new.runner_discovery.runners.setdefault(
+        "runner-3", old.node.runner_discovery.runners["runner-3"]
+    )
     send_order_now(new, "decode")
     world.run_for(100_000)
     runner.kill()
--- a/tests/test_shared_lines.py
+++ b/tests/test_shared_lines.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from linkhaven.controller.views import Views
+from linkhaven.controller.figure_relay import FigureRelay
 from linkhaven.pairing import Work
 from linkhaven.pairing.decoders import UNDISTURBED_LEAST, split_decoders
 from linkhaven.pairing.estimator import Estimator
@@ -39,9 +39,9 @@
             estimator.taichi = TAICHI
 
     def tell(self):
-        sums = Views(SimpleNamespace(systems=[], now_us=lambda: self.now), "lines")
+        sums = FigureRelay(SimpleNamespace(systems=[], now_us=lambda: self.now), "lines")
         for place, estimator in enumerate(self.estimators):
-            sums.hear_ask({"name": place, "lines": estimator.own_rows()})
+            sums.on_watch_request({"name": place, "lines": estimator.own_rows()})
         for place, estimator in enumerate(self.estimators):
             estimator.take_others(sums.of_others(place))
 
--- a/tests/test_disk.py
+++ b/tests/test_storage.py
@@ -5,7 +5,7 @@
 import pytest
 
 from linkhaven.api import ServiceError
-from linkhaven.controller import disk as module
+from linkhaven.controller import storage as module
 
 
 class Later:
@@ -21,14 +21,14 @@
             deed()
 
 
-def open_disk(folder, **given):
-    disk, clock = module.LmdbDisk(str(folder), **given), Later()
+def open_storage(folder, **given):
+    disk, clock = module.LmdbStorage(str(folder), **given), Later()
     disk.attach(clock)
     return disk, clock
 
 
 def test_writes_of_one_turn_are_answered_after_one_sync_and_are_there_on_the_next_start(tmp_path):
-    disk, clock = open_disk(tmp_path / "data")
+    disk, clock = open_storage(tmp_path / "data")
     told = []
     disk.write({"a": 1, "b": {"mark": 2}}, told.append)
     disk.write({"a": None}, told.append)
@@ -37,13 +37,13 @@
     clock.run()
     assert told == [True, True]
     disk.close()
-    again, _ = open_disk(tmp_path / "data")
+    again, _ = open_storage(tmp_path / "data")
     assert again.load() == {"b": {"mark": 2}}
     again.close()
 
 
 def test_a_full_disk_answers_no_and_goes_on_when_there_is_room(tmp_path):
-    disk, clock = open_disk(tmp_path / "data", most_bytes=65_536)
+    disk, clock = open_storage(tmp_path / "data", most_bytes=65_536)
     told = []
     disk.write({"big": "x" * 200_000}, told.append)
     clock.run()
@@ -55,7 +55,7 @@
 
 
 def test_a_folder_that_shut_itself_is_opened_again(tmp_path):
-    disk, clock = open_disk(tmp_path / "data")
+    disk, clock = open_storage(tmp_path / "data")
     disk.write({"a": 1}, lambda is_kept: None)
     clock.run()
 
@@ -79,7 +79,7 @@
 def test_many_plans_and_renewals_keep_the_folder_small(tmp_path):
     """Two and a half minutes of a plan each 100 ms, and three duties renewed beside them, by the figures of a small disk."""
     folder, sizes = tmp_path / "data", random.Random(5)
-    disk, clock = open_disk(folder, most_bytes=96 << 20)
+    disk, clock = open_storage(folder, most_bytes=96 << 20)
     disk.env.close()
     disk.env = lmdb.open(str(folder), map_size=96 << 20, sync=False)
     told = []
@@ -111,7 +111,7 @@
 def test_a_folder_that_cannot_be_opened_is_a_coded_error(tmp_path):
     (tmp_path / "file").write_text("not a folder")
     with pytest.raises(ServiceError) as caught:
-        module.LmdbDisk(str(tmp_path / "file"))
+        module.LmdbStorage(str(tmp_path / "file"))
     assert caught.value.code == "disk_failing"
 
 
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("spoil", [spoil_head, spoil_tail, spoil_record])
 def test_a_corrupt_or_half_written_folder_is_refused_with_a_code_and_left_as_it_is(tmp_path, spoil):
-    disk, clock = open_disk(tmp_path / "data")
+    disk, clock = open_storage(tmp_path / "data")
     for place in range(40):
         disk.write({f"cell/{place}": ["x" * 2_000]}, lambda is_kept: None)
         clock.run()
@@ -141,14 +141,14 @@
     spoil(file)
     before = file.read_bytes()
     with pytest.raises(ServiceError) as caught:
-        open_disk(tmp_path / "data")
+        open_storage(tmp_path / "data")
     assert caught.value.code == "disk_corrupt"
     assert file.read_bytes() == before
 
 
 def filled(folder, node="core-1"):
     """A folder with some records, closed."""
-    disk, clock = open_disk(folder, node=node)
+    disk, clock = open_storage(folder, node=node)
     disk.write(
         {"seat": "a", "incarnation": 3, "cell/plan": [[2, "n"], [2, "n"], {"mark": 4}, 0]},
         lambda is_kept: None,
@@ -201,7 +201,7 @@
     file = filled(tmp_path / "data")
     spoil(file)
     with pytest.raises(ServiceError) as caught:
-        module.LmdbDisk(str(tmp_path / "data"), node="core-1")
+        module.LmdbStorage(str(tmp_path / "data"), node="core-1")
     assert caught.value.code == "disk_corrupt"
 
 
@@ -210,7 +210,7 @@
     file, told = filled(tmp_path / "data"), []
     spoil(file)
     before = file.read_bytes()
-    disk = module.open_disk(
+    disk = module.open_storage(
         str(tmp_path / "data"),
         1 << 20,
         "core-1",
@@ -226,14 +226,16 @@
 def test_a_set_aside_file_that_would_fill_the_disk_is_removed(tmp_path):
     file = filled(tmp_path / "data")
     spoil_head(file)
-    module.open_disk(str(tmp_path / "data"), 96_000, "core-1", lambda *a, **f: None, True).close()
+    module.open_storage(
+        str(tmp_path / "data"), 96_000, "core-1", lambda *a, **f: None, True
+    ).close()
     assert not (tmp_path / "data" / "data.mdb.refused").exists()
 
 
 def test_a_folder_of_another_node_is_refused_with_its_code(tmp_path):
     filled(tmp_path / "data", node="core-7")
     with pytest.raises(ServiceError) as caught:
-        module.LmdbDisk(str(tmp_path / "data"), node="core-1")
+        module.LmdbStorage(str(tmp_path / "data"), node="core-1")
     assert caught.value.code == "disk_foreign"
     assert caught.value.detail["held"] == "core-7"
 
@@ -247,7 +249,7 @@
     put_raw(tmp_path / "data", b"!header", stored)
     before = file.read_bytes()
     with pytest.raises(ServiceError) as caught:
-        module.open_disk(
+        module.open_storage(
             str(tmp_path / "data"),
             1 << 20,
             "core-1",
@@ -278,10 +280,10 @@
     with monkeypatch.context() as patch:
         patch.setattr(module.os if call == "rename" else module, call, lose_power)
         with pytest.raises(Recorded):
-            module.LmdbDisk(str(folder), node="core-1")
+            module.LmdbStorage(str(folder), node="core-1")
     names = set(os.listdir(folder))
     assert names == {"data.mdb.new"} if call == "rename" else names == {"data.mdb"}
-    disk = module.LmdbDisk(str(folder), node="core-1")
+    disk = module.LmdbStorage(str(folder), node="core-1")
     assert disk.load() == {}
     assert set(os.listdir(folder)) == {"data.mdb", "lock.mdb"}
     disk.close()
@@ -318,7 +320,7 @@
     folder = tmp_path / "data"
     filled(folder)
     change(folder)
-    disk = module.LmdbDisk(str(folder), node="core-1")
+    disk = module.LmdbStorage(str(folder), node="core-1")
     assert disk.load()["incarnation"] == 3
     assert not (folder / "data.mdb.new").exists()
     disk.close()
@@ -332,7 +334,7 @@
     module.set_aside(str(tmp_path / "data"), 1 << 20)
     os.rename(tmp_path / "data" / "data.mdb.refused", file)
     told = []
-    disk = module.open_disk(
+    disk = module.open_storage(
         str(tmp_path / "data"), 1 << 20, "core-1", lambda *a, **f: told.append(a[0]), True
     )
     assert told == [1212, 1213]
@@ -344,7 +346,7 @@
     sizes = []
     for changes in (10, 400):
         folder = tmp_path / f"data-{changes}"
-        disk, clock = open_disk(folder, most_bytes=32 << 20)
+        disk, clock = open_storage(folder, most_bytes=32 << 20)
         for turn in range(changes):
             cell = [[turn, "n"], [turn, "n"], {"mark": turn, "document": "p" * 20_000}, 0]
             disk.write({"cell/plan": cell}, lambda is_kept: None)
@@ -358,7 +360,7 @@
 
 def test_a_start_reads_the_folder_once_and_a_write_is_read_back(tmp_path):
     filled(tmp_path / "data")
-    disk, clock = open_disk(tmp_path / "data", node="core-1")
+    disk, clock = open_storage(tmp_path / "data", node="core-1")
     first = disk.load()
     first["seat"] = "changed by its reader"
     assert disk.load()["seat"] == "a"
--- a/tests/test_empty_sides.py
+++ b/tests/test_vacant_roles.py
@@ -9,9 +9,9 @@
 from pooled_fleet import POOL, POOLED, SLOTS, SPEEDS, PooledFleet
 
 from linkhaven.controller import ControllerNode
-from linkhaven.controller.keeper import PRESS_US, UNANSWERED_US
-from linkhaven.controller.phase_change import PhaseChange
-from linkhaven.controller.switcher import TOLD_US
+from linkhaven.controller.role_balancer import NOTICE_US
+from linkhaven.controller.role_change import RoleChange
+from linkhaven.controller.runner_discovery import PRESS_US, UNANSWERED_US
 from linkhaven.leases.lease import MARGIN_US, RANK_US
 from linkhaven.runner.roster import DECODE, PREFILL
 from linkhaven.runtime import Bounds
@@ -40,7 +40,7 @@
 """From an unanswered ask to the certainty that a runner is dark."""
 
 
-class SidesFleet(PooledFleet):
+class RolesFleet(PooledFleet):
     """The pooled fleet whose core has the platform's bounds too."""
 
     __slots__ = ()
@@ -66,7 +66,7 @@
     """A quiet fleet of five runners, of which three read, and whose holder may order."""
     plan = POOLED.plan(pools={POOL: {"switch_us": SECOND}})
     plan["taichi"] = {"prefill_tokens_per_s": 0, "search": search, "dwell_us": 4 * SECOND}
-    one = SidesFleet(POOLED, seed, speeds=SPEEDS, plan=plan, runner_given={"kv_total": 403_000})
+    one = RolesFleet(POOLED, seed, speeds=SPEEDS, plan=plan, runner_given={"kv_total": 403_000})
     one.phases = {
         f"runner-{place}": PREFILL if place <= READERS else DECODE
         for place in range(1, POOLED.runners + 1)
@@ -91,7 +91,7 @@
 
 def may_order(one):
     node = holder(one)
-    return node is not None and node.switcher.may_order(one.world.now_us)
+    return node is not None and node.role_balancer.may_order(one.world.now_us)
 
 
 def playing(one, phase):
@@ -189,7 +189,7 @@
     lose(one, playing(one, PREFILL), way)
     known_us = one.world.now_us
     sent_us = wait_for_order(one, PREFILL, began_us, 5 * SECOND)
-    allowed_us = TOLD_US + (50 * MS if way in ("departure", "replacement") else SURE_US)
+    allowed_us = NOTICE_US + (50 * MS if way in ("departure", "replacement") else SURE_US)
     assert sent_us - known_us <= allowed_us
     one.world.run_for(6 * SECOND)
     assert not violations(one)
@@ -291,26 +291,30 @@
 def test_no_order_takes_the_last_decoder_that_stays():
     """Of two decoders one begins to leave while the other's order waits for the routers."""
     one = fleet(21, search=False)
-    switcher = holder(one).switcher
+    role_balancer = holder(one).role_balancer
     began_us = one.world.now_us
     one.list_runners(runner_4="leaving")
     one.world.run_for(one.platform.node.lag_us)
-    assert not switcher.keeper.runners["runner-4"].is_leaving
-    switcher.begin_change(switcher.keeper.runners["runner-5"], PREFILL, one.world.now_us)
+    assert not role_balancer.runner_discovery.runners["runner-4"].is_leaving
+    role_balancer.begin_change(
+        role_balancer.runner_discovery.runners["runner-5"], PREFILL, one.world.now_us
+    )
     one.world.run_for(3 * SECOND)
-    assert switcher.keeper.runners["runner-4"].is_leaving
+    assert role_balancer.runner_discovery.runners["runner-4"].is_leaving
     assert not orders(one, PREFILL, began_us)
-    assert not switcher.changes
+    assert not role_balancer.changes
 
 
 @pytest.mark.parametrize("way", ["dark", "crash"])
 def test_no_order_leaves_a_side_to_a_runner_that_is_suspect(way):
     one = fleet(22, search=False)
-    switcher = holder(one).switcher
+    role_balancer = holder(one).role_balancer
     began_us = one.world.now_us
     strike(one.runners["runner-4"], way)
     one.world.run_for(BOUNDS["report_us"])
-    switcher.begin_change(switcher.keeper.runners["runner-5"], PREFILL, one.world.now_us)
+    role_balancer.begin_change(
+        role_balancer.runner_discovery.runners["runner-5"], PREFILL, one.world.now_us
+    )
     one.world.run_for(3 * SECOND)
     assert not orders(one, PREFILL, began_us)
 
@@ -319,13 +323,13 @@
 def test_no_order_to_read_takes_the_last_decoder_while_readers_and_decoders_leave(seed):
     """The readers leave; while routers are told of the order to read, all but one decoder leave."""
     one = fleet(seed)
-    switcher = holder(one).switcher
+    role_balancer = holder(one).role_balancer
     began_us = one.world.now_us
     readers = playing(one, PREFILL)
     one.list_runners(**{name.replace("-", "_"): "leaving" for name in readers})
-    assert one.world.wait_for(lambda: switcher.changes, 2 * SECOND, STEP)
+    assert one.world.wait_for(lambda: role_balancer.changes, 2 * SECOND, STEP)
     left = {f"runner_{place}": "leaving" for place in (1, 2, 3, 4, 5)}
-    chosen = next(iter(switcher.changes))
+    chosen = next(iter(role_balancer.changes))
     left[chosen.replace("-", "_")] = "serving"
     one.list_runners(at_once=True, **left)
     one.world.run_for(3 * SECOND)
@@ -335,10 +339,10 @@
 
 def test_an_order_that_covers_a_side_is_dropped_where_somebody_plays_it_again():
     one = fleet(23)
-    switcher = holder(one).switcher
+    role_balancer = holder(one).role_balancer
     began_us = one.world.now_us
-    runner = switcher.keeper.runners["runner-1"]
-    switcher.changes[runner.name] = PhaseChange(runner, DECODE, one.world.now_us, TOLD_US)
+    runner = role_balancer.runner_discovery.runners["runner-1"]
+    role_balancer.changes[runner.name] = RoleChange(runner, DECODE, one.world.now_us, NOTICE_US)
     one.world.run_for(2 * SECOND)
     assert not orders(one, DECODE, began_us)
 
@@ -346,7 +350,7 @@
 # several pools
 
 
-class TwoPools(SidesFleet):
+class TwoPools(RolesFleet):
     """Runners 4 and 5 serve another pool: 4 reads there and 5 decodes."""
 
     __slots__ = ()
@@ -398,6 +402,6 @@
     assert facts["pool"] == POOL
     assert facts["phase"] == DECODE
     assert facts["for_us"] > facts["bound_us"]
-    standing = holder(one).switcher.as_record()
+    standing = holder(one).role_balancer.as_record()
     assert standing["violations"] == {"empty_side": 1}
     assert standing["empty_sides_us"][f"{POOL}/{DECODE}"] > facts["bound_us"]
