--- a/packages/configuration/src/linkhaven/configuration/overlay.py
+++ b/packages/configuration/src/linkhaven/configuration/overlay.py
@@ -1,75 +1,114 @@
+"""Our own commands for groups and kinds, kept beside a document that a foreign operator sends.
+
+Such a document is its sender's: our commands don't alter its bytes. What they change is stored as
+an overlay, which survives the next document, and is applied to whatever document is in force.
+"""
+
+from collections.abc import Mapping
+from typing import Any, TypedDict
+
 from linkhaven.api import ServiceError
 
-from .check import decode_configuration
+from .document import Configuration, RequestKind
+from .validation import decode_configuration
+
+
+class Overlay(TypedDict):
+    """The overlay as it is stored in the value of the configuration key."""
+
+    groups: dict[str, dict]
+    """Groups as in a document: they replace the document's of the same name, or are added."""
+
+    kinds: dict[str, str]
+    """The groups to which kinds of the document are attached, by the kinds' names."""
 
-EMPTY = {"groups": {}, "kinds": {}}
 
+EMPTY: Overlay = {"groups": {}, "kinds": {}}
 
-def overlay_of(value):
+
+def overlay_of(value: Mapping[str, Any] | None) -> Overlay:
+    """Return the overlay of a stored value; empty where it has none."""
     return (value or {}).get("overlay") or EMPTY
 
 
-def apply_overlay(plan, overlay):
-    """Groups of the overlay replace the plan's or are added; kinds are attached where both ends are there."""
-    groups = {**plan["groups"], **overlay["groups"]}
+def apply_overlay(document: dict, overlay: Overlay) -> dict:
+    """Return a document with an overlay applied to it.
+
+    A kind stays in its document's group while the one that it is attached to isn't there.
+    """
+    groups = {**document["groups"], **overlay["groups"]}
     kinds = {
         name: {**kind, "group": overlay["kinds"][name]}
         if overlay["kinds"].get(name) in groups
         else kind
-        for name, kind in plan["kinds"].items()
+        for name, kind in document["kinds"].items()
     }
-    return {**plan, "groups": groups, "kinds": kinds}
-
-
-def effective_configuration(value):
-    return decode_configuration(apply_overlay(value["plan"], overlay_of(value)))
+    return {**document, "groups": groups, "kinds": kinds}
 
 
-def _misfit(place, fault):
-    return ServiceError("plan_invalid", places=[{"place": place, "fault": fault}])
+def effective_configuration(value: Mapping[str, Any]) -> Configuration:
+    """Return the configuration that a stored value puts in force.
 
+    Raises ServiceError `plan_invalid`, which no value that was checked before it was stored does.
+    """
+    return decode_configuration(apply_overlay(value["plan"], overlay_of(value)))
 
-def _check(plan, overlay):
-    """What is laid over must fit, and a kind that is there must find the group it is attached to."""
-    laid = apply_overlay(plan, overlay)
-    for name, group in overlay["kinds"].items():
-        if name in plan["kinds"] and group not in laid["groups"]:
-            raise _misfit(f"kinds/{name}/group", f"no group is named {group}")
-    decode_configuration(laid)
-    return overlay
 
+def put_overlay_group(document: dict, overlay: Overlay, name: str, group: dict) -> Overlay:
+    """Return the overlay with a group set. Raises ServiceError `plan_invalid` if it doesn't fit."""
+    groups = {**overlay["groups"], name: group}
+    return _checked(document, {**overlay, "groups": groups})
 
-def put_overlay_group(plan, overlay, name, group):
-    return _check(plan, {**overlay, "groups": {**overlay["groups"], name: group}})
 
+def remove_overlay_group(document: dict, overlay: Overlay, name: str) -> Overlay:
+    """Return the overlay without a group.
 
-def remove_overlay_group(plan, overlay, name):
+    Raises ServiceError `plan_invalid` if the overlay lacks it, or a kind is attached to it.
+    """
     if name not in overlay["groups"]:
-        raise _misfit(
+        raise _invalid(
             f"groups/{name}", "is not in the overlay; what the document holds, its sender removes"
         )
-    return _check(
-        plan,
-        {
-            **overlay,
-            "groups": {other: terms for other, terms in overlay["groups"].items() if other != name},
-        },
-    )
-
-
-def attach_overlay_kind(plan, overlay, name, kind):
-    """Only the group: everything else about a kind is its document's."""
-    held = plan["kinds"].get(name)
-    if held is None:
-        raise _misfit(f"kinds/{name}", "is not in the plan")
-    laid = apply_overlay(plan, overlay)
-    filled = [
-        decode_configuration({**laid, "kinds": {name: terms}})["kinds"][name]
-        for terms in (kind, {**held, "group": kind.get("group")})
-    ]
-    if filled[0] != filled[1]:
-        raise _misfit(f"kinds/{name}", "only its group can be changed beside the document")
+    groups = {other: group for other, group in overlay["groups"].items() if other != name}
+    return _checked(document, {**overlay, "groups": groups})
+
+
+def attach_overlay_kind(document: dict, overlay: Overlay, name: str, kind: dict) -> Overlay:
+    """Return the overlay with a kind of the document attached to another group, or to its own.
+
+    Only the group of `kind` may differ from the document's; everything else about a kind is its
+    sender's. Raises ServiceError `plan_invalid` where more differs or the group isn't there.
+    """
+    own = document["kinds"].get(name)
+    if own is None:
+        raise _invalid(f"kinds/{name}", "is not in the plan")
+    effective = apply_overlay(document, overlay)
+    attached = {**own, "group": kind.get("group")}
+    if _decode_kind(effective, name, kind) != _decode_kind(effective, name, attached):
+        raise _invalid(f"kinds/{name}", "only its group can be changed beside the document")
     kinds = {other: group for other, group in overlay["kinds"].items() if other != name}
-    if kind["group"] != held["group"]:
+    if kind["group"] != own["group"]:
         kinds[name] = kind["group"]
-    return _check(plan, {**overlay, "kinds": kinds})
+    return _checked(document, {**overlay, "kinds": kinds})
+
+
+def _decode_kind(document: dict, name: str, kind: dict) -> RequestKind:
+    """Read a kind as a document of only this one would have it; raises `plan_invalid`."""
+    return decode_configuration({**document, "kinds": {name: kind}}).kinds[name]
+
+
+def _checked(document: dict, overlay: Overlay) -> Overlay:
+    """Return the overlay if it fits, and each kind of the document finds the group that it names.
+
+    Raises ServiceError `plan_invalid`.
+    """
+    effective = apply_overlay(document, overlay)
+    for name, group in overlay["kinds"].items():
+        if name in document["kinds"] and group not in effective["groups"]:
+            raise _invalid(f"kinds/{name}/group", f"no group is named {group}")
+    decode_configuration(effective)
+    return overlay
+
+
+def _invalid(place: str, fault: str) -> ServiceError:
+    return ServiceError("plan_invalid", places=[{"place": place, "fault": fault}])
--- /dev/null
+++ b/packages/configuration/src/linkhaven/configuration/schema.py
@@ -0,0 +1,121 @@
+"""The form of an operator's document: its fields and the values that each may have.
+
+Defaults stand in `document.py`, how fields must fit together in `validation.py`. A field that isn't
+named here is a fault: it would else be dropped without a word.
+"""
+
+import trafaret as t
+
+from linkhaven.api.fields import number, whole
+
+DURATION_US = whole(gte=1, lte=86_400_000_000)
+"""A time in microseconds, up to a day."""
+
+NAME = t.Regexp(r"^[A-Za-z0-9._-]{1,128}$")
+"""The name of a group, a kind or a pool."""
+
+ALLOWANCE = t.Dict({t.Key("tokens"): whole(gte=0), t.Key("period_us"): DURATION_US})
+
+GROUP = t.Dict(
+    {
+        t.Key("credit", optional=True): t.Call(
+            lambda credit: None if credit is None else ALLOWANCE.check(credit)
+        ),
+        t.Key("weight", optional=True): number(above=0, most=1000),
+        t.Key("queue", optional=True): t.Dict(
+            {
+                t.Key("requests", optional=True): whole(gte=1, lte=100_000),
+                t.Key("tokens", optional=True): whole(gte=1),
+                t.Key("wait_us", optional=True): DURATION_US,
+            }
+        ),
+    }
+)
+
+KIND = t.Dict(
+    {
+        t.Key("group"): NAME,
+        t.Key("ttft_us"): DURATION_US,
+        t.Key("tpot_us"): DURATION_US,
+        t.Key("deadline_us"): DURATION_US,
+        t.Key("repeatable", optional=True): t.Bool(),
+        t.Key("resumable", optional=True): t.Bool(),
+        t.Key("key_required", optional=True): t.Bool(),
+        t.Key("prompt_tokens", optional=True): whole(gte=1),
+        t.Key("answer_tokens", optional=True): whole(gte=1),
+        t.Key("door", optional=True): t.Dict(
+            {
+                t.Key("host"): t.String(max_length=253),
+                t.Key("prefix"): t.Regexp(r"^/(.{0,4000}/)?$"),
+            }
+        ),
+        t.Key("pools", optional=True): t.List(
+            t.Dict({t.Key("pool"): NAME, t.Key("weight"): whole(gte=0)})
+        ),
+        t.Key("attempts", optional=True): whole(gte=0),
+        t.Key("gap_us", optional=True): DURATION_US,
+        t.Key("priority", optional=True): whole(),
+    }
+)
+
+POOL = t.Dict(
+    {
+        t.Key("conns", optional=True): whole(gte=1),
+        t.Key("health", optional=True): t.String(max_length=4_000),
+        t.Key("slots", optional=True): whole(gte=0),
+        t.Key("kv_tokens", optional=True): whole(gte=0),
+        t.Key("kv_bytes_per_token", optional=True): whole(gte=0),
+        t.Key("link_bytes_per_s", optional=True): whole(gte=1),
+        t.Key("hold_us", optional=True): DURATION_US,
+        t.Key("switch_us", optional=True): DURATION_US,
+    }
+)
+
+HTTP_LIMITS = t.Dict(
+    {
+        t.Key("head_bytes", optional=True): whole(gte=1),
+        t.Key("body_bytes", optional=True): whole(gte=1),
+        t.Key("head_us", optional=True): DURATION_US,
+        t.Key("idle_us", optional=True): DURATION_US,
+    }
+)
+
+PLACEMENT = t.Dict(
+    {
+        t.Key("prefill_tokens_per_s", optional=True): whole(gte=0),
+        t.Key("decode_read_share", optional=True): number(above=0, most=1),
+        t.Key("read_base_us", optional=True): whole(gte=0),
+        t.Key("kv_bytes_per_token", optional=True): whole(gte=1),
+        t.Key("link_bytes_per_s", optional=True): whole(gte=1),
+        t.Key("decode_tokens_per_s", optional=True): whole(gte=1),
+        t.Key("watermark", optional=True): number(above=0, most=1),
+        t.Key("approach", optional=True): number(above=0, most=1),
+        t.Key("moves", optional=True): t.Bool(),
+        t.Key("search", optional=True): t.Bool(),
+        t.Key("dwell_us", optional=True): DURATION_US,
+    }
+)
+
+DOCUMENT = t.Dict(
+    {
+        t.Key("groups"): t.Mapping(NAME, GROUP),
+        t.Key("kinds"): t.Mapping(NAME, KIND),
+        t.Key("taichi", optional=True): PLACEMENT,
+        t.Key("extra", optional=True): t.Dict(
+            {
+                t.Key("share", optional=True): number(least=0, most=0.2),
+                t.Key("margin", optional=True): whole(gte=0, lte=1000),
+            }
+        ),
+        t.Key("claims", optional=True): t.Dict(
+            {
+                t.Key("keep_us", optional=True): whole(gte=60_000_000, lte=31_536_000_000_000),
+                t.Key("most", optional=True): whole(gte=1, lte=2_000_000),
+            }
+        ),
+        t.Key("fleet", optional=True): t.Dict({t.Key("routers"): whole(gte=1, lte=1000)}),
+        t.Key("pools", optional=True): t.Mapping(NAME, POOL),
+        t.Key("limits", optional=True): HTTP_LIMITS,
+        t.Key("floor", optional=True): number(least=0, most=1),
+    }
+)
--- a/packages/configuration/src/linkhaven/configuration/store.py
+++ b/packages/configuration/src/linkhaven/configuration/store.py
@@ -2,7 +2,6 @@
 from linkhaven.runtime import read_json
 
 from .blobs import digests_of, name_blobs
-from .check import decode_configuration, list_document_faults
 from .document_update import DocumentUpdate
 from .history import (
     CommittedUpdate,
@@ -20,6 +19,7 @@
     remove_overlay_group,
 )
 from .patch import apply_to_mappings, read_mapping_patch
+from .validation import decode_configuration, list_document_faults
 
 KEY = "plan"
 SHOWN = ("mark", "put_id", "plan", "document", "revision", "overlay")
--- /dev/null
+++ b/packages/configuration/src/linkhaven/configuration/validation.py
@@ -0,0 +1,160 @@
+"""Checks an operator's document, whole, and decodes it to the `Configuration` that code reads."""
+
+from collections.abc import Iterator
+from typing import Any, Protocol, TypedDict
+
+import msgspec
+import trafaret as t
+from cachetools import LRUCache
+
+from linkhaven.api import ServiceError
+from linkhaven.api.fields import list_places
+from linkhaven.runtime import write_json
+
+from .document import Configuration, Group, RequestKind
+from .schema import DOCUMENT, GROUP, KIND, NAME
+
+CACHED_ITEMS_MOST = 8_192
+"""More than the groups and kinds of two versions of a large document."""
+
+_decoded_items: LRUCache = LRUCache(CACHED_ITEMS_MOST)
+"""Groups and kinds that were checked before, by their name and text: a change of a large document
+checks and decodes only what it changed. Test: `test_only_changed_parts_of_a_plan_are_checked_again`.
+"""
+
+
+class DocumentFault(TypedDict):
+    """One fault of a document, as the error `plan_invalid` lists it."""
+
+    place: str
+    """The path of names to the field, with `/` between them."""
+
+    fault: str
+
+
+class _Schema(Protocol):
+    def check(self, value: Any) -> Any:
+        """Return the value as checked, or raise trafaret.DataError."""
+
+
+def decode_configuration(document: Any) -> Configuration:
+    """Check a document and return the configuration that it says, with defaults for what it omits.
+
+    Raises ServiceError `plan_invalid` with each place that doesn't fit, in the order of places.
+    """
+    faults: list[DocumentFault] = []
+    configuration = None
+    try:
+        configuration = _decode(document)
+    except t.DataError as error:
+        faults += list_places(error)
+    faults += _list_inconsistencies(document)
+    if configuration is None or faults:
+        raise ServiceError("plan_invalid", places=sorted(faults, key=lambda fault: fault["place"]))
+    return configuration
+
+
+def list_document_faults(document: Any) -> list[DocumentFault]:
+    """Return each place of a document that doesn't fit, none where it is valid."""
+    try:
+        decode_configuration(document)
+    except ServiceError as error:
+        return error.detail["places"]
+    return []
+
+
+def _decode(document: Any) -> Configuration:
+    """Raise trafaret.DataError with each place that doesn't fit the schema."""
+    try:
+        groups = {
+            name: _decode_item(GROUP, Group, name, item)
+            for name, item in document["groups"].items()
+        }
+        kinds = {
+            name: _decode_item(KIND, RequestKind, name, item)
+            for name, item in document["kinds"].items()
+        }
+    except (t.DataError, AttributeError, KeyError, TypeError, ValueError):
+        return msgspec.convert(DOCUMENT.check(document), Configuration)
+    checked = DOCUMENT.check({**document, "groups": {}, "kinds": {}})
+    rest = msgspec.convert(checked, Configuration)
+    return msgspec.structs.replace(rest, groups=groups, kinds=kinds)
+
+
+def _decode_item(schema: _Schema, record: type, name: str, item: Any) -> Any:
+    key = (schema, name, write_json(item))
+    decoded = _decoded_items.get(key)
+    if decoded is None:
+        NAME.check(name)
+        decoded = _decoded_items[key] = msgspec.convert(schema.check(item), record)
+    return decoded
+
+
+# How fields must fit together. The document may be of any form here: the schema's faults and these
+# are told at once, so that an operator mends all in one go.
+
+
+def _list_inconsistencies(document: Any) -> list[DocumentFault]:
+    groups = document.get("groups") if isinstance(document, dict) else None
+    kinds = document.get("kinds") if isinstance(document, dict) else None
+    if not isinstance(groups, dict) or not isinstance(kinds, dict):
+        return []
+    faults: list[DocumentFault] = []
+    owners: dict[tuple[str, str], str] = {}
+    for name, kind in kinds.items():
+        if isinstance(kind, dict):
+            faults += _list_pool_faults(name, kind, document.get("pools"))
+            faults += _list_route_faults(name, kind, owners)
+            faults += _list_kind_faults(name, kind, groups)
+    if not groups:
+        faults.append({"place": "groups", "fault": "at least one group is needed"})
+    return faults
+
+
+def _list_pool_faults(name: str, kind: dict, pools: Any) -> Iterator[DocumentFault]:
+    listed = kind.get("pools")
+    entries = (
+        [entry for entry in listed if isinstance(entry, dict)] if isinstance(listed, list) else []
+    )
+    if isinstance(pools, dict) and pools:
+        for index, entry in enumerate(entries):
+            if isinstance(entry.get("pool"), str) and entry["pool"] not in pools:
+                yield {
+                    "place": f"kinds/{name}/pools/{index}/pool",
+                    "fault": f"no pool is named {entry['pool']}",
+                }
+    weights = [entry.get("weight") for entry in entries]
+    if weights and all(weight == 0 for weight in weights):
+        yield {"place": f"kinds/{name}/pools", "fault": "the weights sum to 0"}
+
+
+def _list_route_faults(
+    name: str, kind: dict, owners: dict[tuple[str, str], str]
+) -> Iterator[DocumentFault]:
+    """`owners` holds the kind of each route so far, and gets this one's."""
+    route = kind.get("door")
+    if not isinstance(route, dict) or not isinstance(route.get("host"), str):
+        return
+    key = (route["host"].lower(), str(route.get("prefix")))
+    owner = owners.setdefault(key, name)
+    if owner != name:
+        yield {"place": f"kinds/{name}/door", "fault": f"is the door of {owner} too"}
+
+
+def _list_kind_faults(name: str, kind: dict, groups: dict) -> Iterator[DocumentFault]:
+    group = kind.get("group")
+    if isinstance(group, str) and group not in groups:
+        yield {"place": f"kinds/{name}/group", "fault": f"no group is named {group}"}
+    if kind.get("repeatable") is False and kind.get("resumable"):
+        yield {
+            "place": f"kinds/{name}/resumable",
+            "fault": "a kind that cannot be repeated cannot be resumed",
+        }
+    if kind.get("key_required") and kind.get("repeatable") is not False:
+        yield {
+            "place": f"kinds/{name}/key_required",
+            "fault": "only a kind that cannot be repeated has keys",
+        }
+    ttft_us, deadline_us = kind.get("ttft_us"), kind.get("deadline_us")
+    if isinstance(ttft_us, int) and isinstance(deadline_us, int) and ttft_us > deadline_us:
+        yield {"place": f"kinds/{name}/ttft_us", "fault": "is beyond the deadline"}
--- a/packages/consensus/src/linkhaven/consensus/__init__.py
+++ b/packages/consensus/src/linkhaven/consensus/__init__.py
@@ -1,4 +1,5 @@
+from .claim_limits import ClaimLimits, default_claim_limits
 from .proposer import Proposer
-from .seat import Replica, default_terms
+from .seat import Replica
 
-__all__ = ["Proposer", "Replica", "default_terms"]
+__all__ = ["ClaimLimits", "Proposer", "Replica", "default_claim_limits"]
--- a/packages/consensus/src/linkhaven/consensus/seat.py
+++ b/packages/consensus/src/linkhaven/consensus/seat.py
@@ -1,5 +1,6 @@
 from collections import deque
 
+from .claim_limits import default_claim_limits
 from .holders import Holders
 from .leaving import Leaving
 from .occupants import Occupants
@@ -9,7 +10,6 @@
 SWEEP_US = 10_000_000
 SWEPT_AT_ONCE = 2_000
 STEP_AT_MOST_US = 250_000
-DAY_US = 86_400_000_000
 CLAIM = "claim/"
 
 
@@ -28,10 +28,6 @@
         return [self.promise, self.accepted, self.value, self.kept_us]
 
 
-def default_terms():
-    return {"keep_us": DAY_US, "most": 200_000}
-
-
 class Replica:
     """One core seat: acceptor of every key. Claims of one-time keys are kept for as long as the plan says and never
     forgotten before; when there is no room for more, new ones get no vote."""
@@ -54,7 +50,7 @@
         "on_retired",
         "clock_us",
         "clocked_us",
-        "claim_terms",
+        "claim_limits",
         "claims",
         "rejoin",
         "are_claims_open",
@@ -80,7 +76,7 @@
     )
 
     def __init__(
-        self, node, seat, seats, directory, on_change, on_votes, claim_terms=default_terms
+        self, node, seat, seats, directory, on_change, on_votes, claim_limits=default_claim_limits
     ):
         """`seat` None: which one it is stands on the disk, or is learned."""
         self.node = node
@@ -91,7 +87,7 @@
         self.on_change = on_change
         self.on_votes = on_votes
         self.on_retired = []
-        self.claim_terms = claim_terms
+        self.claim_limits = claim_limits
         now_us = node.now_us()
         held = node.ports.disk.load()
         self.seat = held.get("seat", "") if self.is_learned else seat
@@ -333,7 +329,7 @@
     def _may_claim(self, key):
         if not self.are_claims_open:
             return False
-        return key in self.cells or len(self.claims) < self.claim_terms()["most"]
+        return key in self.cells or len(self.claims) < self.claim_limits().max_claims
 
     def open_claims(self):
         """Those who won keys before this core began have told them."""
@@ -450,7 +446,7 @@
             return
         self.clocked_us = now_us
         record = {"clock_us": self.clock_us}
-        lapsed_us = self.clock_us - self.claim_terms()["keep_us"]
+        lapsed_us = self.clock_us - self.claim_limits().retention_us
         while self.claims and self.claims[0][0] < lapsed_us and len(record) < SWEPT_AT_ONCE:
             key = self.claims.popleft()[1]
             self.cells.pop(key, None)
--- a/packages/controller/src/linkhaven/controller/claim_admission.py
+++ b/packages/controller/src/linkhaven/controller/claim_admission.py
@@ -58,7 +58,7 @@
         if self.snapshot.configuration is None:
             return False
         answered = sum(place is None for place in self.places.values())
-        return answered > self.snapshot.configuration["fleet"]["routers"] // 2
+        return answered > self.snapshot.configuration.fleet.routers // 2
 
     def on_keys(self, message):
         """Keep a page of a router's keys, and ask for the next one once that is synced."""
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -7,8 +7,9 @@
     ConfigurationStore,
     WatchServer,
     write_plan,
+    write_record,
 )
-from linkhaven.consensus import Proposer, Replica, default_terms
+from linkhaven.consensus import Proposer, Replica, default_claim_limits
 from linkhaven.credit import QuotaAllocator
 from linkhaven.leases import Lease, LeaseRecord
 from linkhaven.membership import Membership
@@ -116,7 +117,7 @@
             self.membership,
             self._hear_change,
             self._hear_votes,
-            self._claim_terms,
+            self._claim_limits,
         )
         self.seat.occupants.contact = contact or address
         self.seat.holders.on_stuck = self._rewrite
@@ -198,12 +199,9 @@
         for place, duty in enumerate(self.leases.values()):
             duty.set_rank((place - own) % len(seats))
 
-    def _claim_terms(self):
-        return (
-            self.snapshot.configuration["claims"]
-            if self.snapshot.configuration is not None
-            else default_terms()
-        )
+    def _claim_limits(self):
+        configuration = self.snapshot.configuration
+        return configuration.claims if configuration is not None else default_claim_limits()
 
     def _hear_change(self, key):
         if key != "plan":
@@ -262,22 +260,24 @@
         self.configuration_store.read_document(done)
 
     def _tell_groups(self, call):
-        plan = self.snapshot.configuration
-        if plan is None:
+        configuration = self.snapshot.configuration
+        if configuration is None:
             raise ServiceError("plan_absent", retry_us=2_000_000)
         told = [
             usage for usage, heard_us in self.usage.values() if self.now_us() - heard_us <= USAGE_US
         ]
         groups = {
             name: {
-                **terms,
-                "kinds": sorted(kind for kind, of in plan["kinds"].items() if of["group"] == name),
+                **write_record(group),
+                "kinds": sorted(
+                    kind for kind, of in configuration.kinds.items() if of.group == name
+                ),
                 **{
                     what: sum(usage.get(name, {}).get(what, 0) for usage in told)
                     for what in ("spent", "refused", "waiting", "waiting_tokens")
                 },
             }
-            for name, terms in plan["groups"].items()
+            for name, group in configuration.groups.items()
         }
         call.answer_json(
             200, {"mark": self.snapshot.version, "routers": len(told), "groups": groups}
--- a/packages/controller/src/linkhaven/controller/role_balancer.py
+++ b/packages/controller/src/linkhaven/controller/role_balancer.py
@@ -1,5 +1,6 @@
 """Orders runners' phases, so that each pool has readers and decoders in a fitting ratio."""
 
+from linkhaven.configuration import PoolSettings
 from linkhaven.runner.roster import DECODE, PREFILL
 
 from .role_change import RoleChange
@@ -36,6 +37,9 @@
 SWITCH_US = 2_000_000
 """How long a switch takes where the configuration doesn't say."""
 
+NO_POOL_SETTINGS = PoolSettings()
+"""Of a pool that the configuration doesn't name."""
+
 READ_END_US = 1_000_000
 """What a reader may take to end the read that it has begun before it switches."""
 
@@ -191,7 +195,7 @@
             self.pools.setdefault(name, RunnerPool(name)).take(roles, now_us)
 
     def _is_searched(self):
-        return self.snapshot.configuration["taichi"]["search"]
+        return self.snapshot.configuration.placement.is_balancing_enabled
 
     def _watch(self, pool, may_order, now_us):
         for phase in ROLES:
@@ -202,12 +206,12 @@
 
     def _empty_most_us(self, pool, phase):
         """How long a side may stand empty: to be sure of it, to order, to switch and to see it."""
-        told = (self.snapshot.configuration.get("pools") or {}).get(pool.name) or {}
-        switch_us = told.get("switch_us", SWITCH_US)
+        settings = self.snapshot.configuration.pools.get(pool.name, NO_POOL_SETTINGS)
+        switch_us = settings.role_switch_us or SWITCH_US
         seen_us = VACANCY_WAIT_US + LOOK_US + 2 * self.node.bounds.report_us
         if phase == DECODE:
             return seen_us + READ_END_US + switch_us
-        deadlines = [kind["deadline_us"] for kind in self.snapshot.configuration["kinds"].values()]
+        deadlines = [kind.deadline_us for kind in self.snapshot.configuration.kinds.values()]
         return seen_us + NOTICE_US + max(deadlines, default=0) + switch_us
 
     # an empty side
@@ -269,19 +273,19 @@
 
     def _look(self, pool, now_us):
         """Weigh the ratio, once each runner of the pool has reported and none is switching."""
-        roles, taichi = pool.now, self.snapshot.configuration["taichi"]
+        roles, settings = pool.now, self.snapshot.configuration.placement
         if roles.unreported or any(roles.arriving.values()):
             return
         reading, decoding = roles.sound[PREFILL], roles.sound[DECODE]
         pool.seen = self._counts(pool)
-        if not taichi["search"] or not decoding or roles.members() == 1:
+        if not settings.is_balancing_enabled or not decoding or roles.members() == 1:
             return
-        wanted = self._wanted(pool, taichi, now_us)
+        wanted = self._wanted(pool, settings, now_us)
         if wanted != len(reading):
             phase = PREFILL if wanted > len(reading) else DECODE
             self._plan_changes(pool, phase, abs(wanted - len(reading)), now_us)
 
-    def _wanted(self, pool, taichi, now_us):
+    def _wanted(self, pool, settings, now_us):
         """How many of the pool's sound runners should read."""
         sound, search = pool.now.sound, pool.search
         decoding = sound[DECODE]
@@ -291,7 +295,7 @@
         search.streams = sum(runner.running / runner.slots for runner in decoding if runner.slots)
         search.is_in_place = pool.name is None
         wanted = search.settle(
-            len(sound[PREFILL]), len(fit), prompt_rate, answer_rate, taichi, now_us
+            len(sound[PREFILL]), len(fit), prompt_rate, answer_rate, settings, now_us
         )
         pool.seen.update(
             wanted=wanted,
@@ -435,4 +439,4 @@
         self._drop(change)
         pool = self.pools.get(change.pool)
         if pool is not None:
-            pool.dwell_until_us = now_us + self.snapshot.configuration["taichi"]["dwell_us"]
+            pool.dwell_until_us = now_us + self.snapshot.configuration.placement.balancing_dwell_us
--- a/packages/credit/src/linkhaven/credit/admission_queues.py
+++ b/packages/credit/src/linkhaven/credit/admission_queues.py
@@ -8,7 +8,6 @@
 from linkhaven.runtime import Table
 
 from .group_account import GroupAccount
-from .group_settings import read_group
 from .messages import write_fields
 from .scheduler import DeficitRoundRobin
 
@@ -69,17 +68,17 @@
 
     # what the configuration and the allocator say
 
-    def apply_configuration(self, plan):
+    def apply_configuration(self, configuration):
         """Follow a configuration; a group that it no longer names goes once its queue is empty."""
         now_us = self.node.now_us()
-        for name, group in plan["groups"].items():
+        for name, group in configuration.groups.items():
             account = self.accounts.get(name)
             if account is None:
                 account = self.accounts[name] = GroupAccount(name, now_us)
-            account.settings = read_group(group)
+            account.settings = group
             account.update_bucket_rate(now_us)
         for account in self.accounts.rows():
-            if account.name not in plan["groups"] and not account.queue:
+            if account.name not in configuration.groups and not account.queue:
                 self.accounts.drop(account.name)
         self.limited = [account for account in self.accounts.values() if account.is_limited]
         for kept in (self.active, self.used):
--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -6,7 +6,6 @@
 
 from .demand import RouterDemands
 from .grants import OutstandingGrants
-from .group_settings import read_allowance
 from .messages import AllocatedGrant, AllocatedShares, read_demand, write_fields
 from .units import MICROSECONDS
 
@@ -137,10 +136,10 @@
 
     def _grant_rates(self, ask, now_us):
         """Return the grants, by group, for the groups on which the router reported."""
-        router, groups = ask["name"], self.snapshot.configuration["groups"]
+        router, groups = ask["name"], self.snapshot.configuration.groups
         rates = {}
         for name, fields in ask.get("credit", {}).items():
-            allowance = read_allowance(groups[name]) if name in groups else None
+            allowance = groups[name].allowance if name in groups else None
             if allowance is None:
                 continue
             if self._is_settling(now_us):
@@ -154,9 +153,8 @@
     def _grant_attempts(self, router, report, now_us):
         attempts = report.rate
         if not self._is_settling(now_us):
-            attempts = self._attempts_for(
-                router, self.snapshot.configuration["extra"]["margin"], now_us
-            )
+            margin = self.snapshot.configuration.retry_budget.margin_attempts
+            attempts = self._attempts_for(router, margin, now_us)
         return self._grant(RETRY_BUDGET, router, attempts, now_us)
 
     def _grant(self, name, router, amount, now_us):
@@ -179,7 +177,7 @@
         if demands.total > 0:
             share = EVEN_SHARE * even_share + DEMAND_SHARE * demand / demands.total
         total_rate = allowance.tokens * MICROSECONDS / allowance.period_us
-        rate = total_rate * max(share, self.snapshot.configuration["floor"])
+        rate = total_rate * max(share, self.snapshot.configuration.min_allowance_share)
         return max(0.0, min(rate, self._unallocated(group, router, total_rate, now_us)))
 
     def _unallocated(self, group, router, total_rate, now_us):
--- a/packages/credit/src/linkhaven/credit/retry_budget.py
+++ b/packages/credit/src/linkhaven/credit/retry_budget.py
@@ -55,10 +55,10 @@
 
     # what the configuration and the allocator say
 
-    def apply_configuration(self, plan):
+    def apply_configuration(self, configuration):
         """Follow a configuration; `share` is what each request earns, in attempts."""
-        self.share = plan["extra"]["share"]
-        pools = plan.get("pools") or {}
+        self.share = configuration.retry_budget.attempts_per_request
+        pools = configuration.pools
         for pool in [pool for pool in self.buckets if pool is not None and pool not in pools]:
             del self.buckets[pool]
 
--- a/packages/pairing/src/linkhaven/pairing/estimator.py
+++ b/packages/pairing/src/linkhaven/pairing/estimator.py
@@ -32,7 +32,7 @@
     """
 
     __slots__ = (
-        "taichi",
+        "settings",
         "factors",
         "fits",
         "stream_us",
@@ -53,7 +53,7 @@
         self.is_blind = is_blind
         self.noted_us = {}
         self.links = Links(now_us)
-        self.taichi = None
+        self.settings = None
         self.factors = {}
         self.fits = {}
         self.others = {}
@@ -64,19 +64,19 @@
         self.answer_token_us = 10_000.0
 
     def rate(self, phase):
-        rate = self.taichi["prefill_tokens_per_s"] or GUESSED_RATE
-        return rate * self.taichi["decode_read_share"] if phase == DECODE else rate
+        rate = self.settings.prefill_tokens_per_s or GUESSED_RATE
+        return rate * self.settings.decode_prefill_share if phase == DECODE else rate
 
     def knows_pace(self, phase):
         """Whether the plan or any read has told how fast runners of a phase read."""
-        return bool(self.taichi["prefill_tokens_per_s"]) or self._line(phase) is not None
+        return bool(self.settings.prefill_tokens_per_s) or self._line(phase) is not None
 
     def pace(self, phase):
         """Tokens a second that a runner reads; 0 where neither the plan nor any read told it."""
         line = self._line(phase)
         if line is not None:
             return int(1_000_000 / max(LEAST_TOKEN_US, line[1]))
-        return self.rate(phase) if self.taichi["prefill_tokens_per_s"] else 0
+        return self.rate(phase) if self.settings.prefill_tokens_per_s else 0
 
     def read_us(self, tokens, runner):
         if tokens <= 0:
@@ -90,10 +90,10 @@
 
     def _plain_us(self, tokens, phase):
         line = self._line(phase)
-        if line is None and self.is_blind() and not self.taichi["prefill_tokens_per_s"]:
+        if line is None and self.is_blind() and not self.settings.prefill_tokens_per_s:
             return 0
         if line is None:
-            return self.taichi["read_base_us"] + tokens * 1_000_000 / self.rate(phase)
+            return self.settings.prefill_base_us + tokens * 1_000_000 / self.rate(phase)
         return line[0] + tokens * line[1]
 
     def _line(self, phase):
@@ -102,7 +102,7 @@
         Decode runners read at a share of the pace (`decode_read_share`), so that either phase's
         line tells the other's. Test: `test_a_decode_runner_is_taken_to_read_about_as_fast_...`.
         """
-        if self.taichi is None or self.taichi["prefill_tokens_per_s"]:
+        if self.settings is None or self.settings.prefill_tokens_per_s:
             return None
         own = self._seen_line(phase)
         is_recent = self.now_us() - self.noted_us.get(phase, -LINE_US) < LINE_US
@@ -116,7 +116,7 @@
 
     def _converted(self, line, phase):
         """The line of a phase as the other phase's tells it."""
-        share = self.taichi["decode_read_share"]
+        share = self.settings.decode_prefill_share
         base_us, token_us = line
         return base_us, token_us / share if phase == DECODE else token_us * share
 
@@ -178,7 +178,7 @@
 
     def transfer_us(self, tokens, source=None, target=None):
         planned_us = (
-            tokens * self.taichi["kv_bytes_per_token"] * 1_000_000 / self.taichi["link_bytes_per_s"]
+            tokens * self.settings.kv_bytes_per_token * 1_000_000 / self.settings.link_bytes_per_s
         )
         return int(planned_us * (self.links.factor(source, target) if target is not None else 1.0))
 
--- a/packages/pairing/src/linkhaven/pairing/flow.py
+++ b/packages/pairing/src/linkhaven/pairing/flow.py
@@ -22,25 +22,25 @@
         node.systems.append(self.tick)
 
     def tick(self, now_us):
-        taichi = self.pairing.estimator.taichi
-        if taichi is None or not taichi["moves"]:
+        settings = self.pairing.estimator.settings
+        if settings is None or not settings.is_migration_enabled:
             return
         for runner in self.roster.open_runners():
             if runner.phase == DECODE:
-                self._shed(runner, taichi, now_us)
-        self._flow_back(taichi, now_us)
+                self._shed(runner, settings, now_us)
+        self._flow_back(settings, now_us)
 
     def _is_resting(self, name, now_us):
         return now_us - self.rested_us.get(name, -REST_US) < REST_US
 
-    def _shed(self, runner, taichi, now_us):
+    def _shed(self, runner, settings, now_us):
         if (
             self._is_resting(runner.name, now_us)
-            or self.pairing.kv_share(runner) <= taichi["watermark"]
+            or self.pairing.kv_share(runner) <= settings.kv_watermark
         ):
             return
         target = self.pairing.choose_decode(without=(runner.name,))
-        if target is None or self.pairing.kv_share(target) > taichi["watermark"] - GAP:
+        if target is None or self.pairing.kv_share(target) > settings.kv_watermark - GAP:
             return
         movable = [
             stream for stream in self.streams() if stream.runner is runner and stream.is_movable()
@@ -52,18 +52,18 @@
         if self.move(stream, target, "shed"):
             self.moves["shed"] += 1
 
-    def _flow_back(self, taichi, now_us):
+    def _flow_back(self, settings, now_us):
         for stream in self.streams():
             if not stream.moved_from or not stream.is_movable() or stream.pace_tokens < PACE_TOKENS:
                 continue
-            if stream.pace_us(now_us) <= taichi["approach"] * stream.tpot_us:
+            if stream.pace_us(now_us) <= settings.tpot_threshold * stream.tpot_us:
                 continue
             origin = self.roster.runners.get(stream.moved_from)
             if origin is None or not origin.is_open() or origin.phase != DECODE:
                 continue
             if (
                 self._is_resting(origin.name, now_us)
-                or self.pairing.kv_share(origin) > taichi["watermark"] - GAP
+                or self.pairing.kv_share(origin) > settings.kv_watermark - GAP
             ):
                 continue
             self.rested_us[origin.name] = now_us
--- a/packages/pairing/src/linkhaven/pairing/pairing.py
+++ b/packages/pairing/src/linkhaven/pairing/pairing.py
@@ -248,9 +248,11 @@
         """Whether there are other routers that this one doesn't hear."""
         return DEAF_US < self.node.now_us() - self.heard_us < ALONE_US
 
-    def apply_configuration(self, plan):
-        self.estimator.taichi = plan["taichi"]
-        tightest_us = min((kind["ttft_us"] for kind in plan["kinds"].values()), default=NO_BOUND_US)
+    def apply_configuration(self, configuration):
+        """Follow a configuration: its pace of runners, and its tightest target."""
+        self.estimator.settings = configuration.placement
+        targets = (kind.ttft_us for kind in configuration.kinds.values())
+        tightest_us = min(targets, default=NO_BOUND_US)
         self.in_place_us = int(tightest_us * IN_PLACE_SHARE)
 
     def _note_plain_pools(self):
@@ -264,7 +266,7 @@
 
     def reading_pace(self):
         """Tokens a second that all open runners could read."""
-        if self.estimator.taichi is None:
+        if self.estimator.settings is None:
             return 0
         pace_of = self.estimator.pace if self.is_large() else self.estimator.rate
         return sum(pace_of(runner.phase) for runner in self.roster.open_runners())
@@ -325,7 +327,7 @@
             if runner.phase == PREFILL:
                 shares[runner] = 1.0
             elif split is not None and runner.name in split.reading and not work.is_long:
-                shares[runner] = self.estimator.taichi["decode_read_share"]
+                shares[runner] = self.estimator.settings.decode_prefill_share
         return self.kept.home(shares, work)
 
     def _tell(self, key, book, parts=()):
--- a/packages/pairing/src/linkhaven/pairing/ratio.py
+++ b/packages/pairing/src/linkhaven/pairing/ratio.py
@@ -27,16 +27,16 @@
         self.is_in_place = True
         self.pace = None
 
-    def busy(self, prefills, runners, prompt_rate, answer_rate, taichi):
+    def busy(self, prefills, runners, prompt_rate, answer_rate, settings):
         decodes = runners - prefills
-        fast = self.pace or taichi["prefill_tokens_per_s"] or GUESSED_RATE
+        fast = self.pace or settings.prefill_tokens_per_s or GUESSED_RATE
         if not self.is_in_place:
             read_busy = prompt_rate / (prefills * fast) if prefills else float("inf")
             return max(read_busy, self.held / decodes, self.streams / decodes / COMFORT)
-        spare = max(0.0, 1 - answer_rate / (decodes * taichi["decode_tokens_per_s"]))
-        reading = prefills * fast + decodes * fast * taichi["decode_read_share"] * spare
+        spare = max(0.0, 1 - answer_rate / (decodes * settings.decode_tokens_per_s))
+        reading = prefills * fast + decodes * fast * settings.decode_prefill_share * spare
         read_busy = prompt_rate / reading if reading else float("inf") if prompt_rate else 0.0
-        decode_busy = answer_rate / (decodes * taichi["decode_tokens_per_s"])
+        decode_busy = answer_rate / (decodes * settings.decode_tokens_per_s)
         return max(read_busy, decode_busy, self.held / decodes)
 
     def _most_readers(self, runners):
@@ -48,14 +48,17 @@
         is_spared = not self.is_in_place and runners >= SPARED_FROM
         return runners - 2 if is_spared else runners - 1
 
-    def search(self, runners, prompt_rate, answer_rate, taichi):
+    def search(self, runners, prompt_rate, answer_rate, settings):
         counts = range(0, self._most_readers(runners) + 1)
         return min(
             counts,
-            key=lambda count: (self.busy(count, runners, prompt_rate, answer_rate, taichi), -count),
+            key=lambda count: (
+                self.busy(count, runners, prompt_rate, answer_rate, settings),
+                -count,
+            ),
         )
 
-    def settle(self, current, runners, prompt_rate, answer_rate, taichi, now_us):
+    def settle(self, current, runners, prompt_rate, answer_rate, settings, now_us):
         if runners < 2 or prompt_rate + answer_rate <= 0:
             self.side = self.target = None
             return current if self.is_in_place or runners < 2 else (runners + 1) // 2
@@ -64,7 +67,7 @@
         gain, idle = (GAIN, IDLE) if self.is_in_place else (APART_GAIN, APART_IDLE)
 
         def busy(count):
-            return self.busy(min(count, runners - 1), runners, prompt_rate, answer_rate, taichi)
+            return self.busy(min(count, runners - 1), runners, prompt_rate, answer_rate, settings)
 
         if self.target is not None:
             if (
@@ -74,7 +77,7 @@
             ):
                 return self.target
             self.target = None
-        best = self.search(runners, prompt_rate, answer_rate, taichi)
+        best = self.search(runners, prompt_rate, answer_rate, settings)
         here = busy(current)
         if best == current or here < idle or busy(best) > here * (1 - gain):
             self.side = None
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -57,13 +57,13 @@
         if request.resume or not request.prompt_tokens:
             return self._begin_decode(request)
         now_us = self.node.now_us()
-        ttft_us = request.kind["ttft_us"] - self._spent_us(request, now_us)
+        ttft_us = request.kind.ttft_us - self._spent_us(request, now_us)
         work = self.work_of(request)
         decision = self.pairing.choose(
             work,
             ttft_us,
             room_us=self.node.rooms.get(request.group, NO_BOUND_US),
-            is_overdue=now_us - request.queued_us > request.kind["ttft_us"],
+            is_overdue=now_us - request.queued_us > request.kind.ttft_us,
         )
         if decision.winner is not None:
             self._place(request, decision)
@@ -98,8 +98,9 @@
 
     def _switch_us(self, request):
         """How long a runner takes to play another part: sooner, none is open again."""
-        pools = (self.node.snapshot.configuration or {}).get("pools", {})
-        return pools.get(request.pool, {}).get("switch_us", SWITCH_US)
+        configuration = self.node.snapshot.configuration
+        pool = configuration.pools.get(request.pool) if configuration is not None else None
+        return pool.role_switch_us or SWITCH_US if pool is not None else SWITCH_US
 
     def _give_up(self, request, decision, why, retry_us):
         """The final answer, at once, with when to come back; gives False, as nothing was placed."""
@@ -124,7 +125,7 @@
         """Whether the answer is expected to outlast the longest pause that is in time."""
         if request.pool is None:
             return True
-        pause_us = request.kind.get("gap_us") or request.kind.get("tpot_us", NO_BOUND_US)
+        pause_us = request.kind.max_gap_us or request.kind.tpot_us
         return self.pairing.estimator.answer_us(request.answer_tokens) > pause_us
 
     def _spent_us(self, request, now_us):
@@ -150,7 +151,7 @@
         has_waited = self._has_waited_its_share(request, now_us)
         if not decision.candidates:
             return NO_OPEN_RUNNER if has_waited else None
-        ttft_us = request.kind["ttft_us"]
+        ttft_us = request.kind.ttft_us
         if min(candidate.e_us + candidate.t_us for candidate in decision.candidates) >= ttft_us:
             return BEYOND_TARGET
         if self.node.bounds.hold_share is not None:
@@ -162,13 +163,13 @@
         hold_share = self.node.bounds.hold_share
         if hold_share is None:
             return False
-        return now_us - request.arrived_us >= request.kind["ttft_us"] * hold_share
+        return now_us - request.arrived_us >= request.kind.ttft_us * hold_share
 
     def _has_waited_half(self, request, now_us):
         """Where callers may be held: whether half of the deadline went by in the queue."""
         if self.node.bounds.hold_share is not None:
             return False
-        return now_us - request.arrived_us >= request.kind["deadline_us"] // 2
+        return now_us - request.arrived_us >= request.kind.deadline_us // 2
 
     def _place(self, request, decision):
         request.decisions.append(decision)
@@ -356,7 +357,7 @@
         self._start(request, runner)
 
     def _read_again(self, request, error):
-        work, ttft_us = self.work_of(request), request.kind["ttft_us"]
+        work, ttft_us = self.work_of(request), request.kind.ttft_us
         decision = self.pairing.choose_anyway(work, ttft_us, "retry", request.failed)
         if decision.winner is None:
             decision = self.pairing.choose_anyway(work, ttft_us, "retry")
@@ -389,7 +390,7 @@
         return True
 
     def _has_attempts(self, request, cost):
-        most = request.kind.get("attempts")
+        most = request.kind.max_attempts
         return not most or request.arrivals + cost <= most
 
     def _may_try_again(self, request, cost):
--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -52,33 +52,33 @@
         return PASS
 
     def kind(self, request):
-        plan = self.node.snapshot.configuration
+        configuration = self.node.snapshot.configuration
         if request.kind_name is None:
             request.kind_name = self.node.doors.find(request.host, request.path)
-        kind = plan["kinds"].get(request.kind_name)
+        kind = configuration.kinds.get(request.kind_name)
         if kind is None:
             raise ServiceError("unknown_kind", kind=request.kind_name)
         request.kind = kind
-        request.group = kind["group"]
+        request.group = kind.group
         request.pool = self.node.choose_pool(kind)
         if self.node.pairing.is_plain(request.pool):
             request.prompt_tokens, request.parts = 0, ()
         request.admitted_mark = self.node.snapshot.version
-        request.answer_tokens = request.answer_tokens or kind["answer_tokens"]
+        request.answer_tokens = request.answer_tokens or kind.max_output_tokens
         request.deadline_us = request.arrived_us + min(
-            kind["deadline_us"], request.patience_us or kind["deadline_us"]
+            kind.deadline_us, request.patience_us or kind.deadline_us
         )
         self.node.extra.earn(request.pool)
         if (
-            request.prompt_tokens > kind["prompt_tokens"]
-            or request.answer_tokens > kind["answer_tokens"]
+            request.prompt_tokens > kind.max_prompt_tokens
+            or request.answer_tokens > kind.max_output_tokens
         ):
             raise ServiceError(
                 "prompt_too_long",
                 prompt_tokens=request.prompt_tokens,
                 answer_tokens=request.answer_tokens,
-                prompt_tokens_at_most=kind["prompt_tokens"],
-                answer_tokens_at_most=kind["answer_tokens"],
+                prompt_tokens_at_most=kind.max_prompt_tokens,
+                answer_tokens_at_most=kind.max_output_tokens,
             )
         return PASS
 
@@ -93,7 +93,7 @@
         return PASS
 
     def claim(self, request):
-        if request.kind["key_required"] and not request.key:
+        if request.kind.requires_key and not request.key:
             raise ServiceError("key_missing", kind=request.kind_name)
         if not request.is_one_time or not request.key:
             return PASS
--- a/packages/router/src/linkhaven/router/doors.py
+++ b/packages/router/src/linkhaven/router/doors.py
@@ -6,12 +6,12 @@
     def __init__(self):
         self.hosts = {}
 
-    def apply_configuration(self, plan):
+    def apply_configuration(self, configuration):
         self.hosts = {}
-        for name, kind in plan["kinds"].items():
-            door = kind.get("door")
-            if door is not None:
-                self.hosts.setdefault(door["host"].lower(), []).append((door["prefix"], name))
+        for name, kind in configuration.kinds.items():
+            route = kind.route
+            if route is not None:
+                self.hosts.setdefault(route.host.lower(), []).append((route.path_prefix, name))
         for doors in self.hosts.values():
             doors.sort(key=lambda door: -len(door[0]))
 
--- a/packages/router/src/linkhaven/router/invariants.py
+++ b/packages/router/src/linkhaven/router/invariants.py
@@ -61,7 +61,7 @@
         if hold_share is None or not request.kind:
             return
         held_us = self.node.now_us() - max(request.arrived_us, self.node.calm_since_us)
-        if held_us > request.kind["ttft_us"] * hold_share + HELD_MARGIN_US:
+        if held_us > request.kind.ttft_us * hold_share + HELD_MARGIN_US:
             self._violate("held_too_long", request=request.id, held_us=held_us)
 
     def _can_decode(self, runner, request):
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -13,23 +13,23 @@
     """Keys of one-time requests: each is won at a majority of the core before its request goes on, and kept here for
     the whole retention, so that a core that lost everything can be told. Full means that new ones are refused."""
 
-    __slots__ = ("node", "proposer", "won", "swept_us", "terms")
+    __slots__ = ("node", "proposer", "won", "swept_us", "settings")
 
     def __init__(self, node, proposer):
         self.node = node
         self.proposer = proposer
         self.won = OrderedDict()
         self.swept_us = node.now_us()
-        self.terms = None
+        self.settings = None
         node.hearers["want_keys"] = self.hear_want
         node.systems.append(self.sweep)
 
-    def apply_configuration(self, plan):
-        self.terms = plan["claims"]
+    def apply_configuration(self, configuration):
+        self.settings = configuration.claims
 
     def claim(self, request, go_on):
         request.state = states.CLAIMING
-        if len(self.won) >= self.terms["most"]:
+        if len(self.won) >= self.settings.max_claims:
             raise ServiceError(
                 "claim_unavailable",
                 retry_us=self._room_us(),
@@ -74,13 +74,13 @@
 
     def _room_us(self):
         oldest_us = next(iter(self.won.values()))[1] if self.won else self.node.now_us()
-        return max(1_000_000, oldest_us + self.terms["keep_us"] - self.node.now_us())
+        return max(1_000_000, oldest_us + self.settings.retention_us - self.node.now_us())
 
     def sweep(self, now_us):
-        if self.terms is None or now_us - self.swept_us < SWEEP_US:
+        if self.settings is None or now_us - self.swept_us < SWEEP_US:
             return
         self.swept_us = now_us
-        while self.won and now_us - next(iter(self.won.values()))[1] > self.terms["keep_us"]:
+        while self.won and now_us - next(iter(self.won.values()))[1] > self.settings.retention_us:
             self.won.popitem(last=False)
 
     def hear_want(self, message):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -26,21 +26,21 @@
 """How much each new prompt counts in what is typical of its kind."""
 
 
-def rooms_for_others(plan):
+def rooms_for_others(configuration):
     """How long a queue at a runner each group may join, so that tight targets can still be met.
 
     That is the tightest target of the other groups, or of its own kinds where there is no other.
     """
     tightest = {}
-    for kind in plan["kinds"].values():
-        held_us = tightest.get(kind["group"], NO_BOUND_US)
-        tightest[kind["group"]] = min(held_us, kind["ttft_us"])
+    for kind in configuration.kinds.values():
+        tightest_us = tightest.get(kind.group, NO_BOUND_US)
+        tightest[kind.group] = min(tightest_us, kind.ttft_us)
     first, second, *_ = [*sorted(tightest, key=tightest.get), None, None]
     if first is None:
-        return {group: NO_BOUND_US for group in plan["groups"]}
+        return {group: NO_BOUND_US for group in configuration.groups}
     return {
         group: tightest[second if group == first and second is not None else first]
-        for group in plan["groups"]
+        for group in configuration.groups
     }
 
 
@@ -165,36 +165,32 @@
         }
 
     def _take_plan(self):
-        plan = self.snapshot.configuration
-        self.pairing.apply_configuration(plan)
-        self.extra.apply_configuration(plan)
-        self.credit.apply_configuration(plan)
-        self.keys.apply_configuration(plan)
-        self.doors.apply_configuration(plan)
-        self.rooms = rooms_for_others(plan)
-        for kind in [kind for kind in self.typical_tokens if kind not in plan["kinds"]]:
+        configuration = self.snapshot.configuration
+        self.pairing.apply_configuration(configuration)
+        self.extra.apply_configuration(configuration)
+        self.credit.apply_configuration(configuration)
+        self.keys.apply_configuration(configuration)
+        self.doors.apply_configuration(configuration)
+        self.rooms = rooms_for_others(configuration)
+        for kind in [kind for kind in self.typical_tokens if kind not in configuration.kinds]:
             del self.typical_tokens[kind]
         self.ports.log(2001, mark=self.snapshot.version)
         for request in self.requests.rows():
             if request.state == states.QUEUED:
-                self._place_anew(request, plan)
-        self.credit.apply_configuration(plan)
+                self._place_anew(request, configuration)
+        self.credit.apply_configuration(configuration)
 
-    def _place_anew(self, request, plan):
+    def _place_anew(self, request, configuration):
         """Queued work of a kind that is gone is refused at once; that of one now in another group goes to its queue."""
-        kind = plan["kinds"].get(request.kind_name)
+        kind = configuration.kinds.get(request.kind_name)
         if kind is None:
             return self.end_with_error(
                 request, ServiceError("unknown_kind", kind=request.kind_name)
             )
-        if kind["group"] == request.group:
+        if kind.group == request.group:
             return
         self.credit.remove(request.group, request)
-        request.kind, request.group, request.admitted_mark = (
-            kind,
-            kind["group"],
-            self.snapshot.version,
-        )
+        request.kind, request.group, request.admitted_mark = kind, kind.group, self.snapshot.version
         try:
             self.credit.enqueue(request.group, request)
         except ServiceError as error:
@@ -290,21 +286,24 @@
 
     def choose_pool(self, kind):
         """Where a kind is split over pools, each has its weight's part of the requests."""
-        pools = kind.get("pools") or ()
+        pools = kind.pools
         if len(pools) < 2:
-            return pools[0]["pool"] if pools else None
-        drawn = self.ports.dice.randrange(sum(part["weight"] for part in pools))
+            return pools[0].pool if pools else None
+        drawn = self.ports.dice.randrange(sum(part.weight for part in pools))
         for part in pools:
-            drawn -= part["weight"]
+            drawn -= part.weight
             if drawn < 0:
-                return part["pool"]
+                return part.pool
 
     def connections_at_most(self, runner):
         """This router's even part of the connections that all routers together may have to a runner."""
-        pool = (self.snapshot.configuration or {}).get("pools", {}).get(runner.pool)
+        configuration = self.snapshot.configuration
+        pool = configuration.pools.get(runner.pool) if configuration is not None else None
         if pool is None:
             return None
-        return max(2, pool["conns"] * 4 // (5 * (1 + len(self.membership.live_members("router")))))
+        return max(
+            2, pool.max_connections * 4 // (5 * (1 + len(self.membership.live_members("router"))))
+        )
 
     def is_ready(self):
         return self.may_start() and not self.is_draining
--- a/packages/router/src/linkhaven/router/request.py
+++ b/packages/router/src/linkhaven/router/request.py
@@ -110,25 +110,21 @@
 
     @property
     def is_one_time(self):
-        return not self.kind["repeatable"]
+        return not self.kind.is_idempotent
 
     @property
     def is_resumable(self):
-        return self.kind["resumable"]
+        return self.kind.is_resumable
 
     @property
     def tpot_us(self):
-        return self.kind["tpot_us"]
+        return self.kind.tpot_us
 
     def is_movable(self):
         return (
             self.state == DECODING and self.is_resumable and self.written > 0 and not self.is_moving
         )
 
-    @property
-    def priority(self):
-        return self.kind.get("priority", 0)
-
     def pace_us(self, now_us):
         return (now_us - self.pace_from_us) / max(1, self.pace_tokens)
 
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -120,8 +120,8 @@
 
 
 def weight_at(router):
-    plan = router.node.snapshot.configuration
-    return plan and plan["groups"]["g"]["weight"]
+    configuration = router.node.snapshot.configuration
+    return configuration and configuration.groups["g"].weight
 
 
 def source_of(router):
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -3,7 +3,9 @@
 
 import pytest
 
+from linkhaven.configuration import RequestKind
 from linkhaven.controller.runner_discovery import RunnerDiscovery
+from linkhaven.pairing import NO_BOUND_US
 from linkhaven.router.attempts import Attempts
 from linkhaven.router.request import DECODING, QUEUED, READING, Request
 from linkhaven.runner import Roster
@@ -23,14 +25,8 @@
 
 def queued(id, tokens=100, **kind):
     request = Request(id, SimpleNamespace(is_begun=False), 0)
-    request.kind = {
-        "ttft_us": 1_000_000,
-        "deadline_us": 8_000_000,
-        "repeatable": True,
-        "resumable": False,
-        "attempts": 2,
-        **kind,
-    }
+    terms = {"max_attempts": 2, **kind}
+    request.kind = RequestKind("g", 1_000_000, NO_BOUND_US, deadline_us=8_000_000, **terms)
     request.prompt_tokens = tokens
     request.deadline_us = 8_000_000
     request.state = QUEUED
@@ -185,7 +181,7 @@
         self.failed = self.tries.failed = []
 
     def sent(self, id, name="d-1", state=DECODING, written=3, **kind):
-        request = queued(id, **{"resumable": True, **kind})
+        request = queued(id, **{"is_resumable": True, **kind})
         request.state, request.runner, request.written = state, self.roster.runners[name], written
         request.has_begun = state == DECODING
         request.reads = 1
@@ -263,14 +259,16 @@
     [
         (DECODING, "d-1", {}, True),
         (READING, "p-1", {}, True),
-        (READING, "p-1", {"repeatable": False, "resumable": False}, True),
-        (DECODING, "d-1", {"repeatable": False, "resumable": False}, False),
-        (DECODING, "d-1", {"resumable": False}, False),
+        (READING, "p-1", {"is_idempotent": False, "is_resumable": False}, True),
+        (DECODING, "d-1", {"is_idempotent": False, "is_resumable": False}, False),
+        (DECODING, "d-1", {"is_resumable": False}, False),
     ],
 )
 def test_what_a_dark_runner_has_goes_on_elsewhere_after_a_second(state, name, kind, is_tried):
     fleet = Fleet()
-    fleet.sent("r-1", name, state, written=3 if state == DECODING else 0, **{"attempts": 4, **kind})
+    fleet.sent(
+        "r-1", name, state, written=3 if state == DECODING else 0, **{"max_attempts": 4, **kind}
+    )
     fleet.roster.runners[name].is_unresponsive = True
     fleet.run_for(950_000)
     assert fleet.failed == []
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -7,6 +7,7 @@
     decode_configuration,
     effective_configuration,
     list_document_faults,
+    write_record,
 )
 from linkhaven.configuration.history import (
     KEPT_UPDATES,
@@ -154,12 +155,12 @@
         code(core.put(4, 9, "next", {**PLAN, "kinds": {"k": kind("g"), "new": kind("h")}})) is None
     )
     laid = in_force(core)
-    assert laid["groups"]["g"]["credit"] == credit and set(laid["kinds"]) == {"k", "new"}
+    assert write_record(laid.groups["g"].allowance) == credit and set(laid.kinds) == {"k", "new"}
     assert code(core.put(9, 11, "third", PLAN)) is None
-    assert in_force(core)["kinds"]["other"]["group"] == "mine"
+    assert in_force(core).kinds["other"].group == "mine"
     core.world.run_for(SECOND)
     assert {
-        host.node.snapshot.configuration["groups"]["g"]["credit"]["tokens"]
+        host.node.snapshot.configuration.groups["g"].allowance.tokens
         for host in core.machines.values()
     } == {100}
     assert command(core, "DELETE", "/v1/groups/mine")[1]["code"] == "plan_invalid"
@@ -210,7 +211,7 @@
 
 def test_a_plan_needs_no_allowance_no_fleet_and_takes_long_names():
     name = "A_b.c-" + "x" * 122
-    plan = decode_configuration(
+    configuration = decode_configuration(
         {
             "groups": {name: {}},
             "pools": {name: {}},
@@ -221,9 +222,19 @@
             },
         }
     )
-    assert plan["groups"][name]["credit"] is None
-    assert plan["pools"][name] == {"conns": 256, "health": "/health", "slots": 0, "kv_tokens": 0}
-    assert (plan["kinds"][name]["attempts"], plan["kinds"][name]["priority"]) == (0, 0)
+    assert configuration.groups[name].allowance is None
+    assert write_record(configuration.pools[name]) == {
+        "conns": 256,
+        "health": "/health",
+        "slots": 0,
+        "kv_tokens": 0,
+        "kv_bytes_per_token": None,
+        "link_bytes_per_s": None,
+        "hold_us": None,
+        "switch_us": None,
+    }
+    kind_in_force = configuration.kinds[name]
+    assert (kind_in_force.max_attempts, kind_in_force.priority) == (0, 0)
 
 
 def test_a_group_without_an_allowance_is_never_short_and_asks_no_share():
--- a/tests/test_gone_runner.py
+++ b/tests/test_gone_runner.py
@@ -3,9 +3,12 @@
 import pytest
 
 from linkhaven.api import ServiceError
+from linkhaven.configuration import RequestKind
 from linkhaven.router.attempts import Attempts
 from linkhaven.router.request import READING, Request
 
+SECOND = 1_000_000
+
 
 def failed_with(error):
     """What the roster and the pairing hear of a runner at which a read failed."""
@@ -26,7 +29,7 @@
         note_alive=lambda runner: heard.append("alive"),
     )
     request = Request("r-1", SimpleNamespace(is_begun=False), 0)
-    request.kind = {"repeatable": False, "resumable": False}
+    request.kind = RequestKind("g", SECOND, SECOND, SECOND, is_idempotent=False)
     request.state, request.attempt = READING, "r-1/1"
     request.runner = runner = SimpleNamespace(name="runner-1", is_plain=lambda: False)
     attempts = Attempts(node, pairing, SimpleNamespace(reads_are_runs=False), roster, None)
@@ -67,7 +70,7 @@
         note_leaving=closed.append, note_dark=lambda runner: None, note_alive=lambda runner: None
     )
     request = Request("r-1", SimpleNamespace(is_begun=False), 0)
-    request.kind = {"repeatable": True, "resumable": False}
+    request.kind = RequestKind("g", SECOND, SECOND, SECOND, is_idempotent=True)
     request.state, request.attempt = READING, "r-1/1"
     request.runner = runner = SimpleNamespace(name="runner-1", is_plain=lambda: False)
     Attempts(node, pairing, SimpleNamespace(reads_are_runs=False), roster, None).fail(
--- a/tests/test_large_plans.py
+++ b/tests/test_large_plans.py
@@ -3,7 +3,7 @@
 import pytest
 
 from linkhaven.api import ServiceError
-from linkhaven.configuration import check, decode_configuration
+from linkhaven.configuration import decode_configuration, validation
 from linkhaven.credit import AdmissionQueues
 from linkhaven.pairing import NO_BOUND_US
 from linkhaven.router.node import rooms_for_others
@@ -35,8 +35,8 @@
 
 
 def test_only_changed_parts_of_a_plan_are_checked_again(monkeypatch):
-    kinds = CountingCheck(check.KIND)
-    monkeypatch.setattr(check, "KIND", kinds)
+    kinds = CountingCheck(validation.KIND)
+    monkeypatch.setattr(validation, "KIND", kinds)
     first = decode_configuration(large())
     assert kinds.count == MANY
     changed = large()
@@ -44,8 +44,8 @@
     del changed["kinds"]["k-9"]
     second = decode_configuration(changed)
     assert kinds.count == MANY + 1
-    assert second["kinds"]["k-7"]["priority"] == 3 and "k-9" not in second["kinds"]
-    assert first["kinds"]["k-7"]["priority"] == 0 and first == decode_configuration(large())
+    assert second.kinds["k-7"].priority == 3 and "k-9" not in second.kinds
+    assert first.kinds["k-7"].priority == 0 and first == decode_configuration(large())
 
 
 @pytest.mark.parametrize(
@@ -65,12 +65,12 @@
     assert any(found["place"].startswith(place) for found in refused.value.detail["places"])
 
 
-def slow_rooms(plan):
+def slow_rooms(configuration):
     """What `rooms_for_others` says, kind by kind."""
     rooms = {}
-    for group in plan["groups"]:
-        own = [one["ttft_us"] for one in plan["kinds"].values()]
-        others = [one["ttft_us"] for one in plan["kinds"].values() if one["group"] != group]
+    for group in configuration.groups:
+        own = [one.ttft_us for one in configuration.kinds.values()]
+        others = [one.ttft_us for one in configuration.kinds.values() if one.group != group]
         rooms[group] = min(others or own, default=NO_BOUND_US)
     return rooms
 
@@ -85,8 +85,10 @@
         for group, times in targets.items()
         for place, ttft_us in enumerate(times)
     }
-    plan = {"groups": {"a": {}, "b": {}, "c": {}, "d": {}}, "kinds": kinds}
-    assert rooms_for_others(plan) == slow_rooms(plan)
+    configuration = decode_configuration(
+        {"groups": {"a": {}, "b": {}, "c": {}, "d": {}}, "kinds": kinds}
+    )
+    assert rooms_for_others(configuration) == slow_rooms(configuration)
 
 
 class Asked:
--- a/tests/test_patch.py
+++ b/tests/test_patch.py
@@ -147,7 +147,7 @@
     }
     core.world.run_for(SECOND)
     for host in core.machines.values():
-        assert set(host.node.snapshot.configuration["kinds"]) == {"r-2", "r-3"}
+        assert set(host.node.snapshot.configuration.kinds) == {"r-2", "r-3"}
 
 
 @pytest.mark.parametrize(
@@ -269,7 +269,7 @@
     }
     assert command(core, "PATCH", "/v1/plan", **change)[0] == 200
     laid = in_force(core)
-    assert set(laid["kinds"]) == {"k", "new"} and set(laid["groups"]) == {"g"}
+    assert set(laid.kinds) == {"k", "new"} and set(laid.groups) == {"g"}
     again = command(core, "PATCH", "/v1/plan", expect=1, put_id="/v1/plan/1", **change)
     assert again == (200, {"mark": 2, "put_id": "/v1/plan/1"})
     status, told = command(core, "PATCH", "/v1/plan", removals={"groups": ["g"]})
--- a/tests/test_plain_requests.py
+++ b/tests/test_plain_requests.py
@@ -13,6 +13,8 @@
     linkhaven.__path__.append(str(ROOT / "platform" / "linkhaven"))
 
 from linkhaven.api import ServiceError  # noqa: E402
+from linkhaven.configuration import RequestKind  # noqa: E402
+from linkhaven.pairing import NO_BOUND_US  # noqa: E402
 from linkhaven.platform.callers import PlatformCallers  # noqa: E402
 from linkhaven.router.attempts import Attempts  # noqa: E402
 from linkhaven.router.request import PARKED, Request  # noqa: E402
@@ -67,13 +69,13 @@
     request = Request("r-1", call, 0)
     PlatformCallers().read(request)
     request.deadline_us = 1_000_000
-    request.kind = {
-        "ttft_us": 1_000_000,
-        "deadline_us": 1_000_000,
-        "attempts": 2,
-        "repeatable": True,
-        "resumable": False,
-    }
+    request.kind = RequestKind(
+        group="g",
+        ttft_us=1_000_000,
+        tpot_us=NO_BOUND_US,
+        deadline_us=1_000_000,
+        max_attempts=2,
+    )
     return request
 
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -2,8 +2,8 @@
 
 from types import SimpleNamespace
 
+from linkhaven.configuration import Allowance, Group, QueueBounds
 from linkhaven.credit.group_account import GroupAccount
-from linkhaven.credit.group_settings import read_group
 from linkhaven.credit.messages import (
     AllocatedGrant,
     AllocatedShares,
@@ -16,12 +16,13 @@
 from linkhaven.runtime import Table
 
 SECOND = 1_000_000
-BOUNDS = {"requests": 1_000, "tokens": 10_000_000, "wait_us": SECOND}
+BOUNDS = QueueBounds(requests=1_000, tokens=10_000_000, wait_us=SECOND)
 
 
 def account_with(name, weight=1.0, credit=None, prompts=()):
     account = GroupAccount(name, 0)
-    account.settings = read_group({"credit": credit, "weight": weight, "queue": BOUNDS})
+    allowance = None if credit is None else Allowance(**credit)
+    account.settings = Group(allowance=allowance, weight=weight, queue=BOUNDS)
     for tokens in prompts:
         account.append(SimpleNamespace(prompt_tokens=tokens, answer_tokens=0, group=name), 0)
     return account
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,5 +1,6 @@
 """The retry budget: what requests of a pool earn, who may spend it, and when it lapses."""
 
+from linkhaven.configuration import decode_configuration
 from linkhaven.credit import RetryBudget
 
 GRANT_EXPIRES_US = 3_000_000
@@ -13,11 +14,19 @@
         return self.us
 
 
+def configuration_with(*pools):
+    document = {
+        "groups": {"g": {}},
+        "kinds": {},
+        "extra": {"share": 0.2, "margin": 10},
+        "pools": {pool: {} for pool in pools},
+    }
+    return decode_configuration(document)
+
+
 def budget_with(attempts=3):
     budget = RetryBudget(Node())
-    budget.apply_configuration(
-        {"extra": {"share": 0.2, "margin": 10}, "pools": {"one": {}, "two": {}}}
-    )
+    budget.apply_configuration(configuration_with("one", "two"))
     budget.apply_grant(attempts, 1, GRANT_EXPIRES_US)
     return budget
 
@@ -47,7 +56,7 @@
 def test_a_pool_that_the_plan_no_longer_names_leaves_nothing_behind():
     budget = budget_with()
     budget.earn("one")
-    budget.apply_configuration({"extra": {"share": 0.2, "margin": 10}, "pools": {"two": {}}})
+    budget.apply_configuration(configuration_with("two"))
     assert set(budget.buckets) == {None}
 
 
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -3,8 +3,11 @@
 
 import pytest
 
-from linkhaven.configuration import ConfigurationSnapshot, ConfigurationWatcher
-from linkhaven.configuration.check import decode_configuration
+from linkhaven.configuration import (
+    ConfigurationSnapshot,
+    ConfigurationWatcher,
+    decode_configuration,
+)
 from linkhaven.consensus import Replica
 from linkhaven.consensus.seat import REJOINING
 from linkhaven.controller.claim_admission import ClaimAdmission
--- a/tests/test_shared_lines.py
+++ b/tests/test_shared_lines.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from linkhaven.configuration import PlacementSettings
 from linkhaven.controller.figure_relay import FigureRelay
 from linkhaven.pairing import Work
 from linkhaven.pairing.decoders import UNDISTURBED_LEAST, split_decoders
@@ -16,7 +17,9 @@
 
 SECOND = 1_000_000
 BASE_US, TOKEN_US = 18_000, 3.0
-TAICHI = {"prefill_tokens_per_s": 0, "decode_read_share": 0.5, "read_base_us": 15_000}
+SETTINGS = PlacementSettings(
+    prefill_tokens_per_s=0, decode_prefill_share=0.5, prefill_base_us=15_000
+)
 
 
 def runner(name, phase=PREFILL, slots=12):
@@ -36,7 +39,7 @@
         self.now = SECOND
         self.estimators = [Estimator(lambda: self.now, lambda: is_blind) for _ in range(count)]
         for estimator in self.estimators:
-            estimator.taichi = TAICHI
+            estimator.settings = SETTINGS
 
     def tell(self):
         sums = FigureRelay(SimpleNamespace(systems=[], now_us=lambda: self.now), "lines")
