--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -133,12 +133,10 @@
         self.watch_server.has_contact = self.contact.is_held
         self.desk = desk_of(self)
         self.leases = {
-            duty: Lease(self, duty, self.proposer, self.seat) for duty in SINGLETON_ROLES
+            role: Lease(self, role, self.proposer, self.seat, self.membership, listener=self)
+            for role in SINGLETON_ROLES
         }
-        for duty in self.leases.values():
-            duty.incarnation_of = self._incarnation_of
         self._rank_duties()
-        self.leases["roster"].on_won = self.watch_server.answer_all
         self.runner_discovery = RunnerDiscovery(
             self, self.desk, platform, (self.leases["roster"], self.leases["steward"])
         )
@@ -222,11 +220,21 @@
         elif self.seat.rejoin.has_met_no_vote:
             self.leases["roster"].assume_vacant()
 
-    def _incarnation_of(self, name):
-        member = self.membership.peers.get(name)
-        if member is None:
-            return None
-        return member.incarnation if member.is_up and not member.has_left else 0
+    def on_lease_won(self, role):
+        """Begin the work of a singleton role."""
+        if role == "steward":
+            self.role_balancer.on_lease_won(role)
+        elif role == "bursar":
+            self.bursar.on_lease_won(role)
+        else:
+            self.watch_server.answer_all()
+
+    def on_lease_lapsed(self, role):
+        """End the work of a singleton role; the list of runners follows its lease by itself."""
+        if role == "steward":
+            self.role_balancer.on_lease_lapsed(role)
+        elif role == "bursar":
+            self.bursar.on_lease_lapsed(role)
 
     def _hear_mark(self, mark, member):
         self.snapshot.observe_version(mark)
--- a/packages/controller/src/linkhaven/controller/role_balancer.py
+++ b/packages/controller/src/linkhaven/controller/role_balancer.py
@@ -95,14 +95,16 @@
         self.serial = 0
         self.settled = {}
         self.orders = 0
-        lease.on_won = self.win
-        lease.on_lapsed = self.forget
         node.systems.append(self.tick)
         node.on_late.append(self.wake)
 
     # the duty
 
-    def win(self):
+    def on_lease_lapsed(self, role):
+        """Nothing that was decided on under this lease is ordered any more."""
+        self.forget()
+
+    def on_lease_won(self, role):
         """The duty was won: nothing of an earlier term counts."""
         self.won_us = self.node.now_us()
         self.forget()
--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -64,12 +64,10 @@
         self.unclaimed = 0
         self.unclaimed_counted_us = None
         self.on_won = lambda: None
-        lease.on_won = self.on_lease_won
-        lease.on_lapsed = self.on_lease_lapsed
 
     # the lease
 
-    def on_lease_won(self):
+    def on_lease_won(self, role):
         """Start anew: routers report the grants of earlier holders, or these expire."""
         self.elected_us = self.node.now_us()
         self.grants = {}
@@ -77,7 +75,7 @@
         self.unclaimed_counted_us = None
         self.on_won()
 
-    def on_lease_lapsed(self):
+    def on_lease_lapsed(self, role):
         """Grant nothing more."""
         self.elected_us = None
 
--- a/packages/leases/src/linkhaven/leases/__init__.py
+++ b/packages/leases/src/linkhaven/leases/__init__.py
@@ -1,6 +1,12 @@
-"""Leases on the duties of the core: who does a duty, until when, and under which fencing token."""
+"""Leases on the singleton roles of the core: who plays one, until when, with which fencing token.
 
-from .lease import Lease
+Sources: Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file
+cache consistency" (SOSP 1989), for leases that end by the holder's own clock; Burrows, "The Chubby
+lock service" (OSDI 2006), section 2.4, for sequencers, here called fencing tokens.
+"""
+
+from .interfaces import LeaseListener, SilentListener
+from .lease import Lease, LeaseState
 from .records import LeaseRecord
 
-__all__ = ["Lease", "LeaseRecord"]
+__all__ = ["Lease", "LeaseListener", "LeaseRecord", "LeaseState", "SilentListener"]
--- a/packages/membership/src/linkhaven/membership/membership.py
+++ b/packages/membership/src/linkhaven/membership/membership.py
@@ -143,6 +143,13 @@
             ]
         return found
 
+    def live_incarnation(self, name):
+        """The running incarnation of a member, 0 where it is down, None where it is unknown."""
+        member = self.peers.get(name)
+        if member is None:
+            return None
+        return member.incarnation if member.is_up and not member.has_left else 0
+
     def add_seeds(self, addresses):
         """More addresses to say hello to."""
         self.seeds += [
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -5,7 +5,7 @@
 from linkhaven.configuration.history import digest_of_update, read_history
 from linkhaven.consensus import Proposer, Replica
 from linkhaven.controller import ControllerNode
-from linkhaven.leases import Lease
+from linkhaven.leases import Lease, SilentListener
 from linkhaven.membership import Membership
 from linkhaven.membership.messages import MemberList
 from linkhaven.runtime import Bounds, Node
@@ -79,7 +79,10 @@
         self.configuration_store = ConfigurationStore(
             self, self.proposer, self.blobs, self.snapshot
         )
-        self.lease = Lease(self, DUTY, self.proposer, self.seat) if has_duty else None
+        self.lease = None
+        if has_duty:
+            listener = SilentListener()
+            self.lease = Lease(self, DUTY, self.proposer, self.seat, self.membership, listener)
         if contacts and self.seat.is_empty and not self.seat.seat:
             self.seat.begin_first(seats[contacts.index(address)], contacts)
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,6 +1,7 @@
-"""The lease on a duty: one holder at a time, and a higher fence each time."""
+"""The lease on a singleton role: one holder at a time, and a higher fencing token each time."""
 
 import random
+from itertools import repeat
 from types import SimpleNamespace
 
 import msgspec
@@ -43,11 +44,12 @@
 class Member:
     """One node with a lease, driven by hand."""
 
-    def __init__(self, register, name, rank=0):
+    def __init__(self, register, name, rank=0, incarnations=None):
+        self.incarnations = iter(incarnations or repeat(None))
         self.time_us = START_US
         self.events = []
         self.changes = []
-        self.seat = SimpleNamespace(
+        self.replica = SimpleNamespace(
             is_voting=True, votes_from_us=0, cell=lambda key: SimpleNamespace(value=register.value)
         )
         self.node = SimpleNamespace(
@@ -65,12 +67,21 @@
             self.node,
             "steward",
             register,
-            self.seat,
-            rank,
-            on_won=lambda: self.changes.append("won"),
-            on_lapsed=lambda: self.changes.append("lapsed"),
+            self.replica,
+            incarnations=self,
+            listener=self,
+            rank=rank,
         )
 
+    def on_lease_won(self, role):
+        self.changes.append("won")
+
+    def on_lease_lapsed(self, role):
+        self.changes.append("lapsed")
+
+    def live_incarnation(self, name):
+        return next(self.incarnations)
+
     def run(self, span_us):
         for _ in range(span_us // TICK_US):
             self.time_us += TICK_US
@@ -111,7 +122,7 @@
     assert not one.lease.is_held() and one.changes == []
 
 
-def test_another_node_waits_a_whole_lease_and_its_fence_is_higher():
+def test_another_node_waits_a_whole_lease_and_its_fencing_token_is_higher():
     register = Register()
     one, two = Member(register, "one"), Member(register, "two")
     one.run(TICK_US)
@@ -182,7 +193,7 @@
     assert released and register.value == {"holder": "two", "fence": 2, "renewal": 0}
 
 
-def test_a_new_holder_has_a_fence_above_any_that_was_observed():
+def test_a_new_holder_has_a_fencing_token_above_any_that_was_observed():
     register = Register()
     one = Member(register, "one")
     one.lease.observe_fencing_token(7.5)
@@ -193,15 +204,15 @@
     assert one.lease.fencing_token == 13 and one.changes == ["won", "won"]
 
 
-def test_a_seat_without_votes_neither_asks_nor_holds():
+def test_a_replica_without_votes_neither_asks_nor_holds():
     register = Register()
     one = Member(register, "one")
     one.run(TICK_US)
-    one.seat.is_voting = False
+    one.replica.is_voting = False
     one.run(TICK_US)
     assert not one.lease.is_held() and not one.lease.is_holder_suspected()
     one.run(10 * SECOND_US)
-    one.seat.is_voting = True
+    one.replica.is_voting = True
     one.run(LEASE_US)
     assert not one.lease.is_held()
     one.run(SECOND_US)
@@ -209,15 +220,15 @@
 
 
 @pytest.mark.parametrize(
-    "incarnations, is_quiet", [([3, 3], False), ([3, 0], True), ([3, 4], True), ([None, 3], False)]
+    "incarnations, is_suspected",
+    [([3, 3], False), ([3, 0], True), ([3, 4], True), ([None, 3], False)],
 )
-def test_a_duty_is_quiet_once_its_holder_is_down_or_started_anew(incarnations, is_quiet):
-    register, known = Register(), iter(incarnations)
-    one, two = Member(register, "one"), Member(register, "two")
-    two.lease.incarnation_of = lambda name: next(known)
+def test_a_holder_is_suspected_once_it_is_down_or_started_anew(incarnations, is_suspected):
+    register = Register()
+    one, two = Member(register, "one"), Member(register, "two", incarnations=incarnations)
     one.run(TICK_US)
     two.run(TICK_US)
-    assert two.lease.is_holder_suspected() is is_quiet
+    assert two.lease.is_holder_suspected() is is_suspected
 
 
 def test_a_record_of_a_newer_version_is_read_and_one_that_is_none_is_refused():
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -212,7 +212,7 @@
     """An order to runner-3 without a word to the routers before, as if it had been announced."""
     runner = registry.runner_discovery.runners["runner-3"]
     now_us = registry.now_us()
-    registry.role_balancer.lease.announced_us = now_us
+    registry.role_balancer.lease.announcement.announced_us = now_us
     registry.role_balancer.send_order(RoleChange(runner, phase, now_us), runner, now_us)
 
 
@@ -352,9 +352,9 @@
 def leave_duties_vacant(monkeypatch):
     ask = Lease._request
 
-    def renew_only(self, now_us, fence, renewal):
+    def renew_only(self, now_us, token, renewal):
         if self.fencing_token is not None:
-            ask(self, now_us, fence, renewal)
+            ask(self, now_us, token, renewal)
 
     monkeypatch.setattr(Lease, "_request", renew_only)
     monkeypatch.setattr(Lease, "is_holder_suspected", lambda self: False)
--- a/tests/test_vacant_roles.py
+++ b/tests/test_vacant_roles.py
@@ -12,7 +12,7 @@
 from linkhaven.controller.role_balancer import NOTICE_US
 from linkhaven.controller.role_change import RoleChange
 from linkhaven.controller.runner_discovery import PRESS_US, UNANSWERED_US
-from linkhaven.leases.lease import MARGIN_US, RANK_US
+from linkhaven.leases.observer import MARGIN_US, RANK_US
 from linkhaven.runner.roster import DECODE, PREFILL
 from linkhaven.runtime import Bounds
 from linkhaven.stage.fleet import SECOND
