--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -61,7 +61,7 @@
         "snapshot",
         "blobs",
         "configuration_store",
-        "duty",
+        "lease",
     )
 
     def __init__(self, name, address, ports, bounds, has_duty, contacts):
