--- a/packages/configuration/src/linkhaven/configuration/overlay.py
+++ b/packages/configuration/src/linkhaven/configuration/overlay.py
@@ -7,9 +7,8 @@
 from collections.abc import Mapping
 from typing import Any, TypedDict
 
-from linkhaven.api import ServiceError
-
 from .document import Configuration, RequestKind
+from .document_faults import document_invalid_at
 from .validation import decode_configuration
 
 
@@ -66,7 +65,7 @@
     Raises ServiceError `plan_invalid` if the overlay lacks it, or a kind is attached to it.
     """
     if name not in overlay["groups"]:
-        raise _invalid(
+        raise document_invalid_at(
             f"groups/{name}", "is not in the overlay; what the document holds, its sender removes"
         )
     groups = {other: group for other, group in overlay["groups"].items() if other != name}
@@ -81,11 +80,13 @@
     """
     own = document["kinds"].get(name)
     if own is None:
-        raise _invalid(f"kinds/{name}", "is not in the plan")
+        raise document_invalid_at(f"kinds/{name}", "is not in the plan")
     effective = apply_overlay(document, overlay)
     attached = {**own, "group": kind.get("group")}
     if _decode_kind(effective, name, kind) != _decode_kind(effective, name, attached):
-        raise _invalid(f"kinds/{name}", "only its group can be changed beside the document")
+        raise document_invalid_at(
+            f"kinds/{name}", "only its group can be changed beside the document"
+        )
     kinds = {other: group for other, group in overlay["kinds"].items() if other != name}
     if kind["group"] != own["group"]:
         kinds[name] = kind["group"]
@@ -105,10 +106,6 @@
     effective = apply_overlay(document, overlay)
     for name, group in overlay["kinds"].items():
         if name in document["kinds"] and group not in effective["groups"]:
-            raise _invalid(f"kinds/{name}/group", f"no group is named {group}")
+            raise document_invalid_at(f"kinds/{name}/group", f"no group is named {group}")
     decode_configuration(effective)
     return overlay
-
-
-def _invalid(place: str, fault: str) -> ServiceError:
-    return ServiceError("plan_invalid", places=[{"place": place, "fault": fault}])
--- a/packages/configuration/src/linkhaven/configuration/validation.py
+++ b/packages/configuration/src/linkhaven/configuration/validation.py
@@ -1,7 +1,7 @@
 """Checks an operator's document, whole, and decodes it to the `Configuration` that code reads."""
 
 from collections.abc import Iterator
-from typing import Any, Protocol, TypedDict
+from typing import Any, Protocol
 
 import msgspec
 import trafaret as t
@@ -12,26 +12,19 @@
 from linkhaven.runtime import write_json
 
 from .document import Configuration, Group, RequestKind
+from .document_faults import DocumentFault, document_invalid
 from .schema import DOCUMENT, GROUP, KIND, NAME
 
 CACHED_ITEMS_MOST = 8_192
 """More than the groups and kinds of two versions of a large document."""
 
 _decoded_items: LRUCache = LRUCache(CACHED_ITEMS_MOST)
-"""Groups and kinds that were checked before, by their name and text: a change of a large document
-checks and decodes only what it changed. Test: `test_only_changed_parts_of_a_plan_are_checked_again`.
+"""Groups and kinds that were checked before, by their schema, name and text, so that a change of a
+large document checks and decodes only what it changed.
+Test: `test_only_changed_parts_of_a_plan_are_checked_again`.
 """
 
 
-class DocumentFault(TypedDict):
-    """One fault of a document, as the error `plan_invalid` lists it."""
-
-    place: str
-    """The path of names to the field, with `/` between them."""
-
-    fault: str
-
-
 class _Schema(Protocol):
     def check(self, value: Any) -> Any:
         """Return the value as checked, or raise trafaret.DataError."""
@@ -50,7 +43,7 @@
         faults += list_places(error)
     faults += _list_inconsistencies(document)
     if configuration is None or faults:
-        raise ServiceError("plan_invalid", places=sorted(faults, key=lambda fault: fault["place"]))
+        raise document_invalid(*sorted(faults, key=lambda fault: fault["place"]))
     return configuration
 
 
