--- a/packages/configuration/src/linkhaven/configuration/changes.py
+++ b/packages/configuration/src/linkhaven/configuration/changes.py
@@ -1,62 +1,78 @@
-"""What differs between two plans, so that a router is told that and not the whole.
+"""What differs between two documents, so that a router is sent that and not the whole.
 
 The difference names its result only by the result's digest, which the receiver checks: whatever
-goes wrong on the way, a plan that isn't the one of its digest is never taken.
+goes wrong on the way, a document that isn't the one of its digest is never taken.
+Test: `test_changes_that_lead_elsewhere_are_dropped_and_the_whole_is_asked_for`.
 """
 
+from typing import Any
+
 import msgspec
+from msgspec import field
 
 from linkhaven.runtime import read_json, write_json
 
 PARTS = ("groups", "kinds", "pools")
-"""The parts of a plan whose items change one by one; all else is told whole where it differs."""
+"""The fields of a document whose items change one by one; any other is sent whole if it differs."""
 
 
-class PlanChanges(msgspec.Struct, frozen=True):
-    """By part: items to set and names to drop; `rest`: other fields to set, `gone`: to drop."""
+class DocumentChanges(msgspec.Struct, frozen=True):
+    """What makes one document of another, under the names that it has on the wire."""
 
     upserts: dict[str, dict]
+    """By part: the items to set, by name."""
+
     removals: dict[str, list[str]]
-    rest: dict
-    gone: list[str]
+    """By part: the names of items to drop."""
+
+    replaced_fields: dict[str, Any] = field(name="rest")
+    """Other fields of the document to set, by name."""
 
-    def write(self):
+    dropped_fields: list[str] = field(name="gone")
+
+    def write(self) -> str:
         """Return the text that `read_changes` reads."""
         return write_json(msgspec.to_builtins(self)).decode()
 
 
-def read_changes(text):
+def read_changes(text: str) -> DocumentChanges:
     """Read what `write` wrote; raises msgspec.ValidationError or ServiceError for anything else."""
-    return msgspec.convert(read_json(text), PlanChanges)
+    return msgspec.convert(read_json(text), DocumentChanges)
 
 
-def diff_of(old, new):
-    """Return what makes the plan `new` of the plan `old`."""
-    upserts, removals = {}, {}
+def diff_of(old: dict[str, Any], new: dict[str, Any]) -> DocumentChanges:
+    """Return what makes the document `new` of the document `old`."""
+    upserts: dict[str, dict] = {}
+    removals: dict[str, list[str]] = {}
     for part in PARTS:
-        held, wanted = old.get(part), new.get(part)
-        if held is None or wanted is None:
+        old_items, new_items = old.get(part), new.get(part)
+        if old_items is None or new_items is None:
             continue
-        changed = {name: item for name, item in wanted.items() if held.get(name) != item}
-        dropped = [name for name in held if name not in wanted]
+        changed = {name: item for name, item in new_items.items() if old_items.get(name) != item}
+        dropped = [name for name in old_items if name not in new_items]
         if changed:
             upserts[part] = changed
         if dropped:
             removals[part] = dropped
-    whole = {
-        field: value
-        for field, value in new.items()
-        if (field not in PARTS or field not in old) and old.get(field) != value
+    replaced_fields = {
+        name: value
+        for name, value in new.items()
+        if (name not in PARTS or name not in old) and old.get(name) != value
     }
-    return PlanChanges(upserts, removals, whole, [field for field in old if field not in new])
+    dropped_fields = [name for name in old if name not in new]
+    return DocumentChanges(upserts, removals, replaced_fields, dropped_fields)
 
 
-def apply_changes(plan, changes):
-    """Return the plan with the changes applied; the one given stays as it is."""
-    changed = {field: value for field, value in plan.items() if field not in changes.gone}
-    changed.update(changes.rest)
+def apply_changes(document: dict[str, Any], changes: DocumentChanges) -> dict[str, Any]:
+    """Return the document with the changes applied; the one given stays as it is."""
+    changed = {
+        name: value for name, value in document.items() if name not in changes.dropped_fields
+    }
+    changed.update(changes.replaced_fields)
     for part in {*changes.upserts, *changes.removals}:
         removed = set(changes.removals.get(part, ()))
-        kept = {name: item for name, item in changed.get(part, {}).items() if name not in removed}
-        changed[part] = {**kept, **changes.upserts.get(part, {})}
+        remaining = {
+            name: item for name, item in changed.get(part, {}).items() if name not in removed
+        }
+        changed[part] = {**remaining, **changes.upserts.get(part, {})}
     return changed
