--- a/packages/credit/src/linkhaven/credit/admission_queues.py
+++ b/packages/credit/src/linkhaven/credit/admission_queues.py
@@ -5,6 +5,7 @@
 """
 
 from linkhaven.api import ServiceError
+from linkhaven.configuration import Configuration
 from linkhaven.runtime import Table
 
 from .group_account import GroupAccount
@@ -68,7 +69,7 @@
 
     # what the configuration and the allocator say
 
-    def apply_configuration(self, configuration):
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Follow a configuration; a group that it no longer names goes once its queue is empty."""
         now_us = self.node.now_us()
         for name, group in configuration.groups.items():
--- a/packages/credit/src/linkhaven/credit/retry_budget.py
+++ b/packages/credit/src/linkhaven/credit/retry_budget.py
@@ -3,10 +3,12 @@
 Each request earns a part of an attempt. Earnings are capped at the attempts that the quota
 allocator granted this router of the fleet's margin, and without a grant nothing is saved. Requests
 and attempts of each pool of runners are counted apart. So over any span the fleet spends on a pool
-at most `share` x its requests + `margin`, however many routers run
+at most `attempts_per_request` x its requests + `margin_attempts`, however many routers run
 (`test_more_routers_than_the_plan_counts_breach_neither_budget_nor_allowance`).
 """
 
+from linkhaven.configuration import Configuration
+
 from .messages import DemandReport, write_fields
 from .token_bucket import TokenBucket
 
@@ -55,7 +57,7 @@
 
     # what the configuration and the allocator say
 
-    def apply_configuration(self, configuration):
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Follow a configuration; `share` is what each request earns, in attempts."""
         self.share = configuration.retry_budget.attempts_per_request
         pools = configuration.pools
--- a/packages/pairing/src/linkhaven/pairing/estimator.py
+++ b/packages/pairing/src/linkhaven/pairing/estimator.py
@@ -1,3 +1,4 @@
+from linkhaven.configuration import PlacementSettings
 from linkhaven.runner.roster import DECODE, PREFILL
 
 from .fit import PARTS, LineFit
@@ -53,7 +54,7 @@
         self.is_blind = is_blind
         self.noted_us = {}
         self.links = Links(now_us)
-        self.settings = None
+        self.settings: PlacementSettings | None = None
         self.factors = {}
         self.fits = {}
         self.others = {}
--- a/packages/pairing/src/linkhaven/pairing/pairing.py
+++ b/packages/pairing/src/linkhaven/pairing/pairing.py
@@ -1,5 +1,6 @@
 from collections import deque
 
+from linkhaven.configuration import Configuration
 from linkhaven.runner.roster import DECODE, PREFILL
 
 from .decoders import DecoderSplit, split_decoders
@@ -248,7 +249,7 @@
         """Whether there are other routers that this one doesn't hear."""
         return DEAF_US < self.node.now_us() - self.heard_us < ALONE_US
 
-    def apply_configuration(self, configuration):
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Follow a configuration: its pace of runners, and its tightest target."""
         self.estimator.settings = configuration.placement
         targets = (kind.ttft_us for kind in configuration.kinds.values())
--- a/packages/router/src/linkhaven/router/doors.py
+++ b/packages/router/src/linkhaven/router/doors.py
@@ -1,3 +1,6 @@
+from linkhaven.configuration import Configuration
+
+
 class Doors:
     """Kinds by host and path: of the doors of a host, the longest prefix that begins the path wins."""
 
@@ -6,7 +9,7 @@
     def __init__(self):
         self.hosts = {}
 
-    def apply_configuration(self, configuration):
+    def apply_configuration(self, configuration: Configuration) -> None:
         self.hosts = {}
         for name, kind in configuration.kinds.items():
             route = kind.route
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -2,6 +2,7 @@
 from collections import OrderedDict
 
 from linkhaven.api import ServiceError
+from linkhaven.configuration import ClaimSettings, Configuration
 
 from . import request as states
 
@@ -20,11 +21,11 @@
         self.proposer = proposer
         self.won = OrderedDict()
         self.swept_us = node.now_us()
-        self.settings = None
+        self.settings: ClaimSettings | None = None
         node.hearers["want_keys"] = self.hear_want
         node.systems.append(self.sweep)
 
-    def apply_configuration(self, configuration):
+    def apply_configuration(self, configuration: Configuration) -> None:
         self.settings = configuration.claims
 
     def claim(self, request, go_on):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -1,5 +1,10 @@
 from linkhaven.api import ServiceError
-from linkhaven.configuration import ConfigurationSnapshot, ConfigurationWatcher
+from linkhaven.configuration import (
+    Configuration,
+    ConfigurationSnapshot,
+    ConfigurationWatcher,
+    RequestKind,
+)
 from linkhaven.consensus import Proposer
 from linkhaven.credit import GRANT_NUMBERS_PER_FENCE, AdmissionQueues, RetryBudget
 from linkhaven.membership import Membership
@@ -26,7 +31,7 @@
 """How much each new prompt counts in what is typical of its kind."""
 
 
-def rooms_for_others(configuration):
+def rooms_for_others(configuration: Configuration) -> dict[str, int]:
     """How long a queue at a runner each group may join, so that tight targets can still be met.
 
     That is the tightest target of the other groups, or of its own kinds where there is no other.
@@ -284,7 +289,7 @@
             )
         return ServiceError("roster_stale", done=done, retry_us=retry_us)
 
-    def choose_pool(self, kind):
+    def choose_pool(self, kind: RequestKind) -> str | None:
         """Where a kind is split over pools, each has its weight's part of the requests."""
         pools = kind.pools
         if len(pools) < 2:
