--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -262,7 +262,7 @@
     def take(self, value):
         if value is None:
             return
-        self.value, self.mark, self.highest = value, value["mark"], value["mark"]
+        self.value, self.version, self.highest_version = value, value["mark"], value["mark"]
         self.configuration = decode_configuration(value["plan"])
 
     monkeypatch.setattr(ConfigurationSnapshot, "take", take)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -12,7 +12,7 @@
 """
 
 
-@pytest.mark.parametrize("part", ["router", "registry"])
+@pytest.mark.parametrize("part", ["router", "controller"])
 def test_a_start_imports_no_library_that_only_some_processes_use(part):
     told = subprocess.run(
         [sys.executable, "-c", PROGRAM.format(part=part)],
