--- a/packages/controller/src/linkhaven/controller/__init__.py
+++ b/packages/controller/src/linkhaven/controller/__init__.py
@@ -1,5 +1,6 @@
-"""The control plane: the node of a core seat and its program."""
+"""The control plane: the node of a core member and its program."""
 
-from .node import SINGLETON_ROLES, ControllerNode
+from .node import ControllerNode
+from .singleton_roles import SINGLETON_ROLES
 
 __all__ = ["SINGLETON_ROLES", "ControllerNode"]
--- a/packages/controller/src/linkhaven/controller/claim_admission.py
+++ b/packages/controller/src/linkhaven/controller/claim_admission.py
@@ -1,83 +1,141 @@
-"""Claims of one-time keys at a core that began empty: none until the routers told theirs."""
+"""Admission of one-time claims at a core that began empty.
+
+Claims that were granted before the core lost its disks are known to the routers only. So a replica
+that began empty admits none until the routers have handed over theirs, page by page:
+
+| state of a router's hand-over | message | then |
+| --- | --- | --- |
+| asked for offset n, every `ASK_INTERVAL_US` | `ClaimsResponse` at n | `WRITING` |
+| `WRITING` | the page is synced | asked for the next page, or `COMPLETE` after the last |
+| `WRITING` | the disk refused the page | asked for offset n again |
+| any | `ClaimsResponse` of an earlier start, or at another offset | passed over |
+
+Invariant: no claim is admitted twice by one core, also not across a loss of all disks
+(`test_sabotage.py`, with the admission taken out).
+"""
+
+from linkhaven.configuration import ConfigurationSnapshot
+from linkhaven.consensus import Replica
+from linkhaven.membership import Membership
+from linkhaven.runtime import Node
 
 from .messages import ClaimsRequest, ClaimsResponse
 
-ASK_US = 250_000
+ASK_INTERVAL_US = 250_000
+"""How often each router is asked for its next page."""
+
 SETTLE_US = 2_000_000
-"""How long after its first votes a seat waits for routers that it may not know yet."""
+"""How long after its first votes a replica waits for routers that it may not know yet."""
+
+REPORTED_BALLOT = [0, "told"]
+"""The ballot of a claim that a router reported: below any that a proposer makes."""
 
-TOLD = [0, "told"]
-"""The ballot of a claim that a router told: below any that a proposer makes."""
+WRITING = -1
+"""The offset of a router whose page is being synced."""
+
+COMPLETE = None
+"""The offset of a router that handed over all its claims."""
 
 
 class ClaimAdmission:
-    """A core that began empty grants no keys until the routers told which they won before."""
+    """Owns how far each router has handed over its claims."""
 
-    __slots__ = ("node", "seat", "membership", "snapshot", "places", "asked_us", "was_behind")
+    __slots__ = (
+        "node",
+        "replica",
+        "membership",
+        "snapshot",
+        "offsets",
+        "asked_us",
+        "voting_since_us",
+        "has_lost_configuration",
+    )
 
-    def __init__(self, node, seat, membership, snapshot):
-        """`was_behind` is set by the node where a router knows a plan that the core lost."""
+    def __init__(
+        self, node: Node, replica: Replica, membership: Membership, snapshot: ConfigurationSnapshot
+    ) -> None:
+        """No router was asked yet."""
         self.node = node
-        self.seat = seat
+        self.replica = replica
         self.membership = membership
         self.snapshot = snapshot
-        self.places = {}
+        self.offsets: dict[str, int | None] = {}
         self.asked_us = 0
-        self.was_behind = False
-        node.on_message(ClaimsResponse, self.on_keys)
+        self.voting_since_us: int | None = None
+        self.has_lost_configuration = False
+        node.on_message(ClaimsResponse, self.on_claims)
         node.systems.append(self.tick)
 
-    def _start(self):
-        return self.seat.rejoin.start
+    def on_voting_started(self) -> None:
+        """The replica votes from now on."""
+        self.voting_since_us = self.node.now_us()
+
+    def on_configuration_lost(self) -> None:
+        """A router knows a configuration that the core lost: the fleet served before."""
+        self.has_lost_configuration = True
 
-    def tick(self, now_us):
-        """Ask the routers in turn, and open the claims once enough have told theirs."""
-        if self.seat.are_claims_open or not self.seat.is_voting or now_us - self.asked_us < ASK_US:
+    def tick(self, now_us: int) -> None:
+        """Ask the routers in turn, and admit claims once enough have handed over theirs."""
+        if self.replica.are_claims_open or not self.replica.is_voting:
+            return
+        if now_us - self.asked_us < ASK_INTERVAL_US:
             return
         self.asked_us = now_us
         routers = self.membership.live_members("router")
         for router in routers:
-            place = self.places.setdefault(router.name, 0)
-            if place is not None:
-                self._ask(router.address, place)
-        if self._has_heard_enough(routers, now_us):
-            self.places = {}
-            self.seat.open_claims()
-
-    def _ask(self, address, place):
-        self.node.send(address, ClaimsRequest(self._start(), place))
-
-    def _has_heard_enough(self, routers, now_us):
-        """All routers that run; of a fleet that served before, most that the plan counts."""
-        if not routers or self.node.voted_us is None or now_us - self.node.voted_us < SETTLE_US:
+            offset = self.offsets.setdefault(router.name, 0)
+            if offset is not COMPLETE:
+                self._ask(router.address, offset)
+        if self._have_enough_handed_over([router.name for router in routers], now_us):
+            self.offsets = {}
+            self.replica.open_claims()
+
+    def _ask(self, address: str, offset: int) -> None:
+        self.node.send(address, ClaimsRequest(self._start(), offset))
+
+    def _start(self) -> str:
+        return self.replica.rejoin.start
+
+    def _have_enough_handed_over(self, routers: list[str], now_us: int) -> bool:
+        """All routers that run; of a fleet that served before, most that the configuration counts.
+
+        Fewer than most could all be routers that won no claim.
+        """
+        if not routers or self.voting_since_us is None:
+            return False
+        if now_us - self.voting_since_us < SETTLE_US:
             return False
-        if any(self.places.get(router.name, 0) is not None for router in routers):
+        if any(self.offsets.get(router, 0) is not COMPLETE for router in routers):
             return False
-        if not self.was_behind:
+        if not self.has_lost_configuration:
             return True
         if self.snapshot.configuration is None:
             return False
-        answered = sum(place is None for place in self.places.values())
-        return answered > self.snapshot.configuration.fleet.routers // 2
+        complete = sum(offset is COMPLETE for offset in self.offsets.values())
+        return complete > self.snapshot.configuration.fleet.routers // 2
 
-    def on_keys(self, message):
-        """Keep a page of a router's keys, and ask for the next one once that is synced."""
-        name, place = message.sender, message.place
-        if not self._awaits_keys_from(name, place, message.start):
+    def on_claims(self, message: ClaimsResponse) -> None:
+        """Keep a page of a router's claims, and ask for the next one once that is synced."""
+        router, offset = str(message.sender), message.offset
+        if not self._awaits_claims_from(router, offset, message.start):
             return
-        self.places[name] = -1
-        changed = self.seat.merge({key: [[0, ""], TOLD, {"by": by}] for key, by in message.keys})
+        self.offsets[router] = WRITING
+        changed = self.replica.merge(
+            {key: [[0, ""], REPORTED_BALLOT, {"by": by}] for key, by in message.claims}
+        )
 
-        def go_on(is_kept):
+        def done(is_kept: bool) -> None:
             if not is_kept:
-                self.places[name] = place
+                self.offsets[router] = offset
+                return
+            if message.is_last:
+                self.offsets[router] = COMPLETE
                 return
-            self.places[name] = None if message.is_last else place + len(message.keys)
-            if not message.is_last:
-                self._ask(message.reply_to, self.places[name])
+            next_offset = self.offsets[router] = offset + len(message.claims)
+            self._ask(str(message.reply_to), next_offset)
 
-        self.node.ports.disk.write(changed, go_on)
+        self.node.ports.disk.write(changed, done)
 
-    def _awaits_keys_from(self, router, place, start):
-        is_asking = start == self._start() and not self.seat.are_claims_open
-        return is_asking and self.places.get(router) == place
+    def _awaits_claims_from(self, router: str, offset: int, start: str) -> bool:
+        is_asking = start == self._start() and not self.replica.are_claims_open
+        return is_asking and self.offsets.get(router) == offset
--- /dev/null
+++ b/packages/controller/src/linkhaven/controller/configuration_recovery.py
@@ -0,0 +1,141 @@
+"""Restores a configuration that routers hold and the core has lost.
+
+A core that lost its disks, or was restored from older ones, may hold an older configuration than
+its routers. A replica that hears of a newer version asks the router that named it for its
+configuration, and writes the newest one that it was given to the register.
+
+| message | from | does |
+| --- | --- | --- |
+| a newer version, gossiped or watched from | a router | sends it `ConfigurationRequest` |
+| `ConfigurationResponse` | a router | kept if it is the newest so far and its digest fits |
+
+What was given is written once the replica has voted for `SETTLE_US`, since until then the core may
+still learn the version by itself; and only if no newer version was heard of, since an older
+configuration must never follow a newer one.
+"""
+
+from collections.abc import Mapping
+from typing import Any, Protocol
+
+from linkhaven.configuration import BlobStore, ConfigurationSnapshot, write_plan
+from linkhaven.consensus import Proposer, Replica
+from linkhaven.runtime import Node
+
+from .messages import ConfigurationRequest, ConfigurationResponse
+
+SETTLE_US = 1_000_000
+"""The wait after the first votes, and between two attempts."""
+
+CONFIGURATION_KEY = "plan"
+"""The register's key of the configuration."""
+
+
+class LostConfigurationObserver(Protocol):
+    """Wants to know that the core lost a configuration that was in force."""
+
+    def on_configuration_lost(self) -> None:
+        """A router knows a newer configuration than the core."""
+
+
+class ConfigurationRecovery:
+    """Owns the newest configuration that routers reported, until it is written or obsolete."""
+
+    __slots__ = (
+        "node",
+        "replica",
+        "proposer",
+        "blobs",
+        "snapshot",
+        "observer",
+        "voting_since_us",
+        "reported",
+        "is_writing",
+        "attempted_us",
+    )
+
+    def __init__(
+        self,
+        node: Node,
+        replica: Replica,
+        proposer: Proposer,
+        blobs: BlobStore,
+        snapshot: ConfigurationSnapshot,
+        observer: LostConfigurationObserver,
+    ) -> None:
+        """Nothing was reported yet."""
+        self.node = node
+        self.replica = replica
+        self.proposer = proposer
+        self.blobs = blobs
+        self.snapshot = snapshot
+        self.observer = observer
+        self.voting_since_us: int | None = None
+        self.reported: Mapping[str, Any] | None = None
+        self.is_writing = False
+        self.attempted_us = 0
+        node.on_message(ConfigurationResponse, self.on_configuration)
+
+    def on_voting_started(self) -> None:
+        """The replica votes from now on."""
+        self.voting_since_us = self.node.now_us()
+
+    def on_member_version(self, version: int, member: Any) -> None:
+        """A member gossiped which version of the configuration it holds."""
+        self.snapshot.observe_version(version)
+        if member.kind == "router" and self.is_behind(version):
+            self.node.send(member.address, ConfigurationRequest())
+
+    def on_watch_request(self, message: dict[str, Any]) -> None:
+        """A router that watches the configuration says which version it holds."""
+        if self.is_behind(message["mark"]):
+            self.observer.on_configuration_lost()
+            self.node.send(message["back"], ConfigurationRequest())
+
+    def is_behind(self, version: int) -> bool:
+        """Whether this replica votes and holds an older version."""
+        value = self.replica.cell(CONFIGURATION_KEY).value
+        return self.replica.is_voting and version > (value["mark"] if value else 0)
+
+    def on_configuration(self, message: ConfigurationResponse) -> None:
+        """Keep a router's configuration if it is the newest; its blob must have its digest."""
+        record = message.record
+        if not self.blobs.take(record["bodies"]["plan"], message.blob):
+            return
+        if self.reported is None or message.version > self.reported["mark"]:
+            self.reported = {**record, "plan": self.blobs.plan_of(record)}
+
+    def tick(self, now_us: int) -> None:
+        """Write what was reported once that is safe, or drop it where it is obsolete."""
+        reported = self.reported
+        if reported is None or self.is_writing or not self._may_write(reported["mark"], now_us):
+            return
+        if not self.is_behind(reported["mark"]):
+            self.reported = None
+            return
+        self.is_writing = True
+        self.attempted_us = now_us
+        self._write(reported)
+
+    def _may_write(self, version: int, now_us: int) -> bool:
+        if now_us - self.attempted_us < SETTLE_US or self.voting_since_us is None:
+            return False
+        if now_us - self.voting_since_us < SETTLE_US:
+            return False
+        return version >= self.snapshot.highest_version
+
+    def _write(self, reported: Mapping[str, Any]) -> None:
+        def step(value: dict[str, Any] | None) -> tuple[str, dict[str, Any] | None]:
+            if value is not None and value["mark"] >= reported["mark"]:
+                return "keep", None
+            self.blobs.send([write_plan(reported["plan"])])
+            return "set", {name: reported[name] for name in reported if name != "plan"}
+
+        def done(outcome: str, value: dict[str, Any]) -> None:
+            self.is_writing = False
+            if outcome == "chosen":
+                self.node.ports.log(1207, mark=value["mark"])
+                if self.snapshot.is_newer(value) and self.blobs.has_plan(value):
+                    self.snapshot.take(self.blobs.with_plan(value))
+                self.reported = None
+
+        self.proposer.change(CONFIGURATION_KEY, step, done)
--- /dev/null
+++ b/packages/controller/src/linkhaven/controller/local_status.py
@@ -0,0 +1,169 @@
+"""What a node knows of itself and of the core: for the status, `standing` and `seat restore`.
+
+The names in these answers are those that operators see; they are bound here.
+"""
+
+from collections.abc import Mapping
+from typing import Any
+
+from msgspec import to_builtins
+
+from linkhaven.api import ServiceError
+from linkhaven.configuration import ConfigurationSnapshot, WatchServer
+from linkhaven.consensus import Replica
+from linkhaven.leases import Lease, LeaseRecord
+from linkhaven.membership import Membership
+from linkhaven.runtime import Node
+
+from .messages import MemberStatus
+from .role_balancer import RoleBalancer
+from .runner_discovery import RunnerDiscovery
+from .shutdown import GracefulShutdown, ShutdownState
+
+NO_LEASE = LeaseRecord(holder=None, fencing_token=0, renewal=0)
+"""Shown for a role that nobody ever held."""
+
+
+class NodeStatus:
+    """Describes this node as a member of the core."""
+
+    __slots__ = (
+        "node",
+        "replica",
+        "membership",
+        "snapshot",
+        "watch_server",
+        "leases",
+        "shutdown",
+    )
+
+    def __init__(
+        self,
+        node: Node,
+        replica: Replica,
+        membership: Membership,
+        snapshot: ConfigurationSnapshot,
+        watch_server: WatchServer,
+        leases: Mapping[str, Lease],
+        shutdown: GracefulShutdown,
+    ) -> None:
+        """Describe these parts."""
+        self.node = node
+        self.replica = replica
+        self.membership = membership
+        self.snapshot = snapshot
+        self.watch_server = watch_server
+        self.leases = leases
+        self.shutdown = shutdown
+
+    def majority(self) -> int:
+        """How many replicas must answer."""
+        return self.replica.majority
+
+    def member(self) -> MemberStatus:
+        """How this node stands."""
+        is_draining = self.shutdown.state is not ShutdownState.RUNNING
+        return MemberStatus(
+            replica=self.replica.seat,
+            state=self.replica.standing,
+            incarnation=self.replica.incarnation,
+            address=self.node.address,
+            learning=self._learning(),
+            leaving=self.replica.leaving.state.value if is_draining else None,
+        )
+
+    def _learning(self) -> dict[str, Any] | None:
+        """Whom it still reads, and how many records are left of those that were listed."""
+        successor, rejoin = self.replica.successor, self.replica.rejoin
+        if successor.leaver is not None:
+            return {"left": {successor.leaver: successor.left}}
+        if rejoin.notes:
+            return {"left": {name: rejoin.left.get(name) for name in rejoin.notes}}
+        return None
+
+    def facts(self) -> dict[str, Any]:
+        """What this node knows of the core."""
+        replica = self.replica
+        return {
+            "seat": replica.seat,
+            "standing": replica.standing,
+            "incarnation": replica.incarnation,
+            "claims": len(replica.claims),
+            "are_claims_open": replica.are_claims_open,
+            "is_empty": replica.is_empty,
+            "is_failing": replica.is_failing,
+            "why": replica.rejoin.wait_reason,
+            "mark": self.watch_server.held_version(),
+            "highest_mark": self.snapshot.highest_version,
+            "seats": {
+                name: {"address": address, "incarnation": incarnation}
+                for name, (address, incarnation) in self.membership.seats().items()
+            },
+            "heard": {
+                name: {"is_voting": state["is_voting"], "is_empty": state["is_empty"]}
+                for name, state in replica.rejoin.told.items()
+            },
+            "duties": {
+                name: {"held": lease.is_held(), **to_builtins(lease.record() or NO_LEASE)}
+                for name, lease in self.leases.items()
+            },
+        }
+
+    def serve_restore(self, call: Any) -> None:
+        """Let a waiting replica vote with what it has: POST /v1/core/restore.
+
+        Raises `seat_not_waiting` where it doesn't wait.
+        """
+        if not self.replica.restore():
+            raise ServiceError("seat_not_waiting", standing=self.replica.standing)
+        call.answer_json(200, {"seat": self.replica.seat, "standing": self.replica.standing})
+
+
+class StandingView:
+    """Answers GET /v1/standing: what this node knows of its peers and of the runners."""
+
+    __slots__ = (
+        "node",
+        "replica",
+        "membership",
+        "snapshot",
+        "watch_server",
+        "discovery",
+        "balancer",
+    )
+
+    def __init__(
+        self,
+        node: Node,
+        replica: Replica,
+        membership: Membership,
+        snapshot: ConfigurationSnapshot,
+        watch_server: WatchServer,
+        discovery: RunnerDiscovery,
+        balancer: RoleBalancer,
+    ) -> None:
+        """Show these parts."""
+        self.node = node
+        self.replica = replica
+        self.membership = membership
+        self.snapshot = snapshot
+        self.watch_server = watch_server
+        self.discovery = discovery
+        self.balancer = balancer
+
+    def serve(self, call: Any) -> None:
+        """Answer with the peers, the runners and the role changes."""
+        now_us = self.node.now_us()
+        answer = {
+            "name": self.node.name,
+            "kind": "registry",
+            "zone": self.membership.me.zone,
+            "mark": self.snapshot.version,
+            "is_current": self.watch_server.is_current(),
+            "seat": self.replica.seat,
+            "standing": self.replica.standing,
+            "fellows": [peer.as_record() for peer in self.membership.peers.values()],
+            "runners": [runner.as_record(now_us) for runner in self.discovery.runners.values()],
+            **self.balancer.as_record(),
+        }
+        call.answer_json(200, answer)
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -1,40 +1,71 @@
-from msgspec import to_builtins
+"""The node of a core member: the composition root of the control plane.
+
+The parts are built in the order of their dependencies. Who owns what:
+
+| part | owns |
+| --- | --- |
+| `snapshot` | the configuration in force, as far as this node knows |
+| `membership` | the members of the fleet and their health |
+| `seat`, `proposer` | the register: what this replica voted for, the proposals in flight |
+| `blobs`, `configuration_store`, `watch_server` | the configuration's documents, its changes, the routers that watch it |
+| `leases` | the singleton roles: role balancer, quota allocator, runner list |
+| `runner_discovery`, `role_balancer`, `quota_allocator` | what the holders of these roles know and decide |
+| `configuration_recovery`, `claim_admission` | what routers give back to a core that lost it |
+| `quorum_contact`, `router_contact` | whether this node is cut off from the other replicas, or from the routers |
+| `shutdown` | the way out |
+
+Ticks run in the order in which the parts are built, since parts register theirs; those of the parts
+that announce nothing to others come last. The order is part of what a simulated run repeats.
+"""
+
+from collections.abc import Callable, Sequence
+from typing import Any
 
-from linkhaven.api import ServiceError
 from linkhaven.configuration import (
     BlobStore,
     ConfigurationSnapshot,
     ConfigurationStore,
     WatchServer,
-    write_plan,
-    write_record,
 )
 from linkhaven.consensus import Proposer, Replica, default_claim_limits
 from linkhaven.credit import QuotaAllocator
-from linkhaven.leases import Lease, LeaseRecord
+from linkhaven.leases import Lease
 from linkhaven.membership import Membership
 from linkhaven.runner import RunnerDesk
-from linkhaven.runtime import Node
+from linkhaven.runtime import Bounds, Node
 
+from .bootstrap import begin_first_start
 from .claim_admission import ClaimAdmission
+from .configuration_recovery import CONFIGURATION_KEY, ConfigurationRecovery
 from .figure_relay import FigureRelay
-from .messages import ConfigurationRequest, ConfigurationResponse
+from .group_usage import GroupUsage
+from .local_status import NodeStatus, StandingView
 from .quorum_contact import QuorumContact
 from .role_balancer import RoleBalancer
+from .router_contact import RouterContactMonitor
 from .runner_discovery import RunnerDiscovery
+from .runner_list_publisher import RunnerListPublisher
+from .shutdown import GracefulShutdown, ShutdownState
+from .singleton_roles import (
+    QUOTA_ALLOCATOR,
+    ROLE_BALANCER,
+    RUNNER_LIST,
+    SINGLETON_ROLES,
+    FencingTokenObserver,
+    rank_candidates,
+)
 from .status import ClusterStatus
 
-IMAGE_WAIT_US = 1_000_000
-RELEASE_US = 400_000
-USAGE_US = 5_000_000
-UNASKED_US = 700_000
-SEATS = ("a", "b", "c", "d", "e")
-DEPUTY = {"a": 0.3, "b": 0.5, "c": 0.7, "d": 0.8, "e": 0.9}
-NO_LEASE = LeaseRecord(holder=None, fencing_token=0, renewal=0)
-SINGLETON_ROLES = ("steward", "bursar", "roster")
+REPLICA_NAMES = ("a", "b", "c", "d", "e")
+"""The names of the replicas; a deployment uses the first `bounds.seats` of them."""
+
+RELAYED_FIGURES = ("views", "outcomes", "lines")
+"""The fields of a watch request whose sums over all other routers a router is told."""
 
 
 class ControllerNode(Node):
+    """A member of the core: a replica of the register and a candidate for the singleton roles."""
+
     __slots__ = (
         "membership",
         "seat",
@@ -44,68 +75,68 @@
         "configuration_store",
         "watch_server",
         "leases",
-        "desk",
+        "runner_client",
         "runner_discovery",
         "role_balancer",
+        "quota_allocator",
         "claim_admission",
-        "usage",
-        "views",
-        "outcomes",
-        "lines",
-        "bursar",
-        "is_draining",
-        "reported_snapshot",
-        "voted_us",
-        "contacts",
-        "is_adopting",
-        "incarnation",
-        "adopt_us",
-        "on_drained",
-        "leave_by_us",
-        "unreleased",
-        "has_left_seat",
-        "rewritten",
+        "configuration_recovery",
+        "group_usage",
+        "publisher",
+        "relays",
         "status",
-        "contact",
+        "standing",
+        "incarnation",
+        "quorum_contact",
+        "router_contact",
+        "shutdown",
+        "stuck_keys",
     )
 
     def __init__(
         self,
-        name,
-        address,
-        ports,
-        zone,
-        seeds,
-        incarnation,
-        seat,
-        platform,
-        bounds=None,
-        contacts=(),
-        contact=None,
-        desk_of=RunnerDesk,
-    ):
-        """`seat` None: the disk says it, a first start's contacts say it, or it is learned."""
+        name: str,
+        address: str,
+        ports: Any,
+        zone: str,
+        seeds: Sequence[str],
+        incarnation: int,
+        seat: str | None,
+        platform: str,
+        bounds: Bounds | None = None,
+        contacts: Sequence[str] = (),
+        contact: str | None = None,
+        desk_of: Callable[[Node], Any] = RunnerDesk,
+    ) -> None:
+        """Build the parts of the node `name`, reached at `address`.
+
+        `seat`: the name of its replica; None where the disk says it, a first start's `contacts`
+        say it, or it is learned from a running core. `contact`: its address among `contacts`.
+        `platform`: where the platform's list of runners is. `desk_of`: makes the client that calls
+        platform and runners.
+        """
         super().__init__(name, address, ports, bounds)
-        seats = SEATS[: self.bounds.seats]
         self.incarnation = incarnation
         self.snapshot = ConfigurationSnapshot()
-        self.is_draining = False
-        self.reported_snapshot = None
-        self.usage = {}
-        self.voted_us = None
-        self.is_adopting = False
-        self.adopt_us = 0
-        self.on_drained = None
-        self.leave_by_us = 0
-        self.unreleased = set()
-        self.has_left_seat = False
-        self.rewritten = set()
+        self.stuck_keys: set[str] = set()
+        self._build_register(zone, seeds, seat, contact or address)
+        self._build_configuration()
+        self._build_singleton_roles(platform, desk_of)
+        self._build_reporting()
+        self._subscribe()
+        self._route()
+        begin_first_start(self.seat, self.bounds.bootstrap, sorted(contacts))
+
+    def _build_register(
+        self, zone: str, seeds: Sequence[str], seat: str | None, contact: str
+    ) -> None:
+        """Membership, register, and what a replica does about an empty disk."""
         self.membership = Membership(
             self,
             "registry",
             zone,
             seeds,
-            incarnation,
+            self.incarnation,
             seat or "",
             mark_of=lambda: self.snapshot.version,
         )
@@ -113,96 +144,127 @@
         self.seat = Replica(
             self,
             seat,
-            seats,
+            REPLICA_NAMES[: self.bounds.seats],
             self.membership,
-            self._hear_change,
-            self._hear_votes,
-            self._claim_limits,
+            self.on_slot_changed,
+            self.on_voting_started,
+            self.claim_limits,
         )
-        self.seat.occupants.contact = contact or address
-        self.seat.holders.on_stuck = self._rewrite
-        self.contacts = sorted(contacts)
+        self.seat.occupants.contact = contact
+        self.seat.holders.on_stuck = self.on_key_stuck
         self.claim_admission = ClaimAdmission(self, self.seat, self.membership, self.snapshot)
         self.proposer.held_of = self.seat.held_of
+
+    def _build_configuration(self) -> None:
+        """The configuration's store and its watch server."""
         self.blobs = BlobStore(self, self.seat)
         self.configuration_store = ConfigurationStore(
             self, self.proposer, self.blobs, self.snapshot
         )
-        self.contact = QuorumContact(self, self.seat, self.membership, self.snapshot)
+        self.quorum_contact = QuorumContact(self, self.seat, self.membership, self.snapshot)
         self.watch_server = WatchServer(self, self.seat, self.proposer, self.snapshot, self.blobs)
-        self.watch_server.has_contact = self.contact.is_held
-        self.desk = desk_of(self)
+        self.watch_server.has_contact = self.quorum_contact.is_held
+
+    def _build_singleton_roles(
+        self, platform: str, make_runner_client: Callable[[Node], Any]
+    ) -> None:
+        """The leases, and what their holders do."""
+        self.runner_client = make_runner_client(self)
         self.leases = {
             role: Lease(self, role, self.proposer, self.seat, self.membership, listener=self)
             for role in SINGLETON_ROLES
         }
-        self._rank_duties()
+        rank_candidates(self.leases, self.seat.seats, self.seat.seat)
         self.runner_discovery = RunnerDiscovery(
-            self, self.desk, platform, (self.leases["roster"], self.leases["steward"])
+            self,
+            self.runner_client,
+            platform,
+            (self.leases[RUNNER_LIST], self.leases[ROLE_BALANCER]),
         )
-        self.runner_discovery.on_blind = self.leases["roster"].step_down
+        self.runner_discovery.on_blind = self.leases[RUNNER_LIST].step_down
         self.runner_discovery.on_ready = self.watch_server.answer_all
         self.role_balancer = RoleBalancer(
-            self, self.leases["steward"], self.runner_discovery, self.desk, self.snapshot
+            self,
+            self.leases[ROLE_BALANCER],
+            self.runner_discovery,
+            self.runner_client,
+            self.snapshot,
+        )
+        self.quota_allocator = QuotaAllocator(self, self.leases[QUOTA_ALLOCATOR], self.snapshot)
+        self.quota_allocator.on_won = self.watch_server.shorten_holds
+
+    def _build_reporting(self) -> None:
+        """What is published to routers and operators, recovery from routers, and the way out."""
+        self.relays = [FigureRelay(self, field) for field in RELAYED_FIGURES]
+        self.publisher = RunnerListPublisher(
+            self.seat, self.leases, self.runner_discovery, self.role_balancer, self.relays
+        )
+        self.group_usage = GroupUsage(self, self.seat, self.configuration_store, self.snapshot)
+        self.configuration_recovery = ConfigurationRecovery(
+            self, self.seat, self.proposer, self.blobs, self.snapshot, self.claim_admission
+        )
+        self.router_contact = RouterContactMonitor(
+            self, self.watch_server, self.membership, self.leases
+        )
+        self.shutdown = GracefulShutdown(self, self.leases, self.seat.leaving, self.membership)
+        local = NodeStatus(
+            self,
+            self.seat,
+            self.membership,
+            self.snapshot,
+            self.watch_server,
+            self.leases,
+            self.shutdown,
+        )
+        self.status = ClusterStatus(self, self.membership, local)
+        self.standing = StandingView(
+            self,
+            self.seat,
+            self.membership,
+            self.snapshot,
+            self.watch_server,
+            self.runner_discovery,
+            self.role_balancer,
         )
-        self.bursar = QuotaAllocator(self, self.leases["bursar"], self.snapshot)
-        self.bursar.on_won = self.watch_server.shorten_holds
-        self.membership.on_mark.append(self._hear_mark)
-        self.views = FigureRelay(self, "views")
-        self.outcomes = FigureRelay(self, "outcomes")
-        self.lines = FigureRelay(self, "lines")
-        self.status = ClusterStatus(self, self._core_facts)
+        self.systems += [
+            self.status.tick,
+            self.configuration_recovery.tick,
+            self.router_contact.tick,
+            self.shutdown.tick,
+        ]
+
+    def _subscribe(self) -> None:
+        """Who hears of a member's version and of each watch request, and adds to its response."""
+        self.membership.on_mark.append(self.configuration_recovery.on_member_version)
         self.watch_server.on_ask += [
-            self.views.on_watch_request,
-            self.outcomes.on_watch_request,
-            self.lines.on_watch_request,
+            *(relay.on_watch_request for relay in self.relays),
             self.runner_discovery.on_evidence,
             self.role_balancer.on_watch_request,
-            self.bursar.on_ask,
-            self._hear_asked_mark,
-            self._hear_fences,
-            self._hear_usage,
+            self.quota_allocator.on_ask,
+            self.configuration_recovery.on_watch_request,
+            FencingTokenObserver(self.leases).on_watch_request,
+            self.group_usage.on_watch_request,
+        ]
+        self.watch_server.extras += [
+            self.publisher.add_watch_facts,
+            self.quota_allocator.add_shares,
         ]
-        self.watch_server.extras += [self._add_roster, self.bursar.add_shares]
-        self.watch_server.is_urgent = self._is_urgent
-        self.on_message(ConfigurationResponse, self._on_image)
-        self.systems += [self._adopt_image, self._watch_edge, self._leave_in_time]
+        self.watch_server.is_urgent = self.publisher.is_urgent
+
+    def _route(self) -> None:
+        """The calls of operators."""
         self.paths.update(
             {
                 ("GET", "/v1/core"): self.status.serve,
-                ("GET", "/v1/groups"): self.serve_groups,
-                ("POST", "/v1/core/restore"): self.serve_restore,
-                ("GET", "/v1/standing"): self.serve_standing,
+                ("GET", "/v1/groups"): self.group_usage.serve,
+                ("POST", "/v1/core/restore"): self.status.local.serve_restore,
+                ("GET", "/v1/standing"): self.standing.serve,
             }
         )
-        self._begin_first()
-
-    def _begin_first(self):
-        """A core that was told that nothing was ever started: its contacts have the first seats at once."""
-        contact = self.seat.occupants.contact
-        if (
-            self.seat.seat
-            or not self.seat.is_empty
-            or not self.bounds.bootstrap
-            or contact not in self.contacts
-        ):
-            return
-        place = self.contacts.index(contact)
-        if place < len(self.seat.seats):
-            self.seat.begin_first(self.seat.seats[place], self.contacts)
-
-    def _rank_duties(self):
-        seats = self.seat.seats
-        own = seats.index(self.seat.seat) if self.seat.seat else 0
-        for place, duty in enumerate(self.leases.values()):
-            duty.set_rank((place - own) % len(seats))
-
-    def _claim_limits(self):
-        configuration = self.snapshot.configuration
-        return configuration.claims if configuration is not None else default_claim_limits()
 
-    def _hear_change(self, key):
-        if key != "plan":
+    def on_slot_changed(self, key: str) -> None:
+        """The replica has another value: a configuration that is known chosen is in force here."""
+        if key != CONFIGURATION_KEY:
             return
         value = self.seat.cell(key).value
         if self.seat.is_known_chosen(key) and self.snapshot.is_newer(value):
@@ -210,269 +272,55 @@
                 self.snapshot.take(self.blobs.with_plan(value))
         self.watch_server.answer_waiting()
 
-    def _hear_votes(self):
-        self.voted_us = self.now_us()
-        self._rank_duties()
+    def on_voting_started(self) -> None:
+        """The replica votes from now on.
+
+        Where nobody can have held a lease before, or no other vote was met, candidates needn't wait
+        for leases to run out.
+        """
+        self.claim_admission.on_voting_started()
+        self.configuration_recovery.on_voting_started()
+        rank_candidates(self.leases, self.seat.seats, self.seat.seat)
         self.runner_discovery.start_serials_at(self.seat.incarnation)
         if not self.seat.votes_from_us:
-            for duty in self.leases.values():
-                duty.allow_election_now()
+            for lease in self.leases.values():
+                lease.allow_election_now()
         elif self.seat.rejoin.has_met_no_vote:
-            self.leases["roster"].assume_vacant()
+            self.leases[RUNNER_LIST].assume_vacant()
+
+    def on_key_stuck(self, key: str) -> None:
+        """Too few replicas have the value of a key: write it to a majority under a higher ballot."""
+        if key in self.stuck_keys:
+            return
+        self.stuck_keys.add(key)
+        self.proposer.read(key, lambda outcome, value: self.stuck_keys.discard(key))
 
-    def on_lease_won(self, role):
+    def claim_limits(self) -> Any:
+        """How long one-time claims are kept, and how many: of the configuration in force."""
+        configuration = self.snapshot.configuration
+        return configuration.claims if configuration is not None else default_claim_limits()
+
+    def on_lease_won(self, role: str) -> None:
         """Begin the work of a singleton role."""
-        if role == "steward":
+        if role == ROLE_BALANCER:
             self.role_balancer.on_lease_won(role)
-        elif role == "bursar":
-            self.bursar.on_lease_won(role)
+        elif role == QUOTA_ALLOCATOR:
+            self.quota_allocator.on_lease_won(role)
         else:
             self.watch_server.answer_all()
 
-    def on_lease_lapsed(self, role):
+    def on_lease_lapsed(self, role: str) -> None:
         """End the work of a singleton role; the list of runners follows its lease by itself."""
-        if role == "steward":
+        if role == ROLE_BALANCER:
             self.role_balancer.on_lease_lapsed(role)
-        elif role == "bursar":
-            self.bursar.on_lease_lapsed(role)
-
-    def _hear_mark(self, mark, member):
-        self.snapshot.observe_version(mark)
-        if member.kind == "router" and self._is_behind(mark):
-            self.send(member.address, ConfigurationRequest())
-
-    def _hear_asked_mark(self, message):
-        if self._is_behind(message["mark"]):
-            self.claim_admission.was_behind = True
-            self.send(message["back"], ConfigurationRequest())
+        elif role == QUOTA_ALLOCATOR:
+            self.quota_allocator.on_lease_lapsed(role)
 
-    def _hear_usage(self, message):
-        now_us = self.now_us()
-        self.usage[message["name"]] = (message["usage"], now_us)
-        for name in [
-            name for name, (_, heard_us) in self.usage.items() if now_us - heard_us > USAGE_US
-        ]:
-            del self.usage[name]
+    @property
+    def is_draining(self) -> bool:
+        """Whether the shutdown has begun."""
+        return self.shutdown.state is not ShutdownState.RUNNING
 
-    def serve_groups(self, call):
-        """What each group may spend, and has spent, is waiting for and was refused at the routers heard lately.
-        Routers talk to seats only: who has none reads the plan, and has heard no router."""
-        if self.seat.is_voting:
-            return self._tell_groups(call)
-
-        def done(error, value):
-            if error is not None or self.snapshot.configuration is None:
-                return call.answer_error(error or ServiceError("plan_absent", retry_us=2_000_000))
-            self._tell_groups(call)
-
-        self.configuration_store.read_document(done)
-
-    def _tell_groups(self, call):
-        configuration = self.snapshot.configuration
-        if configuration is None:
-            raise ServiceError("plan_absent", retry_us=2_000_000)
-        told = [
-            usage for usage, heard_us in self.usage.values() if self.now_us() - heard_us <= USAGE_US
-        ]
-        groups = {
-            name: {
-                **write_record(group),
-                "kinds": sorted(
-                    kind for kind, of in configuration.kinds.items() if of.group == name
-                ),
-                **{
-                    what: sum(usage.get(name, {}).get(what, 0) for usage in told)
-                    for what in ("spent", "refused", "waiting", "waiting_tokens")
-                },
-            }
-            for name, group in configuration.groups.items()
-        }
-        call.answer_json(
-            200, {"mark": self.snapshot.version, "routers": len(told), "groups": groups}
-        )
-
-    def _hear_fences(self, message):
-        for name, fence in message["fences"].items():
-            self.leases[name].observe_fencing_token(fence)
-
-    def _is_behind(self, mark):
-        value = self.seat.cell("plan").value
-        return self.seat.is_voting and mark > (value["mark"] if value else 0)
-
-    def _on_image(self, message):
-        """What a router holds: the value that news brought it, and the body of its plan."""
-        value = message.value
-        if not self.blobs.take(value["bodies"]["plan"], message.body):
-            return
-        if self.reported_snapshot is None or message.mark > self.reported_snapshot["mark"]:
-            self.reported_snapshot = {**value, "plan": self.blobs.plan_of(value)}
-
-    def _adopt_image(self, now_us):
-        told = self.reported_snapshot
-        if told is None or self.is_adopting or now_us - self.adopt_us < IMAGE_WAIT_US:
-            return
-        if (
-            self.voted_us is None
-            or now_us - self.voted_us < IMAGE_WAIT_US
-            or told["mark"] < self.snapshot.highest_version
-        ):
-            return
-        if not self._is_behind(told["mark"]):
-            self.reported_snapshot = None
-            return
-        self.is_adopting = True
-        self.adopt_us = now_us
-
-        def step(value):
-            if value is not None and value["mark"] >= told["mark"]:
-                return "keep", None
-            self.blobs.send([write_plan(told["plan"])])
-            return "set", {name: told[name] for name in told if name != "plan"}
-
-        def done(outcome, value):
-            self.is_adopting = False
-            if outcome == "chosen":
-                self.ports.log(1207, mark=value["mark"])
-                if self.snapshot.is_newer(value) and self.blobs.has_plan(value):
-                    self.snapshot.take(self.blobs.with_plan(value))
-                self.reported_snapshot = None
-
-        self.proposer.change("plan", step, done)
-
-    def _watch_edge(self, now_us):
-        """A seat that no router asks any more, though routers run, serves nobody with its duties."""
-        if (
-            now_us - self.watch_server.polled_us < 2 * self.bounds.news_hold_us + UNASKED_US
-            or not self.membership.live_members("router")
-        ):
-            return
-        for duty in self.leases.values():
-            duty.step_down()
-
-    def _add_roster(self, ask, facts):
-        rank = self._roster_rank()
-        if rank is not None and self.runner_discovery.is_ready():
-            fence, serial = ask.get("roster") or (None, None)
-            self.views.add_watch_facts(ask, facts)
-            self.outcomes.add_watch_facts(ask, facts)
-            self.lines.add_watch_facts(ask, facts)
-            facts["roster"] = {
-                "fence": rank,
-                **self.runner_discovery.document(serial if fence == rank else None),
-            }
-        self.role_balancer.add_watch_facts(facts)
-
-    def _is_urgent(self, ask):
-        """Whether the asker lacks an order of the switcher, or what happened to a runner."""
-        steward = self.leases["steward"]
-        place = (steward.fencing_token, self.role_balancer.serial)
-        if steward.is_held() and place > tuple(ask.get("steward") or (0, 0)):
-            return True
-        rank = self._roster_rank()
-        if rank is None or not self.runner_discovery.is_ready():
-            return False
-        return (rank, self.runner_discovery.changes.newest) > tuple(ask.get("roster") or (0, 0))
-
-    def _roster_rank(self):
-        """The fence while the duty is held. While its holder is quiet a deputy stands between that fence and the next."""
-        duty = self.leases["roster"]
-        if duty.is_held():
-            return duty.fencing_token
-        if not duty.is_holder_suspected():
-            return None
-        last = duty.record()
-        return (last.fencing_token if last else 0) + DEPUTY[self.seat.seat]
-
-    def drain(self, on_drained):
-        self.is_draining = True
-        self.ports.log(1002, running=0)
-        self.on_drained = on_drained
-        self.leave_by_us = self.now_us() + RELEASE_US
-        self.unreleased = set(self.leases)
-        for name, duty in self.leases.items():
-            duty.release(lambda name=name: self._hear_released(name))
-        self.seat.leaving.begin(self._hear_left_seat)
-
-    def _hear_released(self, name):
-        self.unreleased.discard(name)
-        self._leave()
-
-    def _hear_left_seat(self):
-        self.has_left_seat = True
-        self._leave()
-
-    def _rewrite(self, key):
-        """Its value goes to a majority under a higher ballot."""
-        if key in self.rewritten:
-            return
-        self.rewritten.add(key)
-        self.proposer.read(key, lambda outcome, value: self.rewritten.discard(key))
-
-    def _leave(self):
-        """Once the seat is left and the duties are released, or had their time for it."""
-        if not self.has_left_seat or self.unreleased and self.now_us() < self.leave_by_us:
-            return
-        on_drained, self.on_drained = self.on_drained, None
-        if on_drained is None:
-            return
-        self.membership.send_leave()
-        on_drained()
-
-    def _leave_in_time(self, now_us):
-        if self.on_drained is not None and now_us >= self.leave_by_us:
-            self._leave()
-
-    def _core_facts(self):
-        seats = self.membership.seats()
-        return {
-            "seat": self.seat.seat,
-            "standing": self.seat.standing,
-            "incarnation": self.seat.incarnation,
-            "claims": len(self.seat.claims),
-            "are_claims_open": self.seat.are_claims_open,
-            "is_empty": self.seat.is_empty,
-            "is_failing": self.seat.is_failing,
-            "why": self.seat.rejoin.wait_reason,
-            "mark": self.watch_server.held_version(),
-            "highest_mark": self.snapshot.highest_version,
-            "seats": {
-                seat: {"address": address, "incarnation": incarnation}
-                for seat, (address, incarnation) in seats.items()
-            },
-            "heard": {
-                seat: {"is_voting": state["is_voting"], "is_empty": state["is_empty"]}
-                for seat, state in self.seat.rejoin.told.items()
-            },
-            "duties": {
-                name: {
-                    "held": duty.is_held(),
-                    **to_builtins(duty.record() or NO_LEASE),
-                }
-                for name, duty in self.leases.items()
-            },
-        }
-
-    def serve_restore(self, call):
-        if not self.seat.restore():
-            raise ServiceError("seat_not_waiting", standing=self.seat.standing)
-        call.answer_json(200, {"seat": self.seat.seat, "standing": self.seat.standing})
-
-    def serve_standing(self, call):
-        now_us = self.now_us()
-        call.answer_json(
-            200,
-            {
-                "name": self.name,
-                "kind": "registry",
-                "zone": self.membership.me.zone,
-                "mark": self.snapshot.version,
-                "is_current": self.watch_server.is_current(),
-                "seat": self.seat.seat,
-                "standing": self.seat.standing,
-                "fellows": [member.as_record() for member in self.membership.peers.values()],
-                "runners": [
-                    runner.as_record(now_us) for runner in self.runner_discovery.runners.values()
-                ],
-                **self.role_balancer.as_record(),
-            },
-        )
+    def drain(self, on_drained: Callable[[], None]) -> None:
+        """Shut down gracefully; `on_drained` is called when the process may end."""
+        self.shutdown.begin(on_drained)
--- a/packages/controller/src/linkhaven/controller/status.py
+++ b/packages/controller/src/linkhaven/controller/status.py
@@ -1,125 +1,154 @@
-"""What the core looks like now: its members, their epochs, who learns, what loss could be borne.
+"""The status of the core: its members, their incarnations, who learns, what loss could be borne.
 
-The node that is asked asks every machine of the core that it knows, and answers when all have told
-or after ANSWER_US, so that who is silent stands as silent instead of as it was heard last."""
+The node that is asked asks every member of the core that it knows, and answers when all have
+answered or after `ANSWER_TIMEOUT_US`, so that a silent member stands as silent instead of as it
+was heard last.
+
+| message | then |
+| --- | --- |
+| `MemberStatusRequest` | `MemberStatusResponse` to the asker, at once |
+| `MemberStatusResponse` of an open query | noted; the query is answered after the last one |
+| `MemberStatusResponse` of a query that is over | passed over |
+"""
+
+from typing import Any, Protocol
+
+from msgspec import to_builtins
+
+from linkhaven.membership import Membership
+from linkhaven.runtime import Node
+
+from .messages import MemberStatus, MemberStatusRequest, MemberStatusResponse
+
+ANSWER_TIMEOUT_US = 400_000
+"""How long a query waits for the others."""
+
+MAX_QUERIES = 16
+"""Open queries; the oldest is answered with what it has when another comes."""
 
-ANSWER_US = 400_000
-ASKS_AT_MOST = 16
 SILENT = "silent"
+"""The state of a member that didn't answer."""
+
+VOTING = "voting"
+
+
+class LocalStatus(Protocol):
+    """What this node knows of itself and of the core."""
+
+    def member(self) -> MemberStatus:
+        """How this node stands."""
+
+    def facts(self) -> dict[str, Any]:
+        """What the asked node adds to the members' statuses."""
+
+    def majority(self) -> int:
+        """How many replicas must answer."""
 
 
 class StatusQuery:
-    """One call that waits for the others' word."""
+    """One call that waits for the others' answers."""
 
-    __slots__ = ("call", "until_us", "missing", "told")
+    __slots__ = ("call", "until_us", "missing", "answers")
 
-    def __init__(self, call, until_us, missing):
-        """`missing`: the names of those that have not told yet."""
+    def __init__(self, call: Any, until_us: int, missing: set[str]) -> None:
+        """`missing`: the names of those that haven't answered yet."""
         self.call = call
         self.until_us = until_us
         self.missing = missing
-        self.told = {}
+        self.answers: dict[str, MemberStatus] = {}
 
 
 class ClusterStatus:
-    """Answers GET /v1/core from what each machine of the core says of itself."""
+    """Answers GET /v1/core from what each member of the core says of itself."""
 
-    __slots__ = ("node", "asks", "serial", "own_facts")
+    __slots__ = ("node", "membership", "local", "queries", "serial")
 
-    def __init__(self, node, own_facts):
-        """`own_facts()`: what the asked node adds of itself."""
+    def __init__(self, node: Node, membership: Membership, local: LocalStatus) -> None:
+        """No query is open."""
         self.node = node
-        self.asks = {}
+        self.membership = membership
+        self.local = local
+        self.queries: dict[int, StatusQuery] = {}
         self.serial = 0
-        self.own_facts = own_facts
-        node.hearers.update(core_ask=self.on_ask, core_told=self.on_told)
-        node.systems.append(self.tick)
+        node.on_message(MemberStatusRequest, self.on_request)
+        node.on_message(MemberStatusResponse, self.on_response)
 
-    def serve(self, call):
-        """Ask all; the answer goes out from `on_told` or `tick`."""
+    def serve(self, call: Any) -> None:
+        """Ask all; the answer goes out from `on_response` or `tick`."""
         members = [
             member
-            for member in self.node.membership.peers.values()
+            for member in self.membership.peers.values()
             if member.kind == "registry" and not member.has_left
         ]
         self.serial += 1
-        ask = StatusQuery(call, self.node.now_us() + ANSWER_US, {member.name for member in members})
-        while len(self.asks) >= ASKS_AT_MOST:
-            self._answer(next(iter(self.asks)))
-        self.asks[self.serial] = ask
+        until_us = self.node.now_us() + ANSWER_TIMEOUT_US
+        query = StatusQuery(call, until_us, {member.name for member in members})
+        while len(self.queries) >= MAX_QUERIES:
+            self._answer(next(iter(self.queries)))
+        self.queries[self.serial] = query
         for member in members:
-            self.node.tell(member.address, "core_ask", id=self.serial)
+            self.node.send(member.address, MemberStatusRequest(self.serial))
         if not members:
             self._answer(self.serial)
 
-    def on_ask(self, message):
-        """Say how this machine stands."""
-        self.node.tell(message["back"], "core_told", id=message["id"], member=self.member())
+    def on_request(self, message: MemberStatusRequest) -> None:
+        """Say how this node stands."""
+        response = MemberStatusResponse(message.id, self.local.member())
+        self.node.send(message.reply_to, response)
 
-    def on_told(self, message):
-        """Answer once the last has told."""
-        ask = self.asks.get(message["id"])
-        if ask is None:
+    def on_response(self, message: MemberStatusResponse) -> None:
+        """Answer the query once the last member has answered."""
+        query = self.queries.get(message.id)
+        if query is None:
             return
-        ask.missing.discard(message["name"])
-        ask.told[message["name"]] = message["member"]
-        if not ask.missing:
-            self._answer(message["id"])
-
-    def tick(self, now_us):
-        """Who was silent until now is told as silent."""
-        for serial in [serial for serial, ask in self.asks.items() if now_us >= ask.until_us]:
+        sender = str(message.sender)
+        query.missing.discard(sender)
+        query.answers[sender] = message.member
+        if not query.missing:
+            self._answer(message.id)
+
+    def tick(self, now_us: int) -> None:
+        """Answer the queries whose time is over."""
+        for serial in [
+            serial for serial, query in self.queries.items() if now_us >= query.until_us
+        ]:
             self._answer(serial)
 
-    def member(self):
-        """This machine's own word."""
-        seat = self.node.seat
-        return {
-            "seat": seat.seat,
-            "standing": seat.standing,
-            "incarnation": seat.incarnation,
-            "address": self.node.address,
-            "learning": self._learning(seat),
-            "leaving": seat.leaving.state.value if self.node.is_draining else None,
+    def _answer(self, serial: int) -> None:
+        query = self.queries.pop(serial)
+        members = {self.node.name: self.local.member(), **query.answers}
+        for name in query.missing:
+            members[name] = self._silent(name)
+        facts = {
+            **self.local.facts(),
+            "members": to_builtins(members),
+            **self._losses(members),
         }
+        query.call.answer_json(200, facts)
+
+    def _silent(self, name: str) -> MemberStatus:
+        """A silent member, as the membership knows it."""
+        member = self.membership.peers.get(name)
+        if member is None:
+            return MemberStatus("", SILENT, 0, "", None, None)
+        return MemberStatus(
+            member.seat, SILENT, member.seat_incarnation, member.address, None, None
+        )
 
-    def _learning(self, seat):
-        """Whom it still reads, and how many records are left of those that were listed."""
-        if seat.successor.leaver is not None:
-            return {"left": {seat.successor.leaver: seat.successor.left}}
-        if seat.rejoin.notes:
-            return {"left": {name: seat.rejoin.left.get(name) for name in seat.rejoin.notes}}
-        return None
-
-    def _answer(self, serial):
-        ask = self.asks.pop(serial)
-        members = {self.node.name: self.member(), **ask.told}
-        for name in ask.missing:
-            member = self.node.membership.peers.get(name)
-            members[name] = {
-                "seat": member.seat if member else "",
-                "standing": SILENT,
-                "incarnation": member.seat_incarnation if member else 0,
-                "address": member.address if member else "",
-                "learning": None,
-                "leaving": None,
-            }
-        facts = {**self.own_facts(), "members": members, **self._losses(members)}
-        ask.call.answer_json(200, facts)
-
-    def _losses(self, members):
+    def _losses(self, members: dict[str, MemberStatus]) -> dict[str, Any]:
         """How many of those that vote may be lost now so that a majority still answers."""
-        seat = self.node.seat
-        newest = self.node.membership.seats()
+        newest = self.membership.seats()
+        majority = self.local.majority()
         voting = sorted(
-            member["seat"]
+            member.replica
             for member in members.values()
-            if member["standing"] == "voting"
-            and member["incarnation"] >= newest.get(member["seat"], ("", 0))[1]
+            if member.state == VOTING
+            and member.replica is not None
+            and member.incarnation >= newest.get(member.replica, ("", 0))[1]
         )
         return {
-            "majority": seat.majority,
+            "majority": majority,
             "voting": voting,
-            "losses_borne": max(0, len(voting) - seat.majority),
-            "has_majority": len(voting) >= seat.majority,
+            "losses_borne": max(0, len(voting) - majority),
+            "has_majority": len(voting) >= majority,
         }
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -6,7 +6,7 @@
 
 from linkhaven.consensus import Proposer
 from linkhaven.controller.quorum_contact import QuorumContact
-from linkhaven.controller.status import ANSWER_US
+from linkhaven.controller.status import ANSWER_TIMEOUT_US
 from linkhaven.leases import Lease
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Bounds, Call
@@ -196,7 +196,7 @@
     ("PUT", "/v1/plan", PUT, 503, LATER_US),
     ("PUT", "/v1/groups/g", {"expect": 1, "put_id": "q", "group": {}}, 503, LATER_US),
     ("GET", "/v1/groups", None, 200, 0),
-    ("GET", "/v1/core", None, 200, ANSWER_US + 2 * TICK_US),
+    ("GET", "/v1/core", None, 200, ANSWER_TIMEOUT_US + 2 * TICK_US),
     ("GET", "/v1/standing", None, 200, 0),
     ("POST", "/v1/core/restore", None, 409, 0),
 ]
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -731,7 +731,7 @@
             "shunned": len(router.pairing.shunned),
             "heard": len(core.runner_discovery.heard_us),
             "leaving": len(core.runner_discovery.leaving),
-            "out": sum(map(len, core.bursar.grants.values())),
+            "out": sum(map(len, core.quota_allocator.grants.values())),
             "fellows": len(core.membership.peers),
             "rates": len(core.role_balancer.rates),
             "asks": len(core.watch_server.polls),
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -423,7 +423,7 @@
     assert len(heard) == is_fit
     assert [number for number, _ in node.ports.events] == ([] if is_fit else [1006])
     if is_fit and line["say"] == "image":
-        assert heard[0].value == line["value"] and heard[0].mark == line["value"]["mark"]
+        assert heard[0].record == line["value"] and heard[0].version == line["value"]["mark"]
 
 
 # messages of the ring
