--- a/packages/configuration/src/linkhaven/configuration/document.py
+++ b/packages/configuration/src/linkhaven/configuration/document.py
@@ -212,7 +212,7 @@
 class FleetSettings(msgspec.Struct, frozen=True):
     """What the operator runs."""
 
-    routers: int = 1
+    routers: int
     """At least the routers that may be running at one time."""
 
 
@@ -228,7 +228,7 @@
     placement: PlacementSettings = field(name="taichi", default=PlacementSettings())
     retry_budget: RetryBudgetSettings = field(name="extra", default=RetryBudgetSettings())
     claims: ClaimSettings = ClaimSettings()
-    fleet: FleetSettings = FleetSettings()
+    fleet: FleetSettings = FleetSettings(routers=1)
     pools: Mapping[str, PoolSettings] = {}
     """Empty where runners aren't divided into pools."""
 
