--- a/tests/test_catalogues.py
+++ b/tests/test_catalogues.py
@@ -24,18 +24,41 @@
     return [tuple(cell.strip() for cell in row) for row in rows[2:]]
 
 
+def constants_of(tree):
+    """The literals that a module binds to names at its top, also several in one line."""
+    found = {}
+    for node in tree.body:
+        if not isinstance(node, ast.Assign):
+            continue
+        targets, values = node.targets[0], node.value
+        pairs = (
+            zip(targets.elts, values.elts, strict=True)
+            if isinstance(targets, ast.Tuple) and isinstance(values, ast.Tuple)
+            else [(targets, values)]
+        )
+        for target, value in pairs:
+            if isinstance(target, ast.Name) and isinstance(value, ast.Constant):
+                found[target.id] = value.value
+    return found
+
+
 def first_words(name):
-    """The first argument of every call of that name, over all sources."""
+    """The first argument of every call of that name, over all sources, as literal or constant."""
     found = set()
     for path in SOURCES:
-        for node in ast.walk(ast.parse(path.read_text())):
+        tree = ast.parse(path.read_text())
+        constants = constants_of(tree)
+        for node in ast.walk(tree):
             if not isinstance(node, ast.Call):
                 continue
             called = getattr(node.func, "id", getattr(node.func, "attr", None))
-            if called == name and node.args:
-                found |= {
-                    leaf.value for leaf in ast.walk(node.args[0]) if isinstance(leaf, ast.Constant)
-                }
+            if called != name or not node.args:
+                continue
+            for leaf in ast.walk(node.args[0]):
+                if isinstance(leaf, ast.Constant):
+                    found.add(leaf.value)
+                elif isinstance(leaf, ast.Name) and leaf.id in constants:
+                    found.add(constants[leaf.id])
     return found
 
 
