--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -80,12 +80,12 @@
         self._guard("accept", self._values_of_accept)
         self._guard("rejoin_page", self._values_of_page)
         self._guard("holders_late", self._values_of_late)
-        node.on_message(BlobRequest, self._on_want)
-        node.on_message(Blobs, self._on_bodies)
+        node.register_handler(BlobRequest, self._on_want)
+        node.register_handler(Blobs, self._on_bodies)
         node.systems.append(self._tick)
 
     def _load(self):
-        for key, packed in self.node.ports.disk.load().items():
+        for key, packed in self.node.ports.storage.load().items():
             if key.startswith(STORED) and self.take(key[len(STORED) :], packed):
                 self.synced.add(key[len(STORED) :])
 
@@ -191,12 +191,12 @@
             if is_kept:
                 self.synced.update(written)
 
-        self.node.ports.disk.write(records, done)
+        self.node.ports.storage.write(records, done)
 
     # Votes and pages that must wait
 
     def _guard(self, say, values_of):
-        hear = self.node.hearers[say]
+        hear = self.node.map_handlers[say]
 
         def hear_when_held(message):
             digests = [digest for value in values_of(message) for digest in digests_of(value)]
@@ -207,7 +207,7 @@
 
             self.when_held(digests, go_on, lambda: None, message["back"])
 
-        self.node.hearers[say] = hear_when_held
+        self.node.map_handlers[say] = hear_when_held
 
     def _values_of_accept(self, message):
         is_for_vote = message["key"] == KEY and self.seat.is_voting
--- a/packages/configuration/src/linkhaven/configuration/store.py
+++ b/packages/configuration/src/linkhaven/configuration/store.py
@@ -148,7 +148,7 @@
         self.proposer = proposer
         self.blobs = blobs
         self.snapshot = snapshot
-        node.paths.update(
+        node.routes.update(
             {
                 ("GET", "/v1/plan"): self.serve_show,
                 ("PUT", "/v1/plan"): self.serve_put,
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -89,7 +89,7 @@
         self.polled_us = node.now_us()
         self.has_contact = lambda: True
         self.changes = LRUCache(KEPT_CHANGES)
-        node.hearers["ask"] = self.on_watch_request
+        node.map_handlers["ask"] = self.on_watch_request
         node.systems.append(self.tick)
 
     def on_watch_request(self, message):
@@ -141,7 +141,7 @@
         now_us, usual_us = self.node.now_us(), self.node.bounds.news_hold_us
         for ask in self.polls.values():
             if "hold_us" in ask.facts:
-                soon_us = now_us + self.node.ports.dice.randrange(usual_us)
+                soon_us = now_us + self.node.ports.random.randrange(usual_us)
                 ask.until_us = min(ask.until_us, soon_us)
 
     def answer_all(self):
@@ -165,7 +165,7 @@
             self._add_plan(ask, value, facts)
         for extra in self.extras:
             extra(ask.facts, facts)
-        self.node.tell(ask.back, "news", **facts)
+        self.node.send_untyped(ask.back, "news", **facts)
 
     def _add_plan(self, ask, value, facts):
         if ask.is_of_earlier:
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -100,7 +100,7 @@
         self.pace = LongPollHold(node.bounds, count_routers)
         self.is_pressed = lambda: False
         self.takes_changes = True
-        node.hearers["news"] = self.on_watch_response
+        node.map_handlers["news"] = self.on_watch_response
         node.systems.append(self.tick)
 
     def is_fresh(self):
@@ -154,7 +154,7 @@
             facts["hold_us"] = told.hold_us
         for add in self.facts:
             add(facts, seat)
-        self.node.tell(place[0], "ask", **facts)
+        self.node.send_untyped(place[0], "ask", **facts)
 
     def _is_source(self, seat, now_us):
         """Whether this seat's answers are to bring the body: the nearest that isn't silent."""
--- a/packages/consensus/src/linkhaven/consensus/holders.py
+++ b/packages/consensus/src/linkhaven/consensus/holders.py
@@ -40,7 +40,7 @@
         self.versions = [NEVER, NEVER]
         self.sent_us = 0
         self.on_stuck = lambda key: None
-        node.hearers.update(
+        node.map_handlers.update(
             holders_page=self.on_page,
             holders_lack=self.on_lack,
             holders_late=self.on_late,
@@ -84,7 +84,7 @@
         if holder is None:
             return
         page = [key for key in self._page(self.cursors[name]) if key in self.seat.cells]
-        self.node.tell(
+        self.node.send_untyped(
             holder[0],
             "holders_page",
             round=self.round,
@@ -105,7 +105,7 @@
             if cell.accepted is not None and cell.accepted >= ballot:
                 continue
             (stuck if cell.promise > ballot else lacking).append(key)
-        self.node.tell(
+        self.node.send_untyped(
             message["back"],
             "holders_lack",
             seat=seat.seat,
@@ -134,7 +134,7 @@
 
     def _send_late(self, address, keys):
         cells = self.seat.cells
-        self.node.tell(
+        self.node.send_untyped(
             address,
             "holders_late",
             seat=self.seat.seat,
@@ -153,4 +153,4 @@
             for key, (ballot, value) in message["cells"].items()
             if seat.cell(key).promise <= ballot
         }
-        self.node.ports.disk.write(seat.merge(cells), lambda is_kept: None)
+        self.node.ports.storage.write(seat.merge(cells), lambda is_kept: None)
--- a/packages/consensus/src/linkhaven/consensus/leaving.py
+++ b/packages/consensus/src/linkhaven/consensus/leaving.py
@@ -76,7 +76,7 @@
         self.tried = {}
         self.began_us = self.moved_us = self.sent_us = self.asked_us = 0
         self.on_gone = None
-        node.hearers.update(handover_ready=self.on_ready, handover_fate=self.on_fate)
+        node.map_handlers.update(handover_ready=self.on_ready, handover_fate=self.on_fate)
 
     def begin(self, on_gone):
         """Leave; `on_gone` is called once, when the process may end."""
@@ -163,7 +163,7 @@
 
     def _tell_successor(self, say, **facts):
         seat = self.seat
-        self.node.tell(
+        self.node.send_untyped(
             self.successor[1],
             say,
             id=self.handover,
@@ -219,7 +219,7 @@
             return
         self.asked_us = now_us
         sealed = self.seat.sealed
-        self.node.tell(sealed["address"], "handover_ask", id=sealed["id"])
+        self.node.send_untyped(sealed["address"], "handover_ask", id=sealed["id"])
 
     def on_fate(self, message):
         """The successor took the seat, or says that it never will."""
--- a/packages/consensus/src/linkhaven/consensus/occupants.py
+++ b/packages/consensus/src/linkhaven/consensus/occupants.py
@@ -30,7 +30,7 @@
         self.asked_us = 0
         self.contact = node.address
         self.lost_us = None
-        node.hearers.update(occupants=self.hear_ask, occupants_told=self.hear_told)
+        node.map_handlers.update(occupants=self.hear_ask, occupants_told=self.hear_told)
 
     @property
     def is_trying(self):
@@ -82,7 +82,7 @@
         for seat in self.records:
             self._is_vacant(seat, now_us)
         if self._learn():
-            self.node.ports.disk.write({"occupants": dict(self.records)}, lambda is_kept: None)
+            self.node.ports.storage.write({"occupants": dict(self.records)}, lambda is_kept: None)
 
     def _learn(self):
         is_new = False
@@ -134,7 +134,7 @@
             if seat != self.seat.seat:
                 _, _, name, address = self.records.get(seat, [0, "", "", ""])
                 table[seat] = [name, address, self._is_vacant(seat, now_us)]
-        self.node.tell(message["back"], "occupants_told", seat=self.seat.seat, table=table)
+        self.node.send_untyped(message["back"], "occupants_told", seat=self.seat.seat, table=table)
 
     def hear_told(self, message):
         if self.seat.seat or self.seat.successor.is_learning():
@@ -147,7 +147,7 @@
             return
         self.asked_us = now_us
         for address, _ in self.seat.directory.seats().values():
-            self.node.tell(address, "occupants")
+            self.node.send_untyped(address, "occupants")
         self._begin_anew(now_us)
 
     def _begin_anew(self, now_us):
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -100,8 +100,8 @@
         self.reached = set()
         self.ticked_us = node.now_us()
         self.held_of = lambda key: (None, None)
-        node.hearers["promise"] = self.hear_promise
-        node.hearers["accepted"] = self.hear_accepted
+        node.map_handlers["promise"] = self.hear_promise
+        node.map_handlers["accepted"] = self.hear_accepted
         node.systems.append(self.tick)
 
     def change(self, key, step, done, deadline_us=DEADLINE_US, is_patient=False):
@@ -140,7 +140,7 @@
         seats = self.directory.seats()
         known = {seat: incarnation for seat, (_, incarnation) in seats.items()}
         for seat, (address, incarnation) in seats.items():
-            self.node.tell(
+            self.node.send_untyped(
                 address,
                 say,
                 id=change.id,
@@ -193,7 +193,7 @@
     def _rest(self, change):
         change.phase = RESTING
         reach = BACKOFF_US * min(change.shots, 6)
-        change.shot_us = self.node.now_us() + self.node.ports.dice.randrange(reach // 4, reach)
+        change.shot_us = self.node.now_us() + self.node.ports.random.randrange(reach // 4, reach)
 
     def hear_promise(self, message):
         change = self._vote_of(message, PREPARE)
@@ -243,7 +243,7 @@
         for seat, incarnation in promised:
             known[seat] = incarnation
         for seat, (address, _) in seats.items():
-            self.node.tell(
+            self.node.send_untyped(
                 address,
                 "accept",
                 id=change.id,
@@ -263,7 +263,7 @@
         if len(change.votes) < self.majority:
             return
         for seat, (address, _) in self.directory.seats().items():
-            self.node.tell(address, "chosen", key=change.key, ballot=change.ballot)
+            self.node.send_untyped(address, "chosen", key=change.key, ballot=change.ballot)
         outcome, value = change.result or ("chosen", change.value)
         self._end(change, outcome, value)
 
--- a/packages/consensus/src/linkhaven/consensus/rejoin.py
+++ b/packages/consensus/src/linkhaven/consensus/rejoin.py
@@ -54,7 +54,7 @@
         self.node = node
         self.seat = seat
         now_us = node.now_us()
-        self.start = f"{node.name}/{now_us}/{node.ports.dice.getrandbits(48)}"
+        self.start = f"{node.name}/{now_us}/{node.ports.random.getrandbits(48)}"
         self.told = {}
         self.notes = None
         self.cursors = {}
@@ -69,7 +69,7 @@
         self.recorded = None
         self.left = {}
         self.moved_wait_us = 0
-        node.hearers.update(
+        node.map_handlers.update(
             rejoin=self.hear_rejoin,
             rejoin_state=self.hear_state,
             rejoin_note=self.hear_note,
@@ -129,7 +129,7 @@
         seat = self.seat
         if not seat.seat:
             return
-        self.node.tell(
+        self.node.send_untyped(
             message["back"],
             "rejoin_state",
             seat=seat.seat,
@@ -164,7 +164,7 @@
         self._ask(message["back"])
 
     def _ask(self, address):
-        self.node.tell(address, "rejoin", seat=self.seat.seat, asked=self.start)
+        self.node.send_untyped(address, "rejoin", seat=self.seat.seat, asked=self.start)
 
     def hear_state(self, message):
         seat = self.seat
@@ -249,7 +249,7 @@
             self._tell_notes()
             self._end_if_read()
 
-        self.node.ports.disk.write(record, go_on)
+        self.node.ports.storage.write(record, go_on)
 
     def _hear_full_disk(self):
         self.seat.is_failing = True
@@ -262,7 +262,7 @@
                 if self.cursors[name] is not None:
                     self._browse(name, address)
             elif name in (self.notes or ()):
-                self.node.tell(
+                self.node.send_untyped(
                     address,
                     "rejoin_note",
                     seat=self.seat.seat,
@@ -281,14 +281,14 @@
 
         def answer(is_kept):
             if is_kept:
-                self.node.tell(
+                self.node.send_untyped(
                     message["back"], "rejoin_noted", seat=seat.seat, incarnation=incarnation
                 )
             if is_kept and message["genesis"] == self.start and self._is_waiting_empty():
                 self.is_genesis = True
                 self._adopt(self.told.values())
 
-        self.node.ports.disk.write(
+        self.node.ports.storage.write(
             {"known": dict(seat.known), "occupants": dict(seat.occupants.records)}, answer
         )
 
@@ -315,7 +315,7 @@
         self._browse(name, message["back"])
 
     def _browse(self, name, address):
-        self.node.tell(
+        self.node.send_untyped(
             address,
             "rejoin_browse",
             seat=self.seat.seat,
@@ -336,7 +336,7 @@
         keys, version = self.browsers[asked]
         place = bisect_right(keys, after)
         page = keys[place : place + PAGE]
-        self.node.tell(
+        self.node.send_untyped(
             message["back"],
             "rejoin_page",
             seat=seat.seat,
@@ -381,7 +381,7 @@
             self.seat.are_claims_open = self.seat.are_claims_open and message["are_claims_open"]
             self._end_if_read()
 
-        self.node.ports.disk.write(changed, go_on)
+        self.node.ports.storage.write(changed, go_on)
 
     def _end_if_read(self):
         if self.notes is None or self.notes or self.seat.standing == VOTING:
@@ -398,7 +398,7 @@
             self.cursors = {}
             seat.begin_votes()
 
-        self.node.ports.disk.write(
+        self.node.ports.storage.write(
             {"is_partial": None, "sealed": None, "are_claims_open": seat.are_claims_open}, vote
         )
 
--- a/packages/consensus/src/linkhaven/consensus/seat.py
+++ b/packages/consensus/src/linkhaven/consensus/seat.py
@@ -89,7 +89,7 @@
         self.on_retired = []
         self.claim_limits = claim_limits
         now_us = node.now_us()
-        held = node.ports.disk.load()
+        held = node.ports.storage.load()
         self.seat = held.get("seat", "") if self.is_learned else seat
         self.cells = {
             key[5:]: RegisterState(*record)
@@ -118,7 +118,7 @@
         self.holders = Holders(node, self)
         self.leaving = Leaving(node, self, self.holders)
         self.successor = Successor(node, self, held.get("offer"))
-        node.hearers.update(
+        node.map_handlers.update(
             prepare=self.hear_prepare, accept=self.hear_accept, chosen=self.hear_chosen
         )
         node.systems.append(self.tick)
@@ -180,7 +180,7 @@
                 return
             self.begin_votes(is_first=True)
 
-        self.node.ports.disk.write(
+        self.node.ports.storage.write(
             {"seat": seat, "incarnation": 1, "occupants": self.occupants.records}, vote
         )
 
@@ -199,7 +199,7 @@
     def retire(self):
         """Back to a spare that keeps nothing which votes."""
         dropped = [
-            *(key for key in self.node.ports.disk.load() if key != "offer"),
+            *(key for key in self.node.ports.storage.load() if key != "offer"),
             *self.OWN_KEYS,
             *(f"cell/{key}" for key in self.cells),
         ]
@@ -208,7 +208,7 @@
         self.claims.clear()
         self.is_empty, self.is_failing, self.are_claims_open = True, False, True
         self.rejoin.forget()
-        self.node.ports.disk.write(dict.fromkeys(dropped), lambda is_kept: None)
+        self.node.ports.storage.write(dict.fromkeys(dropped), lambda is_kept: None)
         for hear in self.on_retired:
             hear()
         self.directory.announce_replica("", 0)
@@ -225,7 +225,7 @@
                 self.resume()
             done(is_kept)
 
-        self.node.ports.disk.write({"sealed": self.sealed}, answer)
+        self.node.ports.storage.write({"sealed": self.sealed}, answer)
 
     def unseal(self):
         """The successor never votes: this disk is whole, and goes on through an ordinary rejoin."""
@@ -237,7 +237,7 @@
             self.is_empty = False
             self.rejoin.begin_anew()
 
-        self.node.ports.disk.write({"sealed": None, "is_partial": None}, go_on)
+        self.node.ports.storage.write({"sealed": None, "is_partial": None}, go_on)
 
     def pause(self):
         """No vote until `resume`, in this process only."""
@@ -269,7 +269,7 @@
                 self.occupants.records = occupants
             done(is_kept)
 
-        self.node.ports.disk.write(record, answer)
+        self.node.ports.storage.write(record, answer)
 
     def begin_moved(self, wait_us):
         """Its state is that of the sealed occupant: it needs to be recorded by the others, and no reading."""
@@ -291,7 +291,7 @@
         self.successor.tell_taken()
 
     def _refuse(self, message, say, why, **facts):
-        self.node.tell(
+        self.node.send_untyped(
             message["back"],
             say,
             id=message["id"],
@@ -334,7 +334,7 @@
     def open_claims(self):
         """Those who won keys before this core began have told them."""
         self.are_claims_open = True
-        self.node.ports.disk.write({"are_claims_open": True}, lambda is_kept: None)
+        self.node.ports.storage.write({"are_claims_open": True}, lambda is_kept: None)
         self.node.ports.log(1208, seat=self.seat, claims=len(self.claims))
 
     def _hear_newer(self, incarnation):
@@ -385,7 +385,7 @@
             self.is_failing = False
             if self.standing != VOTING or message["incarnation"] != self.incarnation:
                 return
-            self.node.tell(
+            self.node.send_untyped(
                 message["back"],
                 say,
                 id=message["id"],
@@ -398,7 +398,7 @@
             )
             self.on_change(key)
 
-        self.node.ports.disk.write({f"cell/{key}": cell.as_record()}, answer)
+        self.node.ports.storage.write({f"cell/{key}": cell.as_record()}, answer)
 
     def held_of(self, key):
         """The ballot that this seat accepted last, and its value."""
@@ -451,4 +451,4 @@
             key = self.claims.popleft()[1]
             self.cells.pop(key, None)
             record[f"cell/{key}"] = None
-        self.node.ports.disk.write(record, lambda is_kept: None)
+        self.node.ports.storage.write(record, lambda is_kept: None)
--- a/packages/consensus/src/linkhaven/consensus/successor.py
+++ b/packages/consensus/src/linkhaven/consensus/successor.py
@@ -62,7 +62,7 @@
         self.offer = offer
         self.terms = None
         self._reset()
-        node.hearers.update(
+        node.map_handlers.update(
             handover_offer=self.on_offer,
             handover_sealed=self.on_sealed,
             handover_ask=self.on_ask,
@@ -108,11 +108,11 @@
                 return self._give_up()
             self._send_browse()
 
-        self.node.ports.disk.write({"offer": offer}, go_on)
+        self.node.ports.storage.write({"offer": offer}, go_on)
 
     def _send_browse(self):
         self.sent_us = self.node.now_us()
-        self.node.tell(
+        self.node.send_untyped(
             self.leaver,
             "rejoin_browse",
             seat="",
@@ -152,7 +152,7 @@
             self.cursor = message["last"]
             self._send_browse()
 
-        self.node.ports.disk.write(self.seat.merge(message["cells"]), go_on)
+        self.node.ports.storage.write(self.seat.merge(message["cells"]), go_on)
 
     def _end_of_pages(self):
         if self.state == SuccessorState.TAKING:
@@ -165,12 +165,12 @@
         self.sent_us = self.node.now_us()
         for address, _ in self.seat.directory.seats().values():
             if address != self.leaver:
-                self.node.tell(address, "handover_probe", id=self.offer["id"])
+                self.node.send_untyped(address, "handover_probe", id=self.offer["id"])
 
     def on_probe(self, message):
         """A voting member answers a successor to be."""
         if self.seat.is_voting:
-            self.node.tell(
+            self.node.send_untyped(
                 message["back"], "handover_reached", id=message["id"], seat=self.seat.seat
             )
 
@@ -187,7 +187,7 @@
 
     def _send_ready(self):
         self.sent_us = self.node.now_us()
-        self.node.tell(self.leaver, "handover_ready", id=self.offer["id"])
+        self.node.send_untyped(self.leaver, "handover_ready", id=self.offer["id"])
 
     def on_sealed(self, message):
         """The leaving member votes no more: read what it voted for since."""
@@ -230,7 +230,7 @@
         self._send_fate(message["back"])
 
     def _send_fate(self, address):
-        self.node.tell(
+        self.node.send_untyped(
             address, "handover_fate", id=self.offer["id"], is_taken=self.offer["is_taken"]
         )
 
--- a/packages/controller/src/linkhaven/controller/claim_admission.py
+++ b/packages/controller/src/linkhaven/controller/claim_admission.py
@@ -63,7 +63,7 @@
         self.asked_us = 0
         self.voting_since_us: int | None = None
         self.has_lost_configuration = False
-        node.on_message(ClaimsResponse, self.on_claims)
+        node.register_handler(ClaimsResponse, self.on_claims)
         node.systems.append(self.tick)
 
     def on_voting_started(self) -> None:
@@ -134,7 +134,7 @@
             next_offset = self.offsets[router] = offset + len(message.claims)
             self._ask(str(message.reply_to), next_offset)
 
-        self.node.ports.disk.write(changed, done)
+        self.node.ports.storage.write(changed, done)
 
     def _awaits_claims_from(self, router: str, offset: int, start: str) -> bool:
         is_asking = start == self._start() and not self.replica.are_claims_open
--- a/packages/controller/src/linkhaven/controller/configuration_recovery.py
+++ b/packages/controller/src/linkhaven/controller/configuration_recovery.py
@@ -73,7 +73,7 @@
         self.reported: Mapping[str, Any] | None = None
         self.is_writing = False
         self.attempted_us = 0
-        node.on_message(ConfigurationResponse, self.on_configuration)
+        node.register_handler(ConfigurationResponse, self.on_configuration)
 
     def on_voting_started(self) -> None:
         """The replica votes from now on."""
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -253,7 +253,7 @@
 
     def _route(self) -> None:
         """The calls of operators."""
-        self.paths.update(
+        self.routes.update(
             {
                 ("GET", "/v1/core"): self.status.serve,
                 ("GET", "/v1/groups"): self.group_usage.serve,
--- a/packages/controller/src/linkhaven/controller/quorum_contact.py
+++ b/packages/controller/src/linkhaven/controller/quorum_contact.py
@@ -55,8 +55,8 @@
         self.snapshot = snapshot
         self.answered_us: dict[str, int] = {}
         self.asked_us: int | None = None
-        node.on_message(QuorumContactRequest, self.on_request)
-        node.on_message(QuorumContactResponse, self.on_response)
+        node.register_handler(QuorumContactRequest, self.on_request)
+        node.register_handler(QuorumContactResponse, self.on_response)
         node.systems.append(self.tick)
 
     def is_held(self) -> bool:
--- a/packages/controller/src/linkhaven/controller/status.py
+++ b/packages/controller/src/linkhaven/controller/status.py
@@ -70,8 +70,8 @@
         self.local = local
         self.queries: dict[int, StatusQuery] = {}
         self.serial = 0
-        node.on_message(MemberStatusRequest, self.on_request)
-        node.on_message(MemberStatusResponse, self.on_response)
+        node.register_handler(MemberStatusRequest, self.on_request)
+        node.register_handler(MemberStatusResponse, self.on_response)
 
     def serve(self, call: Any) -> None:
         """Ask all; the answer goes out from `on_response` or `tick`."""
--- a/packages/leases/src/linkhaven/leases/observer.py
+++ b/packages/leases/src/linkhaven/leases/observer.py
@@ -93,7 +93,7 @@
     def restart_wait(self, now_us: int) -> None:
         """Wait for a whole lease and a margin from `now_us` before the next election."""
         self.unchanged_us = 0
-        spread_us = self.node.ports.dice.randrange(ELECTION_SPREAD_US)
+        spread_us = self.node.ports.random.randrange(ELECTION_SPREAD_US)
         self.election_from_us = now_us + self.lease_us + MARGIN_US + self.rank_us + spread_us
 
     def restart_without_vote(self, now_us: int) -> None:
@@ -104,7 +104,7 @@
 
     def back_off(self) -> None:
         """Let the contender that won an election go on."""
-        spread_us = self.node.ports.dice.randrange(ELECTION_SPREAD_US)
+        spread_us = self.node.ports.random.randrange(ELECTION_SPREAD_US)
         backed_off_us = self.node.now_us() + RETRY_LEAST_US + spread_us
         self.election_from_us = max(self.election_from_us, backed_off_us)
 
--- a/packages/membership/src/linkhaven/membership/membership.py
+++ b/packages/membership/src/linkhaven/membership/membership.py
@@ -106,17 +106,17 @@
         self.adopts_learned_incarnation = True
         self.beat_us = self.gossip_us = self.sought_us = 0
         self.seek_until_us = node.now_us() + SEEK_FOR_US
-        node.on_message(Hello, self.on_hello)
-        node.on_message(MemberList, self.on_members)
-        node.on_message(MemberListDigest, self.on_members_digest)
-        node.on_message(Heartbeat, self.on_beat)
-        node.on_message(Suspicion, self.on_verdict)
-        node.on_message(Leave, self.on_bye)
-        node.on_message(Departures, self.on_left)
-        node.on_message(SuspicionQuery, self.on_doubt)
+        node.register_handler(Hello, self.on_hello)
+        node.register_handler(MemberList, self.on_members)
+        node.register_handler(MemberListDigest, self.on_members_digest)
+        node.register_handler(Heartbeat, self.on_beat)
+        node.register_handler(Suspicion, self.on_verdict)
+        node.register_handler(Leave, self.on_bye)
+        node.register_handler(Departures, self.on_left)
+        node.register_handler(SuspicionQuery, self.on_doubt)
         node.systems.append(self.tick)
         node.on_late.append(self.wake)
-        node.on_hear.append(self.note_speaker)
+        node.sender_listeners.append(self.note_speaker)
 
     def note_speaker(self, name):
         """Whatever a member says tells that it runs."""
@@ -336,7 +336,7 @@
     def _begin(self, record, before):
         """A member's new start; the connection to its former one may hang."""
         if before is not None and before.address == record.address:
-            self.node.ports.wire.renew(record.address)
+            self.node.ports.network.renew(record.address)
         member = self.peers[record.name] = Member(record.name, record.incarnation)
         self._forget_order()
         self._set_facts(member, record)
@@ -520,7 +520,7 @@
             self.node.send(seed, make_hello(self.me.as_member()))
         peers = self.live_members() or self.peers.rows()
         if peers:
-            self._tell_list(peers[self.node.ports.dice.randrange(len(peers))])
+            self._tell_list(peers[self.node.ports.random.randrange(len(peers))])
         self._call_downs(now_us)
 
     def _tell_list(self, other):
@@ -540,5 +540,5 @@
                 self._forget_order()
                 self.seat_table = None
         if downs:
-            other = downs[self.node.ports.dice.randrange(len(downs))]
+            other = downs[self.node.ports.random.randrange(len(downs))]
             self.node.send(other.address, make_hello(self.me.as_member()))
--- a/packages/pairing/src/linkhaven/pairing/pairing.py
+++ b/packages/pairing/src/linkhaven/pairing/pairing.py
@@ -225,7 +225,7 @@
         self.books = {}
         self.kept = Kept()
         self.plain = PlainScheduler(
-            node.now_us, node.ports.dice, lambda runner: self.book(runner).known()[3]
+            node.now_us, node.ports.random, lambda runner: self.book(runner).known()[3]
         )
         self.plain_pools = frozenset()
         self.resting = {}
@@ -234,10 +234,10 @@
         self.exceptions = {}
         self.told_us = 0
         self.shunned = {}
-        node.on_message(QueueViews, self.on_queue_views)
-        node.on_message(RunnerShunned, self.on_runner_shunned)
-        node.on_message(LinkSample, self.on_link_sample)
-        node.on_hear.append(self._note_heard)
+        node.register_handler(QueueViews, self.on_queue_views)
+        node.register_handler(RunnerShunned, self.on_runner_shunned)
+        node.register_handler(LinkSample, self.on_link_sample)
+        node.sender_listeners.append(self._note_heard)
         roster.on_new.append(self._note_plain_pools)
         node.systems.append(self.tick)
 
@@ -314,7 +314,7 @@
         few = []
         for phase in (PREFILL, DECODE):
             those = [runner for runner in runners if runner.phase == phase]
-            few += those if len(those) <= FEW else self.node.ports.dice.sample(those, FEW)
+            few += those if len(those) <= FEW else self.node.ports.random.sample(those, FEW)
         home = self._home(runners, work)
         return few if home is None or home in few else [*few, home]
 
@@ -533,7 +533,7 @@
         worths = [worth(candidate) for candidate in candidates]
         best = min(worths)
         ties = [one for one, its in zip(candidates, worths, strict=True) if its == best]
-        return ties[0] if len(ties) == 1 else ties[self.node.ports.dice.randrange(len(ties))]
+        return ties[0] if len(ties) == 1 else ties[self.node.ports.random.randrange(len(ties))]
 
     def fits(self, runner, tokens):
         """Whether a decode runner has memory for the prompt and for as much again, so that small ones still get in."""
--- a/packages/router/src/linkhaven/router/explain.py
+++ b/packages/router/src/linkhaven/router/explain.py
@@ -34,8 +34,8 @@
             log(number, **facts)
 
         node.ports.log = note
-        node.on_message(WantExplanation, self.on_want_explanation)
-        node.on_message(Explanation, self.on_explanation)
+        node.register_handler(WantExplanation, self.on_want_explanation)
+        node.register_handler(Explanation, self.on_explanation)
         node.systems.append(self.tick)
 
     def keep(self, request):
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -22,7 +22,7 @@
         self.won = OrderedDict()
         self.swept_us = node.now_us()
         self.settings: ClaimSettings | None = None
-        node.hearers["want_keys"] = self.hear_want
+        node.map_handlers["want_keys"] = self.hear_want
         node.systems.append(self.sweep)
 
     def apply_configuration(self, configuration: Configuration) -> None:
@@ -89,7 +89,7 @@
         place = message["place"]
         keys = list(self.won.items())[place : place + PAGE] if self.won else []
         is_last = place + PAGE >= len(self.won)
-        self.node.tell(
+        self.node.send_untyped(
             message["back"],
             "keys",
             start=message["start"],
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -154,7 +154,7 @@
         self.watcher.is_pressed = self._is_pressed
         self.watcher.on_news.append(self._hear_news)
         self.roster.on_new.append(self.wake_queue)
-        self.hearers["want_image"] = self._hear_want_image
+        self.map_handlers["want_image"] = self._hear_want_image
         self.systems += [
             self._keep_deadlines,
             self._serve_queue,
@@ -163,7 +163,7 @@
             self._give_up_closed,
             self._drain,
         ]
-        self.paths = {
+        self.routes = {
             ("POST", "/v1/requests"): self.serve_request,
             ("GET", "/v1/explain/"): self.explainer.serve,
             ("GET", "/v1/standing"): self.serve_standing,
@@ -265,7 +265,7 @@
         held = self.watcher.packed_configuration()
         if held is not None:
             value, body = held
-            self.tell(message["back"], "image", value=value, body=body)
+            self.send_untyped(message["back"], "image", value=value, body=body)
 
     def may_start(self):
         return self.watcher.is_fresh() and self.roster.is_fresh()
@@ -294,7 +294,7 @@
         pools = kind.pools
         if len(pools) < 2:
             return pools[0].pool if pools else None
-        drawn = self.ports.dice.randrange(sum(part.weight for part in pools))
+        drawn = self.ports.random.randrange(sum(part.weight for part in pools))
         for part in pools:
             drawn -= part.weight
             if drawn < 0:
@@ -326,8 +326,8 @@
         request = Request(f"{self.name}-{self.incarnation}-{self.serial}", call, now_us)
         self.counts["asked"] += 1
         self.requests[request.id] = request
-        call.on_gone = lambda: self._lose_caller(request)
-        call.on_room = lambda: self._release(request)
+        call.on_client_disconnect = lambda: self._lose_caller(request)
+        call.on_writable = lambda: self._release(request)
         self.chain.walk(request)
 
     def enqueue(self, request):
--- a/packages/runner/src/linkhaven/runner/adapter.py
+++ b/packages/runner/src/linkhaven/runner/adapter.py
@@ -83,12 +83,12 @@
     either `on_done(piece)` or `on_error(error, has_begun)`.
     """
 
-    __slots__ = ("request", "hearer", "outing", "status", "body", "reader", "is_over")
+    __slots__ = ("request", "handler", "outing", "status", "body", "reader", "is_over")
 
-    def __init__(self, request, hearer):
+    def __init__(self, request, handler):
         """Await the stream of the request with this id."""
         self.request = request
-        self.hearer = hearer
+        self.handler = handler
         self.outing = None
         self.status = 0
         self.body = b""
@@ -103,7 +103,7 @@
         if headers.get("request-id") != self.request:
             return self._end(ServiceError("stream_broken", why="an answer for another request"))
         after = headers.get("after", "")
-        self.hearer.on_begin(headers.get("run", ""), int(after) if after.isdigit() else -1)
+        self.handler.on_begin(headers.get("run", ""), int(after) if after.isdigit() else -1)
 
     def on_data(self, data):
         """Hand on the pieces in the data; what is malformed ends as `stream_broken`."""
@@ -120,10 +120,10 @@
             if self.is_over:
                 return
             if piece.event == "piece":
-                self.hearer.on_piece(piece)
+                self.handler.on_piece(piece)
             elif piece.event == "done":
                 self.is_over = True
-                self.hearer.on_done(piece)
+                self.handler.on_done(piece)
             else:
                 self._end(read_error(piece.document, "runner_lost"))
 
@@ -147,7 +147,7 @@
         self.is_over = True
         if self.outing is not None:
             self.outing.close()
-        self.hearer.on_error(error, has_begun)
+        self.handler.on_error(error, has_begun)
 
     def abandon(self):
         """Close the call; the handler hears nothing more."""
@@ -174,8 +174,8 @@
 
     def _call(self, address, method, path, document, part):
         body = write_json(document) if document is not None else b""
-        hearer = ResponseHandler(part.on_head, part.on_data, part.on_end, part.on_error)
-        part.outing = self.node.ports.wire.open(address, method, path, HEADERS, body, hearer)
+        handler = ResponseHandler(part.on_head, part.on_data, part.on_end, part.on_error)
+        part.outing = self.node.ports.network.open(address, method, path, HEADERS, body, handler)
         return part
 
     def _ask(self, request):
@@ -209,8 +209,8 @@
         told = (document.get("request"), document.get("shot"), document.get("incarnation"))
         return told == (request.id, request.attempts, runner.incarnation)
 
-    def decode(self, runner, request, handle, hearer):
-        """Have a runner decode; return the pending stream, which tells `hearer` its pieces.
+    def decode(self, runner, request, handle, handler):
+        """Have a runner decode; return the pending stream, which tells `handler` its pieces.
 
         `handle` is the KV cache's handle with the runner that holds it, or None: then the runner
         reads the prompt itself. A request that has a run is resumed after its last piece.
@@ -222,7 +222,8 @@
             ask["source"] = handle[1].address
         if request.run:
             ask["resume"] = {"run": request.run, "after": request.written}
-        return self._call(runner.address, "POST", "/v1/decode", ask, Stream(ask["request"], hearer))
+        stream = Stream(ask["request"], handler)
+        return self._call(runner.address, "POST", "/v1/decode", ask, stream)
 
     def follows(self, request, piece):
         """Whether a piece is the next one of its request."""
--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -17,8 +17,9 @@
 class Node:
     """A node without clock, socket or dice of its own, so that a simulated world can run it.
 
-    Its parts register with it: `on_message` and `hearers` for messages, `paths` for calls,
-    `systems` for each tick, `on_late` for what a late tick does first, `on_hear` for who spoke.
+    Its parts register with it: `register_handler` and `map_handlers` for messages, `routes` for
+    calls, `systems` for each tick, `on_late` for what a late tick does first, `sender_listeners`
+    for who spoke.
     """
 
     __slots__ = (
@@ -27,12 +28,12 @@
         "ports",
         "reader",
         "handlers",
-        "hearers",
-        "paths",
+        "map_handlers",
+        "routes",
         "systems",
         "ticked_us",
         "on_late",
-        "on_hear",
+        "sender_listeners",
         "bounds",
     )
 
@@ -44,32 +45,32 @@
         self.ports = ports
         self.reader = LineReader()
         self.handlers = {}
-        self.hearers = {}
-        self.paths = {}
+        self.map_handlers = {}
+        self.routes = {}
         self.systems = []
         self.ticked_us = ports.clock.now_us()
         self.on_late = []
-        self.on_hear = []
+        self.sender_listeners = []
 
     def now_us(self):
         """This node's monotonic time."""
         return self.ports.clock.now_us()
 
-    def tell(self, address, say, **facts):
+    def send_untyped(self, address, say, **facts):
         """Send a map of a kind that has no type yet."""
         facts["say"] = say
         facts["name"] = self.name
         facts["back"] = self.address
-        self.ports.wire.tell(address, facts)
+        self.ports.network.send(address, facts)
 
-    def on_message(self, message_type, handler):
+    def register_handler(self, message_type, handler):
         """Have every message of this type handed to `handler`."""
         self.reader.add(message_type)
         self.handlers[message_type] = handler
 
     def send(self, address, message):
         """Send a typed message in this node's name; nothing says whether it arrives."""
-        self.ports.wire.tell(address, replace(message, sender=self.name, reply_to=self.address))
+        self.ports.network.send(address, replace(message, sender=self.name, reply_to=self.address))
 
     def read_line(self, line):
         """The message of a line, or None where it fits no message, which is logged.
@@ -84,42 +85,42 @@
                 raise
             return None
 
-    def hear(self, message):
+    def dispatch(self, message):
         """Hand a message to its handler; a fault there ends neither the node nor other messages."""
         if isinstance(message, Message):
-            self._hear_typed(message)
+            self._dispatch_typed(message)
         else:
-            self._hear_map(message)
+            self._dispatch_map(message)
 
-    def _hear_typed(self, message):
+    def _dispatch_typed(self, message):
         handler = self.handlers.get(type(message))
         if handler is None:
             return
         try:
-            for hear in self.on_hear:
-                hear(message.sender)
+            for listener in self.sender_listeners:
+                listener(message.sender)
             handler(message)
         except HANDLER_FAULTS as fault:
             self.ports.log(1005, say=type(message).__name__, fault=repr(fault))
 
-    def _hear_map(self, message):
-        hearer = self.hearers.get(message.get("say"))
-        if hearer is None:
+    def _dispatch_map(self, message):
+        handler = self.map_handlers.get(message.get("say"))
+        if handler is None:
             return
         try:
-            for hear in self.on_hear:
-                hear(message["name"])
-            hearer(message)
+            for listener in self.sender_listeners:
+                listener(message["name"])
+            handler(message)
         except HANDLER_FAULTS as fault:
             self.ports.log(1005, say=message.get("say"), fault=repr(fault))
 
     def serve(self, call):
         """Hand a call to the function of its path; a path that ends in / takes the rest of it."""
         path = call.path.partition("?")[0]
-        serve, rest = self.paths.get((call.method, path)), None
+        serve, rest = self.routes.get((call.method, path)), None
         if serve is None:
             stem, _, rest = path.rpartition("/")
-            serve = self.paths.get((call.method, stem + "/"))
+            serve = self.routes.get((call.method, stem + "/"))
         if serve is None:
             return call.answer_error(ServiceError("unknown_path", path=path, method=call.method))
         try:
--- a/packages/runtime/src/linkhaven/runtime/ports.py
+++ b/packages/runtime/src/linkhaven/runtime/ports.py
@@ -6,18 +6,18 @@
 class Ports:
     """What a node may touch.
 
-    clock.now_us(); wire.tell() and wire.open(); disk.load() and disk.write(); dice as
-    random.Random; log(number, **facts).
+    clock.now_us(); network.send() and network.open(); storage.load() and storage.write();
+    random as random.Random; log(number, **facts).
     """
 
-    __slots__ = ("clock", "wire", "disk", "dice", "log")
+    __slots__ = ("clock", "network", "storage", "random", "log")
 
-    def __init__(self, clock, wire, disk, dice, log):
-        """The shell or the simulated world gives all five; `disk` is None without a data folder."""
+    def __init__(self, clock, network, storage, random, log):
+        """The shell or the simulated world gives all five; `storage` is None without a folder."""
         self.clock = clock
-        self.wire = wire
-        self.disk = disk
-        self.dice = dice
+        self.network = network
+        self.storage = storage
+        self.random = random
         self.log = log
 
 
@@ -37,7 +37,16 @@
 class Call:
     """One HTTP exchange as the serving node sees it; shells fill in the five writers."""
 
-    __slots__ = ("method", "path", "headers", "body", "on_gone", "on_room", "is_begun", "is_ended")
+    __slots__ = (
+        "method",
+        "path",
+        "headers",
+        "body",
+        "on_client_disconnect",
+        "on_writable",
+        "is_begun",
+        "is_ended",
+    )
 
     def __init__(self, method, path, headers, body):
         """`headers` by lower-case names."""
@@ -45,8 +54,8 @@
         self.path = path
         self.headers = headers
         self.body = body
-        self.on_gone = None
-        self.on_room = None
+        self.on_client_disconnect = None
+        self.on_writable = None
         self.is_begun = False
         self.is_ended = False
 
@@ -59,7 +68,7 @@
         raise NotImplementedError
 
     def write(self, data):
-        """Write a part; answers whether there is room for more, else `on_room` tells that."""
+        """Write a part; answers whether there is room for more, else `on_writable` tells that."""
         raise NotImplementedError
 
     def finish(self):
@@ -83,10 +92,10 @@
             headers["retry-after"] = str(max(1, -(-error.retry_us // 1_000_000)))
         self.answer_json(error.status, error.as_document(), headers)
 
-    def has_gone(self):
+    def client_disconnected(self):
         """The caller closed its connection before the answer ended."""
         if self.is_ended:
             return
         self.is_ended = True
-        if self.on_gone:
-            self.on_gone()
+        if self.on_client_disconnect:
+            self.on_client_disconnect()
--- a/packages/stage/src/linkhaven/stage/changecourse.py
+++ b/packages/stage/src/linkhaven/stage/changecourse.py
@@ -213,9 +213,9 @@
 
 def count_lines(node, found):
     """Count what the node hears from now on, but for the ring's lines and the routers'."""
-    for say, hear in list(node.hearers.items()):
+    for say, hear in list(node.map_handlers.items()):
         if say not in RING_LINES:
-            node.hearers[say] = _counting(hear, found)
+            node.map_handlers[say] = _counting(hear, found)
 
 
 def _counting(hear, found):
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -25,14 +25,14 @@
     (
         "ports",
         "bounds",
-        "hearers",
+        "map_handlers",
         "handlers",
         "reader",
-        "paths",
+        "routes",
         "systems",
-        "on_hear",
+        "sender_listeners",
         "on_late",
-        "dice",
+        "random",
     )
 )
 
--- a/packages/stage/src/linkhaven/stage/explore/world.py
+++ b/packages/stage/src/linkhaven/stage/explore/world.py
@@ -39,7 +39,7 @@
     """Hand a line to a node as the shell does."""
     message = node.read_line(line)
     if message is not None:
-        node.hear(message)
+        node.dispatch(message)
 
 
 class ExploredDisk:
@@ -92,7 +92,7 @@
 
 
 class MachinePorts:
-    """Clock, wire and log of one start of a machine."""
+    """Clock, network and log of one start of a machine."""
 
     __slots__ = ("machine", "start")
 
@@ -108,12 +108,12 @@
         """A timer: goes off with the first turn that the machine gets once it is due."""
         self.machine.timers.append((self.now_us() + delay_us, self.start, deed))
 
-    def tell(self, address, message):
+    def send(self, address, message):
         """Puts a message in flight, unless a former start of the machine speaks."""
         if self.start == self.machine.starts:
             self.machine.world.send(self.machine, address, message)
 
-    def open(self, address, method, path, headers, body, hearer):
+    def open(self, address, method, path, headers, body, handler):
         """No machine outside of the core is part of the model."""
         return DeadCall()
 
--- a/packages/stage/src/linkhaven/stage/line_costs.py
+++ b/packages/stage/src/linkhaven/stage/line_costs.py
@@ -64,10 +64,10 @@
     return round(min(timer.repeat(ROUNDS, number)) / number * 1e6, 2)
 
 
-class _Wire:
+class _Network:
     """Writes what it is told, and drops it."""
 
-    def tell(self, address, message):
+    def send(self, address, message):
         write_line(message)
 
 
@@ -78,7 +78,7 @@
         class clock:  # noqa: N801  it stands for the port of that name
             now_us = staticmethod(lambda: 0)
 
-        wire = _Wire()
+        network = _Network()
 
     return Node(ENVELOPE["sender"], ENVELOPE["reply_to"], Ports())
 
@@ -94,7 +94,7 @@
     return {
         "bytes": len(line),
         "json_write_us": _spent_us(lambda: write_json(document)),
-        "map_send_us": _spent_us(lambda: sender.tell("10.1.0.17:7720", say, **facts)),
+        "map_send_us": _spent_us(lambda: sender.send_untyped("10.1.0.17:7720", say, **facts)),
         "typed_send_us": _spent_us(lambda: sender.send("10.1.0.17:7720", message)),
         "json_read_us": _spent_us(lambda: json.loads(line.decode())),
         "map_read_us": _spent_us(lambda: plain.read(line)),
--- a/packages/stage/src/linkhaven/stage/measure.py
+++ b/packages/stage/src/linkhaven/stage/measure.py
@@ -19,7 +19,7 @@
         candidates = self.weigh(work, ttft_us, without, room_us, is_overdue)
         if not candidates or not self.has_decode(without, work.pool):
             return Decision(candidates, None)
-        return Decision(candidates, candidates[self.node.ports.dice.randrange(len(candidates))])
+        return Decision(candidates, candidates[self.node.ports.random.randrange(len(candidates))])
 
     def choose_decode(self, without=(), source=None, tokens=0, pool=None):
         runners = [
@@ -27,7 +27,7 @@
             for runner in self.roster.open_runners()
             if runner.phase != PREFILL and runner.name not in without
         ]
-        return runners[self.node.ports.dice.randrange(len(runners))] if runners else None
+        return runners[self.node.ports.random.randrange(len(runners))] if runners else None
 
 
 class StrictPairing(Pairing):
--- a/packages/stage/src/linkhaven/stage/people.py
+++ b/packages/stage/src/linkhaven/stage/people.py
@@ -107,14 +107,14 @@
             key=asked.headers.get("idempotency-key"),
             answer_tokens=read_json(asked.body)["answer_tokens"],
         )
-        hearer = ResponseHandler(
+        handler = ResponseHandler(
             lambda status, headers: self._head(asked, status, headers),
             lambda data: self._data(asked, data),
             lambda: self._end(asked, routers),
             lambda has_begun: self._lost(asked, routers, has_begun),
         )
-        asked.outing = self.ports.wire.open(
-            asked.router, "POST", "/v1/requests", asked.headers, asked.body, hearer
+        asked.outing = self.ports.network.open(
+            asked.router, "POST", "/v1/requests", asked.headers, asked.body, handler
         )
 
     def hang_up(self, asked):
@@ -235,7 +235,7 @@
             told["body"] += data
 
         body = write_json(document) if document is not None else b""
-        return self.ports.wire.open(
+        return self.ports.network.open(
             address,
             method,
             path,
--- a/packages/stage/src/linkhaven/stage/slopes/meter.py
+++ b/packages/stage/src/linkhaven/stage/slopes/meter.py
@@ -86,16 +86,16 @@
     def __getattr__(self, name):
         return getattr(self.node, name)
 
-    def hear(self, message):
-        self.meter.watch.run(self.tally, kind_of(message), self.node.hear, message)
+    def dispatch(self, message):
+        self.meter.watch.run(self.tally, kind_of(message), self.node.dispatch, message)
 
-    def hear_line(self, channel, line):
-        self.meter.watch.run(self.tally, channel, lambda: self._hear_line(line))
+    def dispatch_line(self, channel, line):
+        self.meter.watch.run(self.tally, channel, lambda: self._on_line(line))
 
-    def _hear_line(self, line):
+    def _on_line(self, line):
         message = self.node.read_line(line)
         if message is not None:
-            self.node.hear(message)
+            self.node.dispatch(message)
 
     def serve(self, call):
         self.meter.watch.run(self.tally, call.path.partition("?")[0], self.node.serve, call)
@@ -104,19 +104,19 @@
         self.meter.watch.run(self.tally, TICK, self.node.tick)
 
 
-class MeteredWire:
-    __slots__ = ("wire", "host", "meter", "tally")
+class MeteredNetwork:
+    __slots__ = ("network", "host", "meter", "tally")
 
-    def __init__(self, wire, host, meter, tally):
-        self.wire = wire
+    def __init__(self, network, host, meter, tally):
+        self.network = network
         self.host = host
         self.meter = meter
         self.tally = tally
 
     def __getattr__(self, name):
-        return getattr(self.wire, name)
+        return getattr(self.network, name)
 
-    def tell(self, address, message):
+    def send(self, address, message):
         channel, line = kind_of(message), write_line(message)
         self.meter.watch.step_out(self._carry, address, channel, line)
 
@@ -128,7 +128,7 @@
 
         def hear():
             if target.node is not None:
-                target.node.hear_line(channel, line)
+                target.node.dispatch_line(channel, line)
 
         if target is host:
             epoch = host.epoch
@@ -136,7 +136,7 @@
         self.meter.carry(self.tally, self.meter.tally_of(target), channel, len(line))
         world.link(host, target).send(hear, is_bounded=True)
 
-    def open(self, address, method, path, headers, body, hearer, *more, **named):
+    def open(self, address, method, path, headers, body, handler, *more, **named):
         world, meter = self.host.world, self.meter
         target, channel = world.hosts.get(address), path.partition("?")[0]
         other = meter.tally_of(target) if target is not None else Tally()
@@ -150,20 +150,20 @@
 
         def on_head(status, headers):
             meter.carry(other, own, channel, 17 + head_bytes(headers))
-            watch.run(own, channel, hearer.on_head, status, headers)
+            watch.run(own, channel, handler.on_head, status, headers)
 
         def on_data(data):
             meter.carry(other, own, channel, len(data))
-            watch.run(own, channel, hearer.on_data, data)
+            watch.run(own, channel, handler.on_data, data)
 
         heard = ResponseHandler(
             on_head,
             on_data,
-            lambda: watch.run(own, channel, hearer.on_end),
-            lambda *given: watch.run(own, channel, hearer.on_error, *given),
+            lambda: watch.run(own, channel, handler.on_end),
+            lambda *given: watch.run(own, channel, handler.on_error, *given),
         )
         return watch.step_out(
-            lambda: self.wire.open(address, method, path, headers, body, heard, *more, **named)
+            lambda: self.network.open(address, method, path, headers, body, heard, *more, **named)
         )
 
 
@@ -219,10 +219,10 @@
 
     def wrap(self, host, ports, build):
         tally = self.tally_of(host)
-        ports.wire = MeteredWire(ports.wire, host, self, tally)
+        ports.network = MeteredNetwork(ports.network, host, self, tally)
         ports.clock = MeteredClock(ports.clock, self, tally)
-        if ports.disk is not None:
-            ports.disk = MeteredDisk(ports.disk, self, tally)
+        if ports.storage is not None:
+            ports.storage = MeteredDisk(ports.storage, self, tally)
         return MeteredNode(build(host, ports), self, tally)
 
     def carry(self, source, target, channel, size):
--- a/packages/stage/src/linkhaven/stage/standins.py
+++ b/packages/stage/src/linkhaven/stage/standins.py
@@ -131,7 +131,7 @@
         self.reported_us = self.started_us
         self.report = self._look()
         self.systems += [self._make_report, self._sweep_handles]
-        self.paths = {
+        self.routes = {
             ("POST", "/v1/prefill"): self.serve_prefill,
             ("POST", "/v1/decode"): self.serve_decode,
             ("POST", "/v1/kv"): self.serve_kv,
@@ -244,7 +244,7 @@
                 self.streams.remove(job)
                 self._admit_waiting()
 
-        call.on_gone = leave
+        call.on_client_disconnect = leave
         return job
 
     def _queue_read(self, job, then):
@@ -408,7 +408,7 @@
                 "target": self.name,
             }
         )
-        self.ports.wire.open(
+        self.ports.network.open(
             ask["source"],
             "POST",
             "/v1/kv",
@@ -553,7 +553,7 @@
         super().__init__(name, address, ports)
         self.lag_us = lag_us
         self.history = [(self.now_us() - lag_us, {})]
-        self.paths = {
+        self.routes = {
             ("GET", "/v1/runners"): self.serve_runners,
             ("PUT", "/v1/runners"): self.serve_put,
         }
--- a/packages/stage/src/linkhaven/stage/world.py
+++ b/packages/stage/src/linkhaven/stage/world.py
@@ -206,7 +206,7 @@
         clock = SimClock(self)
         ports = Ports(
             clock,
-            SimWire(self),
+            SimNetwork(self),
             self.disk,
             random.Random(self.world.dice.getrandbits(64)),
             self._log,
@@ -302,13 +302,13 @@
         host.world.after(delay_us, lambda: host.do(deed) if host.epoch == epoch else None)
 
 
-class SimWire:
+class SimNetwork:
     __slots__ = ("host",)
 
     def __init__(self, host):
         self.host = host
 
-    def tell(self, address, message):
+    def send(self, address, message):
         host = self.host
         line = write_line(message)
         target = host.world.hosts.get(address)
@@ -320,7 +320,7 @@
                 return
             heard = target.node.read_line(line)
             if heard is not None:
-                target.node.hear(heard)
+                target.node.dispatch(heard)
 
         if target is host:
             epoch = host.epoch
@@ -330,8 +330,8 @@
     def renew(self, address):
         """Lines of this world wait for no earlier ones."""
 
-    def open(self, address, method, path, headers, body, hearer):
-        conn = Conn(self.host, self.host.world.hosts.get(address), hearer)
+    def open(self, address, method, path, headers, body, handler):
+        conn = Conn(self.host, self.host.world.hosts.get(address), handler)
         conn.connect(method, path, headers, body)
         return conn
 
@@ -343,7 +343,7 @@
         "world",
         "client",
         "server",
-        "hearer",
+        "handler",
         "call",
         "is_over",
         "is_held",
@@ -355,12 +355,12 @@
         "sent_us",
     )
 
-    def __init__(self, client, server, hearer):
+    def __init__(self, client, server, handler):
         self.world = client.world
         self.sent_us = self.world.now_us
         self.client = client
         self.server = server
-        self.hearer = hearer
+        self.handler = handler
         self.call = None
         self.is_over = False
         self.is_held = False
@@ -407,7 +407,7 @@
         if self.is_over or self.client.epoch != self.client_epoch:
             return
         self._end()
-        self.hearer.on_error(has_begun)
+        self.handler.on_error(has_begun)
 
     def _end(self):
         self.is_over = True
@@ -417,7 +417,7 @@
         if dead is self.client:
             self._end()
             if self.call is not None and self.server.node is not None:
-                self.world.link(self.client, self.server).send(self.call.has_gone)
+                self.world.link(self.client, self.server).send(self.call.client_disconnected)
             return
         if self.is_connected:
             self.world.link(self.server, self.client).send(lambda: self._tell_error(True))
@@ -426,7 +426,7 @@
         """The conn fails under both ends."""
         if self.is_over or self.call is None:
             return
-        self.server.do(self.call.has_gone)
+        self.server.do(self.call.client_disconnected)
         self.client.do(lambda: self._tell_error(True))
 
     def close(self):
@@ -434,7 +434,7 @@
             return
         self._end()
         if self.call is not None:
-            self.world.link(self.client, self.server).send(self.call.has_gone)
+            self.world.link(self.client, self.server).send(self.call.client_disconnected)
 
     def hold(self):
         self.is_held = True
@@ -445,8 +445,8 @@
         self.held_bytes = 0
         for deed in held:
             deed()
-        if self.call is not None and self.call.on_room and not self.call.is_ended:
-            self.world.link(self.client, self.server).send(self.call.on_room)
+        if self.call is not None and self.call.on_writable and not self.call.is_ended:
+            self.world.link(self.client, self.server).send(self.call.on_writable)
 
     def to_client(self, deed, size=0):
         def arrive():
@@ -462,7 +462,7 @@
 
     def finish(self):
         self._end()
-        self.hearer.on_end()
+        self.handler.on_end()
 
 
 class SimCall(Call):
@@ -483,12 +483,12 @@
         if self.is_ended:
             return
         self.is_begun = True
-        self.conn.to_client(lambda: self.conn.hearer.on_head(status, dict(headers)))
+        self.conn.to_client(lambda: self.conn.handler.on_head(status, dict(headers)))
 
     def write(self, data):
         if self.is_ended:
             return False
-        self.conn.to_client(lambda: self.conn.hearer.on_data(data), len(data))
+        self.conn.to_client(lambda: self.conn.handler.on_data(data), len(data))
         return self.conn.held_bytes < ROOM_BYTES
 
     def finish(self):
--- a/packages/wire/src/linkhaven/wire/door_call.py
+++ b/packages/wire/src/linkhaven/wire/door_call.py
@@ -128,5 +128,5 @@
         if not self.is_full or self.is_ended or out_bytes >= ROOM_BYTES // 2:
             return
         self.is_full = False
-        if self.on_room:
-            self.on_room()
+        if self.on_writable:
+            self.on_writable()
--- a/packages/wire/src/linkhaven/wire/door_connection.py
+++ b/packages/wire/src/linkhaven/wire/door_connection.py
@@ -249,7 +249,7 @@
         self.door.connections.discard(self)
         call, self.call = self.call, None
         if call is not None:
-            call.has_gone()
+            call.client_disconnected()
 
     def close(self, by_reset=False):
         """Closes at once, with a reset where an orderly end would look like a whole body."""
--- a/packages/wire/src/linkhaven/wire/inlet.py
+++ b/packages/wire/src/linkhaven/wire/inlet.py
@@ -173,8 +173,8 @@
         for call in list(self.calls.values()):
             if call.is_full and self.waiting_bytes(call.sock) < ROOM_BYTES // 2:
                 call.is_full = False
-                if call.on_room:
-                    call.on_room()
+                if call.on_writable:
+                    call.on_writable()
 
     @handler("connect", priority=1)
     def _on_connect(self, sock, host, port):
@@ -232,4 +232,4 @@
         self.http._buffers.pop(sock, None)
         call = self.calls.pop(sock, None)
         if call is not None:
-            call.has_gone()
+            call.client_disconnected()
--- a/packages/wire/src/linkhaven/wire/outlet.py
+++ b/packages/wire/src/linkhaven/wire/outlet.py
@@ -50,7 +50,7 @@
             self.plug = None
         self.failed_us = None
 
-    def hear(self):
+    def mark_alive(self):
         """It speaks, so it runs: a connection hanging from before it ran is made anew, once, with what waits."""
         plug, now_us = self.plug, self.outlet.clock.now_us()
         if plug is None or plug.is_open or self.is_renewed or now_us - self.begun_us < HANGING_US:
@@ -71,7 +71,7 @@
 
 
 class Outlet(BaseComponent):
-    """All outgoing sockets: JSON lines to fellows and HTTP calls. It is the wire port of the nodes."""
+    """All outgoing sockets: JSON lines to fellows and HTTP calls. It is the network port of the nodes."""
 
     channel = "outlet"
 
@@ -92,7 +92,7 @@
     def soon(self, deed, delay_us=0):
         self.clock.call_in(delay_us, deed)
 
-    def tell(self, address, message):
+    def send(self, address, message):
         if address == self.address:
             return self.soon(lambda: self.on_own_line(message))
         fellow = self.fellows.get(address)
@@ -106,14 +106,14 @@
         if fellow is not None:
             fellow.renew()
 
-    def hear_from(self, address):
+    def mark_alive(self, address):
         fellow = self.fellows.get(address) if isinstance(address, str) else None
         if fellow is not None:
-            fellow.hear()
+            fellow.mark_alive()
 
-    def open(self, address, method, path, headers, body, hearer, keep=False, most=None, host=None):
+    def open(self, address, method, path, headers, body, handler, keep=False, most=None, host=None):
         """Begins a call and gives its exchange, or None where `most` connections to the address are open and busy."""
-        exchange = Exchange(self, address, method, path, headers, body, hearer, keep, host)
+        exchange = Exchange(self, address, method, path, headers, body, handler, keep, host)
         connection = self.take_connection(address, keep, most)
         if connection is None:
             return None
--- a/packages/wire/src/linkhaven/wire/pool.py
+++ b/packages/wire/src/linkhaven/wire/pool.py
@@ -122,7 +122,7 @@
         "address",
         "connection",
         "http",
-        "hearer",
+        "handler",
         "data",
         "keep",
         "life_us",
@@ -131,10 +131,12 @@
         "is_answered",
     )
 
-    def __init__(self, outlet, address, method, path, headers, body, hearer, keep=False, host=None):
+    def __init__(
+        self, outlet, address, method, path, headers, body, handler, keep=False, host=None
+    ):
         self.outlet = outlet
         self.address = address
-        self.hearer = hearer
+        self.handler = handler
         self.keep = keep
         self.life_us = outlet.idle_us
         self.connection = None
@@ -186,11 +188,11 @@
                 return
             kind = type(event)
             if kind is h11.Data:
-                self.hearer.on_data(bytes(event.data))
+                self.handler.on_data(bytes(event.data))
             elif kind is h11.Response:
                 headers = gather_headers(event.headers)
                 self._note_life(headers)
-                self.hearer.on_head(event.status_code, headers)
+                self.handler.on_head(event.status_code, headers)
             elif kind is h11.EndOfMessage:
                 return self._end()
             elif kind is h11.ConnectionClosed:
@@ -219,7 +221,7 @@
         else:
             connection.exchange = None
             connection.close()
-        self.hearer.on_end()
+        self.handler.on_end()
 
     def take_close(self, has_begun, is_eof):
         if self.is_over:
@@ -238,7 +240,7 @@
         if self.is_over:
             return
         self.close()
-        self.hearer.on_error(has_begun)
+        self.handler.on_error(has_begun)
 
     def hold(self):
         if not self.is_over:
--- a/packages/wire/src/linkhaven/wire/shell.py
+++ b/packages/wire/src/linkhaven/wire/shell.py
@@ -81,10 +81,10 @@
                 raise ServiceError("address_taken", http=http, why=fault.strerror) from None
 
     def _hear(self, message):
-        self.outlet.hear_from(reply_address_of(message))
-        self.node.hear(message)
+        self.outlet.mark_alive(reply_address_of(message))
+        self.node.dispatch(message)
 
-    def _hear_line(self, line):
+    def _on_line(self, line):
         """Hand a line to the node; whether it was JSON at all."""
         try:
             message = self.node.read_line(line)
@@ -96,7 +96,7 @@
 
     def add_lines(self, address):
         try:
-            return LinesInlet(address, self._hear_line, self.poller, self.ticker).register(self)
+            return LinesInlet(address, self._on_line, self.poller, self.ticker).register(self)
         except OSError as fault:
             raise ServiceError("address_taken", lines=address, why=fault.strerror) from None
 
--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -608,7 +608,7 @@
         self.callers = []
         self.outlet = Outlet(self.clock, self.poller, "10.0.0.1:7000", lambda message: None)
         wire = SimpleNamespace(
-            tell=lambda address, message: None,
+            send=lambda address, message: None,
             open=self.outlet.open,
             soon=self.outlet.soon,
             renew=lambda address: None,
--- a/tests/recorded_world.py
+++ b/tests/recorded_world.py
@@ -113,7 +113,7 @@
 
 
 HOOKS = [
-    (world.SimWire, "tell", Transcript.hear_line),
+    (world.SimNetwork, "send", Transcript.hear_line),
     (world.SimDisk, "write", Transcript.hear_write),
     (world.Host, "_log", Transcript.hear_event),
     (world.Conn, "connect", Transcript.hear_call),
@@ -420,7 +420,7 @@
         stage.world.run_for(SECOND)
         for place, method, path, document in TOUR:
             body = b"" if document is None else json.dumps(document).encode()
-            wire = stage.operators[0].node.ports.wire
+            wire = stage.operators[0].node.ports.network
             path = path.replace("REQUEST", asked.request or "none")
             wire.open(places[place].address, method, path, {}, body, DEAF)
             stage.world.run_for(SECOND // 2)
@@ -439,9 +439,9 @@
         for host in core.machines.values():
             door = OperatorDoor(host.node.configuration_store, 0.2, 10)
             for method, path in {(call[0], call[1]) for call in OPERATOR_CALLS}:
-                host.node.paths[method, path] = door.serve
+                host.node.routes[method, path] = door.serve
         sender = world.Host(core.world, "operator", "z", "10.8.1.1:1", lambda host, ports: ports)
-        wire = world.SimWire(sender)
+        wire = world.SimNetwork(sender)
         hosts = list(core.machines.values())
         for place, (method, path, base, document) in enumerate(OPERATOR_CALLS):
             body = b"" if document is None else json.dumps(document).encode()
@@ -492,7 +492,7 @@
 
     def run(transcript):
         stage = SimFleet(LICENSING, seed).start()
-        cores, wire = stage.registries, world.SimWire(stage.operators[0])
+        cores, wire = stage.registries, world.SimNetwork(stage.operators[0])
         for seat in "ab":
             cores[seat].kill()
             cores[seat].disk.wipe()
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -71,19 +71,19 @@
                 self.watch(host)
 
     def watch(self, host):
-        tell = host.node.ports.wire.tell
+        send = host.node.ports.network.send
 
-        class Wire:
-            open = host.node.ports.wire.open
-            renew = host.node.ports.wire.renew
+        class Network:
+            open = host.node.ports.network.open
+            renew = host.node.ports.network.renew
 
             @staticmethod
-            def tell(address, message):
+            def send(address, message):
                 if kind_of(message) == "accepted" and message["is_yes"]:
                     self.note(host)
-                tell(address, message)
+                send(address, message)
 
-        host.node.ports.wire = Wire
+        host.node.ports.network = Network
 
     def note(self, host):
         record = host.disk.synced.get("cell/plan")
@@ -267,13 +267,13 @@
 def test_a_promise_names_the_ballot_alone_where_the_proposer_holds_its_value():
     core = started()
     assert is_taken(put(core, 1))
-    told, hear = [], core.machines["core-2"].node.hearers["promise"]
+    told, hear = [], core.machines["core-2"].node.map_handlers["promise"]
 
     def keep(message):
         told.append(message)
         hear(message)
 
-    core.machines["core-2"].node.hearers["promise"] = keep
+    core.machines["core-2"].node.map_handlers["promise"] = keep
     assert is_taken(put(core, 2, "core-2"))
     assert core.read("core-2")[1]["document"] == "text 2"
     of_plan = [message for message in told if message.get("accepted")]
@@ -294,7 +294,7 @@
     core = started()
     host = core.machines["core-2"]
     digest = digest_of("x")
-    host.node.hear(Blobs(sender="core-1", reply_to="10.0.0.1:7000", blobs={digest: packed}))
+    host.node.dispatch(Blobs(sender="core-1", reply_to="10.0.0.1:7000", blobs={digest: packed}))
     assert digest not in host.node.blobs.held
     assert len(events(core, 1304)) == 1
     with pytest.raises(BlobMismatchError):
@@ -376,14 +376,14 @@
 
 def bodies_heard(router):
     """Counts the answers that bring a body, whole or as changes: (seat's name, mark)."""
-    heard, hear = [], router.node.hearers["news"]
+    heard, hear = [], router.node.map_handlers["news"]
 
     def count(message):
         if "body" in message or "changes" in message:
             heard.append((message["name"], message["mark"]))
         hear(message)
 
-    router.node.hearers["news"] = count
+    router.node.map_handlers["news"] = count
     return heard
 
 
@@ -458,7 +458,7 @@
     router = with_router(core)
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
-    source, hear, spoiled = source_of(router), router.node.hearers["news"], []
+    source, hear, spoiled = source_of(router), router.node.map_handlers["news"], []
     router.node.watcher.takes_changes = spoiled_part != "body"
     core.world.run_for(SECOND)
 
@@ -470,7 +470,7 @@
                 message[part] = pack_blob("another text")
         hear(message)
 
-    router.node.hearers["news"] = spoil
+    router.node.map_handlers["news"] = spoil
     assert is_taken(put(core, 2))
     assert core.world.wait_for(lambda: weight_at(router) == 2.0, 400 * MS, 1 * MS)
     assert spoiled and len(events(core, 1304)) == len(spoiled)
@@ -493,13 +493,13 @@
     core = started()
     router = with_router(core)
     assert is_taken(put(core, 1))
-    told, hear = [], router.node.hearers["news"]
+    told, hear = [], router.node.map_handlers["news"]
 
     def keep(message):
         told.append(message)
         hear(message)
 
-    router.node.hearers["news"] = keep
+    router.node.map_handlers["news"] = keep
     core.world.run_for(2 * SECOND)
     assert told[3:] and not any({"body", "plan", "digest"} & set(one) for one in told[3:])
     assert "text 1" not in json.dumps(told)
@@ -540,11 +540,11 @@
         """Hears what the seat answers."""
 
         @staticmethod
-        def tell(address, message):
+        def send(address, message):
             told.append(message)
 
     seat = core.machines["core-1"].node
-    seat.ports.wire = Earlier
+    seat.ports.network = Earlier
     ask = {"say": "ask", "name": "old", "back": "10.5.0.9:7000", "id": "1", "mark": 0}
     facts = {"known": {}, "credit": {}, "usage": {}, "extra": [0, 0], "evidence": [], "fences": {}}
     seat.watch_server.on_ask.clear()
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -378,7 +378,7 @@
     def take_close(self, has_begun, is_eof):
         if not self.is_over:
             self.close()
-            self.hearer.on_end() if self.is_answered else self.hearer.on_error(has_begun)
+            self.handler.on_end() if self.is_answered else self.handler.on_error(has_begun)
 
     monkeypatch.setattr(pool.Exchange, "take_close", take_close)
 
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -231,14 +231,14 @@
     core = core_with_plan(seats)
     others = [name for name in core.machines if name != "core-1"]
     proposer = core.machines["core-1"].node.proposer
-    take = proposer.node.hearers["promise"]
+    take = proposer.node.map_handlers["promise"]
 
     def cut_after(message):
         take(message)
         if any(change.has_sent_accept for change in proposer.changes.values()):
             core.world.cut(["core-1"], others, how=RESET)
 
-    proposer.node.hearers["promise"] = cut_after
+    proposer.node.map_handlers["promise"] = cut_after
     told = call(core, "core-1", "PUT", "/v1/plan", PUT)
     assert (told.status, told.document["code"]) == (504, "put_unknown")
     assert told.document["done"] == "unknown" and told.headers_out["retry-after"] == "1"
--- a/tests/test_control_races.py
+++ b/tests/test_control_races.py
@@ -71,7 +71,7 @@
     core.world.run_for(2 * SECOND)
     operators = Operators(core, core.world.dice)
     first = core.machines["core-1"]
-    hear = first.node.hearers["promise"]
+    hear = first.node.map_handlers["promise"]
 
     def cut_before_the_accept(message):
         core.world.cut(["core-1"], ["core-3", "core-4", "core-5"])
@@ -83,7 +83,7 @@
             return cut_before_the_accept(message)
         hear(message)
 
-    first.node.hearers["promise"] = cut_at_the_third_promise
+    first.node.map_handlers["promise"] = cut_at_the_third_promise
     operators.put("core-1", Order(0, 5, "left behind", PLAN))
     core.world.run_for(8_000)
     held = [
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -76,7 +76,7 @@
     def __init__(self, bad):
         self.bad = bad
 
-    def decode(self, runner, request, handle, hearer):
+    def decode(self, runner, request, handle, handler):
         if self.bad == "sending":
             raise KeyError("sending")
 
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -118,14 +118,14 @@
     core = make_core()
     lone, others = core.machines["core-1"], ["core-2", "core-3"]
     told = core.put(0, 5, "text", PLAN, "core-1", wait=False)
-    hear = lone.node.hearers["promise"]
+    hear = lone.node.map_handlers["promise"]
 
     def cut_after(message):
         hear(message)
         if message["seat"] != "a":
             core.world.cut(["core-1"], others)
 
-    lone.node.hearers["promise"] = cut_after
+    lone.node.map_handlers["promise"] = cut_after
     core.world.wait_for(lambda: told, 5 * SECOND)
     assert code(told) == "put_unknown"
     core.world.heal()
@@ -389,11 +389,11 @@
 
 def without_answers(host, say):
     """The node hears none of these any more, until the returned function is called."""
-    hear = host.node.hearers[say]
-    host.node.hearers[say] = lambda message: None
+    hear = host.node.map_handlers[say]
+    host.node.map_handlers[say] = lambda message: None
 
     def mend():
-        host.node.hearers[say] = hear
+        host.node.map_handlers[say] = hear
 
     return mend
 
@@ -433,8 +433,8 @@
 
 
 def drop(host, say, is_dropped):
-    hear = host.node.hearers[say]
-    host.node.hearers[say] = lambda message: None if is_dropped(message) else hear(message)
+    hear = host.node.map_handlers[say]
+    host.node.map_handlers[say] = lambda message: None if is_dropped(message) else hear(message)
 
 
 def test_no_order_is_refused_for_a_value_that_may_yet_lose_to_it():
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -59,7 +59,7 @@
     """A vote leaves before what it promises is on the disk."""
 
     def hasty(self, message, say, key, cell, **facts):
-        self.node.tell(
+        self.node.send_untyped(
             message["back"],
             say,
             id=message["id"],
@@ -70,7 +70,7 @@
             known=self.known_of_all(),
             **facts,
         )
-        self.node.ports.disk.write({f"cell/{key}": cell.as_record()}, lambda is_kept: None)
+        self.node.ports.storage.write({f"cell/{key}": cell.as_record()}, lambda is_kept: None)
 
     monkeypatch.setattr(Replica, "_keep", hasty)
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -59,7 +59,7 @@
             on_late=[],
             bounds=Bounds(),
             ports=SimpleNamespace(
-                dice=random.Random(name),
+                random=random.Random(name),
                 log=lambda number, **facts: self.events.append((number, facts["fence"])),
             ),
         )
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -80,8 +80,8 @@
     def __init__(self):
         super().__init__(lines=[], events=[])
         self.clock = SimpleNamespace(now_us=lambda: 0)
-        self.wire = SimpleNamespace(
-            tell=lambda address, message: self.lines.append((address, write_line(message)))
+        self.network = SimpleNamespace(
+            send=lambda address, message: self.lines.append((address, write_line(message)))
         )
         self.log = lambda number, **facts: self.events.append((number, facts))
 
@@ -90,16 +90,16 @@
     return Node("router-1", "10.0.0.1:7000", Ports())
 
 
-def hear_line(node, line):
+def dispatch_line(node, line):
     message = node.read_line(line)
     if message is not None:
-        node.hear(message)
+        node.dispatch(message)
 
 
 def test_a_typed_message_stands_on_the_wire_as_a_map_of_before_did():
     typed, mapped = make_node(), make_node()
     typed.send("10.0.0.2:7000", Load("r-1", 3, 0.25, [1, 2]))
-    mapped.tell("10.0.0.2:7000", "load", runner="r-1", waiting=3, share=0.25, parts=[1, 2])
+    mapped.send_untyped("10.0.0.2:7000", "load", runner="r-1", waiting=3, share=0.25, parts=[1, 2])
     [(typed_address, typed_line)], [(address, line)] = typed.ports.lines, mapped.ports.lines
     assert typed_address == address
     assert json.loads(typed_line) == json.loads(line)
@@ -108,19 +108,19 @@
 
 def test_a_typed_message_is_heard_by_the_handler_of_its_type_with_its_envelope():
     node, heard, speakers = make_node(), [], []
-    node.on_message(Load, heard.append)
-    node.on_hear.append(speakers.append)
-    hear_line(node, load_line())
+    node.register_handler(Load, heard.append)
+    node.sender_listeners.append(speakers.append)
+    dispatch_line(node, load_line())
     assert heard == [Load("r-1", 3, sender="router-1", reply_to="10.0.0.1:7000")]
     assert speakers == ["router-1"] and node.ports.events == []
 
 
 def test_typed_and_mapped_kinds_are_heard_beside_each_other():
     node, heard = make_node(), []
-    node.on_message(Load, lambda message: heard.append(message.waiting))
-    node.hearers["plain"] = lambda message: heard.append(message["number"])
-    hear_line(node, load_line())
-    hear_line(node, write_json({"say": "plain", "number": 7, **ENVELOPE}))
+    node.register_handler(Load, lambda message: heard.append(message.waiting))
+    node.map_handlers["plain"] = lambda message: heard.append(message["number"])
+    dispatch_line(node, load_line())
+    dispatch_line(node, write_json({"say": "plain", "number": 7, **ENVELOPE}))
     assert heard == [3, 7] and node.ports.events == []
 
 
@@ -137,7 +137,7 @@
 
 def test_a_kind_of_a_newer_version_is_passed_over_in_silence():
     node = make_node()
-    hear_line(node, write_json({"say": "of_tomorrow", "fact": 1, **ENVELOPE}))
+    dispatch_line(node, write_json({"say": "of_tomorrow", "fact": 1, **ENVELOPE}))
     assert node.ports.events == []
 
 
@@ -165,12 +165,12 @@
 )
 def test_a_line_that_fits_no_type_is_refused_with_its_number_and_the_next_is_heard(line):
     node, heard = make_node(), []
-    node.on_message(Load, heard.append)
-    hear_line(node, line)
+    node.register_handler(Load, heard.append)
+    dispatch_line(node, line)
     assert heard == []
     [(number, facts)] = node.ports.events
     assert number == 1006 and facts["code"] == "message_malformed" and facts["why"]
-    hear_line(node, load_line())
+    dispatch_line(node, load_line())
     assert [message.waiting for message in heard] == [3]
 
 
@@ -182,9 +182,9 @@
         heard.append(message.waiting)
         raise fault
 
-    node.on_message(Load, handle)
-    hear_line(node, load_line())
-    hear_line(node, load_line(waiting=4))
+    node.register_handler(Load, handle)
+    dispatch_line(node, load_line())
+    dispatch_line(node, load_line(waiting=4))
     assert heard == [3, 4] and [number for number, _ in node.ports.events] == [1005, 1005]
 
 
@@ -194,7 +194,7 @@
     class Receiver(Node):
         def __init__(self, host, ports):
             super().__init__(host.name, host.address, ports)
-            self.on_message(Load, heard.append)
+            self.register_handler(Load, heard.append)
 
     hosts = [
         Host(world, name, "north", f"10.0.0.{place}:7000", Receiver)
@@ -233,10 +233,10 @@
 def read_or_refuse(line):
     """The outcome of a line at a node: what was heard and which events were logged."""
     node, heard = make_node(), []
-    node.on_message(Load, heard.append)
-    node.hearers["other"] = heard.append
+    node.register_handler(Load, heard.append)
+    node.map_handlers["other"] = heard.append
     try:
-        hear_line(node, line)
+        dispatch_line(node, line)
     except ServiceError as error:
         assert error.code == "bad_request" and not heard
     return heard, [number for number, _ in node.ports.events]
@@ -418,8 +418,8 @@
         QuorumContactRequest,
         QuorumContactResponse,
     ):
-        node.on_message(message_type, heard.append)
-    hear_line(node, write_json({**line, **ENVELOPE}))
+        node.register_handler(message_type, heard.append)
+    dispatch_line(node, write_json({**line, **ENVELOPE}))
     assert len(heard) == is_fit
     assert [number for number, _ in node.ports.events] == ([] if is_fit else [1006])
     if is_fit and line["say"] == "image":
@@ -478,7 +478,7 @@
 def test_a_members_record_may_be_longer_and_is_else_checked_whole(record, is_fit):
     node, ring = make_member()
     envelope = {"name": "router-2", "back": "10.0.0.2:7000"}
-    hear_line(node, write_json({"say": "beat", "fellow": record, **envelope}))
+    dispatch_line(node, write_json({"say": "beat", "fellow": record, **envelope}))
     assert ("router-2" in ring.peers) is is_fit
     assert [number for number, _ in node.ports.events] == ([1101] if is_fit else [1006])
 
@@ -490,7 +490,7 @@
     node, ring = make_member()
     envelope = {"name": "router-2", "back": "10.0.0.2:7000"}
     for _ in range(3):
-        hear_line(node, write_json({"say": "hello", "fellow": RECORD, **told, **envelope}))
+        dispatch_line(node, write_json({"say": "hello", "fellow": RECORD, **told, **envelope}))
     assert ring.peers["router-2"].version == told.get("version", 0)
     logged = [facts for number, facts in node.ports.events if number == 1103]
     assert logged == (
@@ -524,8 +524,8 @@
 def test_what_a_router_is_told_is_checked_at_the_edge(line, is_fit):
     node, heard = make_node(), []
     for message_type in (QueueViews, RunnerShunned, LinkSample, WantExplanation, Explanation):
-        node.on_message(message_type, heard.append)
-    hear_line(node, write_json({**line, **ENVELOPE}))
+        node.register_handler(message_type, heard.append)
+    dispatch_line(node, write_json({**line, **ENVELOPE}))
     assert len(heard) == is_fit
     assert [number for number, _ in node.ports.events] == ([] if is_fit else [1006])
 
--- a/tests/test_plain_requests.py
+++ b/tests/test_plain_requests.py
@@ -45,7 +45,7 @@
     def __init__(self):
         self.sent = []
 
-    def decode(self, runner, request, handle, hearer):
+    def decode(self, runner, request, handle, handler):
         self.sent.append((runner.name, handle))
 
 
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -68,7 +68,7 @@
 
 def listen(router, spoil=lambda message: None):
     """The bytes of each answer that brings a plan: (part, bytes)."""
-    heard, hear = [], router.node.hearers["news"]
+    heard, hear = [], router.node.map_handlers["news"]
 
     def count(message):
         spoil(message)
@@ -77,7 +77,7 @@
                 heard.append((part, len(message[part])))
         hear(message)
 
-    router.node.hearers["news"] = count
+    router.node.map_handlers["news"] = count
     return heard
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -291,48 +291,48 @@
 
 
 def stream(written=0):
-    hearer = ResponseHandler()
+    handler = ResponseHandler()
     request = SimpleNamespace(written=written, attempt="a/1", outside_id="r-1")
-    part = Stream(request, hearer, False, "i-1")
-    part.outing = SimpleNamespace(close=lambda: hearer.heard.append(("closed",)))
-    return part, hearer
+    part = Stream(request, handler, False, "i-1")
+    part.outing = SimpleNamespace(close=lambda: handler.heard.append(("closed",)))
+    return part, handler
 
 
 def test_an_answer_for_another_request_reaches_nobody():
-    part, hearer = stream()
+    part, handler = stream()
     part.on_head(200, {**EVENTS, names.REQUEST_ID: "r-2"})
     part.on_data(b"id: 1\ndata: x\n\n")
     part.on_end()
-    assert ("runner_lost", "unknown", True) in hearer.heard
-    assert not [one for one in hearer.heard if one[0] in ("begin", "piece", "done", "answer")]
+    assert ("runner_lost", "unknown", True) in handler.heard
+    assert not [one for one in handler.heard if one[0] in ("begin", "piece", "done", "answer")]
 
 
 @pytest.mark.parametrize("status, more", [(200, EVENTS), (503, {names.NOT_RUN: "1"}), (421, {})])
 @pytest.mark.parametrize("told", [None, "r-2"])
 def test_an_answer_without_its_requests_id_reaches_nobody(status, more, told):
-    part, hearer = stream()
+    part, handler = stream()
     headers = {name: value for name, value in more.items() if name != names.REQUEST_ID}
     part.on_head(status, headers if told is None else {**headers, names.REQUEST_ID: told})
     part.on_data(b"id: 1\ndata: x\n\n")
     part.on_end()
-    assert hearer.heard == [("closed",), ("runner_lost", "unknown", True)]
+    assert handler.heard == [("closed",), ("runner_lost", "unknown", True)]
 
 
 @pytest.mark.parametrize("more", [EVENTS, {names.REQUEST_ID: "r-1"}])
 def test_a_success_without_a_seal_reaches_nobody(more):
-    part, hearer = stream()
+    part, handler = stream()
     part.on_head(200, {name: value for name, value in more.items() if name != names.SEAL})
     part.on_data(b"id: 1\ndata: x\n\n")
     part.on_end()
-    assert hearer.heard == [("closed",), ("runner_lost", "unknown", True)]
+    assert handler.heard == [("closed",), ("runner_lost", "unknown", True)]
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
 def test_a_promise_that_the_runner_did_not_give_is_not_passed_on(status):
-    part, hearer = stream()
+    part, handler = stream()
     part.on_head(status, {names.REQUEST_ID: "r-1", names.SEAL: "s"})
     part.on_end()
-    assert hearer.heard == [("closed",), ("runner_lost", "unknown", True)]
+    assert handler.heard == [("closed",), ("runner_lost", "unknown", True)]
 
 
 class ReadWire:
@@ -341,17 +341,17 @@
     def __init__(self, status, headers, body):
         self.told = status, headers, body
 
-    def open(self, address, method, path, fields, body, hearer, **more):
+    def open(self, address, method, path, fields, body, handler, **more):
         status, headers, data = self.told
-        hearer.on_head(status, headers)
-        hearer.on_data(data)
-        hearer.on_end()
+        handler.on_head(status, headers)
+        handler.on_data(data)
+        handler.on_end()
         return SimpleNamespace(close=lambda: None)
 
 
 def node_over(wire):
     return SimpleNamespace(
-        ports=SimpleNamespace(wire=wire),
+        ports=SimpleNamespace(network=wire),
         now_us=lambda: 0,
         connections_at_most=lambda runner: None,
     )
@@ -374,13 +374,13 @@
     )
 
 
-class BusyWire:
+class BusyNetwork:
     """A wire to a runner to which all connections are busy."""
 
     def __init__(self):
         self.kept = []
 
-    def open(self, address, method, path, fields, body, hearer, keep, **more):
+    def open(self, address, method, path, fields, body, handler, keep, **more):
         self.kept.append(keep)
 
     def soon(self, deed):
@@ -389,7 +389,7 @@
 
 @pytest.mark.parametrize("place", ["nowhere", "failed", "read"])
 def test_what_comes_back_to_a_runner_goes_over_a_fresh_connection(place):
-    wire, runner = BusyWire(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
+    wire, runner = BusyNetwork(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
     request = request_to_send(
         failed=["i-1"] if place == "failed" else ["i-2"],
         handle=("h", runner) if place == "read" else None,
@@ -399,9 +399,9 @@
 
 
 def test_a_call_for_which_no_connection_was_free_was_not_sent_and_says_nothing_of_the_runner():
-    hearer, runner = ResponseHandler(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
-    PlatformRunners(node_over(BusyWire())).decode(runner, request_to_send(), None, hearer)
-    assert hearer.heard == [("connections_taken", "no", True)]
+    handler, runner = ResponseHandler(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
+    PlatformRunners(node_over(BusyNetwork())).decode(runner, request_to_send(), None, handler)
+    assert handler.heard == [("connections_taken", "no", True)]
 
 
 def test_a_runner_that_never_answers_to_freed_memory_keeps_no_connection():
@@ -449,20 +449,20 @@
 
 
 def test_a_stream_that_ends_within_an_event_does_not_look_complete():
-    part, hearer = stream()
+    part, handler = stream()
     part.on_head(200, EVENTS)
     part.on_data(b"id: 1\ndata: x\n\nid: 2\nda")
     part.on_end()
-    assert [one[0] for one in hearer.heard] == ["begin", "piece", "closed", "runner_lost"]
+    assert [one[0] for one in handler.heard] == ["begin", "piece", "closed", "runner_lost"]
 
 
 def test_a_failure_of_the_runner_is_the_callers_answer_and_a_refusal_is_not():
-    part, hearer = stream()
+    part, handler = stream()
     part.on_head(500, {names.REQUEST_ID: "r-1"})
     part.on_data(b"broken")
     part.on_end()
-    assert hearer.heard == [("answer", 500, b"broken")]
-    part, hearer = stream()
+    assert handler.heard == [("answer", 500, b"broken")]
+    part, handler = stream()
     part.on_head(503, {names.REQUEST_ID: "r-1", names.NOT_RUN: "1"})
     part.on_end()
-    assert ("runner_full", "no", True) in hearer.heard
+    assert ("runner_full", "no", True) in handler.heard
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -66,7 +66,7 @@
     others = [fleet.registries[seat] for seat in "bc"]
     proposer = lone.node.proposer
     told = []
-    hear = proposer.node.hearers["promise"]
+    hear = proposer.node.map_handlers["promise"]
 
     def cut_before_accepts(message):
         change = proposer.changes.get(message["id"])
@@ -75,7 +75,7 @@
                 world.cuts.add((lone.name, other.name))
         hear(message)
 
-    proposer.node.hearers["promise"] = cut_before_accepts
+    proposer.node.map_handlers["promise"] = cut_before_accepts
     fleet.put_plan(fleet.plan, 1, "a", 0, lambda status, document: told.append((status, document)))
     assert world.wait_for(lambda: told, 5 * SECOND, 10_000)
     status, document = told[0]
--- a/tests/test_renewed_lines.py
+++ b/tests/test_renewed_lines.py
@@ -14,33 +14,33 @@
 HOME = "10.0.0.2:7000"
 
 
-class Wire:
+class Network:
     def __init__(self):
         self.renewed = []
 
     def renew(self, address):
         self.renewed.append(address)
 
-    def tell(self, address, message):
+    def send(self, address, message):
         pass
 
 
 def ring():
-    wire = Wire()
-    ports = SimpleNamespace(wire=wire, log=lambda *told, **facts: None)
+    network = Network()
+    ports = SimpleNamespace(network=network, log=lambda *told, **facts: None)
     node = SimpleNamespace(
         name="core-1",
         address="10.0.0.1:7000",
         ports=ports,
-        on_message=lambda message_type, handler: None,
+        register_handler=lambda message_type, handler: None,
         systems=[],
         on_late=[],
-        on_hear=[],
+        sender_listeners=[],
         now_us=lambda: 5,
         send=lambda address, message: None,
         bounds=SimpleNamespace(beat_us=1, missed_us=1),
     )
-    return Membership(node, "core", "north", [], 1), wire
+    return Membership(node, "core", "north", [], 1), network
 
 
 def told(ring, incarnation, address=HOME):
@@ -54,12 +54,12 @@
 def test_a_new_start_at_the_same_address_has_its_connection_renewed_once(
     incarnation, address, renewed
 ):
-    members, wire = ring()
+    members, network = ring()
     told(members, 1)
-    assert wire.renewed == []
+    assert network.renewed == []
     told(members, incarnation, address)
     told(members, incarnation, address)
-    assert wire.renewed == renewed
+    assert network.renewed == renewed
 
 
 class Node(BaseNode):
@@ -70,7 +70,7 @@
     def tick(self):
         pass
 
-    def hear(self, message):
+    def dispatch(self, message):
         self.heard.append(message)
 
 
@@ -151,34 +151,34 @@
 
 def test_the_next_line_after_a_renewal_goes_over_a_new_connection(bench):
     here = bench()
-    here.outlet.tell(here.address, {"say": "one"})
+    here.outlet.send(here.address, {"say": "one"})
     assert b"one" in here.read(here.accept())
     here.outlet.renew(here.address)
-    here.outlet.tell(here.address, {"say": "two"})
+    here.outlet.send(here.address, {"say": "two"})
     assert b"two" in here.read(here.accept())
 
 
 def test_a_connection_that_hangs_is_made_anew_once_when_its_node_speaks(bench):
     here = bench(backlog=0)
     here.fill()
-    here.outlet.tell(here.address, {"say": "waits"})
+    here.outlet.send(here.address, {"say": "waits"})
     hanging = here.outlet.fellows[here.address].plug
-    here.outlet.hear_from(here.address)
+    here.outlet.mark_alive(here.address)
     assert here.outlet.fellows[here.address].plug is hanging
     here.run_for(2 * HANGING_US)
     assert not hanging.is_open
-    here.outlet.hear_from(here.address)
+    here.outlet.mark_alive(here.address)
     again = here.outlet.fellows[here.address].plug
     assert again is not hanging and hanging.is_over
     assert list(again.out) == [b'{"say":"waits"}\n']
     here.run_for(2 * HANGING_US)
-    here.outlet.hear_from(here.address)
+    here.outlet.mark_alive(here.address)
     assert here.outlet.fellows[here.address].plug is again
 
 
 def test_an_open_connection_stays_when_its_node_speaks(bench):
     here = bench()
-    here.outlet.tell(here.address, {"say": "one"})
+    here.outlet.send(here.address, {"say": "one"})
     here.read(here.accept())
     plug = here.outlet.fellows[here.address].plug
     here.run_for(2 * HANGING_US)
--- a/tests/test_ring_standing.py
+++ b/tests/test_ring_standing.py
@@ -48,19 +48,19 @@
 
         dice = SimpleNamespace(randrange=lambda most: 0)
         ports = SimpleNamespace(
-            wire=SimpleNamespace(renew=lambda address: None),
+            network=SimpleNamespace(renew=lambda address: None),
             log=lambda *told, **facts: None,
-            dice=dice,
+            random=dice,
         )
         node = SimpleNamespace(
             name=name,
             address=name,
             ports=ports,
             handlers=handlers,
-            on_message=handlers.__setitem__,
+            register_handler=handlers.__setitem__,
             systems=[],
             on_late=[],
-            on_hear=[],
+            sender_listeners=[],
             now_us=lambda: self.now_us,
             send=send,
             bounds=SimpleNamespace(beat_us=250_000, missed_us=1_000_000),
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -298,7 +298,7 @@
     core = started(11)
     acked(core, 0, 3)
     seat = core.machines["core-2"].node.seat
-    core.machines["core-2"].node.hear(
+    core.machines["core-2"].node.dispatch(
         {
             "say": say,
             "id": "x/1",
--- a/tests/test_vacant_roles.py
+++ b/tests/test_vacant_roles.py
@@ -393,7 +393,7 @@
     """Sabotage: the runners take no order, so the decoding side stays empty."""
     one = fleet(41)
     for host in one.runners.values():
-        host.node.paths[("POST", "/v1/phase")] = lambda call: call.answer_json(200, {})
+        host.node.routes[("POST", "/v1/phase")] = lambda call: call.answer_json(200, {})
     lose(one, playing(one, DECODE), "departure")
     one.world.run_for(12 * SECOND)
     assert len(violations(one)) == 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -31,7 +31,7 @@
         super().__init__("bench", "127.0.0.1:1", ports)
         self.heard = []
         self.fault = None
-        self.hearers["count"] = self.note
+        self.map_handlers["count"] = self.note
         self.on_drained = None
 
     def tick(self):
@@ -134,7 +134,7 @@
         self.body = b""
         self.is_whole = False
         self.errors = []
-        self.hearer = ResponseHandler(self._head, self._data, self._end, self.errors.append)
+        self.handler = ResponseHandler(self._head, self._data, self._end, self.errors.append)
 
     def _head(self, status, headers):
         self.status, self.headers = status, headers
@@ -200,7 +200,7 @@
     def call(self, **more):
         heard = Heard()
         assert (
-            self.bench.outlet.open(self.address, "GET", "/x", {}, b"", heard.hearer, **more)
+            self.bench.outlet.open(self.address, "GET", "/x", {}, b"", heard.handler, **more)
             is not None
         )
         self.until(heard.is_over)
@@ -581,7 +581,7 @@
     door = bench.door()
     sock = bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
     call = bench.calls_at_least(1)
-    call.on_gone = lambda: bench.gone.append(call)
+    call.on_client_disconnect = lambda: bench.gone.append(call)
     sock.shutdown(socket.SHUT_WR) if half else sock.close()
     bench.until(lambda: bench.gone and not door.connections)
     call.answer(200, {}, b"too late")
@@ -594,7 +594,7 @@
     sock = bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
     call = bench.calls_at_least(1)
     rooms = []
-    call.on_room = lambda: rooms.append(True)
+    call.on_writable = lambda: rooms.append(True)
     call.begin(200, {})
     written = 0
     while call.write(b"x" * 30_000):
@@ -753,12 +753,12 @@
     runner = Runner(bench, *[whole()] * 5)
     first, second = Heard(), Heard()
     for heard in (first, second):
-        bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.hearer, keep=True)
+        bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
     runner.until(lambda: first.is_over() and second.is_over())
     assert first.body == second.body == b"ok" and bench.outlet.count(runner.address) == 2
     newest = bench.outlet.pools[runner.address].idle[-1]
     third = Heard()
-    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", third.hearer, keep=True)
+    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", third.handler, keep=True)
     assert exchange.is_reused and exchange.connection is newest
     runner.until(third.is_over)
     assert third.is_whole and bench.outlet.opened == 2
@@ -768,14 +768,14 @@
 def test_most_bounds_busy_and_idle_connections(bench):
     runner = Runner(bench, whole(), whole())
     one, two = Heard(), Heard()
-    assert bench.outlet.open(runner.address, "GET", "/x", {}, b"", one.hearer, keep=True, most=1)
+    assert bench.outlet.open(runner.address, "GET", "/x", {}, b"", one.handler, keep=True, most=1)
     assert (
-        bench.outlet.open(runner.address, "GET", "/x", {}, b"", two.hearer, keep=True, most=1)
+        bench.outlet.open(runner.address, "GET", "/x", {}, b"", two.handler, keep=True, most=1)
         is None
     )
     runner.until(one.is_over)
     assert bench.outlet.open(
-        runner.address, "GET", "/x", {}, b"", two.hearer, keep=True, most=1
+        runner.address, "GET", "/x", {}, b"", two.handler, keep=True, most=1
     ).is_reused
     runner.until(two.is_over)
     assert bench.outlet.opened == 1 and not one.errors and not two.errors
@@ -792,7 +792,7 @@
         ("Content-Length", "9"),
     ]
     bench.outlet.open(
-        runner.address, "POST", "/a%2f?b", fields, b"", heard.hearer, keep=True, host="new.example"
+        runner.address, "POST", "/a%2f?b", fields, b"", heard.handler, keep=True, host="new.example"
     )
     runner.until(heard.is_over)
     assert runner.got == [
@@ -813,7 +813,7 @@
 def test_a_request_that_would_look_like_two_is_not_sent(bench, path, headers):
     runner = Runner(bench)
     with pytest.raises(ValueError):
-        bench.outlet.open(runner.address, "GET", path, headers, b"", Heard().hearer, keep=True)
+        bench.outlet.open(runner.address, "GET", path, headers, b"", Heard().handler, keep=True)
     assert not bench.outlet.count(runner.address)
 
 
@@ -852,7 +852,7 @@
     runner.call(keep=True)
     runner.connections[0][0].sendall(sign) if sign else runner.connections[0][0].close()
     heard = Heard()
-    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.hearer, keep=True)
+    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
     assert not exchange.is_reused
     runner.until(heard.is_over)
     assert heard.body == b"next" and not heard.errors and len(runner.got) == 2
@@ -862,7 +862,7 @@
     runner = Runner(bench, whole(), whole(b"next"))
     runner.call(keep=True)
     heard = Heard()
-    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.hearer, keep=True)
+    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
     assert exchange.is_reused
     exchange.connection.plug.on_data(whole(b"surplus"))
     runner.until(heard.is_over)
@@ -875,7 +875,7 @@
     runner.call(keep=True)
     heard = Heard()
     exchange = bench.outlet.open(
-        runner.address, "GET", "/x", {}, b"", heard.hearer, keep=True, most=1
+        runner.address, "GET", "/x", {}, b"", heard.handler, keep=True, most=1
     )
     assert exchange.is_reused
     exchange.connection.plug.fail()
@@ -909,7 +909,7 @@
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     heard = Heard()
-    assert bench.outlet.open(f"127.0.0.1:{port}", "GET", "/x", {}, b"", heard.hearer, keep=True)
+    assert bench.outlet.open(f"127.0.0.1:{port}", "GET", "/x", {}, b"", heard.handler, keep=True)
     bench.until(heard.is_over)
     assert heard.errors == [False] and not bench.outlet.count(f"127.0.0.1:{port}")
 
@@ -925,7 +925,7 @@
         sock.connect_ex(listener.getsockname())
         bench.socks.append(sock)
     heard = Heard()
-    bench.outlet.open(address, "GET", "/x", {}, b"", heard.hearer, keep=True)
+    bench.outlet.open(address, "GET", "/x", {}, b"", heard.handler, keep=True)
     bench.until(heard.is_over)
     assert heard.errors == [False]
 
@@ -936,7 +936,7 @@
     heard = runner.call(keep=True)
     assert heard.is_whole and heard.body == b"body"
     cut = Heard()
-    bench.outlet.open(runner.address, "GET", "/x", {}, b"", cut.hearer, keep=True)
+    bench.outlet.open(runner.address, "GET", "/x", {}, b"", cut.handler, keep=True)
     runner.until(lambda: cut.body)
     sock = runner.connections[-1][0]
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
@@ -956,7 +956,7 @@
 def test_closing_an_exchange_closes_its_connection(bench):
     runner = Runner(bench, b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n123")
     heard = Heard()
-    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.hearer, keep=True)
+    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
     runner.until(lambda: heard.body)
     exchange.close()
     exchange.hold()
@@ -969,7 +969,7 @@
 def test_a_held_exchange_reads_on_when_released(bench):
     runner = Runner(bench, b"HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\n123")
     heard = Heard()
-    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.hearer, keep=True)
+    exchange = bench.outlet.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
     runner.until(lambda: heard.body)
     exchange.hold()
     runner.connections[0][0].sendall(b"456")
@@ -1031,7 +1031,7 @@
 
 def test_the_lines_of_one_turn_go_out_in_one_write(bench, monkeypatch):
     runner = Runner(bench)
-    bench.outlet.tell(runner.address, {"number": 0})
+    bench.outlet.send(runner.address, {"number": 0})
     runner.until(lambda: runner.connections and runner.connections[0][1])
     sizes = []
     plug = bench.outlet.fellows[runner.address].plug
@@ -1046,7 +1046,7 @@
 
     real, plug.sock = plug.sock, Counted()
     for number in range(1, 10):
-        bench.outlet.tell(runner.address, {"number": number})
+        bench.outlet.send(runner.address, {"number": number})
     runner.until(lambda: runner.connections[0][1].count(b"\n") == 10)
     assert len(sizes) == 1
     assert [json.loads(line)["number"] for line in runner.connections[0][1].splitlines()] == list(
