--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -64,19 +64,19 @@
 class BlobStore:
     """The bodies that this node holds, in memory and, where it is a seat, on its disk."""
 
-    __slots__ = ("node", "seat", "held", "synced", "writing", "wanted", "waiting")
+    __slots__ = ("node", "replica", "held", "synced", "writing", "wanted", "waiting")
 
-    def __init__(self, node, seat):
+    def __init__(self, node, replica):
         """Takes over the hearers of the messages that bring values: create it after the seat."""
         self.node = node
-        self.seat = seat
+        self.replica = replica
         self.held = OrderedDict()
         self.synced = set()
         self.writing = set()
         self.wanted = {}
         self.waiting = []
         self._load()
-        seat.on_retired.append(self._forget_disk)
+        replica.on_retired.append(self._forget_disk)
         self._guard("accept", self._values_of_accept)
         self._guard("rejoin_page", self._values_of_page)
         self._guard("holders_late", self._values_of_late)
@@ -170,7 +170,7 @@
                 del self.held[other]
 
     def _named_here(self):
-        return digests_of(self.seat.cell(KEY).value)
+        return digests_of(self.replica.register_state(KEY).value)
 
     # The disk
 
@@ -210,7 +210,7 @@
         self.node.map_handlers[say] = hear_when_held
 
     def _values_of_accept(self, message):
-        is_for_vote = message["key"] == KEY and self.seat.is_voting
+        is_for_vote = message["key"] == KEY and self.replica.is_voting
         return [message["value"]] if is_for_vote else []
 
     def _values_of_page(self, message):
@@ -249,7 +249,7 @@
     def send(self, texts):
         """Bodies made here, to every seat, ahead of the accept that names them."""
         blobs = {digest: self.held[digest] for digest in map(self.put, texts)}
-        for address, _ in self.seat.directory.seats().values():
+        for address, _ in self.replica.directory.replicas().values():
             if blobs and address != self.node.address:
                 self.node.send(address, Blobs(blobs=blobs))
 
@@ -271,7 +271,7 @@
             return wanted.hint
         others = [
             address
-            for address, _ in self.seat.directory.seats().values()
+            for address, _ in self.replica.directory.replicas().values()
             if address != self.node.address
         ]
         return others[wanted.tries % len(others)] if others else None
--- a/packages/configuration/src/linkhaven/configuration/store.py
+++ b/packages/configuration/src/linkhaven/configuration/store.py
@@ -279,7 +279,7 @@
             mark = taken.mark if taken is not None else value["mark"]
             done(None, {"mark": mark, "revision": order.revision})
 
-        self.proposer.change(KEY, step, end)
+        self.proposer.propose(KEY, step, end)
 
     def _ordered(self, value, order):
         """Return the step that sets the document that the order makes, its bodies on their way."""
@@ -400,7 +400,7 @@
             mark = taken.mark if taken is not None else value["mark"]
             call.answer_json(200, {"mark": mark, "put_id": put_id})
 
-        self.proposer.change(KEY, step, done)
+        self.proposer.propose(KEY, step, done)
 
     def _edited(self, value, edit, put_id, taken):
         """The step that sets what `edit` makes of the value, with its bodies on their way."""
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -59,7 +59,7 @@
 
     __slots__ = (
         "node",
-        "seat",
+        "replica",
         "proposer",
         "snapshot",
         "blobs",
@@ -74,9 +74,9 @@
         "changes",
     )
 
-    def __init__(self, node, seat, proposer, snapshot, blobs):
+    def __init__(self, node, replica, proposer, snapshot, blobs):
         self.node = node
-        self.seat = seat
+        self.replica = replica
         self.proposer = proposer
         self.snapshot = snapshot
         self.blobs = blobs
@@ -94,7 +94,7 @@
 
     def on_watch_request(self, message):
         now_us = self.polled_us = self.node.now_us()
-        self.seat.directory.learn_incarnations(message["known"])
+        self.replica.directory.learn_incarnations(message["known"])
         for hear in self.on_ask:
             hear(message)
         hold_us = message.get("hold_us", self.node.bounds.news_hold_us)
@@ -106,7 +106,7 @@
             self._answer(ask)
 
     def _value(self):
-        return self.seat.cell(KEY).value
+        return self.replica.register_state(KEY).value
 
     def held_version(self):
         value = self._value()
@@ -118,8 +118,8 @@
 
     def _is_newest_known(self):
         return (
-            self.seat.is_voting
-            and self.seat.is_known_chosen(KEY)
+            self.replica.is_voting
+            and self.replica.is_known_chosen(KEY)
             and self.snapshot.highest_version <= self.held_version()
             and self.blobs.has(self._value())
         )
@@ -155,11 +155,11 @@
         value = self._value()
         facts = {
             "id": ask.id,
-            "seat": self.seat.seat,
-            "incarnation": self.seat.incarnation,
+            "seat": self.replica.replica_id,
+            "incarnation": self.replica.incarnation,
             "is_current": is_current,
             "mark": self.held_version(),
-            "known": self.seat.known_of_all(),
+            "known": self.replica.all_incarnations(),
         }
         if is_current and value and value["mark"] > ask.mark:
             self._add_plan(ask, value, facts)
@@ -200,7 +200,7 @@
         return self.changes[key]
 
     def tick(self, now_us):
-        if not self._is_newest_known() and self.seat.is_voting:
+        if not self._is_newest_known() and self.replica.is_voting:
             self._read(now_us)
         for ask in list(self.polls.values()):
             if now_us >= ask.until_us or self._is_urgent(ask, now_us):
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -145,7 +145,7 @@
             "heard": self.lacking.mark if self.lacking is not None else self.snapshot.version,
             "wants_plan": wants_plan,
             "known": {
-                seat: incarnation for seat, (_, incarnation) in self.directory.seats().items()
+                seat: incarnation for seat, (_, incarnation) in self.directory.replicas().items()
             },
         }
         if wants_plan and self.held is not None and self.takes_changes:
@@ -178,7 +178,7 @@
     def tick(self, now_us):
         """Asks again where an answer is overdue, and elsewhere for a body that doesn't come."""
         is_pressed = self.is_pressed()
-        for seat, place in self.directory.seats().items():
+        for seat, place in self.directory.replicas().items():
             told = self.told.get(seat)
             if told is None or self._is_due(seat, told, place, is_pressed, now_us):
                 self._ask(seat, place, now_us)
@@ -196,7 +196,7 @@
         return is_pressed and self.pace.hold_us(seat, True, now_us) < told.hold_us
 
     def _chase(self, now_us):
-        lacking, seats = self.lacking, self.directory.seats()
+        lacking, seats = self.lacking, self.directory.replicas()
         if lacking is None or now_us < lacking.ask_us:
             return
         lacking.ask_us = now_us + self.node.bounds.body_wait_us
@@ -219,7 +219,7 @@
         now_us = self.node.now_us()
         told.quiet_us = now_us
         self.directory.learn_incarnations(message["known"])
-        known = self.directory.seats().get(message["seat"])
+        known = self.directory.replicas().get(message["seat"])
         is_newest = known is not None and known[1] <= message["incarnation"]
         if is_newest and message["is_current"]:
             self._on_current_configuration(message, told)
@@ -320,7 +320,7 @@
         self._confirm()
 
     def _confirm(self):
-        seats = self.directory.seats()
+        seats = self.directory.replicas()
         sent = sorted(
             (
                 told.confirmed_us
--- a/packages/consensus/src/linkhaven/consensus/holders.py
+++ b/packages/consensus/src/linkhaven/consensus/holders.py
@@ -21,7 +21,7 @@
 
     __slots__ = (
         "node",
-        "seat",
+        "replica",
         "round",
         "keys",
         "cursors",
@@ -30,10 +30,10 @@
         "on_stuck",
     )
 
-    def __init__(self, node, seat):
+    def __init__(self, node, replica):
         """`on_stuck(key)` is called for a value that only a higher ballot can write."""
         self.node = node
-        self.seat = seat
+        self.replica = replica
         self.round = 0
         self.keys = []
         self.cursors = {}
@@ -49,20 +49,24 @@
     def begin_round(self, is_final):
         """The final round looks only at what changed since the round before it began."""
         since = self.versions[1] if is_final else NEVER
-        self.versions = [since, self.seat.changes]
+        self.versions = [since, self.replica.change_count]
         self.round += 1
         self.keys = sorted(
             key
-            for key, cell in self.seat.cells.items()
-            if cell.version > since and cell.accepted is not None
+            for key, register_state in self.replica.states.items()
+            if register_state.version > since and register_state.accepted is not None
         )
-        self.cursors = {name: "" for name in self.seat.directory.seats() if name != self.seat.seat}
+        self.cursors = {
+            name: ""
+            for name in self.replica.directory.replicas()
+            if name != self.replica.replica_id
+        }
         self._send_all()
 
     def is_held_without_us(self):
         """A majority of all seats, this one not among them, holds all of this round."""
         ended = sum(cursor is None for cursor in self.cursors.values())
-        return ended >= self.seat.majority
+        return ended >= self.replica.majority
 
     def tick(self, now_us):
         """Send the open pages again: messages and their answers may be lost."""
@@ -80,35 +84,37 @@
         return self.keys[place : place + PAGE]
 
     def _send_page(self, name):
-        holder = self.seat.directory.seats().get(name)
+        holder = self.replica.directory.replicas().get(name)
         if holder is None:
             return
-        page = [key for key in self._page(self.cursors[name]) if key in self.seat.cells]
+        page = [key for key in self._page(self.cursors[name]) if key in self.replica.states]
         self.node.send_untyped(
             holder[0],
             "holders_page",
             round=self.round,
             after=self.cursors[name],
-            seat=self.seat.seat,
-            incarnation=self.seat.incarnation,
-            ballots={key: self.seat.cells[key].accepted for key in page},
+            seat=self.replica.replica_id,
+            incarnation=self.replica.incarnation,
+            ballots={key: self.replica.states[key].accepted for key in page},
         )
 
     def on_page(self, message):
         """Say which values this member lacks. Only a voting member counts as a holder."""
-        seat = self.seat
-        if not seat.is_voting or message["incarnation"] < seat.known.get(message["seat"], 0):
+        replica = self.replica
+        if not replica.is_voting or message["incarnation"] < replica.known_incarnations.get(
+            message["seat"], 0
+        ):
             return
         lacking, stuck = [], []
         for key, ballot in message["ballots"].items():
-            cell = seat.cell(key)
-            if cell.accepted is not None and cell.accepted >= ballot:
+            register_state = replica.register_state(key)
+            if register_state.accepted is not None and register_state.accepted >= ballot:
                 continue
-            (stuck if cell.promise > ballot else lacking).append(key)
+            (stuck if register_state.promise > ballot else lacking).append(key)
         self.node.send_untyped(
             message["back"],
             "holders_lack",
-            seat=seat.seat,
+            seat=replica.replica_id,
             round=message["round"],
             after=message["after"],
             lacking=lacking,
@@ -133,24 +139,26 @@
             self._send_page(name)
 
     def _send_late(self, address, keys):
-        cells = self.seat.cells
+        states = self.replica.states
         self.node.send_untyped(
             address,
             "holders_late",
-            seat=self.seat.seat,
-            incarnation=self.seat.incarnation,
-            cells={key: [cells[key].accepted, cells[key].value] for key in keys if key in cells},
+            seat=self.replica.replica_id,
+            incarnation=self.replica.incarnation,
+            cells={key: [states[key].accepted, states[key].value] for key in keys if key in states},
         )
 
     def on_late(self, message):
         """An accept that comes late is kept as one that came in time; the next page asks again
         what is lacking."""
-        seat = self.seat
-        if not seat.is_voting or message["incarnation"] < seat.known.get(message["seat"], 0):
+        replica = self.replica
+        if not replica.is_voting or message["incarnation"] < replica.known_incarnations.get(
+            message["seat"], 0
+        ):
             return
-        cells = {
+        states = {
             key: [ballot, ballot, value]
             for key, (ballot, value) in message["cells"].items()
-            if seat.cell(key).promise <= ballot
+            if replica.register_state(key).promise <= ballot
         }
-        self.node.ports.storage.write(seat.merge(cells), lambda is_kept: None)
+        self.node.ports.storage.write(replica.merge(states), lambda is_kept: None)
--- a/packages/consensus/src/linkhaven/consensus/leaving.py
+++ b/packages/consensus/src/linkhaven/consensus/leaving.py
@@ -52,7 +52,7 @@
 
     __slots__ = (
         "node",
-        "seat",
+        "replica",
         "holders",
         "state",
         "handover",
@@ -65,10 +65,10 @@
         "asked_us",
     )
 
-    def __init__(self, node, seat, holders):
+    def __init__(self, node, replica, holders):
         """`holders` compares this member with the others when no spare is there."""
         self.node = node
-        self.seat = seat
+        self.replica = replica
         self.holders = holders
         self.state = LeavingState.STAYING
         self.handover = None
@@ -108,10 +108,10 @@
 
     def _choose(self, now_us):
         """A rejoin in progress is waited for; who holds no votes has nothing to hand over."""
-        seat = self.seat
-        if seat.sealed is None and seat.standing not in (VOTING, REJOINING, WAITING):
+        replica = self.replica
+        if replica.sealed is None and replica.state not in (VOTING, REJOINING, WAITING):
             return self._go()
-        if not seat.is_voting:
+        if not replica.is_voting:
             return self._leave_if_alone()
         spares = self._spares()
         if spares:
@@ -119,12 +119,12 @@
         self._hold(now_us)
 
     def _spares(self):
-        if not self.seat.is_learned:
+        if not self.replica.is_learned:
             return []
         spares = [
             member
-            for member in self.seat.directory.live_members("registry")
-            if not member.seat and not self._was_tried(member.name)
+            for member in self.replica.directory.live_members("registry")
+            if not member.replica_id and not self._was_tried(member.name)
         ]
         return sorted(spares, key=lambda member: member.name)
 
@@ -139,19 +139,21 @@
     def _is_alone(self):
         """So many others left in order that no majority remains without this member: there's
         nobody to wait for."""
-        holders = self.seat.directory.replica_members()
+        holders = self.replica.directory.replica_members()
         left = [
-            seat for seat, member in holders.items() if seat != self.seat.seat and member.has_left
+            replica_id
+            for replica_id, member in holders.items()
+            if replica_id != self.replica.replica_id and member.has_left
         ]
-        known = [seat for seat in holders if seat != self.seat.seat]
-        return len(known) - len(left) < self.seat.majority
+        known = [replica_id for replica_id in holders if replica_id != self.replica.replica_id]
+        return len(known) - len(left) < self.replica.majority
 
     def _offer(self, spare, now_us):
         self.state = LeavingState.OFFERING
         self.successor = (spare.name, spare.address)
-        self.handover = f"{self.seat.rejoin.start}/{self.seat.incarnation}/{now_us}"
+        self.handover = f"{self.replica.rejoin.start}/{self.replica.incarnation}/{now_us}"
         self.moved_us = now_us
-        self.node.ports.log(1210, seat=self.seat.seat, successor=spare.name)
+        self.node.ports.log(1210, seat=self.replica.replica_id, successor=spare.name)
         self._send_again(now_us)
 
     def _send_again(self, now_us):
@@ -162,13 +164,13 @@
             self._send_sealed()
 
     def _tell_successor(self, say, **facts):
-        seat = self.seat
+        replica = self.replica
         self.node.send_untyped(
             self.successor[1],
             say,
             id=self.handover,
-            seat=seat.seat,
-            incarnation=seat.incarnation,
+            seat=replica.replica_id,
+            incarnation=replica.incarnation,
             **facts,
         )
 
@@ -185,11 +187,11 @@
         """The successor has read every page: seal, so that the rest is final."""
         if self.state != LeavingState.OFFERING or message["id"] != self.handover:
             return
-        if not self.seat.is_voting:
+        if not self.replica.is_voting:
             self.state = LeavingState.CHOOSING
             return
         self.state = LeavingState.SEALING
-        self.seat.seal(
+        self.replica.seal(
             {"id": self.handover, "name": self.successor[0], "address": self.successor[1]},
             self._on_seal,
         )
@@ -203,14 +205,14 @@
         self._send_again(self.node.now_us())
 
     def _send_sealed(self):
-        seat = self.seat
+        replica = self.replica
         self._tell_successor(
             "handover_sealed",
-            known=seat.known,
-            clock_us=seat.clock_us,
-            are_claims_open=seat.are_claims_open,
-            occupants=seat.occupants.records,
-            wait_us=max(0, seat.votes_from_us - self.node.now_us()),
+            known=replica.known_incarnations,
+            clock_us=replica.clock_us,
+            are_claims_open=replica.are_claims_open,
+            occupants=replica.occupants.records,
+            wait_us=max(0, replica.votes_from_us - self.node.now_us()),
         )
 
     def ask_fate(self, now_us):
@@ -218,20 +220,20 @@
         if now_us - self.asked_us < RESEND_US:
             return
         self.asked_us = now_us
-        sealed = self.seat.sealed
+        sealed = self.replica.sealed
         self.node.send_untyped(sealed["address"], "handover_ask", id=sealed["id"])
 
     def on_fate(self, message):
         """The successor took the seat, or says that it never will."""
-        sealed = self.seat.sealed
+        sealed = self.replica.sealed
         if sealed is None or message["id"] != sealed["id"]:
             return
         if message["is_taken"]:
-            self.seat.retire()
+            self.replica.retire()
             return self._go()
         self.tried[sealed["name"]] = self.node.now_us()
-        if self.seat.rejoin.notes is None:
-            self.seat.unseal()
+        if self.replica.rejoin.notes is None:
+            self.replica.unseal()
         if self.state == LeavingState.SEALED:
             self.state = LeavingState.CHOOSING
 
@@ -243,13 +245,13 @@
     def _watch_holders(self, now_us):
         if self._is_alone():
             return self._go()
-        if self.state == LeavingState.HOLDING and (not self.seat.is_voting or self._spares()):
+        if self.state == LeavingState.HOLDING and (not self.replica.is_voting or self._spares()):
             self.state = LeavingState.CHOOSING
             return
         if self.holders.is_held_without_us():
             return self._end_round(now_us)
         if self.state == LeavingState.PAUSED and now_us - self.moved_us >= PATIENCE_US:
-            self.seat.resume()
+            self.replica.resume()
             return self._hold(now_us)
         self.holders.tick(now_us)
 
@@ -258,7 +260,7 @@
             return self._go()
         self.state = LeavingState.PAUSED
         self.moved_us = now_us
-        self.seat.pause()
+        self.replica.pause()
         self.holders.begin_round(is_final=True)
 
     def _go(self):
--- a/packages/consensus/src/linkhaven/consensus/rejoin.py
+++ b/packages/consensus/src/linkhaven/consensus/rejoin.py
@@ -30,7 +30,7 @@
 
     __slots__ = (
         "node",
-        "seat",
+        "replica",
         "told",
         "notes",
         "cursors",
@@ -50,9 +50,9 @@
         "moved_wait_us",
     )
 
-    def __init__(self, node, seat):
+    def __init__(self, node, replica):
         self.node = node
-        self.seat = seat
+        self.replica = replica
         now_us = node.now_us()
         self.start = f"{node.name}/{now_us}/{node.ports.random.getrandbits(48)}"
         self.told = {}
@@ -80,7 +80,7 @@
 
     def begin_anew(self, is_doubted=False):
         self.is_doubted = is_doubted or self.is_doubted
-        self.seat.standing = REJOINING
+        self.replica.state = REJOINING
         self.notes = self.recorded = None
         self.cursors = {}
         self.left = {}
@@ -92,17 +92,17 @@
         make it up, and nothing is read. When they don't come, it goes on as a restart with its disk does."""
         self.begin_anew()
         self.has_met_no_vote = False
-        self.notes = set(self.seat.seats) - {self.seat.seat}
+        self.notes = set(self.replica.replica_ids) - {self.replica.replica_id}
         self.recorded = set()
         self.moved_wait_us = wait_us
         self._tell_notes()
 
     def _vote_if_recorded(self):
-        if self.recorded is None or len(self.recorded) < self.seat.majority - 1:
+        if self.recorded is None or len(self.recorded) < self.replica.majority - 1:
             return
         self.recorded = None
         self.cursors = {}
-        self.seat.begin_votes(wait_us=self.moved_wait_us)
+        self.replica.begin_votes(wait_us=self.moved_wait_us)
 
     def forget(self):
         self.notes = self.recorded = None
@@ -113,44 +113,44 @@
 
     def _try_anew(self):
         """Not noted, or not read, for too long: another occupant may have been first."""
-        if self.seat.is_learned and self.seat.is_empty:
-            return self.seat.retire()
+        if self.replica.is_learned and self.replica.is_empty:
+            return self.replica.retire()
         self.begin_anew()
 
     def _known_with(self, asking):
         """An occupant that began at a first start was never noted: only the records say its incarnation."""
-        known = self.seat.known_of_all()
-        held = self.seat.occupants.records.get(asking)
-        if held is not None and asking != self.seat.seat:
+        known = self.replica.all_incarnations()
+        held = self.replica.occupants.records.get(asking)
+        if held is not None and asking != self.replica.replica_id:
             known[asking] = max(known.get(asking, 0), held[0])
         return known
 
     def hear_rejoin(self, message):
-        seat = self.seat
-        if not seat.seat:
+        replica = self.replica
+        if not replica.replica_id:
             return
         self.node.send_untyped(
             message["back"],
             "rejoin_state",
-            seat=seat.seat,
+            seat=replica.replica_id,
             for_seat=message["seat"],
-            is_voting=seat.is_voting,
-            is_empty=seat.is_empty or seat.sealed is not None,
-            incarnation=seat.incarnation,
+            is_voting=replica.is_voting,
+            is_empty=replica.is_empty or replica.sealed is not None,
+            incarnation=replica.incarnation,
             known=self._known_with(message["seat"]),
             start=self.start,
             asked=message["asked"],
-            occupant=seat.occupants.name_of(message["seat"]),
-            is_taken=seat.is_voting and seat.occupants.is_taken(message),
+            occupant=replica.occupants.name_of(message["seat"]),
+            is_taken=replica.is_voting and replica.occupants.is_taken(message),
         )
         self._ask_back(message)
 
     def _ask_back(self, message):
         """Who asks runs: its own standing needn't wait for the next round of asks."""
         if (
-            self.seat.standing not in (REJOINING, WAITING)
+            self.replica.state not in (REJOINING, WAITING)
             or self.notes is not None
-            or message["seat"] == self.seat.seat
+            or message["seat"] == self.replica.replica_id
         ):
             return
         told = self.told.get(message["seat"])
@@ -164,81 +164,92 @@
         self._ask(message["back"])
 
     def _ask(self, address):
-        self.node.send_untyped(address, "rejoin", seat=self.seat.seat, asked=self.start)
+        self.node.send_untyped(address, "rejoin", seat=self.replica.replica_id, asked=self.start)
 
     def hear_state(self, message):
-        seat = self.seat
+        replica = self.replica
         if (
-            seat.standing not in (REJOINING, WAITING)
-            or message["for_seat"] != seat.seat
+            replica.state not in (REJOINING, WAITING)
+            or message["for_seat"] != replica.replica_id
             or self.notes is not None
         ):
             return
         if message["asked"] != self.start:
             return
-        newest = message["known"].get(seat.seat, 0)
-        if self.is_doubted and newest > seat.incarnation:
-            return seat.fence(newest)
-        if seat.is_learned and self._is_anothers(message, newest):
-            return seat.fence(newest)
+        newest = message["known"].get(replica.replica_id, 0)
+        if self.is_doubted and newest > replica.incarnation:
+            return replica.fence(newest)
+        if replica.is_learned and self._is_anothers(message, newest):
+            return replica.fence(newest)
         self.told[message["seat"]] = message
         self._weigh(self.node.now_us())
 
     def _is_anothers(self, message, newest):
-        if self.seat.occupants.is_trying:
+        if self.replica.occupants.is_trying:
             return message["is_taken"]
-        return newest >= self.seat.incarnation and message["occupant"] not in ("", self.node.name)
+        return newest >= self.replica.incarnation and message["occupant"] not in (
+            "",
+            self.node.name,
+        )
 
     def _weigh(self, now_us):
-        seat = self.seat
-        others = len(seat.seats) - 1
-        needed = len(seat.seats) - seat.majority + 1
+        replica = self.replica
+        others = len(replica.replica_ids) - 1
+        needed = len(replica.replica_ids) - replica.majority + 1
         in_standing = [state for state in self.told.values() if state["is_voting"]]
         if len(in_standing) >= needed:
             return self._adopt(self.told.values())
-        have_all_answered = len({*self.told, *seat.occupants.emptied()} - {seat.seat}) == others
+        have_all_answered = (
+            len({*self.told, *replica.occupants.emptied()} - {replica.replica_id}) == others
+        )
         if len(self.told) == others:
-            is_any_empty = seat.is_empty or any(state["is_empty"] for state in self.told.values())
-            is_all_empty = seat.is_empty and all(state["is_empty"] for state in self.told.values())
-            if is_all_empty and (self.is_anew or not seat.is_learned):
+            is_any_empty = replica.is_empty or any(
+                state["is_empty"] for state in self.told.values()
+            )
+            is_all_empty = replica.is_empty and all(
+                state["is_empty"] for state in self.told.values()
+            )
+            if is_all_empty and (self.is_anew or not replica.is_learned):
                 self.is_genesis = True
                 return self._adopt(self.told.values())
             if not is_any_empty:
                 return self._adopt(self.told.values())
         is_alone = now_us - self.started_us >= self.node.bounds.alone_us
-        if not seat.is_empty and (have_all_answered or is_alone):
+        if not replica.is_empty and (have_all_answered or is_alone):
             fit = [state for state in self.told.values() if not state["is_empty"]]
-            if len(fit) + 1 >= seat.majority:
+            if len(fit) + 1 >= replica.majority:
                 return self._adopt(fit)
-        if is_alone and seat.standing != WAITING:
-            seat.standing = WAITING
+        if is_alone and replica.state != WAITING:
+            replica.state = WAITING
             self.wait_reason = "too few others in standing to rebuild from"
-            self.node.ports.log(1203, seat=seat.seat, heard=len(self.told))
+            self.node.ports.log(1203, seat=replica.replica_id, heard=len(self.told))
 
     def restore(self):
-        if self.seat.standing != WAITING:
+        if self.replica.state != WAITING:
             return False
-        self.node.ports.log(1206, seat=self.seat.seat)
+        self.node.ports.log(1206, seat=self.replica.replica_id)
         self._adopt(self.told.values())
         return True
 
     def _adopt(self, states):
-        seat = self.seat
+        replica = self.replica
         self.has_met_no_vote = bool(states) and not any(state["is_voting"] for state in states)
-        highest = max(seat.incarnation, seat.directory.seats().get(seat.seat, ("", 0))[1])
+        highest = max(
+            replica.incarnation, replica.directory.replicas().get(replica.replica_id, ("", 0))[1]
+        )
         for state in states:
-            highest = max(highest, state["known"].get(seat.seat, 0))
-            seat.learn_known(state["known"])
-        seat.incarnation = highest + 1
+            highest = max(highest, state["known"].get(replica.replica_id, 0))
+            replica.learn_incarnations(state["known"])
+        replica.incarnation = highest + 1
         self.notes = {state["seat"] for state in states}
         self.cursors = {}
         self.moved_us = self.node.now_us()
         record = {
-            "seat": seat.seat,
-            "incarnation": seat.incarnation,
-            "known": seat.known,
-            "clock_us": seat.clock_us,
-            "is_partial": seat.is_empty,
+            "seat": replica.replica_id,
+            "incarnation": replica.incarnation,
+            "known": replica.known_incarnations,
+            "clock_us": replica.clock_us,
+            "is_partial": replica.is_empty,
         }
 
         def go_on(is_kept):
@@ -252,12 +263,12 @@
         self.node.ports.storage.write(record, go_on)
 
     def _hear_full_disk(self):
-        self.seat.is_failing = True
+        self.replica.is_failing = True
         self.notes = None
         self.node.ports.log(1205, key="rejoin")
 
     def _tell_notes(self):
-        for name, (address, _) in self.seat.directory.seats().items():
+        for name, (address, _) in self.replica.directory.replicas().items():
             if name in self.cursors:
                 if self.cursors[name] is not None:
                     self._browse(name, address)
@@ -265,8 +276,8 @@
                 self.node.send_untyped(
                     address,
                     "rejoin_note",
-                    seat=self.seat.seat,
-                    incarnation=self.seat.incarnation,
+                    seat=self.replica.replica_id,
+                    incarnation=self.replica.incarnation,
                     start=self.start,
                     genesis=self.told[name]["start"]
                     if self.is_genesis and name in self.told
@@ -274,34 +285,47 @@
                 )
 
     def hear_note(self, message):
-        seat, name, incarnation = self.seat, message["seat"], message["incarnation"]
-        if name == seat.seat or not seat.seat or not seat.occupants.note(message):
+        replica, name, incarnation = self.replica, message["seat"], message["incarnation"]
+        if (
+            name == replica.replica_id
+            or not replica.replica_id
+            or not replica.occupants.note(message)
+        ):
             return
-        seat.learn_known({name: incarnation})
+        replica.learn_incarnations({name: incarnation})
 
         def answer(is_kept):
             if is_kept:
                 self.node.send_untyped(
-                    message["back"], "rejoin_noted", seat=seat.seat, incarnation=incarnation
+                    message["back"],
+                    "rejoin_noted",
+                    seat=replica.replica_id,
+                    incarnation=incarnation,
                 )
             if is_kept and message["genesis"] == self.start and self._is_waiting_empty():
                 self.is_genesis = True
                 self._adopt(self.told.values())
 
         self.node.ports.storage.write(
-            {"known": dict(seat.known), "occupants": dict(seat.occupants.records)}, answer
+            {
+                "known": dict(replica.known_incarnations),
+                "occupants": dict(replica.occupants.records),
+            },
+            answer,
         )
 
     def _is_waiting_empty(self):
         return (
-            self.seat.is_empty and self.notes is None and self.seat.standing in (REJOINING, WAITING)
+            self.replica.is_empty
+            and self.notes is None
+            and self.replica.state in (REJOINING, WAITING)
         )
 
     def hear_noted(self, message):
         name = message["seat"]
         if (
             self.notes is None
-            or message["incarnation"] != self.seat.incarnation
+            or message["incarnation"] != self.replica.incarnation
             or name in self.cursors
             or name not in self.notes
         ):
@@ -318,7 +342,7 @@
         self.node.send_untyped(
             address,
             "rejoin_browse",
-            seat=self.seat.seat,
+            seat=self.replica.replica_id,
             asked=self.start,
             after=self.cursors[name],
             since=0,
@@ -326,20 +350,29 @@
 
     def hear_browse(self, message):
         """One page of what this seat holds, in the order of its keys."""
-        seat, asked, after, since = self.seat, message["asked"], message["after"], message["since"]
-        seat.leaving.note_browse(asked)
+        replica, asked, after, since = (
+            self.replica,
+            message["asked"],
+            message["after"],
+            message["since"],
+        )
+        replica.leaving.note_browse(asked)
         if asked not in self.browsers or not after:
             while len(self.browsers) >= BROWSERS_AT_MOST:
                 del self.browsers[next(iter(self.browsers))]
-            keys = sorted(key for key, cell in seat.cells.items() if cell.version >= since)
-            self.browsers[asked] = (keys, seat.changes)
+            keys = sorted(
+                key
+                for key, register_state in replica.states.items()
+                if register_state.version >= since
+            )
+            self.browsers[asked] = (keys, replica.change_count)
         keys, version = self.browsers[asked]
         place = bisect_right(keys, after)
         page = keys[place : place + PAGE]
         self.node.send_untyped(
             message["back"],
             "rejoin_page",
-            seat=seat.seat,
+            seat=replica.replica_id,
             start=self.start,
             asked=asked,
             after=after,
@@ -347,14 +380,16 @@
             version=version,
             left=len(keys) - place - len(page),
             last=page[-1] if len(keys) > place + PAGE else None,
-            are_claims_open=seat.are_claims_open,
-            cells={key: seat.cells[key].as_record()[:3] for key in page if key in seat.cells},
+            are_claims_open=replica.are_claims_open,
+            cells={
+                key: replica.states[key].as_record()[:3] for key in page if key in replica.states
+            },
         )
 
     def hear_page(self, message):
         name = message["seat"]
-        if self.seat.successor.expects(message):
-            return self.seat.successor.on_page(message)
+        if self.replica.successor.expects(message):
+            return self.replica.successor.on_page(message)
         if (
             self.notes is None
             or message["asked"] != self.start
@@ -366,7 +401,7 @@
         self.cursors[name] = None
         self.left[name] = message["left"]
         self.moved_us = self.node.now_us()
-        changed = self.seat.merge(message["cells"])
+        changed = self.replica.merge(message["cells"])
         notes = self.notes
 
         def go_on(is_kept):
@@ -378,16 +413,18 @@
                 self.cursors[name] = message["last"]
                 return self._browse(name, message["back"])
             self.notes.discard(name)
-            self.seat.are_claims_open = self.seat.are_claims_open and message["are_claims_open"]
+            self.replica.are_claims_open = (
+                self.replica.are_claims_open and message["are_claims_open"]
+            )
             self._end_if_read()
 
         self.node.ports.storage.write(changed, go_on)
 
     def _end_if_read(self):
-        if self.notes is None or self.notes or self.seat.standing == VOTING:
+        if self.notes is None or self.notes or self.replica.state == VOTING:
             return
-        seat = self.seat
-        seat.are_claims_open = seat.are_claims_open and not self.is_genesis
+        replica = self.replica
+        replica.are_claims_open = replica.are_claims_open and not self.is_genesis
 
         def vote(is_kept):
             if not is_kept:
@@ -396,10 +433,10 @@
                 return
             self.is_doubted = False
             self.cursors = {}
-            seat.begin_votes()
+            replica.begin_votes()
 
         self.node.ports.storage.write(
-            {"is_partial": None, "sealed": None, "are_claims_open": seat.are_claims_open}, vote
+            {"is_partial": None, "sealed": None, "are_claims_open": replica.are_claims_open}, vote
         )
 
     def tick(self, now_us):
@@ -408,12 +445,12 @@
             return
         self.asked_us = now_us
         if now_us - self.moved_us > STUCK_US and (
-            self.notes is not None or self.seat.occupants.is_trying
+            self.notes is not None or self.replica.occupants.is_trying
         ):
             return self._try_anew()
         if self.notes is not None:
             return self._tell_notes()
-        for name, (address, _) in self.seat.directory.seats().items():
-            if name != self.seat.seat:
+        for name, (address, _) in self.replica.directory.replicas().items():
+            if name != self.replica.replica_id:
                 self._ask(address)
         self._weigh(now_us)
--- a/packages/consensus/src/linkhaven/consensus/seat.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -34,14 +34,14 @@
 
     __slots__ = (
         "node",
-        "seat",
-        "seats",
+        "replica_id",
+        "replica_ids",
         "majority",
         "directory",
-        "cells",
+        "states",
         "incarnation",
-        "known",
-        "standing",
+        "known_incarnations",
+        "state",
         "is_empty",
         "is_failing",
         "votes_from_us",
@@ -57,7 +57,7 @@
         "ticked_us",
         "is_learned",
         "occupants",
-        "changes",
+        "change_count",
         "sealed",
         "leaving",
         "holders",
@@ -76,12 +76,19 @@
     )
 
     def __init__(
-        self, node, seat, seats, directory, on_change, on_votes, claim_limits=default_claim_limits
+        self,
+        node,
+        replica_id,
+        seats,
+        directory,
+        on_change,
+        on_votes,
+        claim_limits=default_claim_limits,
     ):
         """`seat` None: which one it is stands on the disk, or is learned."""
         self.node = node
-        self.is_learned = seat is None
-        self.seats = seats
+        self.is_learned = replica_id is None
+        self.replica_ids = seats
         self.majority = len(seats) // 2 + 1
         self.directory = directory
         self.on_change = on_change
@@ -90,27 +97,31 @@
         self.claim_limits = claim_limits
         now_us = node.now_us()
         held = node.ports.storage.load()
-        self.seat = held.get("seat", "") if self.is_learned else seat
-        self.cells = {
+        self.replica_id = held.get("seat", "") if self.is_learned else replica_id
+        self.states = {
             key[5:]: RegisterState(*record)
             for key, record in held.items()
             if key.startswith("cell/")
         }
         self.claims = deque(
-            sorted((cell.kept_us, key) for key, cell in self.cells.items() if key.startswith(CLAIM))
+            sorted(
+                (register_state.kept_us, key)
+                for key, register_state in self.states.items()
+                if key.startswith(CLAIM)
+            )
         )
         self.incarnation = held.get("incarnation", 0)
-        self.known = held.get("known", {})
+        self.known_incarnations = held.get("known", {})
         self.clock_us = held.get("clock_us", 0)
         self.clocked_us = now_us
         self.sealed = held.get("sealed")
         self.is_empty = (
             not self.incarnation or held.get("is_partial", False) or self.sealed is not None
         )
-        self.changes = 0
+        self.change_count = 0
         self.are_claims_open = held.get("are_claims_open", True)
         self.is_failing = False
-        self.standing = REJOINING if self.seat else SPARE
+        self.state = REJOINING if self.replica_id else SPARE
         self.votes_from_us = 0
         self.occupants = Occupants(node, self, held.get("occupants", {}))
         self.ticked_us = now_us
@@ -122,89 +133,94 @@
             prepare=self.hear_prepare, accept=self.hear_accept, chosen=self.hear_chosen
         )
         node.systems.append(self.tick)
-        if self.seat:
-            node.ports.log(1201, seat=self.seat, empty=self.is_empty)
+        if self.replica_id:
+            node.ports.log(1201, seat=self.replica_id, empty=self.is_empty)
         else:
             node.ports.log(1209)
         if self.is_learned:
-            directory.me.seat, directory.me.seat_incarnation = self.seat, self.incarnation
+            directory.me.replica_id, directory.me.replica_incarnation = (
+                self.replica_id,
+                self.incarnation,
+            )
             directory.adopts_learned_incarnation = False
             directory.add_seeds(self.occupants.addresses())
 
     @property
     def is_voting(self):
-        return self.standing == VOTING
+        return self.state == VOTING
 
-    def cell(self, key):
-        return self.cells.get(key) or RegisterState()
+    def register_state(self, key):
+        return self.states.get(key) or RegisterState()
 
-    def _cell_to_keep(self, key):
-        cell = self.cells.get(key)
-        if cell is None:
-            cell = self.cells[key] = RegisterState(kept_us=self.clock_us)
+    def _state_to_keep(self, key):
+        register_state = self.states.get(key)
+        if register_state is None:
+            register_state = self.states[key] = RegisterState(kept_us=self.clock_us)
             if key.startswith(CLAIM):
-                self.claims.append((cell.kept_us, key))
-        return cell
+                self.claims.append((register_state.kept_us, key))
+        return register_state
 
-    def _touch(self, cell):
+    def _touch(self, register_state):
         """Count the change, so that who read this cell before is sent it again."""
-        self.changes += 1
-        cell.version = self.changes
+        self.change_count += 1
+        register_state.version = self.change_count
 
-    def merge(self, cells):
+    def merge(self, states):
         """The highest of everything; answers what is to be written."""
         changed = {}
-        for key, (promise, accepted, value) in cells.items():
-            cell = self._cell_to_keep(key)
-            cell.promise = max(cell.promise, promise)
-            if accepted and (cell.accepted is None or accepted > cell.accepted):
-                cell.accepted, cell.value = accepted, value
-            self._touch(cell)
-            changed[f"cell/{key}"] = cell.as_record()
+        for key, (promise, accepted, value) in states.items():
+            register_state = self._state_to_keep(key)
+            register_state.promise = max(register_state.promise, promise)
+            if accepted and (register_state.accepted is None or accepted > register_state.accepted):
+                register_state.accepted, register_state.value = accepted, value
+            self._touch(register_state)
+            changed[f"cell/{key}"] = register_state.as_record()
         return changed
 
-    def learn_known(self, known):
-        for seat, incarnation in known.items():
-            if seat != self.seat:
-                self.known[seat] = max(incarnation, self.known.get(seat, 0))
+    def learn_incarnations(self, known):
+        for replica_id, incarnation in known.items():
+            if replica_id != self.replica_id:
+                self.known_incarnations[replica_id] = max(
+                    incarnation, self.known_incarnations.get(replica_id, 0)
+                )
 
-    def begin_first(self, seat, contacts):
+    def begin_first(self, replica_id, contacts):
         """The first start of the whole system: nothing was ever chosen, so this seat votes at once."""
-        self.standing = BEGINNING
-        self.seat, self.incarnation = seat, 1
+        self.state = BEGINNING
+        self.replica_id, self.incarnation = replica_id, 1
         self.occupants.expect(contacts)
 
         def vote(is_kept):
             if not is_kept:
-                self.seat, self.standing, self.incarnation = "", SPARE, 0
+                self.replica_id, self.state, self.incarnation = "", SPARE, 0
                 return
             self.begin_votes(is_first=True)
 
         self.node.ports.storage.write(
-            {"seat": seat, "incarnation": 1, "occupants": self.occupants.records}, vote
+            {"seat": replica_id, "incarnation": 1, "occupants": self.occupants.records}, vote
         )
 
-    def take(self, seat):
+    def take(self, replica_id):
         """A spare tries for a seat: what it needs to vote comes by the rejoin."""
-        self.seat = seat
+        self.replica_id = replica_id
         self.rejoin.begin_anew()
-        self.node.ports.log(1201, seat=seat, empty=self.is_empty)
+        self.node.ports.log(1201, seat=replica_id, empty=self.is_empty)
 
-    def take_anew(self, seat):
+    def take_anew(self, replica_id):
         """The whole core lost its disks: this seat is taken without a vote, and announced as never voted on."""
-        self.take(seat)
+        self.take(replica_id)
         self.rejoin.is_anew = True
-        self.directory.announce_replica(seat, 0)
+        self.directory.announce_replica(replica_id, 0)
 
     def retire(self):
         """Back to a spare that keeps nothing which votes."""
         dropped = [
             *(key for key in self.node.ports.storage.load() if key != "offer"),
             *self.OWN_KEYS,
-            *(f"cell/{key}" for key in self.cells),
+            *(f"cell/{key}" for key in self.states),
         ]
-        self.seat, self.standing, self.incarnation = "", SPARE, 0
-        self.cells, self.known, self.sealed = {}, {}, None
+        self.replica_id, self.state, self.incarnation = "", SPARE, 0
+        self.states, self.known_incarnations, self.sealed = {}, {}, None
         self.claims.clear()
         self.is_empty, self.is_failing, self.are_claims_open = True, False, True
         self.rejoin.forget()
@@ -216,7 +232,7 @@
 
     def seal(self, successor, done):
         """No vote under this incarnation from here on; the record says so to a later start, too."""
-        self.standing = SEALED
+        self.state = SEALED
         self.sealed = {**successor, "incarnation": self.incarnation}
 
         def answer(is_kept):
@@ -241,16 +257,20 @@
 
     def pause(self):
         """No vote until `resume`, in this process only."""
-        self.standing = SEALED
+        self.state = SEALED
 
     def resume(self):
-        if self.standing == SEALED and self.sealed is None:
-            self.standing = VOTING
+        if self.state == SEALED and self.sealed is None:
+            self.state = VOTING
 
     def take_over(self, terms, offer, done):
         """The whole state of the sealed occupant is here: one write makes this node the next occupant."""
         incarnation = terms["incarnation"] + 1
-        occupants = {seat: row for seat, row in terms["occupants"].items() if seat != terms["seat"]}
+        occupants = {
+            replica_id: row
+            for replica_id, row in terms["occupants"].items()
+            if replica_id != terms["seat"]
+        }
         record = {
             "seat": terms["seat"],
             "incarnation": incarnation,
@@ -263,8 +283,8 @@
 
         def answer(is_kept):
             if is_kept:
-                self.seat, self.incarnation = terms["seat"], incarnation
-                self.known = dict(terms["known"])
+                self.replica_id, self.incarnation = terms["seat"], incarnation
+                self.known_incarnations = dict(terms["known"])
                 self.are_claims_open = terms["are_claims_open"]
                 self.occupants.records = occupants
             done(is_kept)
@@ -274,19 +294,19 @@
     def begin_moved(self, wait_us):
         """Its state is that of the sealed occupant: it needs to be recorded by the others, and no reading."""
         self.is_empty = False
-        self.node.ports.log(1201, seat=self.seat, empty=False)
+        self.node.ports.log(1201, seat=self.replica_id, empty=False)
         self.rejoin.begin_moved(wait_us)
 
     def begin_votes(self, is_first=False, wait_us=None):
         self.is_empty = self.is_failing = False
         self.sealed = None
-        self.standing = VOTING
+        self.state = VOTING
         wait_us = self.node.bounds.lease_us if wait_us is None else wait_us
         self.votes_from_us = 0 if is_first else self.node.now_us() + wait_us
         if self.is_learned:
-            self.directory.announce_replica(self.seat, self.incarnation)
-        self.directory.learn_incarnations(self.known_of_all())
-        self.node.ports.log(1202, seat=self.seat, incarnation=self.incarnation)
+            self.directory.announce_replica(self.replica_id, self.incarnation)
+        self.directory.learn_incarnations(self.all_incarnations())
+        self.node.ports.log(1202, seat=self.replica_id, incarnation=self.incarnation)
         self.on_votes()
         self.successor.tell_taken()
 
@@ -298,27 +318,33 @@
             ballot=message["ballot"],
             is_yes=False,
             why=why,
-            seat=self.seat,
+            seat=self.replica_id,
             incarnation=self.incarnation,
-            known=self.known_of_all(),
+            known=self.all_incarnations(),
             **facts,
         )
 
-    def known_of_all(self):
-        return {**self.known, self.seat: self.incarnation} if self.seat else dict(self.known)
+    def all_incarnations(self):
+        return (
+            {**self.known_incarnations, self.replica_id: self.incarnation}
+            if self.replica_id
+            else dict(self.known_incarnations)
+        )
 
     def _may_vote(self, message, say):
-        if self.standing != VOTING:
-            return self._refuse(message, say, self.standing)
-        if message["seat"] != self.seat:
+        if self.state != VOTING:
+            return self._refuse(message, say, self.state)
+        if message["seat"] != self.replica_id:
             return self._refuse(message, say, "seat")
         if message["incarnation"] > self.incarnation:
             self._hear_newer(message["incarnation"])
-            return self._refuse(message, say, self.standing)
+            return self._refuse(message, say, self.state)
         if message["incarnation"] < self.incarnation:
             return self._refuse(message, say, "incarnation")
-        for seat, incarnation in message["known"].items():
-            if seat != self.seat and incarnation < self.known.get(seat, 0):
+        for replica_id, incarnation in message["known"].items():
+            if replica_id != self.replica_id and incarnation < self.known_incarnations.get(
+                replica_id, 0
+            ):
                 return self._refuse(message, say, "incarnation")
         if message["key"].startswith("duty/") and self.node.now_us() < self.votes_from_us:
             return self._refuse(message, say, "grant")
@@ -329,13 +355,13 @@
     def _may_claim(self, key):
         if not self.are_claims_open:
             return False
-        return key in self.cells or len(self.claims) < self.claim_limits().max_claims
+        return key in self.states or len(self.claims) < self.claim_limits().max_claims
 
     def open_claims(self):
         """Those who won keys before this core began have told them."""
         self.are_claims_open = True
         self.node.ports.storage.write({"are_claims_open": True}, lambda is_kept: None)
-        self.node.ports.log(1208, seat=self.seat, claims=len(self.claims))
+        self.node.ports.log(1208, seat=self.replica_id, claims=len(self.claims))
 
     def _hear_newer(self, incarnation):
         """A newer occupant fences this one. A core that began anew may only have forgotten: it asks the
@@ -345,8 +371,8 @@
         self.fence(incarnation)
 
     def fence(self, incarnation):
-        self.standing = FENCED
-        self.node.ports.log(1204, seat=self.seat, incarnation=incarnation)
+        self.state = FENCED
+        self.node.ports.log(1204, seat=self.replica_id, incarnation=incarnation)
         if self.is_learned:
             self.retire()
 
@@ -354,28 +380,28 @@
         if not self._may_vote(message, "promise"):
             return
         key, ballot = message["key"], message["ballot"]
-        cell = self._cell_to_keep(key)
-        if ballot <= cell.promise:
-            return self._refuse(message, "promise", "ballot", highest=cell.promise)
-        cell.promise = ballot
-        accepted = cell.accepted
-        value = None if accepted == message.get("held") else cell.value
-        self._keep(message, "promise", key, cell, accepted=accepted, value=value)
+        register_state = self._state_to_keep(key)
+        if ballot <= register_state.promise:
+            return self._refuse(message, "promise", "ballot", highest=register_state.promise)
+        register_state.promise = ballot
+        accepted = register_state.accepted
+        value = None if accepted == message.get("held") else register_state.value
+        self._keep(message, "promise", key, register_state, accepted=accepted, value=value)
 
     def hear_accept(self, message):
         if not self._may_vote(message, "accepted"):
             return
         key, ballot = message["key"], message["ballot"]
-        cell = self._cell_to_keep(key)
-        if ballot < cell.promise:
-            return self._refuse(message, "accepted", "ballot", highest=cell.promise)
-        cell.promise = ballot
-        cell.accepted = ballot
-        cell.value = message["value"]
-        self._keep(message, "accepted", key, cell)
+        register_state = self._state_to_keep(key)
+        if ballot < register_state.promise:
+            return self._refuse(message, "accepted", "ballot", highest=register_state.promise)
+        register_state.promise = ballot
+        register_state.accepted = ballot
+        register_state.value = message["value"]
+        self._keep(message, "accepted", key, register_state)
 
-    def _keep(self, message, say, key, cell, **facts):
-        self._touch(cell)
+    def _keep(self, message, say, key, register_state, **facts):
+        self._touch(register_state)
 
         def answer(is_kept):
             if not is_kept:
@@ -383,7 +409,7 @@
                 self.node.ports.log(1205, key=key)
                 return self._refuse(message, say, "disk")
             self.is_failing = False
-            if self.standing != VOTING or message["incarnation"] != self.incarnation:
+            if self.state != VOTING or message["incarnation"] != self.incarnation:
                 return
             self.node.send_untyped(
                 message["back"],
@@ -391,30 +417,34 @@
                 id=message["id"],
                 ballot=message["ballot"],
                 is_yes=True,
-                seat=self.seat,
+                seat=self.replica_id,
                 incarnation=self.incarnation,
-                known=self.known_of_all(),
+                known=self.all_incarnations(),
                 **facts,
             )
             self.on_change(key)
 
-        self.node.ports.storage.write({f"cell/{key}": cell.as_record()}, answer)
+        self.node.ports.storage.write({f"cell/{key}": register_state.as_record()}, answer)
 
-    def held_of(self, key):
+    def accepted_of(self, key):
         """The ballot that this seat accepted last, and its value."""
-        cell = self.cell(key)
-        return cell.accepted, cell.value
+        register_state = self.register_state(key)
+        return register_state.accepted, register_state.value
 
     def hear_chosen(self, message):
-        cell = self.cells.get(message["key"])
-        if cell is None or cell.accepted != message["ballot"]:
+        register_state = self.states.get(message["key"])
+        if register_state is None or register_state.accepted != message["ballot"]:
             return
-        cell.chosen = cell.accepted
+        register_state.chosen = register_state.accepted
         self.on_change(message["key"])
 
     def is_known_chosen(self, key):
-        cell = self.cells.get(key)
-        return cell is None or cell.accepted is None or cell.chosen == cell.accepted
+        register_state = self.states.get(key)
+        return (
+            register_state is None
+            or register_state.accepted is None
+            or register_state.chosen == register_state.accepted
+        )
 
     def restore(self):
         return self.rejoin.restore()
@@ -428,17 +458,17 @@
             self.votes_from_us += leap_us
         self.leaving.tick(now_us)
         self.successor.tick(now_us)
-        if self.standing == VOTING:
+        if self.state == VOTING:
             self.occupants.tick(now_us)
-            newest = self.directory.seats()[self.seat][1]
+            newest = self.directory.replicas()[self.replica_id][1]
             if newest > self.incarnation:
                 return self._hear_newer(newest)
             return self._sweep_claims(now_us)
-        if self.standing == SPARE:
+        if self.state == SPARE:
             return self.occupants.search(now_us)
-        if self.sealed is not None and self.standing != SEALED:
+        if self.sealed is not None and self.state != SEALED:
             self.leaving.ask_fate(now_us)
-        if self.standing not in (FENCED, BEGINNING, SEALED, LEARNING):
+        if self.state not in (FENCED, BEGINNING, SEALED, LEARNING):
             self.rejoin.tick(now_us)
 
     def _sweep_claims(self, now_us):
@@ -449,6 +479,6 @@
         lapsed_us = self.clock_us - self.claim_limits().retention_us
         while self.claims and self.claims[0][0] < lapsed_us and len(record) < SWEPT_AT_ONCE:
             key = self.claims.popleft()[1]
-            self.cells.pop(key, None)
+            self.states.pop(key, None)
             record[f"cell/{key}"] = None
         self.node.ports.storage.write(record, lambda is_kept: None)
--- a/packages/consensus/src/linkhaven/consensus/successor.py
+++ b/packages/consensus/src/linkhaven/consensus/successor.py
@@ -40,7 +40,7 @@
 
     __slots__ = (
         "node",
-        "seat",
+        "replica",
         "state",
         "offer",
         "leaver",
@@ -55,10 +55,10 @@
         "reached",
     )
 
-    def __init__(self, node, seat, offer):
+    def __init__(self, node, replica, offer):
         """`offer`: the last hand-over that this disk agreed to, and how it ended."""
         self.node = node
-        self.seat = seat
+        self.replica = replica
         self.offer = offer
         self.terms = None
         self._reset()
@@ -87,14 +87,14 @@
     def on_offer(self, message):
         """Begin to learn; the offer is synced first, so that it can be answered for after a
         restart."""
-        seat = self.seat
-        if seat.standing != SPARE or self.state != SuccessorState.IDLE:
+        replica = self.replica
+        if replica.state != SPARE or self.state != SuccessorState.IDLE:
             return
         if self.offer is not None and self.offer["id"] == message["id"]:
             return self._send_fate(message["back"])
         self._reset()
         self.state = SuccessorState.LEARNING
-        seat.standing = LEARNING
+        replica.state = LEARNING
         self.leaver = message["back"]
         self.offer = {"id": message["id"], "is_taken": False}
         self.moved_us = self.node.now_us()
@@ -152,7 +152,7 @@
             self.cursor = message["last"]
             self._send_browse()
 
-        self.node.ports.storage.write(self.seat.merge(message["cells"]), go_on)
+        self.node.ports.storage.write(self.replica.merge(message["cells"]), go_on)
 
     def _end_of_pages(self):
         if self.state == SuccessorState.TAKING:
@@ -163,15 +163,15 @@
     def _send_probes(self):
         """Who can't reach those that must record it would leave the seat without a vote."""
         self.sent_us = self.node.now_us()
-        for address, _ in self.seat.directory.seats().values():
+        for address, _ in self.replica.directory.replicas().values():
             if address != self.leaver:
                 self.node.send_untyped(address, "handover_probe", id=self.offer["id"])
 
     def on_probe(self, message):
         """A voting member answers a successor to be."""
-        if self.seat.is_voting:
+        if self.replica.is_voting:
             self.node.send_untyped(
-                message["back"], "handover_reached", id=message["id"], seat=self.seat.seat
+                message["back"], "handover_reached", id=message["id"], seat=self.replica.replica_id
             )
 
     def on_reached(self, message):
@@ -179,7 +179,7 @@
         if self.state != SuccessorState.PROBING or message["id"] != self.offer["id"]:
             return
         self.reached.add(message["seat"])
-        if len(self.reached) < self.seat.majority - 1:
+        if len(self.reached) < self.replica.majority - 1:
             return
         self.state = SuccessorState.READY
         self.moved_us = self.node.now_us()
@@ -215,9 +215,9 @@
                 return self._give_up()
             terms = self.terms
             self._reset()
-            self.seat.begin_moved(terms["wait_us"])
+            self.replica.begin_moved(terms["wait_us"])
 
-        self.seat.take_over(self.terms, self.offer, go_on)
+        self.replica.take_over(self.terms, self.offer, go_on)
 
     def on_ask(self, message):
         """The leaving member was started again, and asks how it ended."""
@@ -242,7 +242,7 @@
     def _give_up(self):
         leaver = self.leaver
         self._reset()
-        self.seat.retire()
+        self.replica.retire()
         if leaver is not None:
             self._send_fate(leaver)
 
--- a/packages/controller/src/linkhaven/controller/bootstrap.py
+++ b/packages/controller/src/linkhaven/controller/bootstrap.py
@@ -13,8 +13,8 @@
     with a disk that isn't empty, or with a replica already, keeps what it has.
     """
     contact = replica.occupants.contact
-    if replica.seat or not replica.is_empty or not may_bootstrap or contact not in contacts:
+    if replica.replica or not replica.is_empty or not may_bootstrap or contact not in contacts:
         return
     index = contacts.index(contact)
-    if index < len(replica.seats):
-        replica.begin_first(replica.seats[index], contacts)
+    if index < len(replica.replica_ids):
+        replica.begin_first(replica.replica_ids[index], contacts)
--- a/packages/controller/src/linkhaven/controller/configuration_recovery.py
+++ b/packages/controller/src/linkhaven/controller/configuration_recovery.py
@@ -93,7 +93,7 @@
 
     def is_behind(self, version: int) -> bool:
         """Whether this replica votes and holds an older version."""
-        value = self.replica.cell(CONFIGURATION_KEY).value
+        value = self.replica.register_state(CONFIGURATION_KEY).value
         return self.replica.is_voting and version > (value["mark"] if value else 0)
 
     def on_configuration(self, message: ConfigurationResponse) -> None:
@@ -138,4 +138,4 @@
                     self.snapshot.take(self.blobs.with_plan(value))
                 self.reported = None
 
-        self.proposer.change(CONFIGURATION_KEY, step, done)
+        self.proposer.propose(CONFIGURATION_KEY, step, done)
--- a/packages/controller/src/linkhaven/controller/local_status.py
+++ b/packages/controller/src/linkhaven/controller/local_status.py
@@ -64,8 +64,8 @@
         """How this node stands."""
         is_draining = self.shutdown.state is not ShutdownState.RUNNING
         return MemberStatus(
-            replica=self.replica.seat,
-            state=self.replica.standing,
+            replica=self.replica.replica,
+            state=self.replica.state,
             incarnation=self.replica.incarnation,
             address=self.node.address,
             learning=self._learning(),
@@ -85,8 +85,8 @@
         """What this node knows of the core."""
         replica = self.replica
         return {
-            "seat": replica.seat,
-            "standing": replica.standing,
+            "seat": replica.replica,
+            "standing": replica.state,
             "incarnation": replica.incarnation,
             "claims": len(replica.claims),
             "are_claims_open": replica.are_claims_open,
@@ -97,7 +97,7 @@
             "highest_mark": self.snapshot.highest_version,
             "seats": {
                 name: {"address": address, "incarnation": incarnation}
-                for name, (address, incarnation) in self.membership.seats().items()
+                for name, (address, incarnation) in self.membership.replicas().items()
             },
             "heard": {
                 name: {"is_voting": state["is_voting"], "is_empty": state["is_empty"]}
@@ -115,8 +115,8 @@
         Raises `seat_not_waiting` where it doesn't wait.
         """
         if not self.replica.restore():
-            raise ServiceError("seat_not_waiting", standing=self.replica.standing)
-        call.answer_json(200, {"seat": self.replica.seat, "standing": self.replica.standing})
+            raise ServiceError("seat_not_waiting", standing=self.replica.state)
+        call.answer_json(200, {"seat": self.replica.replica, "standing": self.replica.state})
 
 
 class StandingView:
@@ -160,8 +160,8 @@
             "zone": self.membership.me.zone,
             "mark": self.snapshot.version,
             "is_current": self.watch_server.is_current(),
-            "seat": self.replica.seat,
-            "standing": self.replica.standing,
+            "seat": self.replica.replica,
+            "standing": self.replica.state,
             "fellows": [peer.as_record() for peer in self.membership.peers.values()],
             "runners": [runner.as_record(now_us) for runner in self.discovery.runners.values()],
             **self.balancer.as_record(),
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -68,7 +68,7 @@
 
     __slots__ = (
         "membership",
-        "seat",
+        "replica",
         "proposer",
         "snapshot",
         "blobs",
@@ -101,7 +101,7 @@
         zone: str,
         seeds: Sequence[str],
         incarnation: int,
-        seat: str | None,
+        replica_id: str | None,
         platform: str,
         bounds: Bounds | None = None,
         contacts: Sequence[str] = (),
@@ -119,16 +119,16 @@
         self.incarnation = incarnation
         self.snapshot = ConfigurationSnapshot()
         self.stuck_keys: set[str] = set()
-        self._build_register(zone, seeds, seat, contact or address)
+        self._build_register(zone, seeds, replica_id, contact or address)
         self._build_configuration()
         self._build_singleton_roles(platform, desk_of)
         self._build_reporting()
         self._subscribe()
         self._route()
-        begin_first_start(self.seat, self.bounds.bootstrap, sorted(contacts))
+        begin_first_start(self.replica, self.bounds.bootstrap, sorted(contacts))
 
     def _build_register(
-        self, zone: str, seeds: Sequence[str], seat: str | None, contact: str
+        self, zone: str, seeds: Sequence[str], replica_id: str | None, contact: str
     ) -> None:
         """Membership, register, and what a replica does about an empty disk."""
         self.membership = Membership(
@@ -137,32 +137,34 @@
             zone,
             seeds,
             self.incarnation,
-            seat or "",
+            replica_id or "",
             mark_of=lambda: self.snapshot.version,
         )
         self.proposer = Proposer(self, self.membership, silent_us=self.bounds.silent_us)
-        self.seat = Replica(
+        self.replica = Replica(
             self,
-            seat,
+            replica_id,
             REPLICA_NAMES[: self.bounds.seats],
             self.membership,
             self.on_slot_changed,
             self.on_voting_started,
             self.claim_limits,
         )
-        self.seat.occupants.contact = contact
-        self.seat.holders.on_stuck = self.on_key_stuck
-        self.claim_admission = ClaimAdmission(self, self.seat, self.membership, self.snapshot)
-        self.proposer.held_of = self.seat.held_of
+        self.replica.occupants.contact = contact
+        self.replica.holders.on_stuck = self.on_key_stuck
+        self.claim_admission = ClaimAdmission(self, self.replica, self.membership, self.snapshot)
+        self.proposer.accepted_of = self.replica.accepted_of
 
     def _build_configuration(self) -> None:
         """The configuration's store and its watch server."""
-        self.blobs = BlobStore(self, self.seat)
+        self.blobs = BlobStore(self, self.replica)
         self.configuration_store = ConfigurationStore(
             self, self.proposer, self.blobs, self.snapshot
         )
-        self.quorum_contact = QuorumContact(self, self.seat, self.membership, self.snapshot)
-        self.watch_server = WatchServer(self, self.seat, self.proposer, self.snapshot, self.blobs)
+        self.quorum_contact = QuorumContact(self, self.replica, self.membership, self.snapshot)
+        self.watch_server = WatchServer(
+            self, self.replica, self.proposer, self.snapshot, self.blobs
+        )
         self.watch_server.has_contact = self.quorum_contact.is_held
 
     def _build_singleton_roles(
@@ -171,10 +173,10 @@
         """The leases, and what their holders do."""
         self.runner_client = make_runner_client(self)
         self.leases = {
-            role: Lease(self, role, self.proposer, self.seat, self.membership, listener=self)
+            role: Lease(self, role, self.proposer, self.replica, self.membership, listener=self)
             for role in SINGLETON_ROLES
         }
-        rank_candidates(self.leases, self.seat.seats, self.seat.seat)
+        rank_candidates(self.leases, self.replica.replica_ids, self.replica.replica_id)
         self.runner_discovery = RunnerDiscovery(
             self,
             self.runner_client,
@@ -197,19 +199,19 @@
         """What is published to routers and operators, recovery from routers, and the way out."""
         self.relays = [FigureRelay(self, field) for field in RELAYED_FIGURES]
         self.publisher = RunnerListPublisher(
-            self.seat, self.leases, self.runner_discovery, self.role_balancer, self.relays
+            self.replica, self.leases, self.runner_discovery, self.role_balancer, self.relays
         )
-        self.group_usage = GroupUsage(self, self.seat, self.configuration_store, self.snapshot)
+        self.group_usage = GroupUsage(self, self.replica, self.configuration_store, self.snapshot)
         self.configuration_recovery = ConfigurationRecovery(
-            self, self.seat, self.proposer, self.blobs, self.snapshot, self.claim_admission
+            self, self.replica, self.proposer, self.blobs, self.snapshot, self.claim_admission
         )
         self.router_contact = RouterContactMonitor(
             self, self.watch_server, self.membership, self.leases
         )
-        self.shutdown = GracefulShutdown(self, self.leases, self.seat.leaving, self.membership)
+        self.shutdown = GracefulShutdown(self, self.leases, self.replica.leaving, self.membership)
         local = NodeStatus(
             self,
-            self.seat,
+            self.replica,
             self.membership,
             self.snapshot,
             self.watch_server,
@@ -219,7 +221,7 @@
         self.status = ClusterStatus(self, self.membership, local)
         self.standing = StandingView(
             self,
-            self.seat,
+            self.replica,
             self.membership,
             self.snapshot,
             self.watch_server,
@@ -266,8 +268,8 @@
         """The replica has another value: a configuration that is known chosen is in force here."""
         if key != CONFIGURATION_KEY:
             return
-        value = self.seat.cell(key).value
-        if self.seat.is_known_chosen(key) and self.snapshot.is_newer(value):
+        value = self.replica.register_state(key).value
+        if self.replica.is_known_chosen(key) and self.snapshot.is_newer(value):
             if self.blobs.has_plan(value):
                 self.snapshot.take(self.blobs.with_plan(value))
         self.watch_server.answer_waiting()
@@ -280,12 +282,12 @@
         """
         self.claim_admission.on_voting_started()
         self.configuration_recovery.on_voting_started()
-        rank_candidates(self.leases, self.seat.seats, self.seat.seat)
-        self.runner_discovery.start_serials_at(self.seat.incarnation)
-        if not self.seat.votes_from_us:
+        rank_candidates(self.leases, self.replica.replica_ids, self.replica.replica_id)
+        self.runner_discovery.start_serials_at(self.replica.incarnation)
+        if not self.replica.votes_from_us:
             for lease in self.leases.values():
                 lease.allow_election_now()
-        elif self.seat.rejoin.has_met_no_vote:
+        elif self.replica.rejoin.has_met_no_vote:
             self.leases[RUNNER_LIST].assume_vacant()
 
     def on_key_stuck(self, key: str) -> None:
--- a/packages/controller/src/linkhaven/controller/program.py
+++ b/packages/controller/src/linkhaven/controller/program.py
@@ -34,7 +34,7 @@
         return self.read_place(
             "registry",
             data=self.option("data"),
-            seat=self.option("seat"),
+            replica_id=self.option("seat"),
             platform=self.option("platform"),
         )
 
--- a/packages/controller/src/linkhaven/controller/quorum_contact.py
+++ b/packages/controller/src/linkhaven/controller/quorum_contact.py
@@ -70,7 +70,7 @@
         if not self.replica.is_voting:
             return
         answer = QuorumContactResponse(
-            replica=self.replica.seat,
+            replica=self.replica.replica,
             incarnation=self.replica.incarnation,
             sent_us=message.sent_us,
             version=self.snapshot.version,
@@ -80,8 +80,8 @@
     def on_response(self, message: QuorumContactResponse) -> None:
         """An older instance of a replica is no contact."""
         replica = message.replica
-        known = self.directory.seats().get(replica)
-        if known is None or known[1] > message.incarnation or replica == self.replica.seat:
+        known = self.directory.replicas().get(replica)
+        if known is None or known[1] > message.incarnation or replica == self.replica.replica:
             return
         self.snapshot.observe_version(message.version)
         last_us = self.answered_us.get(replica, message.sent_us)
@@ -101,7 +101,7 @@
 
     def _ask(self, now_us: int) -> None:
         """As many as a majority needs, of those that answered last; all, where too few did."""
-        addresses = {name: address for name, (address, _) in self.directory.seats().items()}
+        addresses = {name: address for name, (address, _) in self.directory.replicas().items()}
         others = self._after_own(addresses)
         last_us = self.asked_us or now_us
         answering = [replica for replica in others if self.answered_us.get(replica) == last_us]
@@ -112,5 +112,5 @@
     def _after_own(self, addresses: Mapping[str, str]) -> list[str]:
         """The other replicas in cyclic order from this one, so that each is asked by as many."""
         names = sorted(addresses)
-        own = names.index(self.replica.seat) if self.replica.seat in names else 0
-        return [name for name in names[own:] + names[:own] if name != self.replica.seat]
+        own = names.index(self.replica.replica) if self.replica.replica in names else 0
+        return [name for name in names[own:] + names[:own] if name != self.replica.replica]
--- a/packages/controller/src/linkhaven/controller/status.py
+++ b/packages/controller/src/linkhaven/controller/status.py
@@ -132,12 +132,12 @@
         if member is None:
             return MemberStatus("", SILENT, 0, "", None, None)
         return MemberStatus(
-            member.seat, SILENT, member.seat_incarnation, member.address, None, None
+            member.replica_id, SILENT, member.replica_incarnation, member.address, None, None
         )
 
     def _losses(self, members: dict[str, MemberStatus]) -> dict[str, Any]:
         """How many of those that vote may be lost now so that a majority still answers."""
-        newest = self.membership.seats()
+        newest = self.membership.replicas()
         majority = self.local.majority()
         voting = sorted(
             member.replica
--- a/packages/leases/src/linkhaven/leases/interfaces.py
+++ b/packages/leases/src/linkhaven/leases/interfaces.py
@@ -36,7 +36,7 @@
 class Proposer(Protocol):
     """Changes a register by a read-modify-write that a majority of the replicas commits."""
 
-    def change(
+    def propose(
         self,
         key: str,
         step: Callable[[Any], tuple[str, Any]],
@@ -59,5 +59,5 @@
     is_voting: bool
     votes_from_us: int
 
-    def cell(self, key: str) -> Register:
+    def register_state(self, key: str) -> Register:
         """Return the register of a key; its value is None where it was never written."""
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -194,7 +194,7 @@
             vacant = LeaseRecord(None, token, record.renewal + 1, record.actions)
             return "set", write_record(vacant)
 
-        self.proposer.change(self.key, step, lambda outcome, value: done())
+        self.proposer.propose(self.key, step, lambda outcome, value: done())
 
     # what the node around it knows
 
@@ -204,7 +204,7 @@
 
     def record(self) -> LeaseRecord | None:
         """Return the record as this node's replica has it, None where it was never written."""
-        return read_record(self.replica.cell(self.key).value)
+        return read_record(self.replica.register_state(self.key).value)
 
     def is_holder_suspected(self) -> bool:
         """Whether nobody renewed for a while, or the holder is gone.
@@ -318,7 +318,7 @@
             if is_announcing and self.fencing_token == token:
                 self.announcement.confirm(now_us)
 
-        self.proposer.change(self.key, step, done, is_patient=True)
+        self.proposer.propose(self.key, step, done, is_patient=True)
 
     def _hold(self, record: LeaseRecord, expires_us: int, is_succession: bool) -> None:
         """Hold a lease that the register granted; an answer after its end grants none."""
--- a/packages/membership/src/linkhaven/membership/member.py
+++ b/packages/membership/src/linkhaven/membership/member.py
@@ -11,8 +11,8 @@
         "address",
         "kind",
         "zone",
-        "seat",
-        "seat_incarnation",
+        "replica_id",
+        "replica_incarnation",
         "incarnation",
         "mark",
         "heard_us",
@@ -29,8 +29,8 @@
         """Up, and not heard yet."""
         self.name = name
         self.incarnation = incarnation
-        self.address = self.kind = self.zone = self.seat = ""
-        self.seat_incarnation = 0
+        self.address = self.kind = self.zone = self.replica_id = ""
+        self.replica_incarnation = 0
         self.mark = 0
         self.heard_us = None
         self.spoke_us = None
@@ -53,8 +53,8 @@
             self.address,
             self.kind,
             self.zone,
-            self.seat,
-            self.seat_incarnation,
+            self.replica_id,
+            self.replica_incarnation,
             self.mark,
             self.is_up,
         ]
--- a/packages/membership/src/linkhaven/membership/membership.py
+++ b/packages/membership/src/linkhaven/membership/membership.py
@@ -89,13 +89,18 @@
         "seek_until_us",
     )
 
-    def __init__(self, node, kind, zone, seeds, incarnation, seat="", mark_of=lambda: 0):
+    def __init__(self, node, kind, zone, seeds, incarnation, replica_id="", mark_of=lambda: 0):
         """Know nobody but the seeds' addresses; `mark_of` says this node's version of the plan."""
         self.node = node
         self.seeds = list(seeds)
         self.peers = Table()
         self.me = Member(node.name, incarnation)
-        self.me.address, self.me.kind, self.me.zone, self.me.seat = node.address, kind, zone, seat
+        self.me.address, self.me.kind, self.me.zone, self.me.replica_id = (
+            node.address,
+            kind,
+            zone,
+            replica_id,
+        )
         self.mark_of = mark_of
         self.on_standing = []
         self.on_mark = []
@@ -158,29 +163,29 @@
             if address and address not in self.seeds and address != self.node.address
         ]
 
-    def announce_replica(self, seat, seat_incarnation):
+    def announce_replica(self, replica_id, seat_incarnation):
         """This node took a seat, or left it: a new incarnation, told to everyone at once."""
         self.adopts_learned_incarnation = False
         self.me.incarnation += 1
-        self.me.seat, self.me.seat_incarnation = seat, seat_incarnation
+        self.me.replica_id, self.me.replica_incarnation = replica_id, seat_incarnation
         self.me.mark = self.mark_of()
         self.seat_table = None
-        if seat:
-            self.learn_incarnations({seat: seat_incarnation})
+        if replica_id:
+            self.learn_incarnations({replica_id: seat_incarnation})
         for member in self.live_members():
             self.node.send(member.address, MemberList([self.me.as_member()]))
 
-    def seats(self):
+    def replicas(self):
         """Each seat's address and newest incarnation; the caller must not change the table."""
-        key = (self.me.seat, self.me.seat_incarnation, self.me.incarnation)
+        key = (self.me.replica_id, self.me.replica_incarnation, self.me.incarnation)
         if self.seat_table is None or self.seat_key != key:
             self.seat_key = key
             self.seat_table = {
-                seat: (
+                replica_id: (
                     member.address,
-                    max(member.seat_incarnation, self.replica_incarnations.get(seat, 0)),
+                    max(member.replica_incarnation, self.replica_incarnations.get(replica_id, 0)),
                 )
-                for seat, member in self.replica_members().items()
+                for replica_id, member in self.replica_members().items()
             }
         return self.seat_table
 
@@ -188,30 +193,30 @@
         """The newest occupant that is known of each seat."""
         found = {}
         for member in [self.me, *self.peers.values()]:
-            if not member.seat:
+            if not member.replica_id:
                 continue
-            held = found.get(member.seat)
+            held = found.get(member.replica_id)
             if held is None or self._outranks(member, held):
-                found[member.seat] = member
+                found[member.replica_id] = member
         return found
 
     def _outranks(self, member, held):
-        if member.seat_incarnation != held.seat_incarnation:
-            return member.seat_incarnation > held.seat_incarnation
+        if member.replica_incarnation != held.replica_incarnation:
+            return member.replica_incarnation > held.replica_incarnation
         return member.incarnation > held.incarnation
 
     def learn_incarnations(self, known):
         """Take in the newest incarnation of each seat that somebody knows."""
-        for seat, incarnation in known.items():
-            if incarnation > self.replica_incarnations.get(seat, 0):
-                self.replica_incarnations[seat] = incarnation
+        for replica_id, incarnation in known.items():
+            if incarnation > self.replica_incarnations.get(replica_id, 0):
+                self.replica_incarnations[replica_id] = incarnation
                 self.seat_table = None
         if (
             self.adopts_learned_incarnation
-            and self.me.seat in known
-            and known[self.me.seat] > self.me.seat_incarnation
+            and self.me.replica_id in known
+            and known[self.me.replica_id] > self.me.replica_incarnation
         ):
-            self.me.seat_incarnation = self.replica_incarnations[self.me.seat]
+            self.me.replica_incarnation = self.replica_incarnations[self.me.replica_id]
 
     def watchers_of(self, name):
         """The next names on the ring after this one's place, of those that are up."""
@@ -283,11 +288,11 @@
 
     def _members_digest(self):
         """A hash of who is up, in which start and on which seat; equal lists need no telling."""
-        key = (self.me.incarnation, self.me.seat, self.me.seat_incarnation)
+        key = (self.me.incarnation, self.me.replica_id, self.me.replica_incarnation)
         if self.digest is None or self.digest[0] != key:
             rows = sorted(
-                f"{member.name} {member.incarnation} {member.address} {member.seat} "
-                f"{member.seat_incarnation}"
+                f"{member.name} {member.incarnation} {member.address} {member.replica_id} "
+                f"{member.replica_incarnation}"
                 for member in (self.me, *self.live_members())
             )
             told = hashlib.blake2b("\n".join(rows).encode(), digest_size=PLACE_BYTES).hexdigest()
@@ -340,7 +345,7 @@
         member = self.peers[record.name] = Member(record.name, record.incarnation)
         self._forget_order()
         self._set_facts(member, record)
-        member.seat_incarnation = record.seat_incarnation
+        member.replica_incarnation = record.replica_incarnation
         self.node.ports.log(
             1101, fellow=member.name, incarnation=member.incarnation, is_known=before is not None
         )
@@ -348,20 +353,20 @@
         return member
 
     def _raise_marks(self, member, record):
-        if record.seat_incarnation > member.seat_incarnation:
-            member.seat_incarnation = record.seat_incarnation
+        if record.replica_incarnation > member.replica_incarnation:
+            member.replica_incarnation = record.replica_incarnation
             self.seat_table = self.digest = None
-        if record.seat:
-            self.learn_incarnations({record.seat: member.seat_incarnation})
+        if record.replica_id:
+            self.learn_incarnations({record.replica_id: member.replica_incarnation})
         member.mark = max(member.mark, record.mark)
         for hear in self.on_mark:
             hear(record.mark, member)
 
     def _set_facts(self, member, record):
-        facts = (record.address, record.kind, record.zone, record.seat)
-        if facts == (member.address, member.kind, member.zone, member.seat):
+        facts = (record.address, record.kind, record.zone, record.replica_id)
+        if facts == (member.address, member.kind, member.zone, member.replica_id):
             return
-        member.address, member.kind, member.zone, member.seat = facts
+        member.address, member.kind, member.zone, member.replica_id = facts
         self.seat_table = self.digest = None
         self.live_by_kind = {}
 
--- a/packages/membership/src/linkhaven/membership/messages.py
+++ b/packages/membership/src/linkhaven/membership/messages.py
@@ -20,10 +20,10 @@
     """`router` or `registry`."""
 
     zone: str
-    seat: str
+    replica_id: str
     """The seat of the core that it has, or an empty text."""
 
-    seat_incarnation: int
+    replica_incarnation: int
     mark: int
     """The highest version of the plan that it holds."""
 
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -59,7 +59,7 @@
 
         digest = hashlib.blake2b(request.key.encode(), digest_size=20).hexdigest()
         request.claim_key = f"claim/{request.group}/{digest}"
-        self.proposer.change(request.claim_key, step, done)
+        self.proposer.propose(request.claim_key, step, done)
 
     def give_back(self, request):
         """A refused request never ran and never will: its key may be used again."""
@@ -71,7 +71,7 @@
                 return "stop", value
             return "set", {"by": None}
 
-        self.proposer.change(request.claim_key, step, lambda outcome, value: None)
+        self.proposer.propose(request.claim_key, step, lambda outcome, value: None)
 
     def _room_us(self):
         oldest_us = next(iter(self.won.values()))[1] if self.won else self.node.now_us()
--- a/packages/stage/src/linkhaven/stage/changecourse.py
+++ b/packages/stage/src/linkhaven/stage/changecourse.py
@@ -183,19 +183,19 @@
 
     def _is_back(self, node, found):
         return (
-            node.seat.is_voting
+            node.replica.is_voting
             and node.watch_server.is_current()
-            and revision_of(node.seat.cell("plan").value) >= found.newest
+            and revision_of(node.replica.register_state("plan").value) >= found.newest
         )
 
     def _look(self, found, hosts):
         """What a member that comes back may not do before it knows enough."""
         now_us = self.core.world.now_us
         for host in hosts:
-            revision = revision_of(host.node.seat.cell("plan").value)
+            revision = revision_of(host.node.replica.register_state("plan").value)
             if revision >= found.newest:
                 continue
-            if host.node.seat.is_voting and found.leg in (RESTARTED, WIPED, NEW):
+            if host.node.replica.is_voting and found.leg in (RESTARTED, WIPED, NEW):
                 found.early.append((now_us, host.name, revision))
             if host.node.watch_server.is_current():
                 found.old_news.append((now_us, host.name, revision))
--- a/packages/stage/src/linkhaven/stage/core.py
+++ b/packages/stage/src/linkhaven/stage/core.py
@@ -68,9 +68,9 @@
 
     def voting(self):
         return {
-            host.node.seat.seat: name
+            host.node.replica.replica_id: name
             for name, host in self.machines.items()
-            if host.node and not host.is_frozen and host.node.seat.is_voting
+            if host.node and not host.is_frozen and host.node.replica.is_voting
         }
 
     def wait_voting(self, count, most_us=10_000_000):
--- a/packages/stage/src/linkhaven/stage/cutcourse.py
+++ b/packages/stage/src/linkhaven/stage/cutcourse.py
@@ -35,7 +35,7 @@
         self.at_us = at_us
         self.is_current = node.watch_server.is_current()
         self.roles = [name for name in SINGLETON_ROLES if node.leases[name].is_held()]
-        self.revision = (node.seat.cell("plan").value or {}).get("revision") or 0
+        self.revision = (node.replica.register_state("plan").value or {}).get("revision") or 0
 
 
 class CutCourse:
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -40,10 +40,10 @@
 class Vote:
     """A yes of a seat, as it leaves it."""
 
-    __slots__ = ("seat", "epoch", "change", "ballot", "is_accept")
+    __slots__ = ("replica_id", "epoch", "change", "ballot", "is_accept")
 
-    def __init__(self, seat, epoch, change, ballot, is_accept):
-        self.seat = seat
+    def __init__(self, replica_id, epoch, change, ballot, is_accept):
+        self.replica_id = replica_id
         self.epoch = epoch
         self.change = change
         self.ballot = ballot
@@ -57,7 +57,7 @@
     __slots__ = (
         "membership",
         "proposer",
-        "seat",
+        "replica",
         "snapshot",
         "blobs",
         "configuration_store",
@@ -72,22 +72,24 @@
         self.systems.remove(self.membership.tick)
         self.proposer = Proposer(self, self.membership)
         seats = SEATS[: bounds.seats]
-        self.seat = Replica(self, None, seats, self.membership, lambda key: None, self._hear_votes)
-        self.seat.occupants.contact = address
+        self.replica = Replica(
+            self, None, seats, self.membership, lambda key: None, self._hear_votes
+        )
+        self.replica.occupants.contact = address
         self.snapshot = ConfigurationSnapshot()
-        self.blobs = BlobStore(self, self.seat)
+        self.blobs = BlobStore(self, self.replica)
         self.configuration_store = ConfigurationStore(
             self, self.proposer, self.blobs, self.snapshot
         )
         self.lease = None
         if has_duty:
             listener = SilentListener()
-            self.lease = Lease(self, DUTY, self.proposer, self.seat, self.membership, listener)
-        if contacts and self.seat.is_empty and not self.seat.seat:
-            self.seat.begin_first(seats[contacts.index(address)], contacts)
+            self.lease = Lease(self, DUTY, self.proposer, self.replica, self.membership, listener)
+        if contacts and self.replica.is_empty and not self.replica.replica_id:
+            self.replica.begin_first(seats[contacts.index(address)], contacts)
 
     def _hear_votes(self):
-        if self.lease is not None and not self.seat.votes_from_us:
+        if self.lease is not None and not self.replica.votes_from_us:
             self.lease.allow_election_now()
 
 
@@ -191,18 +193,22 @@
     """For each seat the running machine that has it under the highest epoch."""
     newest = {}
     for machine in world.machines.values():
-        if machine.node is None or not machine.node.seat.seat:
+        if machine.node is None or not machine.node.replica.replica_id:
             continue
-        held = newest.get(machine.node.seat.seat)
-        if held is None or machine.node.seat.incarnation > held.node.seat.incarnation:
-            newest[machine.node.seat.seat] = machine
+        held = newest.get(machine.node.replica.replica_id)
+        if held is None or machine.node.replica.incarnation > held.node.replica.incarnation:
+            newest[machine.node.replica.replica_id] = machine
     return newest
 
 
 def held_marks(world):
     """For each seat whose newest occupant votes now, the mark of the plan that it accepted last."""
-    seats = [machine.node.seat for machine in _newest_occupants(world).values()]
-    return [(seat.cell(PLAN_KEY).value or {"mark": 0})["mark"] for seat in seats if seat.is_voting]
+    seats = [machine.node.replica for machine in _newest_occupants(world).values()]
+    return [
+        (replica.register_state(PLAN_KEY).value or {"mark": 0})["mark"]
+        for replica in seats
+        if replica.is_voting
+    ]
 
 
 def voting_seats(world):
@@ -211,20 +217,20 @@
     return {
         seat
         for seat, machine in _newest_occupants(world).items()
-        if machine.runs and machine.node.seat.is_voting and machine.name not in cut
+        if machine.runs and machine.node.replica.is_voting and machine.name not in cut
     }
 
 
 def seat_of(machine):
     """The seat that a machine has, by its node or else by its disk."""
     if machine.node is not None:
-        return machine.node.seat.seat
+        return machine.node.replica.replica_id
     return machine.disk.synced.get("seat", "")
 
 
 def is_voting(machine):
     """Whether the machine's node gives votes."""
-    return machine.node is not None and machine.node.seat.is_voting
+    return machine.node is not None and machine.node.replica.is_voting
 
 
 def put(machine, base, revision, document, done):
@@ -258,7 +264,7 @@
     marks = machine.node.membership.replica_incarnations
     if any(epoch > marks.get(seat, 0) for seat, epoch in message["known"].items()):
         return False
-    change = machine.node.proposer.changes.get(message["id"])
+    change = machine.node.proposer.proposals.get(message["id"])
     return change is None or message["ballot"] < (change.ballot or [0, ""])
 
 
--- a/packages/stage/src/linkhaven/stage/explore/ghost.py
+++ b/packages/stage/src/linkhaven/stage/explore/ghost.py
@@ -78,18 +78,18 @@
             )
 
     def _check_voter(self, machine, vote):
-        place = (vote.seat, vote.epoch)
+        place = (vote.replica_id, vote.epoch)
         voter = self.voters.setdefault(place, machine.process)
         if voter != machine.process:
             raise BreachError(
                 "one voter of a seat in an epoch",
-                f"{voter} and {machine.process} voted as seat {vote.seat} in epoch {vote.epoch}",
+                f"{voter} and {machine.process} voted as seat {vote.replica_id} in epoch {vote.epoch}",
             )
 
     def _count_vote(self, vote):
         key = (self.keys[vote.change], vote.ballot)
         seats = self.votes.setdefault(key, set())
-        seats.add(vote.seat)
+        seats.add(vote.replica_id)
         if len(seats) < self.majority or key in self.chosen:
             return
         value = self.chosen[key] = self.proposed.get(key)
--- a/packages/stage/src/linkhaven/stage/fleet.py
+++ b/packages/stage/src/linkhaven/stage/fleet.py
@@ -309,7 +309,7 @@
         if not ready:
             return self
         if not self.world.wait_for(
-            lambda: any(host.node.seat.is_voting for host in self.registries.values())
+            lambda: any(host.node.replica.is_voting for host in self.registries.values())
         ):
             raise AssertionError("no seat votes")
         self.world.run_for(SECOND)
@@ -331,7 +331,7 @@
 
     def live_registry(self):
         for host in self.registries.values():
-            if host.node is not None and not host.is_still and host.node.seat.is_voting:
+            if host.node is not None and not host.is_still and host.node.replica.is_voting:
                 return host
         return self.registries["a"]
 
--- a/packages/stage/src/linkhaven/stage/replacecourse.py
+++ b/packages/stage/src/linkhaven/stage/replacecourse.py
@@ -96,7 +96,7 @@
         return [
             host
             for host in self.core.machines.values()
-            if host.node and host not in (self.old, self.new) and host.node.seat.seat
+            if host.node and host not in (self.old, self.new) and host.node.replica.replica_id
         ]
 
     def go(self, how):
@@ -112,7 +112,7 @@
     def _acknowledge_at_a_bare_majority(self):
         """Only the old member and as many others as a majority needs hold the newest."""
         world, stayers = self.core.world, self._stayers()
-        kept = len(self.old.node.seat.seats) // 2
+        kept = len(self.old.node.replica.replica_ids) // 2
         left_out = [host.name for host in stayers[kept:]]
         world.cut(left_out, [name for name in self.core.machines if name not in left_out])
         self.change([self.old.name])
@@ -127,13 +127,13 @@
 
     def _is_repaired(self):
         self._look()
-        return self.new.node is not None and self.new.node.seat.is_voting
+        return self.new.node is not None and self.new.node.replica.is_voting
 
     def _look(self):
         voters = [
-            (host.node.seat.seat, host.name)
+            (host.node.replica.replica_id, host.name)
             for host in self.core.machines.values()
-            if host.node and not host.is_frozen and host.node.seat.is_voting
+            if host.node and not host.is_frozen and host.node.replica.is_voting
         ]
         seats = [seat for seat, _ in voters]
         if len(seats) != len(set(seats)):
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -8,7 +8,7 @@
 from linkhaven.configuration.history import digest_of
 from linkhaven.configuration.messages import Blobs
 from linkhaven.configuration.packing import BlobMismatchError, open_blob, pack_blob
-from linkhaven.consensus.seat import RegisterState
+from linkhaven.consensus.replica import RegisterState
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Bounds, kind_of
 from linkhaven.stage.core import SimCore
@@ -128,7 +128,7 @@
     """The host of the seat whose answers bring the body."""
     watcher = router.node.watcher
     now_us = router.node.now_us()
-    seats = router.node.membership.seats()
+    seats = router.node.membership.replicas()
     (source,) = [seat for seat in seats if watcher._is_source(seat, now_us)]
     return next(host for host in router.world.hosts.values() if host.address == seats[source][0])
 
@@ -206,7 +206,7 @@
     newcomer.start()
     watch = VoteWatch(core)
     assert core.wait_voting(3)
-    named = set(digests_of(newcomer.node.seat.cell("plan").value))
+    named = set(digests_of(newcomer.node.replica.register_state("plan").value))
     assert named and named <= bodies_on_disk(newcomer)
     core.machines["core-1"].kill()
     error, value = core.read("core-9")
@@ -254,7 +254,7 @@
     assert is_taken(put(core, 1))
     host = core.machines["core-3"]
     assert host.node.blobs.synced
-    host.node.seat.retire()
+    host.node.replica.retire()
     assert not host.node.blobs.synced
     core.world.run_for(10 * MS)
     assert not bodies_on_disk(host)
@@ -278,7 +278,7 @@
     assert core.read("core-2")[1]["document"] == "text 2"
     of_plan = [message for message in told if message.get("accepted")]
     assert len(of_plan) >= 4 and all(message["value"] is None for message in of_plan)
-    core.machines["core-2"].node.seat.cells["plan"].accepted = None
+    core.machines["core-2"].node.replica.states["plan"].accepted = None
     assert core.read("core-2")[1]["document"] == "text 2"
 
 
@@ -361,7 +361,7 @@
         "overlay": {"groups": {}, "kinds": {}},
     }
     for host in core.machines.values():
-        host.node.seat.cells["plan"] = RegisterState([5, "core-1"], [5, "core-1"], value)
+        host.node.replica.states["plan"] = RegisterState([5, "core-1"], [5, "core-1"], value)
     router = with_router(core)
     assert weight_at(router) == 7.0
     assert core.read()[1]["document"] == "text 7"
@@ -543,13 +543,13 @@
         def send(address, message):
             told.append(message)
 
-    seat = core.machines["core-1"].node
-    seat.ports.network = Earlier
+    replica = core.machines["core-1"].node
+    replica.ports.network = Earlier
     ask = {"say": "ask", "name": "old", "back": "10.5.0.9:7000", "id": "1", "mark": 0}
     facts = {"known": {}, "credit": {}, "usage": {}, "extra": [0, 0], "evidence": [], "fences": {}}
-    seat.watch_server.on_ask.clear()
-    seat.watch_server.extras.clear()
-    seat.watch_server.on_watch_request({**ask, **facts})
+    replica.watch_server.on_ask.clear()
+    replica.watch_server.extras.clear()
+    replica.watch_server.on_watch_request({**ask, **facts})
     assert told[0]["plan"]["plan"] == plan_of(1.0) and "body" not in told[0]
 
 
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -235,7 +235,7 @@
 
     def cut_after(message):
         take(message)
-        if any(change.has_sent_accept for change in proposer.changes.values()):
+        if any(change.has_sent_accept for change in proposer.proposals.values()):
             core.world.cut(["core-1"], others, how=RESET)
 
     proposer.node.map_handlers["promise"] = cut_after
--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -37,7 +37,7 @@
         weigh(self, now_us)
         if self.notes:
             self.notes = set()
-            self.seat.begin_votes()
+            self.replica.begin_votes()
 
     monkeypatch.setattr(Recovery, "_weigh", hasty)
 
--- a/tests/test_control_races.py
+++ b/tests/test_control_races.py
@@ -78,7 +78,7 @@
         hear(message)
 
     def cut_at_the_third_promise(message):
-        change = first.node.proposer.changes.get(message["id"])
+        change = first.node.proposer.proposals.get(message["id"])
         if change is not None and change.key == "plan" and len(change.votes) == 2:
             return cut_before_the_accept(message)
         hear(message)
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -455,7 +455,7 @@
     for seat in "abc":
         faults.begin("empty_core", seat)
         fleet.world.run_for(8 * SECOND)
-        assert fleet.registries[seat].node.seat.is_voting
+        assert fleet.registries[seat].node.replica.is_voting
     assert not set(fleet.seeds) & {host.address for host in fleet.registries.values()}
     router = fleet.routers["edge-1"]
     router.kill()
@@ -582,13 +582,13 @@
     fleet, faults = make(LICENSING, 29)
     world = fleet.world
     old = holder_of(fleet, "roster")
-    seat = old.node.seat.seat
+    seat = old.node.replica.replica_id
     faults.begin("exchange_awake_core", seat)
     world.run_for(SECOND)
     faults.close()
     world.run_for(8 * SECOND)
     assert fleet.is_ready()
-    assert old.node.seat.standing == "fenced"
+    assert old.node.replica.state == "fenced"
     assert not any(duty.is_held() for duty in old.node.leases.values())
     asked = fleet.ask("seat-question")
     world.run_for(5 * SECOND)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -449,7 +449,7 @@
     rules["core-2"] = rules["core-3"] = {("accept", "core-1")}
     core.put(0, 5, "rival", PLAN, "core-1", wait=False)
     core.world.run_for(50_000)
-    core.machines["core-1"].node.proposer.changes.clear()
+    core.machines["core-1"].node.proposer.proposals.clear()
     rules["core-1"] = {("prepare", "core-3"), ("accept", "core-3")}
     rules["core-2"] = {("accept", "core-3")}
     rules["core-3"] = {("prepare", "core-2")}
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -28,7 +28,7 @@
     hear = Replica.hear_prepare
 
     def promise_again(self, message):
-        cell = self._cell_to_keep(message["key"])
+        cell = self._state_to_keep(message["key"])
         if cell.promise == message["ballot"]:
             cell.promise = [0, ""]
         hear(self, message)
@@ -49,7 +49,7 @@
     hear = Replica.hear_accept
 
     def forgetful(self, message):
-        self._cell_to_keep(message["key"]).promise = [0, ""]
+        self._state_to_keep(message["key"]).promise = [0, ""]
         hear(self, message)
 
     monkeypatch.setattr(Replica, "hear_accept", forgetful)
@@ -65,9 +65,9 @@
             id=message["id"],
             ballot=message["ballot"],
             is_yes=True,
-            seat=self.seat,
+            seat=self.replica_id,
             incarnation=self.incarnation,
-            known=self.known_of_all(),
+            known=self.all_incarnations(),
             **facts,
         )
         self.node.ports.storage.write({f"cell/{key}": cell.as_record()}, lambda is_kept: None)
@@ -88,7 +88,7 @@
 def vote_under_the_old_epoch(monkeypatch):
     """A restarted seat votes at once, as if it had never ended."""
     monkeypatch.setattr(
-        Recovery, "tick", lambda self, now_us: self.seat.is_empty or self.seat.begin_votes()
+        Recovery, "tick", lambda self, now_us: self.replica.is_empty or self.replica.begin_votes()
     )
 
 
@@ -96,7 +96,7 @@
     """A read doesn't ask a majority."""
 
     def read(self, done):
-        value = self.blobs.seat.cell("plan").value
+        value = self.blobs.replica.register_state("plan").value
         done(None, self.blobs.opened(value) if value else None)
 
     monkeypatch.setattr(ConfigurationStore, "read_document", read)
@@ -109,7 +109,7 @@
 
 def take_the_duty_unasked(monkeypatch):
     """Who asks for a duty doesn't look whether its fence was given meanwhile."""
-    change = Proposer.change
+    change = Proposer.propose
 
     def blind(self, key, step, done, **more):
         wanted = []
@@ -121,12 +121,12 @@
 
         change(self, key, grab if key.startswith("duty/") else step, done, **more)
 
-    monkeypatch.setattr(Proposer, "change", blind)
+    monkeypatch.setattr(Proposer, "propose", blind)
 
 
 def forget_taken_orders(monkeypatch):
     """An order that was taken isn't known any more when it comes again."""
-    change = Proposer.change
+    change = Proposer.propose
 
     def forgetful(self, key, step, done, **more):
         def anew(value):
@@ -138,7 +138,7 @@
         is_put = "_order_document" in done.__qualname__
         change(self, key, anew, done, **more)
 
-    monkeypatch.setattr(Proposer, "change", forgetful)
+    monkeypatch.setattr(Proposer, "propose", forgetful)
 
 
 SABOTAGES = {
--- a/tests/test_late_newcomer.py
+++ b/tests/test_late_newcomer.py
@@ -7,6 +7,6 @@
     core.machines["core-3"].kill()
     core.world.run_for(8 * SECOND)
     core.add("core-9").start()
-    assert core.wait_voting(3, 5 * SECOND), core.machines["core-9"].node.seat.standing
+    assert core.wait_voting(3, 5 * SECOND), core.machines["core-9"].node.replica.state
     core.machines["core-1"].kill()
     assert held(core, "core-9") == 3
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -51,9 +51,9 @@
 
 def voters(core):
     return [
-        (host.node.seat.seat, name)
+        (host.node.replica.replica_id, name)
         for name, host in core.machines.items()
-        if host.node and not host.is_frozen and host.node.seat.is_voting
+        if host.node and not host.is_frozen and host.node.replica.is_voting
     ]
 
 
@@ -72,7 +72,11 @@
 
 def standings(core):
     return {
-        name: (host.node.seat.seat, host.node.seat.standing, host.node.seat.leaving.state.value)
+        name: (
+            host.node.replica.replica_id,
+            host.node.replica.state,
+            host.node.replica.leaving.state.value,
+        )
         for name, host in core.machines.items()
         if host.node
     }
@@ -184,14 +188,14 @@
     core.world.cut(["core-3"], ["core-1", "core-2", "core-9"])
     core.world.slow.update({("core-2", "core-9"): 100_000, ("core-9", "core-2"): 100_000})
     told = leave(core, "core-2")
-    successor = core.machines["core-9"].node.seat
-    assert core.world.wait_for(lambda: successor.cells, 2 * SECOND, 1_000)
+    successor = core.machines["core-9"].node.replica
+    assert core.world.wait_for(lambda: successor.states, 2 * SECOND, 1_000)
     acked(core, 3, 4, "core-1")
-    assert core.machines["core-2"].node.seat.leaving.state == LeavingState.OFFERING
+    assert core.machines["core-2"].node.replica.leaving.state == LeavingState.OFFERING
     assert core.world.wait_for(lambda: told, 4 * SECOND, 1_000)
     core.world.links.clear()
     core.world.heal()
-    assert core.machines["core-3"].node.seat.cell("plan").value["revision"] == 3
+    assert core.machines["core-3"].node.replica.register_state("plan").value["revision"] == 3
     core.machines["core-1"].kill()
     assert held(core, "core-3") == 4
 
@@ -215,7 +219,7 @@
     """Run to the moment at which the seal is synced and the successor hasn't the rest."""
     node = core.machines[leaver].node
     assert core.world.wait_for(
-        lambda: node.seat.leaving.state == LeavingState.SEALED, 3 * SECOND, 100
+        lambda: node.replica.leaving.state == LeavingState.SEALED, 3 * SECOND, 100
     )
 
 
@@ -228,9 +232,9 @@
     core.machines["core-2"].kill()
     core.machines["core-9"].freeze()
     core.machines["core-2"].start()
-    seat = core.machines["core-2"].node.seat
-    assert seat.sealed is not None
-    assert seat.is_empty
+    replica = core.machines["core-2"].node.replica
+    assert replica.sealed is not None
+    assert replica.is_empty
     core.machines["core-9"].wake()
     run_soundly(core, 6 * SECOND)
     assert len(core.voting()) == 3, standings(core)
@@ -261,13 +265,13 @@
     node = core.machines["core-9"].node
     leave(core, "core-2")
     sealed_at(core, "core-2")
-    old = core.machines["core-2"].node.seat
+    old = core.machines["core-2"].node.replica
     core.world.cut(["core-2"], ["core-9"])
     core.world.run_for(4 * SECOND)
-    assert node.seat.successor.offer["is_taken"] is False
+    assert node.replica.successor.offer["is_taken"] is False
     core.world.heal()
     run_soundly(core, 3 * SECOND)
-    assert node.seat.successor.offer["id"] != (old.sealed or {}).get("id") or old.sealed is None
+    assert node.replica.successor.offer["id"] != (old.sealed or {}).get("id") or old.sealed is None
     assert len(core.voting()) == 3, standings(core)
     assert held(core) == 3
 
@@ -292,10 +296,10 @@
     acked(core, 0, 3, "core-2")
     core.world.links.clear()
     core.world.heal()
-    assert core.machines["core-3"].node.seat.cell("plan").value is None
+    assert core.machines["core-3"].node.replica.register_state("plan").value is None
     told = leave(core, "core-2")
     assert core.world.wait_for(lambda: told, 3 * SECOND, STEP)
-    cell = core.machines["core-3"].node.seat.cell("plan")
+    cell = core.machines["core-3"].node.replica.register_state("plan")
     assert cell.value["revision"] == 3
     assert core.machines["core-3"].node.blobs.has(cell.value)
     core.world.run_for(SECOND)
@@ -380,7 +384,7 @@
     core.world.slow.update({("core-2", "core-9"): 100_000, ("core-9", "core-2"): 100_000})
     leave(core, "core-2")
     assert core.world.wait_for(
-        lambda: core.machines["core-9"].node.seat.standing == "learning", SECOND, STEP
+        lambda: core.machines["core-9"].node.replica.state == "learning", SECOND, STEP
     )
     told = status_of(core, "core-1")
     assert told["members"]["core-9"]["standing"] == "learning"
@@ -410,11 +414,11 @@
     core = started(6, 3, ["core-9"])
     node = core.machines["core-9"].node
     leave(core, "core-2")
-    assert core.world.wait_for(lambda: node.seat.standing == "learning", SECOND, 1_000)
+    assert core.world.wait_for(lambda: node.replica.state == "learning", SECOND, 1_000)
     table = {"a": ["core-1", "", False], "b": ["core-2", "", False], "c": ["", "", True]}
-    node.seat.occupants.told.clear()
+    node.replica.occupants.told.clear()
     for seat in "ab":
-        node.seat.occupants.hear_told({"seat": seat, "table": table})
-    assert node.seat.standing == "learning"
-    assert node.seat.seat == ""
-    assert core.world.wait_for(lambda: node.seat.seat == "b", SECOND, 1_000)
+        node.replica.occupants.hear_told({"seat": seat, "table": table})
+    assert node.replica.state == "learning"
+    assert node.replica.replica_id == ""
+    assert core.world.wait_for(lambda: node.replica.replica_id == "b", SECOND, 1_000)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -55,9 +55,9 @@
     def occupants(self):
         """Seat, incarnation and name of each that holds itself for voting."""
         return [
-            (host.node.seat.seat, host.node.seat.incarnation, name)
+            (host.node.replica.replica_id, host.node.replica.incarnation, name)
             for name, host in self.core.machines.items()
-            if host.node and not host.is_frozen and host.node.seat.is_voting
+            if host.node and not host.is_frozen and host.node.replica.is_voting
         ]
 
     def voters(self):
@@ -73,7 +73,7 @@
         return [
             name
             for name, host in self.core.machines.items()
-            if host.node and host.node.seat.standing == "spare" and name not in self.leaving
+            if host.node and host.node.replica.state == "spare" and name not in self.leaving
         ]
 
     def may_lose_one(self):
@@ -235,7 +235,11 @@
 
     def standings(self):
         return {
-            name: (host.node.seat.seat, host.node.seat.standing, host.node.seat.incarnation)
+            name: (
+                host.node.replica.replica_id,
+                host.node.replica.state,
+                host.node.replica.incarnation,
+            )
             for name, host in self.core.machines.items()
             if host.node
         }
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -33,7 +33,7 @@
 
 
 def standing(fleet, seat):
-    return fleet.registries[seat].node.seat.standing
+    return fleet.registries[seat].node.replica.state
 
 
 def test_two_operators_at_once_one_wins_and_the_other_learns_the_mark():
@@ -69,7 +69,7 @@
     hear = proposer.node.map_handlers["promise"]
 
     def cut_before_accepts(message):
-        change = proposer.changes.get(message["id"])
+        change = proposer.proposals.get(message["id"])
         if change is not None and change.key == "plan" and message["seat"] != "a":
             for other in others:
                 world.cuts.add((lone.name, other.name))
@@ -154,7 +154,9 @@
     fleet.world.run_for(3 * SECOND)
     assert put(fleet, 2, "b")[0] == 200
     fleet.world.run_for(SECOND)
-    assert not old.node.seat.is_voting or old.node.seat.cell("plan").value["mark"] < 3
+    assert (
+        not old.node.replica.is_voting or old.node.replica.register_state("plan").value["mark"] < 3
+    )
     assert not old.node.watch_server.is_current()
     router = next(iter(fleet.routers.values())).node
     assert router.snapshot.version == 3
@@ -163,12 +165,12 @@
 def test_a_seat_that_lost_acknowledged_writes_rebuilds_them_before_it_votes():
     fleet, faults = make_core()
     assert put(fleet, 1, "a")[0] == 200
-    seat = fleet.registries["b"]
+    replica = fleet.registries["b"]
     faults.begin("lossy_core", "b")
-    assert seat.disk.synced.get("cell/plan", [0, 0, {"mark": 0}])[2]["mark"] < 2
+    assert replica.disk.synced.get("cell/plan", [0, 0, {"mark": 0}])[2]["mark"] < 2
     faults.close()
     assert fleet.world.wait_for(lambda: standing(fleet, "b") == "voting", 10 * SECOND)
-    assert seat.node.seat.cell("plan").value["mark"] == 2
+    assert replica.node.replica.register_state("plan").value["mark"] == 2
 
 
 @pytest.mark.parametrize("fault, own", [("is_full", "c"), ("is_stalled", "a")])
@@ -240,15 +242,20 @@
 
 def test_hosts_of_one_name_at_two_addresses_are_told_apart():
     fleet, _ = make_core()
-    seat = fleet.registries["a"]
-    seat.kill()
+    replica = fleet.registries["a"]
+    replica.kill()
     host = Host(
-        fleet.world, seat.name, seat.zone, "10.0.9.9:7000", seat.build, SimDisk(fleet.world)
+        fleet.world,
+        replica.name,
+        replica.zone,
+        "10.0.9.9:7000",
+        replica.build,
+        SimDisk(fleet.world),
     )
     fleet.registries["a"] = host
     host.start()
     assert fleet.world.wait_for(lambda: standing(fleet, "a") == "voting", 10 * SECOND)
-    assert fleet.registries["b"].node.membership.seats()["a"][0] == "10.0.9.9:7000"
+    assert fleet.registries["b"].node.membership.replicas()["a"][0] == "10.0.9.9:7000"
 
 
 def ask_with_keys(fleet, keys, router="edge-1"):
@@ -292,7 +299,7 @@
         for place in range(20_000)
     }
     for seat in "ab":
-        fleet.registries[seat].node.seat.merge(cells)
+        fleet.registries[seat].node.replica.merge(cells)
     lost = fleet.registries["c"]
     lost.kill()
     lost.disk.wipe()
@@ -300,7 +307,7 @@
     begun_us = fleet.world.now_us
     assert fleet.world.wait_for(lambda: standing(fleet, "c") == "voting", 10 * SECOND, 10_000)
     assert fleet.world.now_us - begun_us < 2 * SECOND
-    assert len(lost.node.seat.claims) == 20_000
+    assert len(lost.node.replica.claims) == 20_000
     assert len(lost.disk.synced) > 20_000
 
 
@@ -311,25 +318,25 @@
 
     def spy(self, message):
         if old:
-            self.seat.hear_accept(
+            self.replica.hear_accept(
                 {
                     "id": "late",
                     "key": "plan",
                     "ballot": [99, "edge-1"],
                     "value": {"mark": 9},
                     "back": self.node.address,
-                    "seat": self.seat.seat,
-                    "incarnation": self.seat.incarnation,
+                    "seat": self.replica.replica_id,
+                    "incarnation": self.replica.incarnation,
                     "known": {"c": old[0]},
                 }
             )
-            seen.append(self.seat.cell("plan").value["mark"])
+            seen.append(self.replica.register_state("plan").value["mark"])
         hear_browse(self, message)
 
     monkeypatch.setattr(Recovery, "hear_browse", spy)
     fleet, _ = make_core()
     lost = fleet.registries["c"]
-    old.append(lost.node.seat.incarnation)
+    old.append(lost.node.replica.incarnation)
     lost.kill()
     lost.disk.wipe()
     lost.start()
--- a/tests/test_ring_standing.py
+++ b/tests/test_ring_standing.py
@@ -151,7 +151,7 @@
     (
         ring.live_members(),
         ring.live_members("router"),
-        ring.seats(),
+        ring.replicas(),
         ring._find_watched(),
         ring._members_digest(),
     )
@@ -168,10 +168,10 @@
     elif change == "new start":
         record = MemberRecord(about, 2, "router-22", "registry", "south", "a", 7, 0, True)
         ring.on_members(of(about, MemberList([record])))
-        assert ring.seats() == {"a": ("router-22", 7)}
+        assert ring.replicas() == {"a": ("router-22", 7)}
     elif change == "seat":
         ring.announce_replica("b", 3)
-        assert ring.seats() == {"b": (NAMES[0], 3)}
+        assert ring.replicas() == {"b": (NAMES[0], 3)}
     else:
         hold_down(net, NAMES[0], about)
         net.now_us += 100_000_000
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -9,7 +9,7 @@
     decode_configuration,
 )
 from linkhaven.consensus import Replica
-from linkhaven.consensus.seat import REJOINING
+from linkhaven.consensus.replica import REJOINING
 from linkhaven.controller.claim_admission import ClaimAdmission
 from linkhaven.controller.role_change import RoleChange
 from linkhaven.controller.runner_discovery import RunnerDiscovery
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -34,9 +34,9 @@
 def is_sole(core):
     """No seat is voted on by two."""
     votes = [
-        host.node.seat.seat
+        host.node.replica.replica_id
         for host in core.machines.values()
-        if host.node and not host.is_frozen and host.node.seat.is_voting
+        if host.node and not host.is_frozen and host.node.replica.is_voting
     ]
     return len(votes) == len(set(votes))
 
@@ -70,11 +70,11 @@
     core.add("core-9").start()
     core.world.run_for(3 * SECOND)
     new = core.machines["core-9"]
-    assert new.node.seat.standing == "spare"
+    assert new.node.replica.state == "spare"
     assert held(core, "core-9") == 3
     old = core.machines["core-2"]
     old.node.drain(lambda: core.world.after(1_000, old.kill))
-    assert core.world.wait_for(lambda: new.node.seat.is_voting, 2 * SECOND, 50_000)
+    assert core.world.wait_for(lambda: new.node.replica.is_voting, 2 * SECOND, 50_000)
     assert core.voting() == {"a": "core-1", "b": "core-9", "c": "core-3"}
     core.machines["core-1"].kill()
     acked(core, 3, 5, "core-9")
@@ -131,11 +131,11 @@
         core.world.after(core.world.dice.randrange(500_000), host.start)
     core.world.run_for(SECOND // 2)
     assert core.wait_voting(seats // 2 + 1, 2 * SECOND), {
-        name: host.node.seat.standing for name, host in core.machines.items()
+        name: host.node.replica.state for name, host in core.machines.items()
     }
     assert held(core) == 7
     assert core.wait_voting(seats, 5 * SECOND), {
-        name: host.node.seat.standing for name, host in core.machines.items()
+        name: host.node.replica.state for name, host in core.machines.items()
     }
     acked(core, 7, 8)
 
@@ -152,14 +152,14 @@
         core.world.run_for(SECOND // 20)
         assert is_sole(core)
     assert len(core.voting()) == 3, {
-        name: host.node.seat.standing for name, host in core.machines.items() if host.node
+        name: host.node.replica.state for name, host in core.machines.items() if host.node
     }
     assert held(core, core.voting()["c"]) == 3
 
 
 def test_a_second_occupant_is_not_noted_at_the_same_incarnation():
     core = started(7)
-    seat = core.machines["core-1"].node.seat
+    replica = core.machines["core-1"].node.replica
     first = {
         "seat": "c",
         "incarnation": 9,
@@ -168,11 +168,11 @@
         "back": "10.0.0.8:7000",
         "genesis": None,
     }
-    assert seat.occupants.note(first)
-    assert not seat.occupants.note({**first, "start": "y/1", "name": "y"})
-    assert seat.occupants.note(first)
-    assert seat.occupants.note({**first, "incarnation": 10, "start": "y/1", "name": "y"})
-    assert not seat.occupants.note(first)
+    assert replica.occupants.note(first)
+    assert not replica.occupants.note({**first, "start": "y/1", "name": "y"})
+    assert replica.occupants.note(first)
+    assert replica.occupants.note({**first, "incarnation": 10, "start": "y/1", "name": "y"})
+    assert not replica.occupants.note(first)
 
 
 def test_a_frozen_occupant_that_wakes_after_its_seat_was_taken_is_a_spare():
@@ -181,11 +181,11 @@
     old = core.machines["core-2"]
     old.freeze()
     core.add("core-9").start()
-    assert core.world.wait_for(lambda: core.machines["core-9"].node.seat.is_voting, 8 * SECOND)
+    assert core.world.wait_for(lambda: core.machines["core-9"].node.replica.is_voting, 8 * SECOND)
     acked(core, 3, 4, "core-1")
     old.wake()
     core.world.run_for(3 * SECOND)
-    assert old.node.seat.standing == "spare"
+    assert old.node.replica.state == "spare"
     assert not [
         key for key in old.disk.synced if key.startswith("cell/") or key in ("seat", "incarnation")
     ]
@@ -200,10 +200,10 @@
     core = started(9)
     core.machines["core-2"].kill()
     core.add("core-9").start()
-    assert core.world.wait_for(lambda: core.machines["core-9"].node.seat.is_voting, 8 * SECOND)
+    assert core.world.wait_for(lambda: core.machines["core-9"].node.replica.is_voting, 8 * SECOND)
     core.machines["core-2"].start()
     core.world.run_for(3 * SECOND)
-    assert core.machines["core-2"].node.seat.standing == "spare"
+    assert core.machines["core-2"].node.replica.state == "spare"
     assert core.voting()["b"] == "core-9"
 
 
@@ -246,7 +246,7 @@
     core.world.run_for(5 * SECOND)
     assert core.voting() == {}
     assert core.wait_voting(3, 10 * SECOND), {
-        name: host.node.seat.standing for name, host in core.machines.items()
+        name: host.node.replica.state for name, host in core.machines.items()
     }
     assert is_sole(core)
     assert core.world.wait_for(lambda: held_or_none(core) == 7, 5 * SECOND, 100_000)
@@ -284,7 +284,7 @@
     core.world.run_for(2 * SECOND)
     core.world.cut([host.name for host in spares], ["core-1", "core-2", "core-3"])
     core.world.run_for(90 * SECOND)
-    assert {host.node.seat.standing for host in spares} == {"spare"}
+    assert {host.node.replica.state for host in spares} == {"spare"}
     core.world.heal()
     core.world.run_for(3 * SECOND)
     assert core.voting() == {"a": "core-1", "b": "core-2", "c": "core-3"}
@@ -297,7 +297,7 @@
     proposals there."""
     core = started(11)
     acked(core, 0, 3)
-    seat = core.machines["core-2"].node.seat
+    replica = core.machines["core-2"].node.replica
     core.machines["core-2"].node.dispatch(
         {
             "say": say,
@@ -308,13 +308,13 @@
             "ballot": [900, "core-1"],
             "value": {"mark": 9},
             "seat": "c",
-            "incarnation": seat.incarnation + 3,
-            "known": {"a": 1, "b": 1, "c": seat.incarnation + 3},
+            "incarnation": replica.incarnation + 3,
+            "known": {"a": 1, "b": 1, "c": replica.incarnation + 3},
         }
     )
-    assert seat.is_voting
-    assert seat.cell("plan").promise < [900, "core-1"]
+    assert replica.is_voting
+    assert replica.register_state("plan").promise < [900, "core-1"]
     core.world.run_for(SECOND)
     assert core.voting() == {"a": "core-1", "b": "core-2", "c": "core-3"}
-    assert seat.incarnation == 1
+    assert replica.incarnation == 1
     assert held(core) == 3
