--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -11,7 +11,7 @@
 PREPARE, ACCEPT, RESTING = "prepare", "accept", "resting"
 
 
-class Change:
+class Proposal:
     """One change of a key on its way: its ballot, who has answered it, and what it found."""
 
     __slots__ = (
--- a/packages/membership/src/linkhaven/membership/membership.py
+++ b/packages/membership/src/linkhaven/membership/membership.py
@@ -163,15 +163,15 @@
             if address and address not in self.seeds and address != self.node.address
         ]
 
-    def announce_replica(self, replica_id, seat_incarnation):
+    def announce_replica(self, replica_id, incarnation):
         """This node took a seat, or left it: a new incarnation, told to everyone at once."""
         self.adopts_learned_incarnation = False
         self.me.incarnation += 1
-        self.me.replica_id, self.me.replica_incarnation = replica_id, seat_incarnation
+        self.me.replica_id, self.me.replica_incarnation = replica_id, incarnation
         self.me.mark = self.mark_of()
         self.seat_table = None
         if replica_id:
-            self.learn_incarnations({replica_id: seat_incarnation})
+            self.learn_incarnations({replica_id: incarnation})
         for member in self.live_members():
             self.node.send(member.address, MemberList([self.me.as_member()]))
 
