--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -177,7 +177,7 @@
     tick = Replica.tick
 
     def hasty(self, now_us):
-        if self.is_empty and self.standing == REJOINING and now_us > 3 * SECOND:
+        if self.is_empty and self.state == REJOINING and now_us > 3 * SECOND:
             return self.rejoin._adopt([])
         tick(self, now_us)
 
