--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -25,7 +25,7 @@
         self.is_reachable = True
         self.patient = []
 
-    def change(self, key, step, done, is_patient=False):
+    def propose(self, key, step, done, is_patient=False):
         assert key == "duty/steward"
         self.patient.append(is_patient)
         if not self.is_reachable:
@@ -50,7 +50,9 @@
         self.events = []
         self.changes = []
         self.replica = SimpleNamespace(
-            is_voting=True, votes_from_us=0, cell=lambda key: SimpleNamespace(value=register.value)
+            is_voting=True,
+            votes_from_us=0,
+            register_state=lambda key: SimpleNamespace(value=register.value),
         )
         self.node = SimpleNamespace(
             name=name,
