--- a/packages/controller/src/linkhaven/controller/bootstrap.py
+++ b/packages/controller/src/linkhaven/controller/bootstrap.py
@@ -13,7 +13,7 @@
     with a disk that isn't empty, or with a replica already, keeps what it has.
     """
     contact = replica.occupants.contact
-    if replica.replica or not replica.is_empty or not may_bootstrap or contact not in contacts:
+    if replica.replica_id or not replica.is_empty or not may_bootstrap or contact not in contacts:
         return
     index = contacts.index(contact)
     if index < len(replica.replica_ids):
--- a/packages/controller/src/linkhaven/controller/quorum_contact.py
+++ b/packages/controller/src/linkhaven/controller/quorum_contact.py
@@ -32,7 +32,7 @@
 class ReplicaDirectory(Protocol):
     """Knows where the replicas are."""
 
-    def seats(self) -> Mapping[str, tuple[str, int]]:
+    def replicas(self) -> Mapping[str, tuple[str, int]]:
         """The address and incarnation of the newest instance of each replica that is known."""
 
 
@@ -70,7 +70,7 @@
         if not self.replica.is_voting:
             return
         answer = QuorumContactResponse(
-            replica=self.replica.replica,
+            replica=self.replica.replica_id,
             incarnation=self.replica.incarnation,
             sent_us=message.sent_us,
             version=self.snapshot.version,
@@ -81,7 +81,7 @@
         """An older instance of a replica is no contact."""
         replica = message.replica
         known = self.directory.replicas().get(replica)
-        if known is None or known[1] > message.incarnation or replica == self.replica.replica:
+        if known is None or known[1] > message.incarnation or replica == self.replica.replica_id:
             return
         self.snapshot.observe_version(message.version)
         last_us = self.answered_us.get(replica, message.sent_us)
@@ -112,5 +112,5 @@
     def _after_own(self, addresses: Mapping[str, str]) -> list[str]:
         """The other replicas in cyclic order from this one, so that each is asked by as many."""
         names = sorted(addresses)
-        own = names.index(self.replica.replica) if self.replica.replica in names else 0
-        return [name for name in names[own:] + names[:own] if name != self.replica.replica]
+        own = names.index(self.replica.replica_id) if self.replica.replica_id in names else 0
+        return [name for name in names[own:] + names[:own] if name != self.replica.replica_id]
--- a/packages/controller/src/linkhaven/controller/runner_list_publisher.py
+++ b/packages/controller/src/linkhaven/controller/runner_list_publisher.py
@@ -78,4 +78,4 @@
         if not lease.is_holder_suspected():
             return None
         last = lease.record()
-        return (last.fencing_token if last else 0) + DEPUTY_RANKS[self.replica.replica]
+        return (last.fencing_token if last else 0) + DEPUTY_RANKS[self.replica.replica_id]
