--- a/packages/controller/src/linkhaven/controller/local_status.py
+++ b/packages/controller/src/linkhaven/controller/local_status.py
@@ -64,7 +64,7 @@
         """How this node stands."""
         is_draining = self.shutdown.state is not ShutdownState.RUNNING
         return MemberStatus(
-            replica=self.replica.replica,
+            replica=self.replica.replica_id,
             state=self.replica.state,
             incarnation=self.replica.incarnation,
             address=self.node.address,
@@ -85,7 +85,7 @@
         """What this node knows of the core."""
         replica = self.replica
         return {
-            "seat": replica.replica,
+            "seat": replica.replica_id,
             "standing": replica.state,
             "incarnation": replica.incarnation,
             "claims": len(replica.claims),
@@ -116,7 +116,7 @@
         """
         if not self.replica.restore():
             raise ServiceError("seat_not_waiting", standing=self.replica.state)
-        call.answer_json(200, {"seat": self.replica.replica, "standing": self.replica.state})
+        call.answer_json(200, {"seat": self.replica.replica_id, "standing": self.replica.state})
 
 
 class StandingView:
@@ -160,7 +160,7 @@
             "zone": self.membership.me.zone,
             "mark": self.snapshot.version,
             "is_current": self.watch_server.is_current(),
-            "seat": self.replica.replica,
+            "seat": self.replica.replica_id,
             "standing": self.replica.state,
             "fellows": [peer.as_record() for peer in self.membership.peers.values()],
             "runners": [runner.as_record(now_us) for runner in self.discovery.runners.values()],
