--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -17,8 +17,8 @@
 
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers
-from linkhaven.platform.operator import read_plan
 from linkhaven.platform.runners import PlatformRunners
+from linkhaven.platform.translation import translate_configuration
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Ports
 from linkhaven.wire import plug
@@ -651,7 +651,7 @@
         ]
         service = {"name": "pool-1", "health_path": "/health", "max_connections": 360}
         document = {"revision": 1, "route_rules": routes, "services": [service]}
-        self.node.snapshot.take({"mark": 1, "plan": read_plan(document, 0.2, 50)})
+        self.node.snapshot.take({"mark": 1, "plan": translate_configuration(document, 0.2, 50)})
         self.node.extra.share = 1.0
         self.node.extra.apply_grant(50, 1, 1 << 60)
 
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -3,7 +3,7 @@
 import pytest
 from connections_world import HOST, MS, ROUTES, Asked, Caller, RuleBrokenError, World
 
-from linkhaven.platform.operator import read_plan
+from linkhaven.platform.translation import translate_configuration
 from linkhaven.router.doors import Doors
 from linkhaven.wire import plug
 
@@ -104,7 +104,7 @@
     ]
     service = {"name": "pool-1", "health_path": "/health", "max_connections": 360}
     document = {"revision": mark, "route_rules": routes, "services": [service]}
-    world.node.snapshot.take({"mark": mark, "plan": read_plan(document, 0.2, 50)})
+    world.node.snapshot.take({"mark": mark, "plan": translate_configuration(document, 0.2, 50)})
 
 
 def test_a_route_that_is_added_later_is_served_as_the_first_ones_are(world):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,10 +9,10 @@
 from linkhaven.configuration import decode_configuration, write_record
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers, status_of
-from linkhaven.platform.operator import read_plan
 from linkhaven.platform.programs import SettingsWatch
 from linkhaven.platform.runners import EventReader, PlatformRunners, Stream, error_of
 from linkhaven.platform.settings import Place
+from linkhaven.platform.translation import translate_configuration
 
 ROOT = Path(__file__).parents[1]
 OURS = {"last-event-id", "retry-after", "request-id"}
@@ -76,7 +76,7 @@
 
 
 def test_a_configuration_of_the_platform_is_a_plan_of_ours():
-    configuration = decode_configuration(read_plan(document(), 0.2, 43))
+    configuration = decode_configuration(translate_configuration(document(), 0.2, 43))
     kind = configuration.kinds["r-a1"]
     assert write_record(kind.route) == {"host": "one.example", "prefix": "/a/"}
     assert kind.is_idempotent and kind.is_resumable and kind.max_attempts == 2
@@ -86,7 +86,7 @@
 
 def test_a_stream_that_cannot_be_resumed_is_run_once():
     configuration = decode_configuration(
-        read_plan(document(route(resumable=False, max_attempts=3)), 0.2, 43)
+        translate_configuration(document(route(resumable=False, max_attempts=3)), 0.2, 43)
     )
     assert configuration.kinds["r-a1"].is_idempotent is False
 
@@ -105,7 +105,7 @@
 )
 def test_an_invalid_configuration_is_refused(wrong):
     with pytest.raises(ServiceError):
-        decode_configuration(read_plan(wrong, 0.2, 43))
+        decode_configuration(translate_configuration(wrong, 0.2, 43))
 
 
 def test_only_what_did_not_run_is_refused_with_a_promise():
