--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -138,11 +138,7 @@
         else:
             node.ports.log(1209)
         if self.is_learned:
-            directory.me.replica_id, directory.me.replica_incarnation = (
-                self.replica_id,
-                self.incarnation,
-            )
-            directory.adopts_learned_incarnation = False
+            directory.restore_replica(self.replica_id, self.incarnation)
             directory.add_seeds(self.occupants.addresses())
 
     @property
--- a/packages/controller/src/linkhaven/controller/local_status.py
+++ b/packages/controller/src/linkhaven/controller/local_status.py
@@ -162,7 +162,7 @@
             "is_current": self.watch_server.is_current(),
             "seat": self.replica.replica_id,
             "standing": self.replica.state,
-            "fellows": [peer.as_record() for peer in self.membership.peers.values()],
+            "fellows": self.membership.peer_rows(),
             "runners": [runner.as_record(now_us) for runner in self.discovery.runners.values()],
             **self.balancer.as_record(),
         }
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -30,7 +30,7 @@
 from linkhaven.consensus import Proposer, Replica, default_claim_limits
 from linkhaven.credit import QuotaAllocator
 from linkhaven.leases import Lease
-from linkhaven.membership import Membership
+from linkhaven.membership import Member, Membership
 from linkhaven.runner import RunnerDesk
 from linkhaven.runtime import Bounds, Node
 
@@ -138,7 +138,8 @@
             seeds,
             self.incarnation,
             replica_id or "",
-            mark_of=lambda: self.snapshot.version,
+            current_version=lambda: self.snapshot.version,
+            on_configuration_version=self.on_member_version,
         )
         self.proposer = Proposer(self, self.membership, silent_us=self.bounds.silent_us)
         self.replica = Replica(
@@ -237,7 +238,6 @@
 
     def _subscribe(self) -> None:
         """Who hears of a member's version and of each watch request, and adds to its response."""
-        self.membership.on_mark.append(self.configuration_recovery.on_member_version)
         self.watch_server.on_ask += [
             *(relay.on_watch_request for relay in self.relays),
             self.runner_discovery.on_evidence,
@@ -302,6 +302,10 @@
         configuration = self.snapshot.configuration
         return configuration.claims if configuration is not None else default_claim_limits()
 
+    def on_member_version(self, version: int, member: Member) -> None:
+        """A member gossiped which version of the configuration it holds."""
+        self.configuration_recovery.on_member_version(version, member)
+
     def on_lease_won(self, role: str) -> None:
         """Begin the work of a singleton role."""
         if role == ROLE_BALANCER:
--- a/packages/membership/src/linkhaven/membership/__init__.py
+++ b/packages/membership/src/linkhaven/membership/__init__.py
@@ -1,6 +1,15 @@
-"""Membership and failure detection of the fleet."""
+"""Who exists and who runs: membership by gossip, and a failure detector by heartbeats.
 
-from .member import Member
+Sources: Das, Gupta and Motivala, "SWIM: scalable weakly-consistent infection-style process group
+membership protocol" (DSN 2002), for incarnations, suspicion and its refutation; Demers et al.,
+"Epidemic algorithms for replicated database maintenance" (PODC 1987), for anti-entropy; Karger et
+al., "Consistent hashing and random trees" (STOC 1997), for the ring. Unlike SWIM, members send
+heartbeats to a few watchers, and most of these must suspect a member before it counts as failed.
+
+No rule of safety rests on this package: it informs operators, and says whom to ask.
+"""
+
+from .member import Member, MemberState
 from .membership import Membership
 
-__all__ = ["Member", "Membership"]
+__all__ = ["Member", "MemberState", "Membership"]
--- /dev/null
+++ b/packages/membership/src/linkhaven/membership/failure_detector.py
@@ -0,0 +1,178 @@
+"""The failure detector: heartbeats to a few watchers, whose majority decides.
+
+| message | what it does here |
+| --- | --- |
+| `Heartbeat` | its sender runs; this node's suspicion of it is withdrawn |
+| `Suspicion` | a watcher's vote on one incarnation is counted anew |
+| `SuspicionQuery` | this node says its suspicion again, or that it watches no more |
+
+Each member sends heartbeats to its successors on the hash ring. A watcher that hears none for
+`missed_us` suspects the member and tells all. A member has failed when most of its watchers that
+can be heard from suspect it, so one watcher that is cut off convicts nobody. A watcher that said
+nothing for `missed_us` is probed with a hello, and left out until it speaks. Incarnations refute,
+as in SWIM (DSN 2002), section 4.2: a suspicion is of one start of a process.
+"""
+
+from linkhaven.runtime import Node
+
+from .member import Member
+from .member_table import MemberTable
+from .messages import Heartbeat, MemberRecord, Suspicion, SuspicionQuery, make_hello
+from .record_merge import MEMBER_UP, RecordMerge
+
+MEMBER_DOWN = 1102
+
+
+class FailureDetector:
+    """This node's part in watching others, and its count of the watchers' suspicions."""
+
+    __slots__ = ("node", "table", "merge", "heartbeat_sent_us")
+
+    def __init__(self, node: Node, table: MemberTable, merge: RecordMerge) -> None:
+        """Send the first heartbeat at the first tick."""
+        self.node = node
+        self.table = table
+        self.merge = merge
+        self.heartbeat_sent_us = 0
+
+    # time
+
+    def tick(self, now_us: int) -> None:
+        """Send heartbeats and look for missing ones, each `beat_us`."""
+        if now_us - self.heartbeat_sent_us < self.node.bounds.beat_us:
+            return
+        self.heartbeat_sent_us = now_us
+        self._send_heartbeats()
+        self._suspect_silent(now_us)
+        self._count_suspicions()
+
+    def on_late_tick(self, now_us: int) -> None:
+        """After a pause of this process the silence of others tells nothing."""
+        for member in self.table.peers.values():
+            member.last_heartbeat_us = None
+        self.heartbeat_sent_us = 0
+
+    def _send_heartbeats(self) -> None:
+        self.table.refresh_own_version()
+        heartbeat = Heartbeat(self.table.me.to_record())
+        for name in self.table.watchers_of(self.node.name):
+            self.node.send(self.table.peers[name].address, heartbeat)
+
+    def _suspect_silent(self, now_us: int) -> None:
+        """Suspect whom this node watches and didn't hear; a new watcher counts from now."""
+        watched = self.table.watched_names()
+        for member in self.table.peers.rows():
+            if member.has_left or member.name not in watched:
+                member.last_heartbeat_us = None
+                continue
+            if member.last_heartbeat_us is None:
+                member.last_heartbeat_us = now_us
+            silent_us = now_us - member.last_heartbeat_us
+            if silent_us > self.node.bounds.missed_us and not self._suspects(member):
+                self._send_suspicion(member, True)
+
+    def _count_suspicions(self) -> None:
+        """Watchers that fall silent or are heard again change the majority."""
+        for member in self.table.peers.rows():
+            if member.is_up and member.suspicions and any(member.suspicions.values()):
+                self._decide(member)
+
+    # messages
+
+    def on_any_message(self, sender: str) -> None:
+        """Whatever a member says tells that it runs."""
+        member = self.table.peers.get(sender)
+        if member is not None:
+            member.last_message_us = self.node.now_us()
+
+    def on_heartbeat(self, message: Heartbeat) -> None:
+        """The sender runs, whatever this node suspected."""
+        member = self.merge.merge(message.member, is_first_hand=True)
+        if member is None:
+            return
+        member.last_heartbeat_us = self.node.now_us()
+        if self._suspects(member):
+            self._send_suspicion(member, False)
+
+    def on_suspicion(self, message: Suspicion) -> None:
+        """Count a watcher's vote on the incarnation that it names."""
+        member = self.table.peers.get(message.member_name)
+        if member is None or member.incarnation != message.incarnation:
+            return
+        member.suspicions[message.sender] = message.is_suspected
+        self._decide(member)
+
+    def on_suspicion_query(self, message: SuspicionQuery) -> None:
+        """Say again what this node suspects as a watcher; who watches no more suspects nobody."""
+        member = self.table.peers.get(message.member_name)
+        if member is None or member.incarnation != message.incarnation:
+            return
+        is_watched = member.name in self.table.watched_names()
+        is_suspected = is_watched and self._suspects(member)
+        answer = Suspicion(member.name, member.incarnation, is_suspected)
+        self.node.send(message.reply_to, answer)
+
+    def query_suspicions(self, record: MemberRecord) -> None:
+        """Ask again those who suspect a member that another node holds for up.
+
+        A withdrawn suspicion is sent once, to those whom its watcher then holds for up; who missed
+        it would hold the suspicion for as long as that incarnation runs.
+        """
+        member = self.table.peers.get(record.name)
+        if member is None or member.is_up or member.has_left or not record.is_up:
+            return
+        if member.incarnation != record.incarnation:
+            return
+        for name, is_suspected in member.suspicions.items():
+            watcher = self.table.peers.get(name)
+            if is_suspected and watcher is not None:
+                query = SuspicionQuery(member.name, member.incarnation)
+                self.node.send(watcher.address, query)
+
+    # the decision
+
+    def _suspects(self, member: Member) -> bool:
+        return bool(member.suspicions.get(self.node.name))
+
+    def _send_suspicion(self, member: Member, is_suspected: bool) -> None:
+        member.suspicions[self.node.name] = is_suspected
+        for other in self.table.live_members():
+            suspicion = Suspicion(member.name, member.incarnation, is_suspected)
+            self.node.send(other.address, suspicion)
+        self._decide(member)
+
+    def _decide(self, member: Member) -> None:
+        """Take a member for failed where most of its watchers that can be heard from suspect it."""
+        watchers = [
+            name for name in self.table.watchers_of(member.name) if self._can_hear(name, member)
+        ]
+        suspecting = sum(1 for name in watchers if member.suspicions.get(name))
+        is_up = suspecting * 2 <= len(watchers)
+        if is_up == member.is_up:
+            return
+        if is_up:
+            member.recover()
+        else:
+            member.fail(self.node.now_us())
+        self.table.on_live_changed()
+        self.node.ports.log(
+            MEMBER_UP if is_up else MEMBER_DOWN,
+            fellow=member.name,
+            incarnation=member.incarnation,
+        )
+
+    def _can_hear(self, name: str, about: Member) -> bool:
+        """Whether a watcher spoke lately, or may still answer the probe that is sent here."""
+        if name == self.node.name or name in about.suspicions:
+            return True
+        now_us = self.node.now_us()
+        missed_us = self.node.bounds.missed_us
+        watcher = self.table.peers[name]
+        if watcher.last_message_us is not None and now_us - watcher.last_message_us <= missed_us:
+            return True
+        probe_sent_us = watcher.probe_sent_us
+        if probe_sent_us is None or (watcher.last_message_us or 0) > probe_sent_us:
+            watcher.probe_sent_us = now_us
+            self.node.send(watcher.address, make_hello(self.table.me.to_record()))
+            return True
+        return now_us - probe_sent_us <= missed_us
--- /dev/null
+++ b/packages/membership/src/linkhaven/membership/hash_ring.py
@@ -0,0 +1,52 @@
+"""Who watches whom: the members on a hash ring.
+
+Source: Karger et al., "Consistent hashing and random trees" (STOC 1997). A member's watchers are
+its successors, so that a change of one member moves the watchers of its neighbours only.
+"""
+
+import hashlib
+from bisect import bisect_left
+from collections.abc import Iterable
+from functools import lru_cache
+
+WATCHERS = 3
+"""How many members watch each member."""
+
+POSITION_BYTES = 8
+POSITIONS_CACHED = 4096
+
+
+@lru_cache(maxsize=POSITIONS_CACHED)
+def position_of(name: str) -> int:
+    """Return a name's position on the ring."""
+    digest = hashlib.blake2b(name.encode(), digest_size=POSITION_BYTES).digest()
+    return int.from_bytes(digest, "big")
+
+
+class HashRing:
+    """The members that run, in the order of their positions; it is built anew when these change."""
+
+    __slots__ = ("order", "watchers")
+
+    def __init__(self, names: Iterable[str]) -> None:
+        """Order the names of the members that run."""
+        self.order = sorted((position_of(name), name) for name in names)
+        self.watchers: dict[str, list[str]] = {}
+
+    def watchers_of(self, name: str) -> list[str]:
+        """Return the successors of a name, be it on the ring or not; don't change the list."""
+        found = self.watchers.get(name)
+        if found is None:
+            found = self.watchers[name] = self._find_watchers(name)
+        return found
+
+    def _find_watchers(self, name: str) -> list[str]:
+        start = bisect_left(self.order, (position_of(name), name))
+        found: list[str] = []
+        for step in range(len(self.order)):
+            successor = self.order[(start + step) % len(self.order)][1]
+            if successor != name:
+                found.append(successor)
+            if len(found) == WATCHERS:
+                break
+        return found
--- /dev/null
+++ b/packages/membership/src/linkhaven/membership/joining.py
@@ -0,0 +1,136 @@
+"""How a member joins, is found again and leaves.
+
+| message | what it does here |
+| --- | --- |
+| `Hello` | its sender joined, or probes this node: it gets the member list |
+| `Leave` | its sender left |
+| `Departures` | members left whose `Leave` was missed here |
+"""
+
+from collections.abc import Iterable
+
+from linkhaven.runtime import PROTOCOL_VERSION, Node
+
+from .member import Member
+from .member_table import MemberTable
+from .messages import (
+    Departures,
+    Hello,
+    Leave,
+    MemberList,
+    MemberRecord,
+    make_hello,
+)
+from .record_merge import RecordMerge
+
+SEEK_US = 100_000
+"""How often missing seeds are greeted just after the start."""
+
+SEEK_FOR_US = 5_000_000
+"""For so long after its start a node greets missing seeds each `SEEK_US`."""
+
+FORGET_US = 60_000_000
+"""A member that has been down for this long is forgotten."""
+
+OTHER_VERSION = 1103
+
+
+class Joining:
+    """Greets the seeds and the members that are down, and takes members out that left."""
+
+    __slots__ = ("node", "table", "merge", "seeds", "greeted_us", "seek_until_us")
+
+    def __init__(
+        self, node: Node, table: MemberTable, merge: RecordMerge, seeds: Iterable[str]
+    ) -> None:
+        """Know the seeds' addresses; they may start a moment after this node."""
+        self.node = node
+        self.table = table
+        self.merge = merge
+        self.seeds = list(seeds)
+        self.greeted_us = 0
+        self.seek_until_us = node.now_us() + SEEK_FOR_US
+
+    # joining
+
+    def add_seeds(self, addresses: Iterable[str]) -> None:
+        """Greet these addresses too."""
+        self.seeds += [
+            address
+            for address in addresses
+            if address and address not in self.seeds and address != self.node.address
+        ]
+
+    def seek(self, now_us: int, gossip_us: int) -> None:
+        """Greet missing seeds soon again while this node is young."""
+        if now_us >= self.seek_until_us or now_us - max(gossip_us, self.greeted_us) < SEEK_US:
+            return
+        self.greeted_us = now_us
+        self.table.refresh_own_version()
+        self.greet_missing_seeds()
+
+    def greet_missing_seeds(self) -> None:
+        """Send a hello to each seed that isn't known as live."""
+        known = {member.address for member in self.table.live_members()}
+        for seed in self.seeds:
+            if seed not in known and seed != self.node.address:
+                self.node.send(seed, make_hello(self.table.me.to_record()))
+
+    def on_hello(self, message: Hello) -> None:
+        """Take the sender in, and send it all members."""
+        member = self.merge.merge(message.member, is_first_hand=True)
+        if member is not None:
+            self._note_version(member, message.protocol_version)
+        self.node.send(message.reply_to, MemberList(self.table.records()))
+
+    def _note_version(self, member: Member, version: int) -> None:
+        """Log a member of another version once for each of its incarnations."""
+        if member.protocol_version == version:
+            return
+        member.protocol_version = version
+        if version != PROTOCOL_VERSION:
+            self.node.ports.log(
+                OTHER_VERSION, fellow=member.name, version=version, own=PROTOCOL_VERSION
+            )
+
+    def greet_down(self, now_us: int) -> None:
+        """Greet one member that is down, which may be back, and forget those down for long."""
+        down = [member for member in self.table.peers.values() if not member.is_up]
+        for member in down:
+            if now_us - member.down_us > FORGET_US:
+                self.table.peers.drop(member.name)
+                self.table.on_live_changed()
+        if down:
+            other = down[self.node.ports.random.randrange(len(down))]
+            self.node.send(other.address, make_hello(self.table.me.to_record()))
+
+    # leaving
+
+    def send_leave(self) -> None:
+        """Tell all that this node stops."""
+        for member in self.table.live_members():
+            self.node.send(member.address, Leave())
+
+    def on_leave(self, message: Leave) -> None:
+        """The sender stopped on purpose."""
+        member = self.table.peers.get(message.sender)
+        if member is not None:
+            self._take_out(member)
+
+    def on_departures(self, message: Departures) -> None:
+        """Take out members whose leave was missed: nobody watches them, so none suspects them."""
+        for departed in message.members:
+            member = self.table.peers.get(departed.name)
+            if member is None or member.has_left:
+                continue
+            if member.incarnation <= departed.incarnation:
+                self._take_out(member)
+
+    def has_left(self, record: MemberRecord) -> bool:
+        """Whether this node heard the leave of a member that another still lists."""
+        member = self.table.peers.get(record.name)
+        return member is not None and member.has_left and member.incarnation >= record.incarnation
+
+    def _take_out(self, member: Member) -> None:
+        member.leave(self.node.now_us())
+        self.table.on_live_changed()
--- a/packages/membership/src/linkhaven/membership/messages.py
+++ b/packages/membership/src/linkhaven/membership/messages.py
@@ -1,15 +1,18 @@
-"""What members of the fleet tell each other about who exists and who is down."""
+"""The messages of the membership protocol, and the one place that binds them to the wire.
+
+A tag or a `name` given here is the spelling on the wire; the code uses the fields' own names.
+"""
 
 import msgspec
 
 from linkhaven.runtime import PROTOCOL_VERSION, Message
 
-UNTOLD_VERSION = 0
+UNKNOWN_VERSION = 0
 """The version of a member that says none: it is from before versions stood in the hello."""
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One member as another one tells of it; a list on the wire, newer fields at its end."""
+    """One member as another one knows it; a list on the wire, newer fields at its end."""
 
     name: str
     incarnation: int
@@ -21,70 +24,75 @@
 
     zone: str
     replica_id: str
-    """The seat of the core that it has, or an empty text."""
+    """The replica of the core that it is, or an empty text."""
 
     replica_incarnation: int
-    mark: int
-    """The highest version of the plan that it holds."""
+    configuration_version: int
+    """The highest version of the configuration that it holds."""
 
     is_up: bool
 
 
+class DepartedMember(msgspec.Struct, frozen=True, array_like=True):
+    """A member that left; a list on the wire."""
+
+    name: str
+    incarnation: int
+
+
 class Hello(Message, tag="hello", frozen=True):
-    """A member that wants to be known, or to know if another one runs; `Members` answers it."""
+    """A member joins, or asks whether another one runs; `MemberList` answers it."""
 
     member: MemberRecord = msgspec.field(name="fellow")
-    version: int = UNTOLD_VERSION
-    """The sender's `PROTOCOL_VERSION`."""
+    protocol_version: int = msgspec.field(default=UNKNOWN_VERSION, name="version")
 
 
 class MemberList(Message, tag="members", frozen=True):
     """Members that the sender knows."""
 
     members: list[MemberRecord] = msgspec.field(name="fellows")
-    is_asking: bool = False
-    """Whether the sender wants to be told the same in return."""
+    wants_reply: bool = msgspec.field(default=False, name="is_asking")
+    """Whether the sender wants the receiver's list in return."""
 
 
 class MemberListDigest(Message, tag="digest", frozen=True):
-    """The sender and a hash of the members it knows; whose hash differs answers with `Members`."""
+    """The sender and a hash of the members it knows; whose hash differs answers `MemberList`."""
 
     member: MemberRecord = msgspec.field(name="fellow")
     digest: str
 
 
 class Heartbeat(Message, tag="beat", frozen=True):
-    """The heartbeat of a member, to those that watch it."""
+    """A member runs; sent to those that watch it."""
 
     member: MemberRecord = msgspec.field(name="fellow")
 
 
 class Suspicion(Message, tag="verdict", frozen=True):
-    """A watcher's word on whether a member is down."""
+    """A watcher suspects a member, or no longer does."""
 
-    about: str
+    member_name: str = msgspec.field(name="about")
     incarnation: int
-    is_down: bool
-
-
-class Leave(Message, tag="bye", frozen=True):
-    """The sender stops and wants to be watched no longer."""
+    is_suspected: bool = msgspec.field(name="is_down")
 
 
 class SuspicionQuery(Message, tag="doubt", frozen=True):
-    """Asks a watcher for its verdict again: another holds up whom the sender holds down."""
+    """Asks a watcher for its suspicion again: another holds up whom the sender holds failed."""
 
-    about: str
+    member_name: str = msgspec.field(name="about")
     incarnation: int
 
 
+class Leave(Message, tag="bye", frozen=True):
+    """The sender stops on purpose."""
+
+
 class Departures(Message, tag="left", frozen=True):
-    """Members that the sender heard say `Bye`, told to one that still counts them in."""
+    """Members that the sender heard leave, sent to one that still lists them."""
 
-    members: list[tuple[str, int]] = msgspec.field(name="fellows")
-    """Name and incarnation of each."""
+    members: list[DepartedMember] = msgspec.field(name="fellows")
 
 
-def make_hello(record):
-    """The hello of a member with this record, in this version."""
+def make_hello(record: MemberRecord) -> Hello:
+    """Return the hello of a member with this record, in this version."""
     return Hello(record, PROTOCOL_VERSION)
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -111,9 +111,14 @@
         self.incarnation = incarnation
         self.snapshot = ConfigurationSnapshot()
         self.membership = Membership(
-            self, "router", zone, seeds, incarnation, mark_of=lambda: self.snapshot.version
+            self,
+            "router",
+            zone,
+            seeds,
+            incarnation,
+            current_version=lambda: self.snapshot.version,
+            on_configuration_version=lambda mark, member: self.snapshot.observe_version(mark),
         )
-        self.membership.on_mark.append(lambda mark, member: self.snapshot.observe_version(mark))
         self.proposer = Proposer(self, self.membership, majority)
         self.watcher = ConfigurationWatcher(
             self, self.membership, self.snapshot, majority, self._count_routers
@@ -576,7 +581,7 @@
                 if self.roster.taken_us is not None
                 else None,
                 "runners": [runner.as_record(now_us) for runner in self.roster.runners.values()],
-                "fellows": [member.as_record() for member in self.membership.peers.values()],
+                "fellows": self.membership.peer_rows(),
                 "groups": {
                     account.name: {
                         "queued": len(account.queue),
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -118,11 +118,11 @@
         if other is not machine and other.node is not None
     ]
     for other in others:
-        node.membership.on_members(
-            MemberList([other.node.membership.me.as_member()], sender=other.name)
+        node.membership.gossip.on_member_list(
+            MemberList([other.node.membership.me.to_record()], sender=other.name)
         )
-        other.node.membership.on_members(
-            MemberList([node.membership.me.as_member()], sender=node.name)
+        other.node.membership.gossip.on_member_list(
+            MemberList([node.membership.me.to_record()], sender=node.name)
         )
 
 
@@ -261,7 +261,7 @@
         return False
     if machine.node.proposer.is_cut_off:
         return False
-    marks = machine.node.membership.replica_incarnations
+    marks = machine.node.membership.directory.incarnations
     if any(epoch > marks.get(seat, 0) for seat, epoch in message["known"].items()):
         return False
     change = machine.node.proposer.proposals.get(message["id"])
--- /dev/null
+++ b/tests/test_failure_detector.py
@@ -0,0 +1,189 @@
+"""Who counts as up: cached tables follow the facts, and a missed withdrawal of a suspicion ends."""
+
+from types import SimpleNamespace
+
+import pytest
+from msgspec.structs import replace
+
+from linkhaven.membership import Membership
+from linkhaven.membership.messages import (
+    Hello,
+    Leave,
+    MemberList,
+    MemberRecord,
+    Suspicion,
+    SuspicionQuery,
+)
+
+NAMES = [f"router-{place}" for place in range(1, 8)]
+
+
+def of(sender, message):
+    return replace(message, sender=sender, reply_to=sender)
+
+
+class Net:
+    """Memberships that hear each other at once, and what was sent."""
+
+    def __init__(self, names):
+        self.sent = []
+        self.memberships = {}
+        self.now_us = 1_000_000
+        for name in names:
+            self.memberships[name] = self._membership(name)
+        for membership in self.memberships.values():
+            membership.gossip.on_member_list(of("seed", MemberList(self._records())))
+            for other in self.memberships.values():
+                membership.joining.on_hello(of("nobody", Hello(other.me.to_record())))
+        self.sent.clear()
+
+    def _membership(self, name):
+        def send(address, message):
+            self.sent.append((name, address, type(message).__struct_config__.tag))
+            membership = self.memberships.get(address)
+            if membership is not None:
+                membership.node.handlers[type(message)](of(name, message))
+
+        handlers = {}
+
+        dice = SimpleNamespace(randrange=lambda most: 0)
+        ports = SimpleNamespace(
+            network=SimpleNamespace(renew=lambda address: None),
+            log=lambda *told, **facts: None,
+            random=dice,
+        )
+        node = SimpleNamespace(
+            name=name,
+            address=name,
+            ports=ports,
+            handlers=handlers,
+            register_handler=handlers.__setitem__,
+            systems=[],
+            on_late=[],
+            sender_listeners=[],
+            now_us=lambda: self.now_us,
+            send=send,
+            bounds=SimpleNamespace(beat_us=250_000, missed_us=1_000_000),
+        )
+        return Membership(node, "router", "north", [], 1)
+
+    def _records(self):
+        return [membership.me.to_record() for membership in self.memberships.values()]
+
+    def sent_of(self, say):
+        return [one for one in self.sent if one[2] == say]
+
+
+def suspect_by_all(net, viewer, about):
+    """The viewer heard the suspicion of all watchers, and none of the withdrawals."""
+    membership = net.memberships[viewer]
+    for watcher in membership.table.watchers_of(about):
+        membership.detector.on_suspicion(of(watcher, Suspicion(about, 1, True)))
+    assert not membership.peers[about].is_up
+
+
+def viewer_and_subject(net):
+    membership = net.memberships[NAMES[0]]
+    about = next(name for name in NAMES[1:] if NAMES[0] not in membership.table.watchers_of(name))
+    return membership, about
+
+
+def test_a_missed_withdrawal_ends_with_the_next_list_that_says_otherwise():
+    net = Net(NAMES)
+    membership, about = viewer_and_subject(net)
+    suspect_by_all(net, NAMES[0], about)
+    other = next(name for name in NAMES[1:] if name != about)
+    net.memberships[other].gossip.exchange_with(membership.me)
+    assert membership.peers[about].is_up
+    assert about in [member.name for member in membership.live_members("router")]
+
+
+def test_a_suspicion_that_its_watchers_still_hold_stays():
+    net = Net(NAMES)
+    membership, about = viewer_and_subject(net)
+    watchers = membership.table.watchers_of(about)
+    for name in watchers:
+        net.memberships[name].peers[about].suspicions[name] = True
+    suspect_by_all(net, NAMES[0], about)
+    other = next(name for name in NAMES[1:] if name != about)
+    net.memberships[other].gossip.exchange_with(membership.me)
+    assert net.sent_of("doubt")
+    assert not membership.peers[about].is_up
+
+
+def test_who_watches_no_more_suspects_nobody():
+    net = Net(NAMES)
+    membership, about = viewer_and_subject(net)
+    bystander = next(
+        name for name in NAMES if name != about and name not in membership.table.watchers_of(about)
+    )
+    net.memberships[bystander].peers[about].suspicions[bystander] = True
+    net.memberships[bystander].detector.on_suspicion_query(of(NAMES[0], SuspicionQuery(about, 1)))
+    assert membership.peers[about].suspicions[bystander] is False
+
+
+def test_equal_lists_are_exchanged_by_their_digest_and_unequal_ones_whole():
+    net = Net(NAMES)
+    first, second = net.memberships[NAMES[0]], net.memberships[NAMES[1]]
+    first.gossip.exchanges = 1
+    first.gossip.exchange_with(second.me)
+    assert [say for _, _, say in net.sent] == ["digest"]
+    record = MemberRecord("router-9", 1, "router-9", "router", "south", "", 0, 0, True)
+    second.gossip.on_member_list(of("router-9", MemberList([record])))
+    net.sent.clear()
+    first.gossip.exchange_with(second.me)
+    assert [say for _, _, say in net.sent] == ["digest", "members", "members"]
+    assert "router-9" in first.peers
+
+
+def test_now_and_then_the_whole_list_is_sent():
+    net = Net(NAMES)
+    first, second = net.memberships[NAMES[0]], net.memberships[NAMES[1]]
+    for _ in range(20):
+        first.gossip.exchange_with(second.me)
+    assert len(net.sent_of("digest")) == 18
+
+
+@pytest.mark.parametrize("change", ["down", "leave", "new", "new start", "replica", "forgotten"])
+def test_cached_tables_follow_each_change(change):
+    net = Net(NAMES)
+    membership, about = viewer_and_subject(net)
+    (
+        membership.live_members(),
+        membership.live_members("router"),
+        membership.replicas(),
+        membership.table.watched_names(),
+        membership.table.list_digest(),
+    )
+    before = membership.table.list_digest()
+    for name in NAMES:
+        membership.table.watchers_of(name)
+    if change == "down":
+        suspect_by_all(net, NAMES[0], about)
+    elif change == "leave":
+        membership.joining.on_leave(of(about, Leave()))
+    elif change == "new":
+        record = MemberRecord("router-9", 1, "router-9", "router", "south", "", 0, 0, True)
+        membership.gossip.on_member_list(of("router-9", MemberList([record])))
+    elif change == "new start":
+        record = MemberRecord(about, 2, "router-22", "registry", "south", "a", 7, 0, True)
+        membership.gossip.on_member_list(of(about, MemberList([record])))
+        assert membership.replicas() == {"a": ("router-22", 7)}
+    elif change == "replica":
+        membership.announce_replica("b", 3)
+        assert membership.replicas() == {"b": (NAMES[0], 3)}
+    else:
+        suspect_by_all(net, NAMES[0], about)
+        net.now_us += 100_000_000
+        net.memberships.pop(about)
+        membership.joining.greet_down(net.now_us)
+        assert about not in membership.peers
+    up = {name for name, member in membership.peers.items() if member.is_up and not member.has_left}
+    assert {member.name for member in membership.live_members()} == up
+    assert all(member.kind == "router" for member in membership.live_members("router"))
+    kept = {name: list(membership.table.watchers_of(name)) for name in membership.peers}
+    digest = membership.table.list_digest()
+    membership.table.on_live_changed()
+    assert kept == {name: membership.table.watchers_of(name) for name in membership.peers}
+    assert membership.table.list_digest() == digest
+    assert digest != before
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -426,7 +426,7 @@
         assert heard[0].record == line["value"] and heard[0].version == line["value"]["mark"]
 
 
-# messages of the ring
+# messages of the membership
 
 RECORD = ["router-2", 5, "10.0.0.2:7000", "router", "north", "", 0, 3, True]
 
@@ -457,7 +457,7 @@
         (Leave(), {"say": "bye"}),
     ],
 )
-def test_the_rings_messages_stand_on_the_wire_as_before(message, line):
+def test_the_memberships_messages_stand_on_the_wire_as_before(message, line):
     node = make_node()
     node.send("10.0.0.2:7000", message)
     [(_, written)] = node.ports.lines
@@ -476,10 +476,10 @@
     ],
 )
 def test_a_members_record_may_be_longer_and_is_else_checked_whole(record, is_fit):
-    node, ring = make_member()
+    node, membership = make_member()
     envelope = {"name": "router-2", "back": "10.0.0.2:7000"}
     dispatch_line(node, write_json({"say": "beat", "fellow": record, **envelope}))
-    assert ("router-2" in ring.peers) is is_fit
+    assert ("router-2" in membership.peers) is is_fit
     assert [number for number, _ in node.ports.events] == ([1101] if is_fit else [1006])
 
 
@@ -487,11 +487,11 @@
     "told, is_logged", [({"version": 1}, False), ({"version": 2}, True), ({}, True)]
 )
 def test_a_hello_tells_its_version_and_another_one_is_logged_once(told, is_logged):
-    node, ring = make_member()
+    node, membership = make_member()
     envelope = {"name": "router-2", "back": "10.0.0.2:7000"}
     for _ in range(3):
         dispatch_line(node, write_json({"say": "hello", "fellow": RECORD, **told, **envelope}))
-    assert ring.peers["router-2"].version == told.get("version", 0)
+    assert membership.peers["router-2"].protocol_version == told.get("version", 0)
     logged = [facts for number, facts in node.ports.events if number == 1103]
     assert logged == (
         [{"fellow": "router-2", "version": told.get("version", 0), "own": 1}] if is_logged else []
--- a/tests/test_renewed_lines.py
+++ b/tests/test_renewed_lines.py
@@ -25,7 +25,7 @@
         pass
 
 
-def ring():
+def make_membership():
     network = Network()
     ports = SimpleNamespace(network=network, log=lambda *told, **facts: None)
     node = SimpleNamespace(
@@ -43,9 +43,9 @@
     return Membership(node, "core", "north", [], 1), network
 
 
-def told(ring, incarnation, address=HOME):
+def told(membership, incarnation, address=HOME):
     record = MemberRecord("router-1", incarnation, address, "router", "north", "", 0, 0, True)
-    ring.on_members(MemberList([record], sender="router-1", reply_to=address))
+    membership.gossip.on_member_list(MemberList([record], sender="router-1", reply_to=address))
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
 def test_a_new_start_at_the_same_address_has_its_connection_renewed_once(
     incarnation, address, renewed
 ):
-    members, network = ring()
+    members, network = make_membership()
     told(members, 1)
     assert network.renewed == []
     told(members, incarnation, address)
