--- a/packages/configuration/src/linkhaven/configuration/__init__.py
+++ b/packages/configuration/src/linkhaven/configuration/__init__.py
@@ -1,6 +1,8 @@
 """The plan: its checks, its place in the register, and how routers hear of it."""
 
+from .blob_exchange import BlobExchange
 from .blobs import BlobStore
+from .commands import ConfigurationCommands
 from .document import (
     Allowance,
     ClaimSettings,
@@ -17,10 +19,12 @@
 )
 from .document_diff import diff_documents
 from .overlay import apply_overlay, effective_configuration
-from .packing import write_plan
+from .packing import write_document
+from .pending_blobs import PendingBlobs
 from .snapshot import ConfigurationSnapshot
-from .store import ConfigurationStore
+from .store import CommitResult, ConfigurationStore
 from .validation import decode_configuration, list_document_faults
+from .vote_guard import VoteGuard
 from .watch_server import WatchServer
 from .watcher import ConfigurationWatcher
 
@@ -36,7 +40,12 @@
     "QueueBounds",
     "RequestKind",
     "RetryBudgetSettings",
+    "BlobExchange",
     "BlobStore",
+    "ConfigurationCommands",
+    "CommitResult",
+    "PendingBlobs",
+    "VoteGuard",
     "WatchServer",
     "ConfigurationWatcher",
     "ConfigurationStore",
@@ -46,6 +55,6 @@
     "effective_configuration",
     "decode_configuration",
     "apply_overlay",
-    "write_plan",
+    "write_document",
     "write_record",
 ]
--- /dev/null
+++ b/packages/configuration/src/linkhaven/configuration/commands.py
@@ -0,0 +1,255 @@
+"""Our own commands over HTTP: show, check, put and patch the configuration, and edit parts of it.
+
+Each command that changes something becomes one `CommandUpdate`. Where a foreign operator's source
+text is in force, groups and kinds are edited beside it, in the overlay; its sender changes the rest.
+"""
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from linkhaven.api import ServiceError, check_document
+from linkhaven.runtime import read_json
+
+from .command_update import CommandUpdate, MakeContents
+from .history import digest_of_json
+from .overlay import (
+    apply_overlay,
+    attach_overlay_kind,
+    overlay_of,
+    put_overlay_group,
+    remove_overlay_group,
+)
+from .patch import apply_to_mappings, read_mapping_patch
+from .records import (
+    NOTHING_SHOWN,
+    Record,
+    document_of,
+    revision_of,
+    shown_record,
+    source_text_of,
+)
+from .store import CommitResult, ConfigurationStore
+from .updates import Contents, RecordReader
+from .validation import decode_configuration, list_document_faults
+
+PATCHED_SECTIONS = ("groups", "kinds", "pools")
+"""The mappings of a document whose items are patched by name."""
+
+ENVELOPE_FIELDS = ("expect", "put_id")
+"""What a command says beside what it asks for."""
+
+
+class Call(Protocol):
+    """One HTTP request to us, and its answer."""
+
+    method: str
+    path: str
+    body: bytes
+
+    def answer_json(self, status: int, document: Any) -> None:
+        """Answer with a document."""
+
+    def answer_error(self, error: ServiceError) -> None:
+        """Answer with an error, under its own status."""
+
+
+class HttpNode(Protocol):
+    """The node, as far as it hands calls to handlers by method and path."""
+
+    routes: dict[tuple[str, str], Callable]
+
+
+EditDocument = Callable[[dict, str, dict], dict]
+"""Given the document, the item's name and the command's fields, returns the edited document."""
+
+EditOverlay = Callable[[dict, Any, str, dict], Any]
+"""Given document, overlay, the item's name and the command's fields, returns the edited overlay."""
+
+
+class ItemCommand:
+    """One command on a group or kind: its schema, and how it edits a document or an overlay."""
+
+    __slots__ = ("schema", "edit_document", "edit_overlay")
+
+    def __init__(self, schema: str, edit_document: EditDocument, edit_overlay: EditOverlay) -> None:
+        """`schema` names the form of the command's body in linkhaven.yaml."""
+        self.schema = schema
+        self.edit_document = edit_document
+        self.edit_overlay = edit_overlay
+
+
+def _with_section(document: dict, section: str, items: dict) -> dict:
+    if not document:
+        raise ServiceError("plan_absent")
+    return {**document, section: items}
+
+
+def _without_item(document: dict, section: str, name: str) -> dict:
+    if name not in document.get(section, {}):
+        raise _misfit(f"{section}/{name}", "is not in the plan")
+    items = {other: item for other, item in document[section].items() if other != name}
+    return _with_section(document, section, items)
+
+
+def _misfit(place: str, fault: str) -> ServiceError:
+    return ServiceError("plan_invalid", places=[{"place": place, "fault": fault}])
+
+
+def _put_group(document: dict, name: str, fields: dict) -> dict:
+    groups = {**document.get("groups", {}), name: fields["group"]}
+    return _with_section(document, "groups", groups)
+
+
+def _put_kind(document: dict, name: str, fields: dict) -> dict:
+    return _with_section(document, "kinds", {**document.get("kinds", {}), name: fields["kind"]})
+
+
+def _remove_group(document: dict, name: str, fields: dict) -> dict:
+    """Remove a group to which no kind is attached: then no queued work is lost by surprise."""
+    return _without_item(document, "groups", name)
+
+
+def _remove_kind(document: dict, name: str, fields: dict) -> dict:
+    return _without_item(document, "kinds", name)
+
+
+def _put_group_beside(document: dict, overlay: Any, name: str, fields: dict) -> Any:
+    return put_overlay_group(document, overlay, name, fields["group"])
+
+
+def _remove_group_beside(document: dict, overlay: Any, name: str, fields: dict) -> Any:
+    return remove_overlay_group(document, overlay, name)
+
+
+def _attach_kind_beside(document: dict, overlay: Any, name: str, fields: dict) -> Any:
+    return attach_overlay_kind(document, overlay, name, fields["kind"])
+
+
+def _reject_beside(document: dict, overlay: Any, name: str, fields: dict) -> Any:
+    raise _misfit(f"kinds/{name}", "is its document's; its sender removes it")
+
+
+PUT_GROUP = ItemCommand("GroupPut", _put_group, _put_group_beside)
+REMOVE_GROUP = ItemCommand("PartRemove", _remove_group, _remove_group_beside)
+PUT_KIND = ItemCommand("KindPut", _put_kind, _attach_kind_beside)
+REMOVE_KIND = ItemCommand("PartRemove", _remove_kind, _reject_beside)
+
+
+def _revised(record: Record, document: dict) -> Contents:
+    """Return the contents of an opened record with its document changed, and all else as it is."""
+    return Contents(document, source_text_of(record), revision_of(record), overlay_of(record))
+
+
+def _opened(record: Record | None, reader: RecordReader) -> Record:
+    return reader.opened(record) if record else {}
+
+
+class ConfigurationCommands:
+    """The handlers of the native interface to the configuration, of any controller node."""
+
+    __slots__ = ("store",)
+
+    def __init__(self, node: HttpNode, store: ConfigurationStore) -> None:
+        """Register the handlers with the node."""
+        self.store = store
+        node.routes.update(
+            {
+                ("GET", "/v1/plan"): self.on_show,
+                ("PUT", "/v1/plan"): self.on_put,
+                ("PATCH", "/v1/plan"): self.on_patch,
+                ("POST", "/v1/plan/check"): self.on_check,
+                ("PUT", "/v1/groups/"): self._item_handler(PUT_GROUP),
+                ("DELETE", "/v1/groups/"): self._item_handler(REMOVE_GROUP),
+                ("PUT", "/v1/kinds/"): self._item_handler(PUT_KIND),
+                ("DELETE", "/v1/kinds/"): self._item_handler(REMOVE_KIND),
+            }
+        )
+
+    def _item_handler(self, command: ItemCommand) -> Callable[[Call, str], None]:
+        return lambda call, name: self.on_item_command(call, name, command)
+
+    def on_check(self, call: Call) -> None:
+        """Say whether a document is valid; raises `plan_invalid` with each place that isn't."""
+        faults = list_document_faults(read_json(call.body))
+        if faults:
+            raise ServiceError("plan_invalid", places=faults)
+        call.answer_json(200, {"fits": True})
+
+    def on_show(self, call: Call) -> None:
+        """Answer with the newest configuration that a majority has accepted."""
+
+        def on_read(error: ServiceError | None, record: Record | None) -> None:
+            if error is not None:
+                return call.answer_error(error)
+            if record is None:
+                return call.answer_json(200, NOTHING_SHOWN)
+            effective = apply_overlay(document_of(record), overlay_of(record))
+            call.answer_json(200, shown_record(record, effective))
+
+        self.store.read_record(on_read)
+
+    def on_put(self, call: Call) -> None:
+        """Replace the whole document; a source text is then no longer in force."""
+        command = check_document("PlanPut", read_json(call.body))
+        document = command["plan"]
+        decode_configuration(document)
+
+        def make(record: Record | None, reader: RecordReader) -> Contents:
+            decode_configuration(document)
+            return Contents(document, None, revision_of(record), overlay_of(None))
+
+        self._commit(call, command, make, {"plan": document}, needs_blobs=False)
+
+    def on_patch(self, call: Call) -> None:
+        """Change groups, kinds and pools by name."""
+        command = check_document("PlanPatch", read_json(call.body))
+        patch = read_mapping_patch(command)
+
+        def make(record: Record | None, reader: RecordReader) -> Contents:
+            opened = _opened(record, reader)
+            if source_text_of(opened) is not None:
+                raise _misfit(".", "came as a document; its sender changes it by name")
+            if not opened:
+                raise ServiceError("plan_absent")
+            document = apply_to_mappings(document_of(opened), patch, PATCHED_SECTIONS)
+            decode_configuration(document)
+            return _revised(opened, document)
+
+        self._commit(call, command, make, command)
+
+    def on_item_command(self, call: Call, name: str, item: ItemCommand) -> None:
+        """Put or remove one group or kind."""
+        command = check_document(item.schema, read_json(call.body))
+
+        def make(record: Record | None, reader: RecordReader) -> Contents:
+            opened = _opened(record, reader)
+            if source_text_of(opened) is not None:
+                contents = _revised(opened, document_of(opened))
+                overlay = overlay_of(record)
+                contents.overlay = item.edit_overlay(contents.document, overlay, name, command)
+                return contents
+            document = item.edit_document(document_of(opened) if opened else {}, name, command)
+            decode_configuration(document)
+            return _revised(opened, document)
+
+        self._commit(call, command, make, command)
+
+    def _commit(
+        self, call: Call, command: dict, make: MakeContents, asked: dict, needs_blobs: bool = True
+    ) -> None:
+        """Commit a command and answer it. `asked` is what it is known by when it is sent again."""
+        digest = digest_of_command(call, asked)
+        update = CommandUpdate(command["expect"], command["put_id"], digest, make, needs_blobs)
+
+        def on_result(error: ServiceError | None, result: CommitResult) -> None:
+            if error is not None:
+                return call.answer_error(error)
+            call.answer_json(200, {"mark": result.version, "put_id": result.key})
+
+        self.store.commit(update, on_result)
+
+
+def digest_of_command(call: Call, asked: dict) -> str:
+    """Return the digest of what a command asks for, and where; its id and version stay out."""
+    fields = {name: asked[name] for name in asked if name not in ENVELOPE_FIELDS}
+    return digest_of_json([call.method, call.path.partition("?")[0], fields])
--- a/packages/configuration/src/linkhaven/configuration/document_update.py
+++ b/packages/configuration/src/linkhaven/configuration/document_update.py
@@ -1,59 +1,116 @@
-"""An order to change the document of another door, and whether it may be taken."""
+"""Updates by a foreign operator: its source text replaced whole, or patched.
+
+The operator numbers its texts itself. An update names the revision that it builds on and the one
+that it makes, as a compare-and-set.
+
+| record | update `base` to `revision` | answer |
+| --- | --- | --- |
+| any | committed before, with the same digest | acknowledged as before |
+| at `base` | `revision` higher | committed |
+| at `base` | `revision` not higher | `revision_old` |
+| beyond | `revision` may have been committed before the history begins | `put_unknown` |
+| elsewhere | | `revision_conflict` |
+"""
+
+from collections.abc import Callable
 
 from linkhaven.api import ServiceError
 
-from .history import find_update, knows_revision
+from .history import digest_of_json, digest_of_update, find_update, knows_revision
+from .overlay import overlay_of
+from .records import Record, revision_of, source_text_of
+from .updates import Contents, RecordReader
+from .validation import decode_configuration
+
+MakeDocument = Callable[[str | None], tuple[str, dict]]
+"""Given the source text in force, returns the next one and the document made from it."""
 
 
 class DocumentUpdate:
-    """One order: a whole document, or a patch of the one in force.
+    """One update of the source text; see `ConfigurationUpdate`.
 
-    `base` and `revision` are its sender's numbers of the document that it builds on and of the one
-    that it makes; `digest` tells it from another order under the same number. `make(held)` gives
-    the document and its plan; where `needs_bodies`, `held` is the document in force. `document` is
-    the text of a whole one, None of a patch.
+    `source_text` is the text of a replacement, None for a patch: by it an update is known that a
+    version of this program committed which kept no history.
     """
 
-    __slots__ = ("base", "revision", "digest", "make", "needs_blobs", "document")
+    __slots__ = ("expected", "key", "digest", "make", "needs_blobs", "source_text")
 
-    def __init__(self, base, revision, digest):
-        """Say what is ordered by `make`, next."""
-        self.base = base
-        self.revision = revision
+    def __init__(
+        self,
+        base: int,
+        revision: int,
+        digest: str,
+        make: MakeDocument,
+        needs_blobs: bool,
+        source_text: str | None,
+    ) -> None:
+        """`base` and `revision`: the sender's numbers of the text before and after it."""
+        self.expected = base
+        self.key = revision
         self.digest = digest
-        self.make = None
-        self.needs_blobs = False
-        self.document = None
+        self.make = make
+        self.needs_blobs = needs_blobs
+        self.source_text = source_text
 
     @property
-    def put_id(self):
-        """Return the id of the change in logs and in the register."""
-        return f"revision-{self.revision}"
-
-    def is_taken(self, value):
-        """Whether it was taken before; also by a version of this program that kept no history."""
-        taken = find_update(value, self.revision)
-        if taken is not None:
-            return taken.digest == self.digest
+    def update_id(self) -> str:
+        """What the update is called in logs and in the record."""
+        return f"revision-{self.key}"
+
+    def is_committed(self, record: Record | None) -> bool:
+        """Whether this very update was committed before."""
+        committed = find_update(record, self.key)
+        if committed is not None:
+            return committed.digest == self.digest
         return (
-            value is not None
-            and self.document is not None
-            and value.get("revision") == self.revision
-            and value.get("document") == self.document
+            record is not None
+            and self.source_text is not None
+            and revision_of(record) == self.key
+            and source_text_of(record) == self.source_text
         )
 
-    def refusal(self, value):
-        """Return why it isn't taken, where the history has no row of it; None where it may be."""
-        held = (value or {}).get("revision") or 0
-        if held == self.base:
-            return self._refusal_as_old(held)
-        is_found = find_update(value, self.revision) is not None
-        may_be_taken = self.base < self.revision <= held and not is_found
-        if may_be_taken and not knows_revision(value, self.revision):
-            return ServiceError("put_unknown", put_id=self.put_id)
-        return ServiceError("revision_conflict", base=self.base, revision=held)
-
-    def _refusal_as_old(self, held):
-        if self.revision > held:
-            return None
-        return ServiceError("revision_old", given=self.revision, revision=held)
+    def rejection(self, record: Record | None) -> ServiceError | None:
+        """Return why it can't be committed on this record; None where it may be."""
+        current = revision_of(record)
+        if current == self.expected:
+            if self.key > current:
+                return None
+            return ServiceError("revision_old", given=self.key, revision=current)
+        if self._may_be_forgotten(record, current):
+            return ServiceError("put_unknown", put_id=self.update_id)
+        return ServiceError("revision_conflict", base=self.expected, revision=current)
+
+    def _may_be_forgotten(self, record: Record | None, current: int) -> bool:
+        """Whether it may have been committed before the history of the record begins."""
+        return (
+            self.expected < self.key <= current
+            and find_update(record, self.key) is None
+            and not knows_revision(record, self.key)
+        )
+
+    def contents(self, record: Record | None, reader: RecordReader) -> Contents:
+        """Return what it makes of the record; raises `plan_invalid` where it doesn't fit."""
+        current = reader.source_text_of(record) if self.needs_blobs and record else None
+        source_text, document = self.make(current)
+        decode_configuration(document)
+        return Contents(document, source_text, self.key, overlay_of(record))
+
+
+def replacement(base: int, revision: int, source_text: str, document: dict) -> DocumentUpdate:
+    """Return the update that puts a source text in place of the one of revision `base`."""
+    return DocumentUpdate(
+        base,
+        revision,
+        digest_of_update(source_text),
+        lambda current: (source_text, document),
+        False,
+        source_text,
+    )
+
+
+def patch_update(base: int, revision: int, patch: str, merge: MakeDocument) -> DocumentUpdate:
+    """Return the update that patches the source text of revision `base`.
+
+    `patch` is the text of the patch, by which it is known when it is submitted again.
+    """
+    return DocumentUpdate(base, revision, digest_of_json(["patch", patch]), merge, True, None)
--- a/packages/configuration/src/linkhaven/configuration/messages.py
+++ b/packages/configuration/src/linkhaven/configuration/messages.py
@@ -1,17 +1,17 @@
-"""The messages that carry bodies of plans and documents."""
+"""The messages of this package, their names on the wire bound to those of the code."""
 
 from msgspec import field
 
 from linkhaven.runtime import Message
 
 
-class Blobs(Message, tag="bodies"):
-    """Packed bodies by digest: sent ahead of an accept that names them, or as an answer."""
+class BlobDelivery(Message, tag="bodies"):
+    """Packed blobs by digest: sent ahead of an accept that names them, or as an answer."""
 
     blobs: dict[str, str] = field(name="bodies")
 
 
 class BlobRequest(Message, tag="want_bodies"):
-    """Asks for the bodies of these digests; the answer has those that are held."""
+    """Asks for the blobs of these digests; the answer has those that are there."""
 
     digests: list[str]
--- a/packages/configuration/src/linkhaven/configuration/packing.py
+++ b/packages/configuration/src/linkhaven/configuration/packing.py
@@ -1,4 +1,4 @@
-"""How the body of a plan or document is named, packed for wire and disk, and opened again."""
+"""How blobs are packed for wire and disk, and opened again; how a document is written as text."""
 
 import base64
 import binascii
@@ -7,39 +7,40 @@
 
 from .history import digest_of
 
-MOST_BODY_BYTES = 64 << 20
+TEXT_BYTES_MOST = 64 << 20
+"""Beyond any document: a packed blob that would open to more is refused."""
 
 
 class BlobMismatchError(ValueError):
-    """A packed body that can't be opened, or whose text has another digest than its name."""
+    """A packed blob that can't be opened, or whose text has another digest than its name."""
 
 
-def pack_blob(text):
-    """A text as one word of JSON-safe letters."""
+def pack_blob(text: str) -> str:
+    """Return a text as one word of JSON-safe letters."""
     return base64.b64encode(zlib.compress(text.encode())).decode()
 
 
-def open_packed(packed):
-    """The text that pack_body packed; raises BodyMismatchError for anything else."""
+def open_packed(packed: str) -> str:
+    """Return the text that `pack_blob` packed; raises BlobMismatchError for anything else."""
     try:
-        opener = zlib.decompressobj()
-        raw = opener.decompress(base64.b64decode(packed, validate=True), MOST_BODY_BYTES)
+        decompressor = zlib.decompressobj()
+        raw = decompressor.decompress(base64.b64decode(packed, validate=True), TEXT_BYTES_MOST)
         text = raw.decode()
-    except (zlib.error, binascii.Error, ValueError, TypeError) as fault:
-        raise BlobMismatchError(repr(fault)) from None
-    if not opener.eof:
+    except (zlib.error, binascii.Error, ValueError, TypeError) as error:
+        raise BlobMismatchError(repr(error)) from None
+    if not decompressor.eof:
         raise BlobMismatchError("it has no end")
     return text
 
 
-def open_blob(digest, packed):
-    """The text with this digest; raises BodyMismatchError for anything else."""
+def open_blob(digest: str, packed: str) -> str:
+    """Return the text with this digest; raises BlobMismatchError for anything else."""
     text = open_packed(packed)
     if digest_of(text) != digest:
         raise BlobMismatchError(f"it is not the text named {digest}")
     return text
 
 
-def write_plan(plan):
-    """The one text of a plan: equal plans have equal digests."""
-    return json.dumps(plan, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
+def write_document(document: dict) -> str:
+    """Return the one text of a document: equal documents have equal digests."""
+    return json.dumps(document, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
--- /dev/null
+++ b/packages/configuration/src/linkhaven/configuration/updates.py
@@ -0,0 +1,63 @@
+"""What every update of the configuration has, whichever way it came in."""
+
+from typing import Protocol
+
+from linkhaven.api import ServiceError
+
+from .history import UpdateKey
+from .records import Record
+
+
+class Contents:
+    """What an update puts in force."""
+
+    __slots__ = ("document", "source_text", "revision", "overlay")
+
+    def __init__(
+        self, document: dict, source_text: str | None, revision: int, overlay: dict
+    ) -> None:
+        """`source_text` is None and `revision` unchanged where our own command made the document."""
+        self.document = document
+        self.source_text = source_text
+        self.revision = revision
+        self.overlay = overlay
+
+
+class RecordReader(Protocol):
+    """Opens records whose blobs are here; the blob store is one."""
+
+    def document_of(self, record: Record) -> dict:
+        """Return the document of a record."""
+
+    def source_text_of(self, record: Record) -> str | None:
+        """Return the source text of a record, None where it has none."""
+
+    def opened(self, record: Record) -> dict:
+        """Return the record with both parts in it."""
+
+
+class ConfigurationUpdate(Protocol):
+    """One update: how it is known, whether a record takes it, and what it makes of the record.
+
+    `key` and `digest` are what the history knows it by; `update_id` names it in logs and records;
+    `expected` is the version or revision that it builds on; `needs_blobs` says whether it changes
+    parts of the record before it, rather than replacing all of them.
+    """
+
+    key: UpdateKey
+    digest: str
+    expected: int
+    needs_blobs: bool
+
+    @property
+    def update_id(self) -> str:
+        """What the update is called in logs and in the record."""
+
+    def is_committed(self, record: Record | None) -> bool:
+        """Whether this very update was committed before."""
+
+    def rejection(self, record: Record | None) -> ServiceError | None:
+        """Return why it can't be committed on this record; None where it may be."""
+
+    def contents(self, record: Record | None, reader: RecordReader) -> Contents:
+        """Return what it makes of the record; raises ServiceError where it doesn't fit."""
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -169,9 +169,9 @@
 
     def _add_plan(self, ask, value, facts):
         if ask.is_of_earlier:
-            facts["plan"] = self.blobs.with_plan(value)
+            facts["plan"] = self.blobs.with_document(value)
             return
-        facts["digest"], packed = self.blobs.named_plan(value)
+        facts["digest"], packed = self.blobs.packed_document(value)
         if not ask.wants_plan:
             return
         changes = self._changes(ask.holds, facts["digest"])
@@ -189,11 +189,11 @@
 
     def _changes(self, held, newest):
         """Return the packed changes from one plan to another, None where the whole is no longer."""
-        if held is None or held not in self.blobs.held:
+        if held is None or held not in self.blobs.packed:
             return None
         key = (held, newest)
         if key not in self.changes:
-            packed, whole = self.blobs.held[held], self.blobs.held[newest]
+            packed, whole = self.blobs.packed[held], self.blobs.packed[newest]
             old, new = read_json(open_blob(held, packed)), read_json(open_blob(newest, whole))
             changes = pack_blob(diff_of(old, new).write())
             self.changes[key] = changes if len(changes) < len(whole) else None
@@ -220,8 +220,8 @@
             self.is_reading = False
             if outcome != "chosen":
                 return
-            if self.snapshot.is_newer(value) and self.blobs.has_plan(value):
-                self.snapshot.take(self.blobs.with_plan(value))
+            if self.snapshot.is_newer(value) and self.blobs.has_document(value):
+                self.snapshot.take(self.blobs.with_document(value))
             self.answer_waiting()
 
         self.proposer.read(KEY, done)
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -16,7 +16,7 @@
 from .changes import apply_changes, read_changes
 from .history import digest_of
 from .long_poll import LongPollHold
-from .packing import BlobMismatchError, open_blob, open_packed, pack_blob, write_plan
+from .packing import BlobMismatchError, open_blob, open_packed, pack_blob, write_document
 
 LATE_US = 350_000
 TOLD = ("mark", "put_id", "revision", "overlay")
@@ -31,7 +31,7 @@
 
 def apart(value):
     """A value that a seat of an earlier version told whole: as it is told now, and its body."""
-    text = write_plan(value["plan"])
+    text = write_document(value["plan"])
     told = {name: value[name] for name in TOLD if name in value}
     return {**told, "bodies": {"plan": digest_of(text)}}, pack_blob(text)
 
@@ -120,7 +120,7 @@
             return None
         value, body = self.held
         if body is None:
-            body = pack_blob(write_plan(self.snapshot.value["plan"]))
+            body = pack_blob(write_document(self.snapshot.value["plan"]))
             self.held = (value, body)
         return value, body
 
@@ -263,7 +263,7 @@
                 raise BlobMismatchError(f"the plan held here isn't {base}")
             changes = read_changes(open_packed(packed))
             plan = apply_changes(self.snapshot.value["plan"], changes)
-            if digest_of(write_plan(plan)) != digest:
+            if digest_of(write_document(plan)) != digest:
                 raise BlobMismatchError(f"the changes don't lead to the plan named {digest}")
         except (BlobMismatchError, msgspec.ValidationError, ServiceError) as fault:
             self.takes_changes = False
--- a/packages/controller/src/linkhaven/controller/configuration_recovery.py
+++ b/packages/controller/src/linkhaven/controller/configuration_recovery.py
@@ -17,7 +17,7 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from linkhaven.configuration import BlobStore, ConfigurationSnapshot, write_plan
+from linkhaven.configuration import BlobExchange, BlobStore, ConfigurationSnapshot, write_document
 from linkhaven.consensus import Proposer, Replica
 from linkhaven.runtime import Node
 
@@ -45,6 +45,7 @@
         "replica",
         "proposer",
         "blobs",
+        "blob_exchange",
         "snapshot",
         "observer",
         "voting_since_us",
@@ -59,6 +60,7 @@
         replica: Replica,
         proposer: Proposer,
         blobs: BlobStore,
+        blob_exchange: BlobExchange,
         snapshot: ConfigurationSnapshot,
         observer: LostConfigurationObserver,
     ) -> None:
@@ -67,6 +69,7 @@
         self.replica = replica
         self.proposer = proposer
         self.blobs = blobs
+        self.blob_exchange = blob_exchange
         self.snapshot = snapshot
         self.observer = observer
         self.voting_since_us: int | None = None
@@ -102,7 +105,7 @@
         if not self.blobs.take(record["bodies"]["plan"], message.blob):
             return
         if self.reported is None or message.version > self.reported["mark"]:
-            self.reported = {**record, "plan": self.blobs.plan_of(record)}
+            self.reported = {**record, "plan": self.blobs.document_of(record)}
 
     def tick(self, now_us: int) -> None:
         """Write what was reported once that is safe, or drop it where it is obsolete."""
@@ -127,15 +130,15 @@
         def step(value: dict[str, Any] | None) -> tuple[str, dict[str, Any] | None]:
             if value is not None and value["mark"] >= reported["mark"]:
                 return "keep", None
-            self.blobs.send([write_plan(reported["plan"])])
+            self.blob_exchange.send_texts([write_document(reported["plan"])])
             return "set", {name: reported[name] for name in reported if name != "plan"}
 
         def done(outcome: str, value: dict[str, Any]) -> None:
             self.is_writing = False
             if outcome == "chosen":
                 self.node.ports.log(1207, mark=value["mark"])
-                if self.snapshot.is_newer(value) and self.blobs.has_plan(value):
-                    self.snapshot.take(self.blobs.with_plan(value))
+                if self.snapshot.is_newer(value) and self.blobs.has_document(value):
+                    self.snapshot.take(self.blobs.with_document(value))
                 self.reported = None
 
         self.proposer.propose(CONFIGURATION_KEY, step, done)
--- a/packages/controller/src/linkhaven/controller/group_usage.py
+++ b/packages/controller/src/linkhaven/controller/group_usage.py
@@ -63,7 +63,7 @@
                 return
             self._answer(call)
 
-        self.store.read_document(done)
+        self.store.read_record(done)
 
     def _absent(self) -> ServiceError:
         return ServiceError("plan_absent", retry_us=NO_CONFIGURATION_RETRY_US)
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -7,7 +7,7 @@
 | `snapshot` | the configuration in force, as far as this node knows |
 | `membership` | the members of the fleet and their health |
 | `seat`, `proposer` | the register: what this replica voted for, the proposals in flight |
-| `blobs`, `configuration_store`, `watch_server` | the configuration's documents, its changes, the routers that watch it |
+| `blobs`, `blob_exchange`, `configuration_store`, `watch_server` | the configuration's documents, their way here, its changes, the routers that watch it |
 | `leases` | the singleton roles: role balancer, quota allocator, runner list |
 | `runner_discovery`, `role_balancer`, `quota_allocator` | what the holders of these roles know and decide |
 | `configuration_recovery`, `claim_admission` | what routers give back to a core that lost it |
@@ -22,9 +22,13 @@
 from typing import Any
 
 from linkhaven.configuration import (
+    BlobExchange,
     BlobStore,
+    ConfigurationCommands,
     ConfigurationSnapshot,
     ConfigurationStore,
+    PendingBlobs,
+    VoteGuard,
     WatchServer,
 )
 from linkhaven.consensus import Proposer, Replica, default_claim_limits
@@ -72,6 +76,7 @@
         "proposer",
         "snapshot",
         "blobs",
+        "blob_exchange",
         "configuration_store",
         "watch_server",
         "leases",
@@ -158,10 +163,14 @@
 
     def _build_configuration(self) -> None:
         """The configuration's store and its watch server."""
-        self.blobs = BlobStore(self, self.replica)
+        pending_blobs = PendingBlobs()
+        self.blobs = BlobStore(self, self.replica, pending_blobs)
+        self.blob_exchange = BlobExchange(self, self.membership, self.blobs, pending_blobs)
+        VoteGuard(self, self.replica, self.blobs, self.blob_exchange)
         self.configuration_store = ConfigurationStore(
-            self, self.proposer, self.blobs, self.snapshot
+            self, self.proposer, self.blobs, self.blob_exchange, self.snapshot
         )
+        ConfigurationCommands(self, self.configuration_store)
         self.quorum_contact = QuorumContact(self, self.replica, self.membership, self.snapshot)
         self.watch_server = WatchServer(
             self, self.replica, self.proposer, self.snapshot, self.blobs
@@ -204,7 +213,13 @@
         )
         self.group_usage = GroupUsage(self, self.replica, self.configuration_store, self.snapshot)
         self.configuration_recovery = ConfigurationRecovery(
-            self, self.replica, self.proposer, self.blobs, self.snapshot, self.claim_admission
+            self,
+            self.replica,
+            self.proposer,
+            self.blobs,
+            self.blob_exchange,
+            self.snapshot,
+            self.claim_admission,
         )
         self.router_contact = RouterContactMonitor(
             self, self.watch_server, self.membership, self.leases
@@ -270,8 +285,8 @@
             return
         value = self.replica.register_state(key).value
         if self.replica.is_known_chosen(key) and self.snapshot.is_newer(value):
-            if self.blobs.has_plan(value):
-                self.snapshot.take(self.blobs.with_plan(value))
+            if self.blobs.has_document(value):
+                self.snapshot.take(self.blobs.with_document(value))
         self.watch_server.answer_waiting()
 
     def on_voting_started(self) -> None:
--- a/packages/stage/src/linkhaven/stage/core.py
+++ b/packages/stage/src/linkhaven/stage/core.py
@@ -89,9 +89,7 @@
     def read(self, name=None):
         host = self.machines[name] if name else self.machines[next(iter(self.voting().values()))]
         told = []
-        host.node.configuration_store.read_document(
-            lambda error, value: told.append((error, value))
-        )
+        host.node.configuration_store.read_record(lambda error, value: told.append((error, value)))
         self.world.wait_for(lambda: told, 5_000_000, 10_000)
         return told[0]
 
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -1,7 +1,15 @@
 """The only module of the explorer that touches the insides of the real nodes: how one is built, what its
 messages say, how it is asked, and what it holds. A rename in the nodes is followed here."""
 
-from linkhaven.configuration import BlobStore, ConfigurationSnapshot, ConfigurationStore
+from linkhaven.configuration import (
+    BlobExchange,
+    BlobStore,
+    ConfigurationCommands,
+    ConfigurationSnapshot,
+    ConfigurationStore,
+    PendingBlobs,
+    VoteGuard,
+)
 from linkhaven.configuration.history import digest_of_update, read_history
 from linkhaven.consensus import Proposer, Replica
 from linkhaven.controller import ControllerNode
@@ -60,6 +68,7 @@
         "replica",
         "snapshot",
         "blobs",
+        "blob_exchange",
         "configuration_store",
         "lease",
     )
@@ -77,10 +86,14 @@
         )
         self.replica.occupants.contact = address
         self.snapshot = ConfigurationSnapshot()
-        self.blobs = BlobStore(self, self.replica)
+        pending = PendingBlobs()
+        self.blobs = BlobStore(self, self.replica, pending)
+        self.blob_exchange = BlobExchange(self, self.membership, self.blobs, pending)
+        VoteGuard(self, self.replica, self.blobs, self.blob_exchange)
         self.configuration_store = ConfigurationStore(
-            self, self.proposer, self.blobs, self.snapshot
+            self, self.proposer, self.blobs, self.blob_exchange, self.snapshot
         )
+        ConfigurationCommands(self, self.configuration_store)
         self.lease = None
         if has_duty:
             listener = SilentListener()
@@ -244,7 +257,7 @@
 
 def read(machine, done):
     """An operator's read at a member; done(code, value) hears its answer."""
-    machine.node.configuration_store.read_document(
+    machine.node.configuration_store.read_record(
         lambda error, value: done(error and error.code, value)
     )
 
--- a/packages/stage/src/linkhaven/stage/explore/run.py
+++ b/packages/stage/src/linkhaven/stage/explore/run.py
@@ -307,7 +307,7 @@
         def done(code, detail, value):
             self.told[name] = (code, detail)
             if code is None:
-                self._end(operation, TAKEN, mark=value["mark"])
+                self._end(operation, TAKEN, mark=value.version)
             elif code in adapter.REFUSED_CODES:
                 self._end(operation, REFUSED, detail.get("revision"))
             elif code == adapter.UNCLEAR_CODE:
--- a/packages/stage/src/linkhaven/stage/orders.py
+++ b/packages/stage/src/linkhaven/stage/orders.py
@@ -93,8 +93,11 @@
         """Send an order to one member, once."""
 
         def serve(node, done):
+            def on_result(error, result):
+                done(error, result and {"revision": result.key})
+
             node.configuration_store.put_document(
-                order.base, order.revision, order.document, order.plan, done
+                order.base, order.revision, order.document, order.plan, on_result
             )
 
         return self._call(member, order, serve, on_end)
@@ -102,7 +105,7 @@
     def read(self, member, on_end=lambda told: None):
         """Ask one member for the newest configuration, once."""
         return self._call(
-            member, None, lambda node, done: node.configuration_store.read_document(done), on_end
+            member, None, lambda node, done: node.configuration_store.read_record(done), on_end
         )
 
     def pursue(self, order, members, on_end=lambda told: None, rounds=8):
--- a/tests/recorded_world.py
+++ b/tests/recorded_world.py
@@ -22,6 +22,7 @@
 import sys
 from contextlib import contextmanager
 
+from linkhaven.configuration import CommitResult
 from linkhaven.platform.operator import OperatorDoor
 from linkhaven.runtime import ResponseHandler
 from linkhaven.stage import world
@@ -254,7 +255,14 @@
 
 
 def _plain(told):
-    return [[error and error.code, value] for error, value in told]
+    return [[error and error.code, _as_recorded(value)] for error, value in told]
+
+
+def _as_recorded(value):
+    """The result of a commit as the map that it was when the recordings were taken."""
+    if isinstance(value, CommitResult):
+        return {"mark": value.version, "revision": value.key}
+    return value
 
 
 def fleet(deployment, seed, steps, rate=None):
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -4,10 +4,12 @@
 
 import pytest
 
-from linkhaven.configuration.blobs import KEPT_BLOBS, BlobStore, digests_of
+from linkhaven.configuration.blobs import KEPT_BLOBS, BlobStore
 from linkhaven.configuration.history import digest_of
-from linkhaven.configuration.messages import Blobs
+from linkhaven.configuration.messages import BlobDelivery
 from linkhaven.configuration.packing import BlobMismatchError, open_blob, pack_blob
+from linkhaven.configuration.records import digests_of
+from linkhaven.configuration.vote_guard import VoteGuard
 from linkhaven.consensus.replica import RegisterState
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Bounds, kind_of
@@ -42,7 +44,7 @@
     return bool(told) and told[0][0] is None
 
 
-def drop(host, kind=Blobs, is_dropped=lambda message: True):
+def drop(host, kind=BlobDelivery, is_dropped=lambda message: True):
     """The node hears none of these messages; the list of what it missed."""
     hear, missed = host.node.handlers[kind], []
 
@@ -143,13 +145,13 @@
     lost = []
     for name in ("core-2", "core-3"):
         missed = drop(core.machines[name], is_dropped=lambda m, name=name: not lost.count(name))
-        hear = core.machines[name].node.handlers[Blobs]
+        hear = core.machines[name].node.handlers[BlobDelivery]
 
         def hear_once_lost(message, name=name, hear=hear):
             hear(message)
             lost.append(name)
 
-        core.machines[name].node.handlers[Blobs] = hear_once_lost
+        core.machines[name].node.handlers[BlobDelivery] = hear_once_lost
         assert missed == []
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
@@ -294,8 +296,10 @@
     core = started()
     host = core.machines["core-2"]
     digest = digest_of("x")
-    host.node.dispatch(Blobs(sender="core-1", reply_to="10.0.0.1:7000", blobs={digest: packed}))
-    assert digest not in host.node.blobs.held
+    host.node.dispatch(
+        BlobDelivery(sender="core-1", reply_to="10.0.0.1:7000", blobs={digest: packed})
+    )
+    assert digest not in host.node.blobs.packed
     assert len(events(core, 1304)) == 1
     with pytest.raises(BlobMismatchError):
         open_blob(digest, packed)
@@ -324,7 +328,7 @@
     core = started()
     assert is_taken(put(core, 1))
     for host in core.machines.values():
-        host.node.blobs.held.clear()
+        host.node.blobs.packed.clear()
         host.node.snapshot.__init__()
     router = with_router(core)
     assert core.read()[0].code == "core_unready"
@@ -340,7 +344,7 @@
     for revision in range(1, 4 * KEPT_BLOBS):
         assert is_taken(put(core, revision))
     for host in core.machines.values():
-        assert len(host.node.blobs.held) <= KEPT_BLOBS
+        assert len(host.node.blobs.packed) <= KEPT_BLOBS
         assert len(bodies_on_disk(host)) <= 4
         assert len(json.dumps(host.disk.synced)) < 8_000
     host = core.machines["core-3"]
@@ -509,19 +513,22 @@
 
 
 def let_votes_pass(store, say, values_of):
-    """In place of BlobStore._guard: nothing waits for a body."""
+    """In place of VoteGuard._guard: nothing waits for a blob."""
 
 
 def write_nothing(store, digests):
-    """In place of BlobStore._write: bodies stay in memory."""
+    """In place of BlobStore.write_ahead: blobs stay in memory."""
 
 
-@pytest.mark.parametrize("name, sabotage", [("_guard", let_votes_pass), ("_write", write_nothing)])
-def test_without_its_mechanism_a_vote_for_a_body_that_isnt_synced_is_found(
-    monkeypatch, name, sabotage
+@pytest.mark.parametrize(
+    "owner, name, sabotage",
+    [(VoteGuard, "_guard", let_votes_pass), (BlobStore, "write_ahead", write_nothing)],
+)
+def test_without_its_mechanism_a_vote_for_a_blob_that_isnt_synced_is_found(
+    monkeypatch, owner, name, sabotage
 ):
     with monkeypatch.context() as patch:
-        patch.setattr(BlobStore, name, sabotage)
+        patch.setattr(owner, name, sabotage)
         core = started()
         watch = VoteWatch(core)
         put(core, 1)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -310,7 +310,7 @@
     chain(core, 3)
     for name in core.machines:
         error, taken = core.put(0, 3, "text 3", PLAN, name)[0]
-        assert (error, taken) == (None, {"mark": 1, "revision": 3})
+        assert (error, taken.version, taken.key) == (None, 1, 3)
         assert code(core.put(3, 5, "text 5", PLAN, name)) is None
     value = core.read()[1]
     assert (value["mark"], value["revision"], value["document"]) == (3, 7, "text 7")
@@ -412,7 +412,8 @@
     assert code(core.put(3, 5, "text 5", PLAN, "core-3")) is None
     mend()
     core.world.wait_for(lambda: told, 5 * SECOND, 10_000)
-    assert (told[0][0], told[0][1]) == (None, {"mark": 1, "revision": 3})
+    error, taken = told[0]
+    assert (error, taken.version, taken.key) == (None, 1, 3)
     assert core.read()[1]["document"] == "text 5"
 
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -99,7 +99,7 @@
         value = self.blobs.replica.register_state("plan").value
         done(None, self.blobs.opened(value) if value else None)
 
-    monkeypatch.setattr(ConfigurationStore, "read_document", read)
+    monkeypatch.setattr(ConfigurationStore, "read_record", read)
 
 
 def refuse_for_what_is_not_in_force(monkeypatch):
@@ -131,11 +131,11 @@
     def forgetful(self, key, step, done, **more):
         def anew(value):
             verb, fruit = step(value)
-            if key == "plan" and verb == "keep" and value and done.__name__ == "end" and is_put:
+            if key == "plan" and verb == "keep" and value and is_put:
                 return "stop", ServiceError("revision_conflict", base=0, revision=value["revision"])
             return verb, fruit
 
-        is_put = "_order_document" in done.__qualname__
+        is_put = done.__qualname__ == "Commit._on_outcome"
         change(self, key, anew, done, **more)
 
     monkeypatch.setattr(Proposer, "propose", forgetful)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -27,7 +27,7 @@
 def acked(core, base, revision, name=None):
     error, value = core.put(base, revision, f"text {revision}", PLAN, name)[0]
     assert error is None, error
-    assert value["revision"] == revision
+    assert value.key == revision
 
 
 def held(core, name=None):
@@ -172,7 +172,7 @@
         assert core.world.wait_for(lambda answer=answer: answer, 5 * SECOND, 1_000)
         error, value = answer[0]
         assert error is None, error
-        revision = value["revision"]
+        revision = value.key
     assert told
     core.machines["core-1"].kill()
     assert held(core, "core-9") == revision
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -181,12 +181,12 @@
         )
         self.run(lambda: told, 3 * SECOND)
         if told and told[0][0] is None:
-            return self.ack(told[0][1]["revision"])
+            return self.ack(told[0][1].key)
         seen = []
         host = self.core.machines.get(name)
         if host is None or host.node is None:
             return
-        host.node.configuration_store.read_document(lambda *answer: seen.append(answer))
+        host.node.configuration_store.read_record(lambda *answer: seen.append(answer))
         self.run(lambda: seen, 3 * SECOND)
         if seen and seen[0][0] is None and seen[0][1]:
             assert seen[0][1]["revision"] >= self.acked, self.log
--- a/tests/test_patch.py
+++ b/tests/test_patch.py
@@ -232,8 +232,8 @@
     core = make_core(seed)
     put(core)
     store = core.machines["core-2"].node.blobs
-    for digest in list(store.held):
-        del store.held[digest]
+    for digest in list(store.packed):
+        del store.packed[digest]
     assert patch(core, 4, 9, {}, {"route_rules": ["r-1"]}, "core-2").status == 200
     assert json.loads(shown(core, "core-3"))["revision"] == 9
 
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -6,7 +6,7 @@
 from test_blobs import MS, add_router, started
 
 from linkhaven.configuration.changes import apply_changes, diff_of, read_changes
-from linkhaven.configuration.packing import open_packed, pack_blob, write_plan
+from linkhaven.configuration.packing import open_packed, pack_blob, write_document
 
 SECOND = 1_000_000
 MANY = 1_440
@@ -54,10 +54,10 @@
     dice = random.Random(seed)
     old = large(dice, 40)
     new = alter(alter(old, dice), dice)
-    before = write_plan(old)
+    before = write_document(old)
     changes = read_changes(diff_of(old, new).write())
-    assert write_plan(apply_changes(old, changes)) == write_plan(new)
-    assert write_plan(apply_changes(new, diff_of(new, old))) == before == write_plan(old)
+    assert write_document(apply_changes(old, changes)) == write_document(new)
+    assert write_document(apply_changes(new, diff_of(new, old))) == before == write_document(old)
 
 
 def put(core, revision, plan):
@@ -94,7 +94,7 @@
     assert [part for part, _ in heard] == ["body"] + ["changes"] * 4
     assert max(count for _, count in heard[1:]) < heard[0][1] / 20
     value, body = router.node.watcher.packed_configuration()
-    assert open_packed(body) == write_plan(plan) and value["mark"] == 5
+    assert open_packed(body) == write_document(plan) and value["mark"] == 5
 
 
 @pytest.mark.parametrize("how", ("text", "items", "base", "shape"))
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -22,7 +22,7 @@
 def acked(core, base, revision, name=None):
     error, value = core.put(base, revision, f"text {revision}", PLAN, name)[0]
     assert error is None, error
-    assert value["revision"] == revision
+    assert value.key == revision
 
 
 def held(core, name=None):
