--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -25,7 +25,6 @@
   (`test_a_new_holder_has_a_fencing_token_above_any_that_was_observed`).
 """
 
-import math
 from collections.abc import Callable
 from enum import Enum
 from typing import Any
@@ -33,9 +32,10 @@
 from linkhaven.runtime import Node
 
 from .announcement import ActionAnnouncement
+from .compare_and_set import Acquisition, Vacation
 from .interfaces import LeaseListener, LiveIncarnations, Proposer, Replica
 from .observer import LeaseObserver
-from .records import NEVER_HELD, LeaseRecord, lease_key, read_record, write_record
+from .records import LeaseRecord, Version, lease_key, read_record
 
 RENEWALS_A_LEASE = 3
 """How often a holder renews within the time of one lease."""
@@ -96,7 +96,6 @@
         "lease_us",
         "renew_us",
         "suspect_us",
-        "observed_token",
         "is_succession",
     )
 
@@ -132,7 +131,6 @@
         self.actions = 0
         self.requested_us = 0
         self.expires_us = 0
-        self.observed_token = 0
         self.is_succession = False
         node.systems.append(self.tick)
         node.on_late.append(self.on_late_tick)
@@ -186,15 +184,8 @@
         self.state = LeaseState.RELEASED
         if token is None:
             return done()
-
-        def step(value: Any) -> tuple[str, Any]:
-            record = read_record(value)
-            if not record or record.fencing_token != token or record.holder != self.node.name:
-                return "stop", value
-            vacant = LeaseRecord(None, token, record.renewal + 1, record.actions)
-            return "set", write_record(vacant)
-
-        self.proposer.propose(self.key, step, lambda outcome, value: done())
+        vacation = Vacation(self.node.name, token)
+        self.proposer.propose(self.key, vacation.step, lambda outcome, value: done())
 
     # what the node around it knows
 
@@ -233,11 +224,8 @@
         self.observer.is_vacant = True
 
     def observe_fencing_token(self, token: float) -> None:
-        """Somebody knows a token: the next one is above it, whatever the core forgot.
-
-        A deputy's token lies between two whole ones.
-        """
-        self.observed_token = max(self.observed_token, math.ceil(token))
+        """Somebody knows a token: the next one is above it, whatever the core forgot."""
+        self.observer.observe_token(token)
 
     # what time does to it
 
@@ -266,13 +254,12 @@
 
     def _stand_if_due(self, now_us: int) -> None:
         if self.observer.may_start_election(now_us, self.replica.votes_from_us):
-            seen_token, _ = self.observer.last_version or NEVER_HELD
-            self._request(now_us, max(seen_token, self.observed_token) + 1, 0)
+            self._request(now_us, self.observer.next_token(), 0)
 
     def _renew_if_due(self, now_us: int, token: int) -> None:
         """Renew in time; where somebody knows a higher token, this one would be refused."""
-        if self.observed_token > token:
-            self._request(now_us, self.observed_token + 1, 0)
+        if self.observer.observed_token > token:
+            self._request(now_us, self.observer.observed_token + 1, 0)
         elif self.announcement.is_requested or now_us - self.requested_us >= self.renew_us:
             self._request(now_us, token, self.renewal + 1)
 
@@ -291,19 +278,11 @@
         is_holder = self.fencing_token is not None
         self.state = LeaseState.RENEWING if is_holder else LeaseState.CANDIDATE
         self.requested_us = now_us
-        expected = (self.fencing_token, self.renewal) if is_holder else self.observer.last_version
         is_announcing = self.announcement.is_requested and token == self.fencing_token
         actions = self.actions if is_holder else self.observer.last_actions or 0
         wanted = LeaseRecord(self.node.name, token, renewal, actions + is_announcing)
         is_succession = self.observer.is_vacant and bool(self.observer.last_version)
-
-        def step(value: Any) -> tuple[str, Any]:
-            record = read_record(value)
-            if record == wanted:
-                return "keep", None
-            if (record and record.version) != expected:
-                return "stop", value
-            return "set", write_record(wanted)
+        acquisition = Acquisition(wanted, self._known_version())
 
         def done(outcome: str, value: Any) -> None:
             if outcome == "stopped":
@@ -312,13 +291,18 @@
                 return
             has_lapsed = self.fencing_token is None
             self.state = LeaseState.FOLLOWER if has_lapsed else LeaseState.HOLDER
-            if outcome != "chosen" or read_record(value) != wanted:
+            if not acquisition.is_committed(outcome, value):
                 return self.observer.back_off()
             self._hold(wanted, now_us + self.lease_us, is_succession)
             if is_announcing and self.fencing_token == token:
                 self.announcement.confirm(now_us)
 
-        self.proposer.propose(self.key, step, done, is_patient=True)
+        self.proposer.propose(self.key, acquisition.step, done, is_patient=True)
+
+    def _known_version(self) -> Version | None:
+        if self.fencing_token is not None:
+            return (self.fencing_token, self.renewal)
+        return self.observer.last_version
 
     def _hold(self, record: LeaseRecord, expires_us: int, is_succession: bool) -> None:
         """Hold a lease that the register granted; an answer after its end grants none."""
--- a/packages/leases/src/linkhaven/leases/observer.py
+++ b/packages/leases/src/linkhaven/leases/observer.py
@@ -1,5 +1,7 @@
 """The contender's side of a lease: what this node saw of its record, and when it may ask for it."""
 
+import math
+
 from linkhaven.runtime import Node
 
 from .interfaces import LiveIncarnations
@@ -42,6 +44,7 @@
         "others_idle_us",
         "ticked_us",
         "election_from_us",
+        "observed_token",
     )
 
     def __init__(self, node: Node, incarnations: LiveIncarnations, rank: int) -> None:
@@ -58,6 +61,7 @@
         self.unchanged_us = self.lease_us + MARGIN_US
         self.others_idle_us = 0
         self.election_from_us = 0
+        self.observed_token = 0
 
     def set_rank(self, rank: int) -> None:
         """Say how many other nodes ask first."""
@@ -102,6 +106,15 @@
         self.is_vacant = False
         self.restart_wait(now_us)
 
+    def observe_token(self, token: float) -> None:
+        """Somebody knows a fencing token; a deputy's lies between two whole ones."""
+        self.observed_token = max(self.observed_token, math.ceil(token))
+
+    def next_token(self) -> int:
+        """Return a token above all that were seen."""
+        seen_token, _ = self.last_version or NEVER_HELD
+        return max(seen_token, self.observed_token) + 1
+
     def back_off(self) -> None:
         """Let the contender that won an election go on."""
         spread_us = self.node.ports.random.randrange(ELECTION_SPREAD_US)
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -5,7 +5,8 @@
 import pytest
 from msgspec.structs import replace
 
-from linkhaven.membership import Membership
+from linkhaven.membership import Member, Membership, MemberState
+from linkhaven.membership.hash_ring import WATCHERS, HashRing
 from linkhaven.membership.messages import (
     Hello,
     Leave,
@@ -187,3 +188,37 @@
     assert kept == {name: membership.table.watchers_of(name) for name in membership.peers}
     assert membership.table.list_digest() == digest
     assert digest != before
+
+
+@pytest.mark.parametrize(
+    "events, state, is_up, has_left",
+    [
+        ("", MemberState.ALIVE, True, False),
+        ("fail", MemberState.FAILED, False, False),
+        ("fail recover", MemberState.ALIVE, True, False),
+        ("leave", MemberState.LEFT, False, True),
+        ("fail leave", MemberState.LEFT, False, True),
+        ("leave come_back", MemberState.FAILED, False, False),
+        ("leave recover", MemberState.LEFT_CLEARED, True, True),
+        ("leave recover fail", MemberState.LEFT, False, True),
+        ("leave recover leave", MemberState.LEFT, False, True),
+        ("leave recover come_back", MemberState.ALIVE, True, False),
+    ],
+)
+def test_each_event_of_a_member_leads_to_the_state_of_the_table(events, state, is_up, has_left):
+    member = Member("router-2", 1)
+    for event in events.split():
+        getattr(member, event)(*((5,) if event in ("fail", "leave") else ()))
+    assert (member.state, member.is_up, member.has_left) == (state, is_up, has_left)
+    assert member.is_live is (state is MemberState.ALIVE)
+
+
+def test_a_members_watchers_are_the_same_few_whoever_asks_and_move_with_its_neighbours_only():
+    names = [f"router-{place}" for place in range(200)]
+    whole, fewer = HashRing(names), HashRing(names[1:])
+    for name in names:
+        watchers = whole.watchers_of(name)
+        assert len(watchers) == WATCHERS and name not in watchers
+        if names[0] not in watchers:
+            assert fewer.watchers_of(name) == watchers
+    assert HashRing(["a", "b"]).watchers_of("a") == ["b"]
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from linkhaven.leases import Lease, LeaseRecord
+from linkhaven.leases import Lease, LeaseRecord, LeaseState
 from linkhaven.runtime import Bounds
 
 SECOND_US = 1_000_000
@@ -160,6 +160,34 @@
     assert not two.lease.is_held() and two.changes == ["won", "lapsed"]
 
 
+def test_a_renewal_that_is_answered_after_a_lapse_wins_the_lease_anew():
+    register = Register()
+    one = Member(register, "one")
+    one.run(TICK_US)
+    assert one.lease.state is LeaseState.HOLDER
+    register.held = []
+    one.run(SECOND_US)
+    assert one.lease.state is LeaseState.RENEWING
+    one.lease.on_late_tick(one.time_us)
+    assert one.lease.state is LeaseState.CANDIDATE and not one.lease.is_held()
+    register.held.pop()()
+    assert one.lease.state is LeaseState.HOLDER and one.lease.is_held()
+    assert one.changes == ["won", "lapsed", "won"]
+
+
+def test_an_answer_that_comes_after_the_release_changes_nothing():
+    register = Register()
+    one = Member(register, "one")
+    register.held = []
+    one.run(TICK_US)
+    assert one.lease.state is LeaseState.CANDIDATE
+    one.lease.release(lambda: None)
+    register.held.pop()()
+    one.run(SECOND_US)
+    assert one.lease.state is LeaseState.RELEASED
+    assert not one.lease.is_held() and one.changes == []
+
+
 def test_who_steps_down_lets_others_have_the_next_lease():
     register = Register()
     one, two = Member(register, "one"), Member(register, "two", rank=1)
