--- a/packages/consensus/src/linkhaven/consensus/leaving.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -27,14 +27,14 @@
 
 from enum import Enum
 
-from .rejoin import REJOINING, VOTING, WAITING
+from .recovery import REJOINING, VOTING, WAITING
 
 RESEND_US = 100_000
 PATIENCE_US = 1_500_000
 TRY_AGAIN_US = 2_000_000
 
 
-class LeavingState(Enum):
+class DepartureState(Enum):
     """Where a member stands on its way out."""
 
     STAYING = "staying"
@@ -47,7 +47,7 @@
     GONE = "gone"
 
 
-class Leaving:
+class Departure:
     """The leaving side of a hand-over, and of a departure without a successor."""
 
     __slots__ = (
@@ -70,7 +70,7 @@
         self.node = node
         self.replica = replica
         self.holders = holders
-        self.state = LeavingState.STAYING
+        self.state = DepartureState.STAYING
         self.handover = None
         self.successor = None
         self.tried = {}
@@ -82,26 +82,26 @@
         """Leave; `on_gone` is called once, when the process may end."""
         self.on_gone = on_gone
         self.began_us = self.node.now_us()
-        self.state = LeavingState.CHOOSING
+        self.state = DepartureState.CHOOSING
         self.node.ports.clock.call_in(self.node.bounds.drain_us, self._go_at_bound)
         self._choose(self.began_us)
 
     def _go_at_bound(self):
         """By a timer of its own: a tick after the bound would be late by up to a tick."""
-        if self.state in (LeavingState.STAYING, LeavingState.GONE):
+        if self.state in (DepartureState.STAYING, DepartureState.GONE):
             return
         if self.node.now_us() - self.began_us >= self.node.bounds.drain_us:
             self._go()
 
     def tick(self, now_us):
         """Send again what was not answered."""
-        if self.state in (LeavingState.STAYING, LeavingState.GONE):
+        if self.state in (DepartureState.STAYING, DepartureState.GONE):
             return
-        if self.state == LeavingState.CHOOSING:
+        if self.state == DepartureState.CHOOSING:
             return self._choose(now_us)
-        if self.state == LeavingState.OFFERING and now_us - self.moved_us >= PATIENCE_US:
+        if self.state == DepartureState.OFFERING and now_us - self.moved_us >= PATIENCE_US:
             return self._give_up_successor()
-        if self.state in (LeavingState.HOLDING, LeavingState.PAUSED):
+        if self.state in (DepartureState.HOLDING, DepartureState.PAUSED):
             return self._watch_holders(now_us)
         if now_us - self.sent_us >= RESEND_US:
             self._send_again(now_us)
@@ -149,7 +149,7 @@
         return len(known) - len(left) < self.replica.majority
 
     def _offer(self, spare, now_us):
-        self.state = LeavingState.OFFERING
+        self.state = DepartureState.OFFERING
         self.successor = (spare.name, spare.address)
         self.handover = f"{self.replica.rejoin.start}/{self.replica.incarnation}/{now_us}"
         self.moved_us = now_us
@@ -158,9 +158,9 @@
 
     def _send_again(self, now_us):
         self.sent_us = now_us
-        if self.state == LeavingState.OFFERING:
+        if self.state == DepartureState.OFFERING:
             self._tell_successor("handover_offer")
-        elif self.state == LeavingState.SEALED:
+        elif self.state == DepartureState.SEALED:
             self._send_sealed()
 
     def _tell_successor(self, say, **facts):
@@ -176,7 +176,7 @@
 
     def _give_up_successor(self):
         self.tried[self.successor[0]] = self.node.now_us()
-        self.state = LeavingState.CHOOSING
+        self.state = DepartureState.CHOOSING
 
     def note_browse(self, asked):
         """The successor goes on reading."""
@@ -185,23 +185,23 @@
 
     def on_ready(self, message):
         """The successor has read every page: seal, so that the rest is final."""
-        if self.state != LeavingState.OFFERING or message["id"] != self.handover:
+        if self.state != DepartureState.OFFERING or message["id"] != self.handover:
             return
         if not self.replica.is_voting:
-            self.state = LeavingState.CHOOSING
+            self.state = DepartureState.CHOOSING
             return
-        self.state = LeavingState.SEALING
+        self.state = DepartureState.SEALING
         self.replica.seal(
             {"id": self.handover, "name": self.successor[0], "address": self.successor[1]},
             self._on_seal,
         )
 
     def _on_seal(self, is_kept):
-        if self.state != LeavingState.SEALING:
+        if self.state != DepartureState.SEALING:
             return
         if not is_kept:
             return self._give_up_successor()
-        self.state = LeavingState.SEALED
+        self.state = DepartureState.SEALED
         self._send_again(self.node.now_us())
 
     def _send_sealed(self):
@@ -234,37 +234,37 @@
         self.tried[sealed["name"]] = self.node.now_us()
         if self.replica.rejoin.notes is None:
             self.replica.unseal()
-        if self.state == LeavingState.SEALED:
-            self.state = LeavingState.CHOOSING
+        if self.state == DepartureState.SEALED:
+            self.state = DepartureState.CHOOSING
 
     def _hold(self, now_us):
-        self.state = LeavingState.HOLDING
+        self.state = DepartureState.HOLDING
         self.moved_us = now_us
         self.holders.begin_round(is_final=False)
 
     def _watch_holders(self, now_us):
         if self._is_alone():
             return self._go()
-        if self.state == LeavingState.HOLDING and (not self.replica.is_voting or self._spares()):
-            self.state = LeavingState.CHOOSING
+        if self.state == DepartureState.HOLDING and (not self.replica.is_voting or self._spares()):
+            self.state = DepartureState.CHOOSING
             return
         if self.holders.is_held_without_us():
             return self._end_round(now_us)
-        if self.state == LeavingState.PAUSED and now_us - self.moved_us >= PATIENCE_US:
+        if self.state == DepartureState.PAUSED and now_us - self.moved_us >= PATIENCE_US:
             self.replica.resume()
             return self._hold(now_us)
         self.holders.tick(now_us)
 
     def _end_round(self, now_us):
-        if self.state == LeavingState.PAUSED:
+        if self.state == DepartureState.PAUSED:
             return self._go()
-        self.state = LeavingState.PAUSED
+        self.state = DepartureState.PAUSED
         self.moved_us = now_us
         self.replica.pause()
         self.holders.begin_round(is_final=True)
 
     def _go(self):
-        self.state = LeavingState.GONE
+        self.state = DepartureState.GONE
         on_gone, self.on_gone = self.on_gone, None
         if on_gone is not None:
             on_gone()
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -1,11 +1,11 @@
 from collections import deque
 
 from .claim_limits import default_claim_limits
-from .holders import Holders
-from .leaving import Leaving
-from .occupants import Occupants
-from .rejoin import BEGINNING, FENCED, LEARNING, REJOINING, SEALED, SPARE, VOTING, Recovery
-from .successor import Successor
+from .departure import Departure
+from .recovery import BEGINNING, FENCED, LEARNING, REJOINING, SEALED, SPARE, VOTING, Recovery
+from .replica_instances import ReplicaInstances
+from .replication_check import ReplicationCheck
+from .succession import Succession
 
 SWEEP_US = 10_000_000
 SWEPT_AT_ONCE = 2_000
@@ -123,12 +123,12 @@
         self.is_failing = False
         self.state = REJOINING if self.replica_id else SPARE
         self.votes_from_us = 0
-        self.occupants = Occupants(node, self, held.get("occupants", {}))
+        self.occupants = ReplicaInstances(node, self, held.get("occupants", {}))
         self.ticked_us = now_us
         self.rejoin = Recovery(node, self)
-        self.holders = Holders(node, self)
-        self.leaving = Leaving(node, self, self.holders)
-        self.successor = Successor(node, self, held.get("offer"))
+        self.holders = ReplicationCheck(node, self)
+        self.leaving = Departure(node, self, self.holders)
+        self.successor = Succession(node, self, held.get("offer"))
         node.map_handlers.update(
             prepare=self.hear_prepare, accept=self.hear_accept, chosen=self.hear_chosen
         )
--- a/packages/consensus/src/linkhaven/consensus/occupants.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_instances.py
@@ -4,7 +4,7 @@
 LOST_VACANCIES, CALLED_VACANCIES = 4, 2
 
 
-class Occupants:
+class ReplicaInstances:
     """Who has which seat. A voting seat keeps the last occupant of each on its disk and says which stand vacant; a
     spare asks all of them, and takes a seat that all who answer hold for vacant, or that was its own."""
 
--- a/packages/consensus/src/linkhaven/consensus/holders.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -16,7 +16,7 @@
 NEVER = -1
 
 
-class Holders:
+class ReplicationCheck:
     """The rounds of a leaving member, and the answers of those that stay."""
 
     __slots__ = (
--- a/packages/consensus/src/linkhaven/consensus/successor.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -18,13 +18,13 @@
 
 from enum import Enum
 
-from .rejoin import LEARNING, SPARE
+from .recovery import LEARNING, SPARE
 
 RESEND_US = 100_000
 PATIENCE_US = 2_000_000
 
 
-class SuccessorState(Enum):
+class SuccessionState(Enum):
     """Where a spare stands between the offer of a seat and its first vote."""
 
     IDLE = "idle"
@@ -35,7 +35,7 @@
     KEEPING = "keeping"
 
 
-class Successor:
+class Succession:
     """The taking side of a hand-over."""
 
     __slots__ = (
@@ -72,10 +72,10 @@
 
     def is_learning(self):
         """Whether a hand-over is under way; it takes no other seat meanwhile."""
-        return self.state != SuccessorState.IDLE
+        return self.state != SuccessionState.IDLE
 
     def _reset(self):
-        self.state = SuccessorState.IDLE
+        self.state = SuccessionState.IDLE
         self.leaver = None
         self.cursor = ""
         self.since = self.version = 0
@@ -88,12 +88,12 @@
         """Begin to learn; the offer is synced first, so that it can be answered for after a
         restart."""
         replica = self.replica
-        if replica.state != SPARE or self.state != SuccessorState.IDLE:
+        if replica.state != SPARE or self.state != SuccessionState.IDLE:
             return
         if self.offer is not None and self.offer["id"] == message["id"]:
             return self._send_fate(message["back"])
         self._reset()
-        self.state = SuccessorState.LEARNING
+        self.state = SuccessionState.LEARNING
         replica.state = LEARNING
         self.leaver = message["back"]
         self.offer = {"id": message["id"], "is_taken": False}
@@ -102,7 +102,7 @@
         offer = self.offer
 
         def go_on(is_kept):
-            if self.offer is not offer or self.state != SuccessorState.LEARNING:
+            if self.offer is not offer or self.state != SuccessionState.LEARNING:
                 return
             if not is_kept:
                 return self._give_up()
@@ -124,7 +124,7 @@
     def expects(self, message):
         """Whether this page is the one that is waited for."""
         return (
-            self.state in (SuccessorState.LEARNING, SuccessorState.TAKING)
+            self.state in (SuccessionState.LEARNING, SuccessionState.TAKING)
             and message["asked"] == self.offer["id"]
             and message["after"] == self.cursor
             and message["since"] == self.since
@@ -155,9 +155,9 @@
         self.node.ports.storage.write(self.replica.merge(message["cells"]), go_on)
 
     def _end_of_pages(self):
-        if self.state == SuccessorState.TAKING:
+        if self.state == SuccessionState.TAKING:
             return self._take()
-        self.state = SuccessorState.PROBING
+        self.state = SuccessionState.PROBING
         self._send_probes()
 
     def _send_probes(self):
@@ -176,12 +176,12 @@
 
     def on_reached(self, message):
         """Enough others to record it hear it, and are heard."""
-        if self.state != SuccessorState.PROBING or message["id"] != self.offer["id"]:
+        if self.state != SuccessionState.PROBING or message["id"] != self.offer["id"]:
             return
         self.reached.add(message["seat"])
         if len(self.reached) < self.replica.majority - 1:
             return
-        self.state = SuccessorState.READY
+        self.state = SuccessionState.READY
         self.moved_us = self.node.now_us()
         self._send_ready()
 
@@ -193,22 +193,22 @@
         """The leaving member votes no more: read what it voted for since."""
         if self.offer is None or message["id"] != self.offer["id"]:
             return
-        if self.state == SuccessorState.IDLE:
+        if self.state == SuccessionState.IDLE:
             return self._send_fate(message["back"])
-        if self.state != SuccessorState.READY:
+        if self.state != SuccessionState.READY:
             return
-        self.state = SuccessorState.TAKING
+        self.state = SuccessionState.TAKING
         self.terms = message
         self.since, self.cursor = self.version + 1, ""
         self.moved_us = self.node.now_us()
         self._send_browse()
 
     def _take(self):
-        self.state = SuccessorState.KEEPING
+        self.state = SuccessionState.KEEPING
         self.offer["is_taken"] = True
 
         def go_on(is_kept):
-            if self.state != SuccessorState.KEEPING:
+            if self.state != SuccessionState.KEEPING:
                 return
             if not is_kept:
                 self.offer["is_taken"] = False
@@ -223,9 +223,9 @@
         """The leaving member was started again, and asks how it ended."""
         if self.offer is None or message["id"] != self.offer["id"]:
             return
-        if self.state == SuccessorState.KEEPING:
+        if self.state == SuccessionState.KEEPING:
             return
-        if self.state != SuccessorState.IDLE:
+        if self.state != SuccessionState.IDLE:
             return self._give_up()
         self._send_fate(message["back"])
 
@@ -248,15 +248,15 @@
 
     def tick(self, now_us):
         """Send again what was not answered; give up a leaving member that fell silent."""
-        if self.state in (SuccessorState.IDLE, SuccessorState.KEEPING):
+        if self.state in (SuccessionState.IDLE, SuccessionState.KEEPING):
             return
         if now_us - self.moved_us >= PATIENCE_US:
             return self._give_up()
         if now_us - self.sent_us < RESEND_US:
             return
-        if self.state == SuccessorState.PROBING:
+        if self.state == SuccessionState.PROBING:
             return self._send_probes()
-        if self.state == SuccessorState.READY:
+        if self.state == SuccessionState.READY:
             return self._send_ready()
         if self.cursor is not None:
             self._send_browse()
--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -3,7 +3,7 @@
 import pytest
 
 from linkhaven.configuration import store
-from linkhaven.consensus.rejoin import Recovery
+from linkhaven.consensus.recovery import Recovery
 from linkhaven.controller.quorum_contact import QuorumContact
 from linkhaven.stage.changecourse import (
     RESTARTED,
--- a/tests/test_control_replacement.py
+++ b/tests/test_control_replacement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linkhaven.consensus.leaving import Leaving
+from linkhaven.consensus.departure import Departure
 from linkhaven.stage.control import judge_replacement
 from linkhaven.stage.replacecourse import (
     AFTER_US,
@@ -67,13 +67,13 @@
 
 def leave_at_once(monkeypatch):
     """As before the hand-over: a member that is told to stop goes, whoever holds what it holds."""
-    monkeypatch.setattr(Leaving, "begin", lambda self, done: done())
+    monkeypatch.setattr(Departure, "begin", lambda self, done: done())
 
 
 def leave_without_successor(monkeypatch):
     """A leaving member looks for no successor, and compares nothing with the others."""
-    monkeypatch.setattr(Leaving, "_spares", lambda self: [])
-    monkeypatch.setattr(Leaving, "_hold", lambda self, now_us: self._go())
+    monkeypatch.setattr(Departure, "_spares", lambda self: [])
+    monkeypatch.setattr(Departure, "_hold", lambda self, now_us: self._go())
 
 
 @pytest.mark.parametrize("sabotage", [leave_at_once, leave_without_successor])
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -7,7 +7,7 @@
 from linkhaven.api import ServiceError
 from linkhaven.configuration import ConfigurationStore
 from linkhaven.consensus import Proposer, Replica
-from linkhaven.consensus.rejoin import Recovery
+from linkhaven.consensus.recovery import Recovery
 from linkhaven.stage.explore.cases import RACE, core_cases
 from linkhaven.stage.explore.report import (
     Totals,
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from linkhaven.consensus.leaving import LeavingState
+from linkhaven.consensus.departure import DepartureState
 from linkhaven.stage.core import SimCore
 
 SECOND = 1_000_000
@@ -191,7 +191,7 @@
     successor = core.machines["core-9"].node.replica
     assert core.world.wait_for(lambda: successor.states, 2 * SECOND, 1_000)
     acked(core, 3, 4, "core-1")
-    assert core.machines["core-2"].node.replica.leaving.state == LeavingState.OFFERING
+    assert core.machines["core-2"].node.replica.leaving.state == DepartureState.OFFERING
     assert core.world.wait_for(lambda: told, 4 * SECOND, 1_000)
     core.world.links.clear()
     core.world.heal()
@@ -219,7 +219,7 @@
     """Run to the moment at which the seal is synced and the successor hasn't the rest."""
     node = core.machines[leaver].node
     assert core.world.wait_for(
-        lambda: node.replica.leaving.state == LeavingState.SEALED, 3 * SECOND, 100
+        lambda: node.replica.leaving.state == DepartureState.SEALED, 3 * SECOND, 100
     )
 
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -1,6 +1,6 @@
 import pytest
 
-from linkhaven.consensus.rejoin import Recovery
+from linkhaven.consensus.recovery import Recovery
 from linkhaven.stage.faults import Faults
 from linkhaven.stage.fleet import LICENSING, SimFleet
 from linkhaven.stage.world import Host, SimDisk
