--- a/packages/configuration/src/linkhaven/configuration/vote_guard.py
+++ b/packages/configuration/src/linkhaven/configuration/vote_guard.py
@@ -9,6 +9,9 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
+from linkhaven.consensus import LateAccepts, StatePage
+from linkhaven.runtime import reply_address_of
+
 from .blob_exchange import BlobExchange
 from .blobs import BlobStore
 from .records import REGISTER_KEY, Record, digests_of
@@ -18,6 +21,7 @@
     """The node, as far as it hands messages to handlers by their kind."""
 
     map_handlers: dict[str, Callable[[Any], None]]
+    handlers: dict[Any, Callable[[Any], None]]
 
 
 class Voter(Protocol):
@@ -40,11 +44,15 @@
         self.blobs = blobs
         self.exchange = exchange
         self._guard("accept", self._records_of_accept)
-        self._guard("rejoin_page", self._records_of_page)
-        self._guard("holders_late", self._records_of_late_accepts)
+        self._guard(StatePage, self._records_of_page)
+        self._guard(LateAccepts, self._records_of_late_accepts)
 
-    def _guard(self, kind: str, records_of: Callable[[Any], Iterable[Record]]) -> None:
-        handle = self.node.map_handlers[kind]
+    def _guard(self, kind: Any, records_of: Callable[[Any], Iterable[Record]]) -> None:
+        """`kind`: the type of the messages, or the name of a kind that has no type yet."""
+        handlers: dict[Any, Callable[[Any], None]] = (
+            self.node.map_handlers if isinstance(kind, str) else self.node.handlers
+        )
+        handle = handlers[kind]
 
         def handle_with_blobs(message: Any) -> None:
             digests = [digest for record in records_of(message) for digest in digests_of(record)]
@@ -53,18 +61,18 @@
                 self.blobs.write_ahead(digests)
                 handle(message)
 
-            self.exchange.when_here(digests, resume, lambda: None, message["back"])
+            self.exchange.when_here(digests, resume, lambda: None, reply_address_of(message))
 
-        self.node.map_handlers[kind] = handle_with_blobs
+        handlers[kind] = handle_with_blobs
 
     def _records_of_accept(self, message: Any) -> list[Record]:
         is_for_vote = message["key"] == REGISTER_KEY and self.replica.is_voting
         return [message["value"]] if is_for_vote else []
 
-    def _records_of_page(self, message: Any) -> list[Record]:
-        state = message["cells"].get(REGISTER_KEY)
-        return [state[2]] if state else []
+    def _records_of_page(self, page: StatePage) -> list[Record]:
+        register = page.registers.get(REGISTER_KEY)
+        return [register[2]] if register else []
 
-    def _records_of_late_accepts(self, message: Any) -> list[Record]:
-        state = message["cells"].get(REGISTER_KEY)
-        return [state[1]] if state else []
+    def _records_of_late_accepts(self, accepts: LateAccepts) -> list[Record]:
+        register = accepts.registers.get(REGISTER_KEY)
+        return [register[1]] if register else []
--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -1,270 +1,353 @@
-"""How a voting member leaves: it hands its acceptor state to a spare, or makes sure that the
-others hold all.
-
-| state | event | next |
-| --- | --- | --- |
-| STAYING | begin | CHOOSING |
-| CHOOSING | a spare is known | OFFERING: offer the seat, go on voting |
-| CHOOSING | no spare is known | HOLDING: compare with the other members, go on voting |
-| OFFERING | the successor has read all pages | SEALING: it votes no more, and syncs the seal |
-| OFFERING | no page asked for in PATIENCE_US | CHOOSING, without this spare |
-| SEALING | the seal is synced | SEALED: tell the successor, answer its last pages |
-| SEALING | the disk refuses the seal | CHOOSING: nothing was told yet, so it votes again |
-| SEALED | the successor votes | GONE, as an empty spare |
-| SEALED | the successor gave up | CHOOSING once it votes again, after an ordinary rejoin |
-| HOLDING | a majority without it holds all | PAUSED: it votes no more, compares the rest |
-| PAUSED | a majority without it holds all | GONE |
-| PAUSED | a member falls silent | HOLDING: it votes again |
-| any | `bounds.drain_us` have passed | GONE |
-
-Invariant: what a successor votes with holds everything that the leaving member ever voted for,
-since the pages after
-the seal are read when it votes no more
+"""How a voting replica departs: it hands its state to a spare, or makes sure that the others have all.
+
+| state | message or event | what it does | next |
+| --- | --- | --- | --- |
+| STAYING | `begin` | | CHOOSING |
+| CHOOSING | a spare is known | offers its place, goes on voting | OFFERING |
+| CHOOSING | no spare is known | compares with the others, goes on voting | REPLICATING |
+| OFFERING | `SuccessorReady` | votes no more, syncs the fence | FENCING |
+| OFFERING | no page asked for in `PATIENCE_US` | goes on without this spare | CHOOSING |
+| FENCING | the fence is synced | seals the hand-over, answers the last pages | FENCED |
+| FENCING | the disk refuses the fence | nothing was said yet, so it votes again | CHOOSING |
+| FENCED | `HandoverOutcome`: taken | an empty spare from now on | GONE |
+| FENCED | `HandoverOutcome`: never taken | votes again after an ordinary recovery | CHOOSING |
+| REPLICATING | a majority without it has all | votes no more, compares the rest | PAUSED |
+| REPLICATING | a spare is known, or it votes no more | | CHOOSING |
+| PAUSED | a majority without it has all | | GONE |
+| PAUSED | a replica falls silent for `PATIENCE_US` | votes again | REPLICATING |
+| any | `Bounds.drain_us` have passed | | GONE |
+
+What stands in no row of its state is ignored.
+
+Invariant: what a successor votes with has everything that the departing replica ever accepted,
+since the pages after the seal are read when it votes no more
 (`test_what_only_the_leaver_and_one_other_hold_is_with_the_successor`).
-Invariant: a sealed member counts as one that lost its disk, also after a restart, unless its
-successor says that it
-never took the seat (`test_a_sealed_member_that_starts_again_counts_as_one_without_a_disk`)."""
+Invariant: a fenced replica counts as one that lost its disk, also after a restart, unless its
+successor says that it never took its place
+(`test_a_sealed_member_that_starts_again_counts_as_one_without_a_disk`).
+"""
 
+from collections.abc import Callable
 from enum import Enum
-
-from .recovery import REJOINING, VOTING, WAITING
+from typing import Any, Protocol
+
+from linkhaven.runtime import Node
+
+from .handover_messages import (
+    HandoverOffer,
+    HandoverOutcome,
+    HandoverQuery,
+    HandoverSeal,
+    SuccessorReady,
+)
+from .recovery import Recovery
+from .replica_instances import ReplicaInstances
+from .replica_records import FenceRecord
+from .replica_state import IN_RECOVERY, ReplicaState
+from .replication_check import ReplicationCheck
 
 RESEND_US = 100_000
 PATIENCE_US = 1_500_000
-TRY_AGAIN_US = 2_000_000
+RETRY_US = 2_000_000
+"""A spare that gave up is offered the place again after this."""
 
 
 class DepartureState(Enum):
-    """Where a member stands on its way out."""
+    """Where a replica stands on its way out; the values stand in `GET /v1/core`."""
 
     STAYING = "staying"
     CHOOSING = "choosing"
     OFFERING = "offering"
-    SEALING = "sealing"
-    SEALED = "sealed"
-    HOLDING = "holding"
+    FENCING = "sealing"
+    FENCED = "sealed"
+    REPLICATING = "holding"
     PAUSED = "paused"
     GONE = "gone"
 
 
+class DepartingReplica(Protocol):
+    """The replica that departs."""
+
+    replica_id: str
+    majority: int
+    directory: Any
+    state: ReplicaState
+    incarnation: int
+    known_incarnations: dict[str, int]
+    clock_us: int
+    votes_from_us: int
+    is_learned: bool
+    are_claims_open: bool
+    fence_record: FenceRecord | None
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it votes now."""
+
+    def fence(self, record: FenceRecord, done: Callable[[bool], None]) -> None:
+        """Vote no more under this incarnation, also after a restart."""
+
+    def lift_fence(self) -> None:
+        """Recover with the disk as it is, since no successor votes."""
+
+    def pause(self) -> None:
+        """Vote no more until `resume`, in this process only."""
+
+    def resume(self) -> None:
+        """Vote again after `pause`."""
+
+    def retire(self) -> None:
+        """Become a spare."""
+
+
 class Departure:
-    """The leaving side of a hand-over, and of a departure without a successor."""
+    """The departing side of a hand-over, and of a departure without a successor."""
 
     __slots__ = (
         "node",
         "replica",
-        "holders",
+        "instances",
+        "recovery",
+        "replication",
         "state",
-        "handover",
+        "handover_id",
         "successor",
-        "tried",
+        "rejected_us",
         "began_us",
-        "moved_us",
+        "progress_us",
         "sent_us",
+        "queried_us",
         "on_gone",
-        "asked_us",
     )
 
-    def __init__(self, node, replica, holders):
-        """`holders` compares this member with the others when no spare is there."""
+    def __init__(
+        self,
+        node: Node,
+        replica: DepartingReplica,
+        instances: ReplicaInstances,
+        recovery: Recovery,
+        replication: ReplicationCheck,
+    ) -> None:
+        """`replication` compares this replica with the others where no spare is there."""
         self.node = node
         self.replica = replica
-        self.holders = holders
+        self.instances = instances
+        self.recovery = recovery
+        self.replication = replication
         self.state = DepartureState.STAYING
-        self.handover = None
-        self.successor = None
-        self.tried = {}
-        self.began_us = self.moved_us = self.sent_us = self.asked_us = 0
-        self.on_gone = None
-        node.map_handlers.update(handover_ready=self.on_ready, handover_fate=self.on_fate)
-
-    def begin(self, on_gone):
-        """Leave; `on_gone` is called once, when the process may end."""
+        self.handover_id = ""
+        self.successor = ("", "")
+        self.rejected_us: dict[str, int] = {}
+        self.began_us = self.progress_us = self.sent_us = self.queried_us = 0
+        self.on_gone: Callable[[], None] | None = None
+        node.register_handler(SuccessorReady, self.on_successor_ready)
+        node.register_handler(HandoverOutcome, self.on_handover_outcome)
+
+    def begin(self, on_gone: Callable[[], None]) -> None:
+        """Depart; `on_gone` is called once, when the process may end."""
         self.on_gone = on_gone
         self.began_us = self.node.now_us()
         self.state = DepartureState.CHOOSING
-        self.node.ports.clock.call_in(self.node.bounds.drain_us, self._go_at_bound)
+        self.node.ports.clock.call_in(self.node.bounds.drain_us, self.on_drain_timeout)
         self._choose(self.began_us)
 
-    def _go_at_bound(self):
-        """By a timer of its own: a tick after the bound would be late by up to a tick."""
-        if self.state in (DepartureState.STAYING, DepartureState.GONE):
-            return
-        if self.node.now_us() - self.began_us >= self.node.bounds.drain_us:
+    def _is_under_way(self) -> bool:
+        return self.state not in (DepartureState.STAYING, DepartureState.GONE)
+
+    def on_drain_timeout(self) -> None:
+        """Go, by a timer of its own: a tick after the bound would be late by up to a tick."""
+        is_due = self.node.now_us() - self.began_us >= self.node.bounds.drain_us
+        if self._is_under_way() and is_due:
             self._go()
 
-    def tick(self, now_us):
-        """Send again what was not answered."""
-        if self.state in (DepartureState.STAYING, DepartureState.GONE):
+    def _go(self) -> None:
+        self.state = DepartureState.GONE
+        on_gone, self.on_gone = self.on_gone, None
+        if on_gone is not None:
+            on_gone()
+
+    def tick(self, now_us: int) -> None:
+        """Choose again, give up who is silent, or send again what was not answered."""
+        if not self._is_under_way():
             return
-        if self.state == DepartureState.CHOOSING:
+        if self.state is DepartureState.CHOOSING:
             return self._choose(now_us)
-        if self.state == DepartureState.OFFERING and now_us - self.moved_us >= PATIENCE_US:
-            return self._give_up_successor()
-        if self.state in (DepartureState.HOLDING, DepartureState.PAUSED):
-            return self._watch_holders(now_us)
+        is_silent = now_us - self.progress_us >= PATIENCE_US
+        if self.state is DepartureState.OFFERING and is_silent:
+            return self._reject_successor()
+        if self.state in (DepartureState.REPLICATING, DepartureState.PAUSED):
+            return self._check_replication(now_us)
         if now_us - self.sent_us >= RESEND_US:
-            self._send_again(now_us)
+            self._resend(now_us)
 
-    def _choose(self, now_us):
-        """A rejoin in progress is waited for; who holds no votes has nothing to hand over."""
+    # choosing
+
+    def _choose(self, now_us: int) -> None:
+        """A recovery in progress is waited for; who gives no votes has nothing to hand over."""
         replica = self.replica
-        if replica.sealed is None and replica.state not in (VOTING, REJOINING, WAITING):
+        if replica.fence_record is None and not replica.is_voting and not self._is_recovering():
             return self._go()
         if not replica.is_voting:
-            return self._leave_if_alone()
+            return self._go_if_alone()
         spares = self._spares()
         if spares:
             return self._offer(spares[0], now_us)
-        self._hold(now_us)
+        self._begin_replication(now_us)
+
+    def _is_recovering(self) -> bool:
+        return self.replica.state in IN_RECOVERY
 
-    def _spares(self):
+    def _spares(self) -> list[Any]:
         if not self.replica.is_learned:
             return []
         spares = [
             member
             for member in self.replica.directory.live_members("registry")
-            if not member.replica_id and not self._was_tried(member.name)
+            if not member.replica_id and not self._was_rejected(member.name)
         ]
         return sorted(spares, key=lambda member: member.name)
 
-    def _was_tried(self, name):
+    def _was_rejected(self, name: str) -> bool:
         """A spare that gave up, or fell silent, may be well again later."""
-        return name in self.tried and self.node.now_us() - self.tried[name] < TRY_AGAIN_US
+        rejected_us = self.rejected_us.get(name)
+        return rejected_us is not None and self.node.now_us() - rejected_us < RETRY_US
 
-    def _leave_if_alone(self):
+    def _go_if_alone(self) -> None:
         if self._is_alone():
             self._go()
 
-    def _is_alone(self):
-        """So many others left in order that no majority remains without this member: there's
-        nobody to wait for."""
-        holders = self.replica.directory.replica_members()
-        left = [
-            replica_id
-            for replica_id, member in holders.items()
-            if replica_id != self.replica.replica_id and member.has_left
-        ]
-        known = [replica_id for replica_id in holders if replica_id != self.replica.replica_id]
-        return len(known) - len(left) < self.replica.majority
+    def _is_alone(self) -> bool:
+        """So many others left in order that no majority remains without this replica.
+
+        Then there's nobody to wait for.
+        """
+        members = self.replica.directory.replica_members()
+        others = [member for name, member in members.items() if name != self.replica.replica_id]
+        return sum(not member.has_left for member in others) < self.replica.majority
+
+    # with a successor
 
-    def _offer(self, spare, now_us):
+    def _offer(self, spare: Any, now_us: int) -> None:
         self.state = DepartureState.OFFERING
         self.successor = (spare.name, spare.address)
-        self.handover = f"{self.replica.rejoin.start}/{self.replica.incarnation}/{now_us}"
-        self.moved_us = now_us
+        self.handover_id = f"{self.recovery.start}/{self.replica.incarnation}/{now_us}"
+        self.progress_us = now_us
         self.node.ports.log(1210, seat=self.replica.replica_id, successor=spare.name)
-        self._send_again(now_us)
+        self._resend(now_us)
 
-    def _send_again(self, now_us):
+    def _resend(self, now_us: int) -> None:
         self.sent_us = now_us
-        if self.state == DepartureState.OFFERING:
-            self._tell_successor("handover_offer")
-        elif self.state == DepartureState.SEALED:
-            self._send_sealed()
+        if self.state is DepartureState.OFFERING:
+            self._send_offer()
+        elif self.state is DepartureState.FENCED:
+            self._send_seal()
+
+    def _send_offer(self) -> None:
+        offer = HandoverOffer(
+            handover_id=self.handover_id,
+            replica_id=self.replica.replica_id,
+            incarnation=self.replica.incarnation,
+        )
+        self.node.send(self.successor[1], offer)
 
-    def _tell_successor(self, say, **facts):
+    def _send_seal(self) -> None:
         replica = self.replica
-        self.node.send_untyped(
-            self.successor[1],
-            say,
-            id=self.handover,
-            seat=replica.replica_id,
+        seal = HandoverSeal(
+            handover_id=self.handover_id,
+            replica_id=replica.replica_id,
             incarnation=replica.incarnation,
-            **facts,
+            known_incarnations=replica.known_incarnations,
+            clock_us=replica.clock_us,
+            are_claims_open=replica.are_claims_open,
+            instances=self.instances.records,
+            wait_us=max(0, replica.votes_from_us - self.node.now_us()),
         )
+        self.node.send(self.successor[1], seal)
 
-    def _give_up_successor(self):
-        self.tried[self.successor[0]] = self.node.now_us()
+    def _reject_successor(self) -> None:
+        self.rejected_us[self.successor[0]] = self.node.now_us()
         self.state = DepartureState.CHOOSING
 
-    def note_browse(self, asked):
-        """The successor goes on reading."""
-        if asked == self.handover:
-            self.moved_us = self.node.now_us()
+    def on_transfer_progress(self, transfer: str) -> None:
+        """Note that the successor goes on reading."""
+        if transfer == self.handover_id:
+            self.progress_us = self.node.now_us()
 
-    def on_ready(self, message):
-        """The successor has read every page: seal, so that the rest is final."""
-        if self.state != DepartureState.OFFERING or message["id"] != self.handover:
+    def on_successor_ready(self, ready: SuccessorReady) -> None:
+        """The successor has read every page: fence this replica, so that the rest is final."""
+        if self.state is not DepartureState.OFFERING or ready.handover_id != self.handover_id:
             return
         if not self.replica.is_voting:
             self.state = DepartureState.CHOOSING
             return
-        self.state = DepartureState.SEALING
-        self.replica.seal(
-            {"id": self.handover, "name": self.successor[0], "address": self.successor[1]},
-            self._on_seal,
+        self.state = DepartureState.FENCING
+        name, address = self.successor
+        record = FenceRecord(
+            handover_id=self.handover_id,
+            successor_name=name,
+            successor_address=address,
+            incarnation=self.replica.incarnation,
         )
+        self.replica.fence(record, self._on_fence_synced)
 
-    def _on_seal(self, is_kept):
-        if self.state != DepartureState.SEALING:
+    def _on_fence_synced(self, is_kept: bool) -> None:
+        if self.state is not DepartureState.FENCING:
             return
         if not is_kept:
-            return self._give_up_successor()
-        self.state = DepartureState.SEALED
-        self._send_again(self.node.now_us())
+            return self._reject_successor()
+        self.state = DepartureState.FENCED
+        self._resend(self.node.now_us())
 
-    def _send_sealed(self):
-        replica = self.replica
-        self._tell_successor(
-            "handover_sealed",
-            known=replica.known_incarnations,
-            clock_us=replica.clock_us,
-            are_claims_open=replica.are_claims_open,
-            occupants=replica.occupants.records,
-            wait_us=max(0, replica.votes_from_us - self.node.now_us()),
-        )
-
-    def ask_fate(self, now_us):
-        """A sealed member that was started again asks whether its successor took the seat."""
-        if now_us - self.asked_us < RESEND_US:
+    def query_outcome(self, now_us: int) -> None:
+        """A fenced replica that was started again asks whether its successor took its place."""
+        if now_us - self.queried_us < RESEND_US:
             return
-        self.asked_us = now_us
-        sealed = self.replica.sealed
-        self.node.send_untyped(sealed["address"], "handover_ask", id=sealed["id"])
-
-    def on_fate(self, message):
-        """The successor took the seat, or says that it never will."""
-        sealed = self.replica.sealed
-        if sealed is None or message["id"] != sealed["id"]:
+        self.queried_us = now_us
+        fence = self.replica.fence_record
+        self.node.send(fence.successor_address, HandoverQuery(handover_id=fence.handover_id))
+
+    def on_handover_outcome(self, outcome: HandoverOutcome) -> None:
+        """The successor took this replica's place, or says that it never will."""
+        fence = self.replica.fence_record
+        if fence is None or outcome.handover_id != fence.handover_id:
             return
-        if message["is_taken"]:
+        if outcome.is_taken:
             self.replica.retire()
             return self._go()
-        self.tried[sealed["name"]] = self.node.now_us()
-        if self.replica.rejoin.notes is None:
-            self.replica.unseal()
-        if self.state == DepartureState.SEALED:
+        self.rejected_us[fence.successor_name] = self.node.now_us()
+        # A start that already reads the others goes on as one without a disk.
+        if not self.recovery.has_raised_incarnation:
+            self.replica.lift_fence()
+        if self.state is DepartureState.FENCED:
             self.state = DepartureState.CHOOSING
 
-    def _hold(self, now_us):
-        self.state = DepartureState.HOLDING
-        self.moved_us = now_us
-        self.holders.begin_round(is_final=False)
+    # without a successor
 
-    def _watch_holders(self, now_us):
+    def _begin_replication(self, now_us: int) -> None:
+        self.state = DepartureState.REPLICATING
+        self.progress_us = now_us
+        self.replication.begin_round(is_final=False)
+
+    def _check_replication(self, now_us: int) -> None:
         if self._is_alone():
             return self._go()
-        if self.state == DepartureState.HOLDING and (not self.replica.is_voting or self._spares()):
+        is_replicating = self.state is DepartureState.REPLICATING
+        if is_replicating and (not self.replica.is_voting or self._spares()):
             self.state = DepartureState.CHOOSING
             return
-        if self.holders.is_held_without_us():
+        if self.replication.is_replicated():
             return self._end_round(now_us)
-        if self.state == DepartureState.PAUSED and now_us - self.moved_us >= PATIENCE_US:
+        is_silent = now_us - self.progress_us >= PATIENCE_US
+        if self.state is DepartureState.PAUSED and is_silent:
             self.replica.resume()
-            return self._hold(now_us)
-        self.holders.tick(now_us)
+            return self._begin_replication(now_us)
+        self.replication.tick(now_us)
 
-    def _end_round(self, now_us):
-        if self.state == DepartureState.PAUSED:
+    def _end_round(self, now_us: int) -> None:
+        """Pause before the last round: what is accepted while it runs would be missed."""
+        if self.state is DepartureState.PAUSED:
             return self._go()
         self.state = DepartureState.PAUSED
-        self.moved_us = now_us
+        self.progress_us = now_us
         self.replica.pause()
-        self.holders.begin_round(is_final=True)
-
-    def _go(self):
-        self.state = DepartureState.GONE
-        on_gone, self.on_gone = self.on_gone, None
-        if on_gone is not None:
-            on_gone()
+        self.replication.begin_round(is_final=True)
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -1,456 +1,521 @@
-from bisect import bisect_right
-
-REJOINING, VOTING, WAITING, FENCED, SPARE, BEGINNING, SEALED, LEARNING = (
-    "rejoining",
-    "voting",
-    "waiting",
-    "fenced",
-    "spare",
-    "beginning",
-    "sealed",
-    "learning",
+"""Recovery: what each start of a replica goes through before it may vote.
+
+It collects reports of how the others stand, raises its incarnation, has the others record that, and
+only then reads what they accepted, page by page. So nothing that an older instance of this replica
+took part in can be chosen behind its back: whoever is read refuses the older incarnation by then
+(as the recovery protocol of Viewstamped Replication Revisited, section 4.3, for single registers).
+
+| state | message or event | what it does | next |
+| --- | --- | --- | --- |
+| IDLE | `begin` | queries all replicas | COLLECTING |
+| COLLECTING | `ReplicaStateReport` | weighs the reports, see `rebuild_rule.py` | CATCHING_UP |
+| COLLECTING | report of a newer instance | yields to it: fenced, or a spare again | IDLE |
+| CATCHING_UP | `EpochRecorded` | reads that replica's first page | CATCHING_UP |
+| CATCHING_UP | `StatePage` | merges and syncs it, asks for the next | CATCHING_UP |
+| CATCHING_UP | last `StatePage` of the last replica | syncs that its state is complete | VOTING |
+| CATCHING_UP | `StatePage` of another start | what was read is void | COLLECTING |
+| CATCHING_UP | no progress for `STUCK_US` | another instance may have been first | COLLECTING |
+| CATCHING_UP | the disk refuses a write | | COLLECTING |
+| IDLE | `begin_with_state`, at the end of a hand-over | announces its incarnation | RECORDING |
+| RECORDING | `EpochRecorded` of a majority | it has the whole state and reads nothing | VOTING |
+| RECORDING | no progress for `STUCK_US` | goes on as a restart with its disk | COLLECTING |
+| VOTING | `EpochRecorded` that comes late after a hand-over | reads that replica, too | VOTING |
+| any | `reset`, once it is a spare | | IDLE |
+
+What stands in no row of its state is ignored. What the others do for a recovering replica is in
+`recovery_responder.py`.
+
+Invariant: a replica is read only after it synced the new incarnation
+(`test_a_seat_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts`).
+Invariant: no vote is given before the last page is synced (`vote_without_reading` in
+`tests/test_explore.py`).
+"""
+
+from collections.abc import Collection
+from enum import Enum
+from typing import Any, Protocol
+
+from linkhaven.runtime import Node
+
+from .rebuild_rule import RebuildBasis, rebuild_basis
+from .recovery_messages import (
+    EpochAnnouncement,
+    EpochRecorded,
+    PageRequest,
+    RegisterCopy,
+    ReplicaStateReport,
+    StatePage,
+    StateQuery,
 )
+from .replica_instances import ReplicaInstances
+from .replica_records import ReplicaRecord
+from .replica_state import IN_RECOVERY, ReplicaState
+from .succession import Succession
+
+QUERY_US = 200_000
+"""Unanswered messages are sent again after this."""
+
+FIRST_QUERY_US = 50_000
+FIRST_QUERIES_US = 1_500_000
+"""So long after its begin a replica asks each `FIRST_QUERY_US`, for a quick restart of all."""
 
-ASK_US = 200_000
-FIRST_ASK_US = 50_000
-FIRST_ASKS_US = 1_500_000
 STUCK_US = 1_000_000
-PAGE = 500
-BROWSERS_AT_MOST = 4
+"""Without progress for this long, it begins again from the first query."""
+
+
+class RecoveryState(Enum):
+    """Where a started replica stands before it may vote."""
+
+    IDLE = "idle"
+    """Nothing to recover: a spare, or a replica of the first start of all."""
+
+    COLLECTING = "collecting"
+    """Asks the others how they stand."""
+
+    CATCHING_UP = "catching_up"
+    """Has each other replica record the new incarnation, and reads those that did."""
+
+    RECORDING = "recording"
+    """Took over the whole state of its predecessor; the others record the new incarnation."""
+
+    VOTING = "voting"
+    """Recovered: its votes count."""
+
+
+class PeerState(Enum):
+    """How far a recovering replica is with one of the others."""
+
+    FENCING = "fencing"
+    """It was asked to record the new incarnation, and so to refuse the older ones."""
+
+    READING = "reading"
+    """The page after `cursor` was asked for."""
+
+    STORING = "storing"
+    """Its page is being synced here."""
+
+    RECORDED = "recorded"
+    """It recorded the incarnation and, after a hand-over, needn't be read."""
+
+
+class PeerTransfer:
+    """The transfer of one other replica's state to this one."""
+
+    __slots__ = ("state", "cursor")
+
+    def __init__(self) -> None:
+        """Nothing is read before the replica has recorded the incarnation."""
+        self.state = PeerState.FENCING
+        self.cursor = ""
+
+    def read_after(self, cursor: str) -> None:
+        """Wait for the page that comes after this key."""
+        self.state = PeerState.READING
+        self.cursor = cursor
+
+    def expects(self, page: StatePage) -> bool:
+        """Whether this page is the one that was asked for."""
+        return self.state is PeerState.READING and self.cursor == page.after
+
+
+class Directory(Protocol):
+    """Who runs as which replica, as membership knows it."""
+
+    def replicas(self) -> dict[str, tuple[str, int]]:
+        """Address and newest incarnation of each replica."""
+
+
+class RecoveringReplica(Protocol):
+    """What recovery reads and changes of the replica that it brings back."""
+
+    replica_id: str
+    replica_ids: tuple[str, ...]
+    majority: int
+    directory: Directory
+    state: ReplicaState
+    incarnation: int
+    known_incarnations: dict[str, int]
+    clock_us: int
+    is_learned: bool
+    is_empty: bool
+    is_failing: bool
+    are_claims_open: bool
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it votes now."""
+
+    def learn_incarnations(self, known: dict[str, int]) -> None:
+        """Take in the newest incarnations that another replica knows."""
+
+    def merge(self, registers: dict[str, RegisterCopy]) -> dict[str, Any]:
+        """Take in the highest ballots of another replica; gives the records to write."""
+
+    def begin_votes(self, *, wait_us: int | None = None) -> None:
+        """Vote from now on; grant no lease for `wait_us`, or a lease's time where None."""
+
+    def yield_to(self, incarnation: int) -> None:
+        """Yield to a newer instance of this replica."""
+
+    def retire(self) -> None:
+        """Become a spare."""
 
 
 class Recovery:
-    """What each start of a seat goes through before it votes: it hears how the others stand, raises its incarnation,
-    has them record that, and only then reads what they hold, page by page; so nothing that an older occupant of
-    this seat took part in can be chosen behind its back.
+    """The recovering side; it owns what it collected and read, in memory only.
 
-    A disk that was read is whole unless it lost what it had synced. So a seat with a disk needs the others only to
-    make good such a loss: a majority with disks goes on once the rest has answered that it has none, and where the
-    rest is silent, after `bounds.alone_us`."""
+    A disk that was read is whole unless it lost what it had synced. So a replica with a disk needs
+    the others only to make good such a loss: a majority with disks goes on once the rest has
+    answered that it has none, and where the rest is silent, after `Bounds.alone_us`.
+    """
 
     __slots__ = (
         "node",
         "replica",
-        "told",
-        "notes",
-        "cursors",
-        "asked_us",
-        "started_us",
+        "instances",
+        "succession",
+        "state",
         "start",
-        "is_genesis",
-        "is_doubted",
-        "moved_us",
+        "reports",
+        "peers",
+        "num_remaining",
+        "queried_us",
+        "started_us",
+        "progress_us",
+        "is_bootstrap",
+        "is_disputed",
+        "is_core_lost",
+        "has_met_no_voter",
         "wait_reason",
-        "browsers",
-        "asked_back",
-        "has_met_no_vote",
-        "is_anew",
-        "recorded",
-        "left",
-        "moved_wait_us",
+        "queried_back",
+        "lease_wait_us",
     )
 
-    def __init__(self, node, replica):
+    def __init__(
+        self,
+        node: Node,
+        replica: RecoveringReplica,
+        instances: ReplicaInstances,
+        succession: Succession,
+    ) -> None:
+        """`start` names this process start in all messages of recovery."""
+        now_us = node.now_us()
         self.node = node
         self.replica = replica
-        now_us = node.now_us()
+        self.instances = instances
+        self.succession = succession
+        self.state = RecoveryState.COLLECTING if replica.replica_id else RecoveryState.IDLE
         self.start = f"{node.name}/{now_us}/{node.ports.random.getrandbits(48)}"
-        self.told = {}
-        self.notes = None
-        self.cursors = {}
-        self.asked_us = 0
-        self.started_us = self.moved_us = now_us
-        self.is_genesis = False
-        self.is_doubted = False
-        self.wait_reason = None
-        self.browsers = {}
-        self.asked_back = None
-        self.has_met_no_vote = self.is_anew = False
-        self.recorded = None
-        self.left = {}
-        self.moved_wait_us = 0
-        node.map_handlers.update(
-            rejoin=self.hear_rejoin,
-            rejoin_state=self.hear_state,
-            rejoin_note=self.hear_note,
-            rejoin_noted=self.hear_noted,
-            rejoin_browse=self.hear_browse,
-            rejoin_page=self.hear_page,
-        )
+        self.reports: dict[str, ReplicaStateReport] = {}
+        self.peers: dict[str, PeerTransfer] = {}
+        self.num_remaining: dict[str, int] = {}
+        self.queried_us = 0
+        self.started_us = self.progress_us = now_us
+        self.is_bootstrap = self.is_disputed = self.is_core_lost = False
+        self.has_met_no_voter = False
+        self.wait_reason: str | None = None
+        self.queried_back: str | None = None
+        self.lease_wait_us = 0
+        node.register_handler(ReplicaStateReport, self.on_replica_state_report)
+        node.register_handler(EpochRecorded, self.on_epoch_recorded)
+        node.register_handler(StatePage, self.on_state_page)
+
+    # begin and end
+
+    def begin(self, *, is_disputed: bool = False, is_core_lost: bool = False) -> None:
+        """Begin at the first query.
+
+        `is_disputed`: another replica knows a newer incarnation of this one, which a bootstrap may
+        have forgotten. `is_core_lost`: every disk was lost, so an empty group may bootstrap.
+        """
+        self.is_disputed = is_disputed or self.is_disputed
+        self.is_core_lost = is_core_lost or self.is_core_lost
+        self.replica.state = ReplicaState.RECOVERING
+        self.state = RecoveryState.COLLECTING
+        self.peers = {}
+        self.num_remaining = {}
+        self.reports = {}
+        self.started_us = self.progress_us = self.node.now_us()
+
+    def begin_with_state(self, wait_us: int) -> None:
+        """Begin where a hand-over brought the whole state of the fenced predecessor.
+
+        The record of its fence at a majority stands in for reading the others.
+        """
+        self.begin()
+        self.has_met_no_voter = False
+        self.state = RecoveryState.RECORDING
+        others = (name for name in self.replica.replica_ids if name != self.replica.replica_id)
+        self.peers = {name: PeerTransfer() for name in others}
+        self.lease_wait_us = wait_us
+        self._send_to_peers()
+
+    def reset(self) -> None:
+        """Forget all, since this node is a spare now."""
+        self.state = RecoveryState.IDLE
+        self.peers = {}
+        self.reports = {}
+        self.is_bootstrap = self.is_disputed = self.is_core_lost = False
+
+    def restore(self) -> bool:
+        """Rebuild from what is there, at an operator's word; False where it doesn't wait for it."""
+        if self.replica.state != ReplicaState.WAITING:
+            return False
+        self.node.ports.log(1206, seat=self.replica.replica_id)
+        self._raise_incarnation(self.reports.values())
+        return True
 
-    def begin_anew(self, is_doubted=False):
-        self.is_doubted = is_doubted or self.is_doubted
-        self.replica.state = REJOINING
-        self.notes = self.recorded = None
-        self.cursors = {}
-        self.left = {}
-        self.told = {}
-        self.started_us = self.moved_us = self.node.now_us()
-
-    def begin_moved(self, wait_us):
-        """The state came whole from the sealed occupant, whose seal is one record of a majority: the others' records
-        make it up, and nothing is read. When they don't come, it goes on as a restart with its disk does."""
-        self.begin_anew()
-        self.has_met_no_vote = False
-        self.notes = set(self.replica.replica_ids) - {self.replica.replica_id}
-        self.recorded = set()
-        self.moved_wait_us = wait_us
-        self._tell_notes()
-
-    def _vote_if_recorded(self):
-        if self.recorded is None or len(self.recorded) < self.replica.majority - 1:
-            return
-        self.recorded = None
-        self.cursors = {}
-        self.replica.begin_votes(wait_us=self.moved_wait_us)
-
-    def forget(self):
-        self.notes = self.recorded = None
-        self.cursors = {}
-        self.told = {}
-        self.browsers = {}
-        self.is_genesis = self.is_doubted = self.is_anew = False
-
-    def _try_anew(self):
-        """Not noted, or not read, for too long: another occupant may have been first."""
-        if self.replica.is_learned and self.replica.is_empty:
-            return self.replica.retire()
-        self.begin_anew()
+    def _is_candidate(self) -> bool:
+        """Whether it was a spare that tries to become a replica on which it never voted."""
+        replica = self.replica
+        return replica.is_learned and replica.is_empty and bool(replica.replica_id)
 
-    def _known_with(self, asking):
-        """An occupant that began at a first start was never noted: only the records say its incarnation."""
-        known = self.replica.all_incarnations()
-        held = self.replica.occupants.records.get(asking)
-        if held is not None and asking != self.replica.replica_id:
-            known[asking] = max(known.get(asking, 0), held[0])
-        return known
+    @property
+    def has_raised_incarnation(self) -> bool:
+        """Whether this start went beyond collecting reports."""
+        return self.state not in (RecoveryState.IDLE, RecoveryState.COLLECTING)
 
-    def hear_rejoin(self, message):
-        replica = self.replica
-        if not replica.replica_id:
-            return
-        self.node.send_untyped(
-            message["back"],
-            "rejoin_state",
-            seat=replica.replica_id,
-            for_seat=message["seat"],
-            is_voting=replica.is_voting,
-            is_empty=replica.is_empty or replica.sealed is not None,
-            incarnation=replica.incarnation,
-            known=self._known_with(message["seat"]),
-            start=self.start,
-            asked=message["asked"],
-            occupant=replica.occupants.name_of(message["seat"]),
-            is_taken=replica.is_voting and replica.occupants.is_taken(message),
-        )
-        self._ask_back(message)
-
-    def _ask_back(self, message):
-        """Who asks runs: its own standing needn't wait for the next round of asks."""
-        if (
-            self.replica.state not in (REJOINING, WAITING)
-            or self.notes is not None
-            or message["seat"] == self.replica.replica_id
-        ):
+    def remaining_keys(self) -> dict[str, int | None]:
+        """For each replica that is still read, how many keys come after its last page."""
+        return {name: self.num_remaining.get(name) for name in self.peers}
+
+    # collecting
+
+    def is_collecting(self) -> bool:
+        """Whether reports are still awaited."""
+        return self.state is RecoveryState.COLLECTING and self.replica.state in IN_RECOVERY
+
+    def may_join_bootstrap(self) -> bool:
+        """Whether this empty replica may follow another one that bootstraps the group."""
+        return self.replica.is_empty and self.is_collecting()
+
+    def join_bootstrap(self) -> None:
+        """Another replica found all empty before this one did."""
+        self.is_bootstrap = True
+        self._raise_incarnation(self.reports.values())
+
+    def query_back(self, query: StateQuery) -> None:
+        """Query one that queried: it runs, and needn't wait for the next round of queries."""
+        if not self.is_collecting() or query.replica_id == self.replica.replica_id:
             return
-        told = self.told.get(message["seat"])
-        if (
-            told is not None
-            and told["start"] == message["asked"]
-            or self.asked_back == message["asked"]
-        ):
+        report = self.reports.get(query.replica_id)
+        is_known = report is not None and report.start == query.start
+        if is_known or self.queried_back == query.start:
             return
-        self.asked_back = message["asked"]
-        self._ask(message["back"])
+        self.queried_back = query.start
+        self._send_state_query(query.reply_to)
 
-    def _ask(self, address):
-        self.node.send_untyped(address, "rejoin", seat=self.replica.replica_id, asked=self.start)
+    def _send_state_query(self, address: str) -> None:
+        self.node.send(address, StateQuery(replica_id=self.replica.replica_id, start=self.start))
 
-    def hear_state(self, message):
+    def on_replica_state_report(self, report: ReplicaStateReport) -> None:
+        """Yield to a newer instance of this replica, else weigh what is known."""
         replica = self.replica
-        if (
-            replica.state not in (REJOINING, WAITING)
-            or message["for_seat"] != replica.replica_id
-            or self.notes is not None
-        ):
+        is_ours = report.queried_by == replica.replica_id and report.queried_start == self.start
+        if not self.is_collecting() or not is_ours:
             return
-        if message["asked"] != self.start:
-            return
-        newest = message["known"].get(replica.replica_id, 0)
-        if self.is_doubted and newest > replica.incarnation:
-            return replica.fence(newest)
-        if replica.is_learned and self._is_anothers(message, newest):
-            return replica.fence(newest)
-        self.told[message["seat"]] = message
-        self._weigh(self.node.now_us())
-
-    def _is_anothers(self, message, newest):
-        if self.replica.occupants.is_trying:
-            return message["is_taken"]
-        return newest >= self.replica.incarnation and message["occupant"] not in (
-            "",
-            self.node.name,
+        newest = report.known_incarnations.get(replica.replica_id, 0)
+        if self._is_superseded(report, newest):
+            self.state = RecoveryState.IDLE
+            return replica.yield_to(newest)
+        self.reports[report.replica_id] = report
+        self._weigh_reports(self.node.now_us())
+
+    def _is_superseded(self, report: ReplicaStateReport, newest: int) -> bool:
+        if self.is_disputed and newest > self.replica.incarnation:
+            return True
+        if not self.replica.is_learned:
+            return False
+        if self._is_candidate():
+            return report.is_taken
+        is_recorded = report.recorded_name not in ("", self.node.name)
+        return newest >= self.replica.incarnation and is_recorded
+
+    def _weigh_reports(self, now_us: int) -> None:
+        replica, reports = self.replica, list(self.reports.values())
+        accounted_for = {*self.reports, *self.instances.emptied()} - {replica.replica_id}
+        has_waited = now_us - self.started_us >= self.node.bounds.alone_us
+        basis = rebuild_basis(
+            reports,
+            group_size=len(replica.replica_ids),
+            is_empty=replica.is_empty,
+            may_bootstrap=self.is_core_lost or not replica.is_learned,
+            are_all_accounted_for=len(accounted_for) == len(replica.replica_ids) - 1,
+            has_waited=has_waited,
         )
+        if basis is RebuildBasis.INSUFFICIENT:
+            return self._await_operator() if has_waited else None
+        if basis is RebuildBasis.BOOTSTRAP:
+            self.is_bootstrap = True
+        if basis is RebuildBasis.INTACT_MAJORITY:
+            reports = [report for report in reports if not report.is_empty]
+        self._raise_incarnation(reports)
+
+    def _await_operator(self) -> None:
+        if self.replica.state == ReplicaState.WAITING:
+            return
+        self.replica.state = ReplicaState.WAITING
+        self.wait_reason = "too few others in standing to rebuild from"
+        self.node.ports.log(1203, seat=self.replica.replica_id, heard=len(self.reports))
 
-    def _weigh(self, now_us):
+    def _raise_incarnation(self, reports: Collection[ReplicaStateReport]) -> None:
+        """Go above every incarnation that anybody knows, and sync that before it is announced."""
         replica = self.replica
-        others = len(replica.replica_ids) - 1
-        needed = len(replica.replica_ids) - replica.majority + 1
-        in_standing = [state for state in self.told.values() if state["is_voting"]]
-        if len(in_standing) >= needed:
-            return self._adopt(self.told.values())
-        have_all_answered = (
-            len({*self.told, *replica.occupants.emptied()} - {replica.replica_id}) == others
+        self.has_met_no_voter = bool(reports) and not any(report.is_voting for report in reports)
+        _, highest = replica.directory.replicas().get(replica.replica_id, ("", 0))
+        highest = max(highest, replica.incarnation)
+        for report in reports:
+            highest = max(highest, report.known_incarnations.get(replica.replica_id, 0))
+            replica.learn_incarnations(report.known_incarnations)
+        replica.incarnation = highest + 1
+        self.state = RecoveryState.CATCHING_UP
+        self.peers = {report.replica_id: PeerTransfer() for report in reports}
+        self.progress_us = self.node.now_us()
+        record = ReplicaRecord(
+            replica_id=replica.replica_id,
+            incarnation=replica.incarnation,
+            known_incarnations=replica.known_incarnations,
+            clock_us=replica.clock_us,
+            is_partial=replica.is_empty,
         )
-        if len(self.told) == others:
-            is_any_empty = replica.is_empty or any(
-                state["is_empty"] for state in self.told.values()
-            )
-            is_all_empty = replica.is_empty and all(
-                state["is_empty"] for state in self.told.values()
-            )
-            if is_all_empty and (self.is_anew or not replica.is_learned):
-                self.is_genesis = True
-                return self._adopt(self.told.values())
-            if not is_any_empty:
-                return self._adopt(self.told.values())
-        is_alone = now_us - self.started_us >= self.node.bounds.alone_us
-        if not replica.is_empty and (have_all_answered or is_alone):
-            fit = [state for state in self.told.values() if not state["is_empty"]]
-            if len(fit) + 1 >= replica.majority:
-                return self._adopt(fit)
-        if is_alone and replica.state != WAITING:
-            replica.state = WAITING
-            self.wait_reason = "too few others in standing to rebuild from"
-            self.node.ports.log(1203, seat=replica.replica_id, heard=len(self.told))
-
-    def restore(self):
-        if self.replica.state != WAITING:
-            return False
-        self.node.ports.log(1206, seat=self.replica.replica_id)
-        self._adopt(self.told.values())
-        return True
+        self.node.ports.storage.write(record.as_items(), self._on_incarnation_synced)
 
-    def _adopt(self, states):
-        replica = self.replica
-        self.has_met_no_vote = bool(states) and not any(state["is_voting"] for state in states)
-        highest = max(
-            replica.incarnation, replica.directory.replicas().get(replica.replica_id, ("", 0))[1]
-        )
-        for state in states:
-            highest = max(highest, state["known"].get(replica.replica_id, 0))
-            replica.learn_incarnations(state["known"])
-        replica.incarnation = highest + 1
-        self.notes = {state["seat"] for state in states}
-        self.cursors = {}
-        self.moved_us = self.node.now_us()
-        record = {
-            "seat": replica.replica_id,
-            "incarnation": replica.incarnation,
-            "known": replica.known_incarnations,
-            "clock_us": replica.clock_us,
-            "is_partial": replica.is_empty,
-        }
-
-        def go_on(is_kept):
-            if not is_kept:
-                return self._hear_full_disk()
-            if self.notes is None:
-                return
-            self._tell_notes()
+    def _on_incarnation_synced(self, is_kept: bool) -> None:
+        if not is_kept:
+            return self._on_disk_refusal()
+        if self.has_raised_incarnation:
+            self._send_to_peers()
             self._end_if_read()
 
-        self.node.ports.storage.write(record, go_on)
-
-    def _hear_full_disk(self):
+    def _on_disk_refusal(self) -> None:
         self.replica.is_failing = True
-        self.notes = None
+        is_recovering = self.replica.state in IN_RECOVERY
+        self.state = RecoveryState.COLLECTING if is_recovering else RecoveryState.IDLE
+        self.peers = {}
         self.node.ports.log(1205, key="rejoin")
 
-    def _tell_notes(self):
+    # fencing and reading
+
+    def _send_to_peers(self) -> None:
+        """Send again whatever each replica that is still to be read hasn't answered."""
         for name, (address, _) in self.replica.directory.replicas().items():
-            if name in self.cursors:
-                if self.cursors[name] is not None:
-                    self._browse(name, address)
-            elif name in (self.notes or ()):
-                self.node.send_untyped(
-                    address,
-                    "rejoin_note",
-                    seat=self.replica.replica_id,
-                    incarnation=self.replica.incarnation,
-                    start=self.start,
-                    genesis=self.told[name]["start"]
-                    if self.is_genesis and name in self.told
-                    else None,
-                )
-
-    def hear_note(self, message):
-        replica, name, incarnation = self.replica, message["seat"], message["incarnation"]
-        if (
-            name == replica.replica_id
-            or not replica.replica_id
-            or not replica.occupants.note(message)
-        ):
-            return
-        replica.learn_incarnations({name: incarnation})
-
-        def answer(is_kept):
-            if is_kept:
-                self.node.send_untyped(
-                    message["back"],
-                    "rejoin_noted",
-                    seat=replica.replica_id,
-                    incarnation=incarnation,
-                )
-            if is_kept and message["genesis"] == self.start and self._is_waiting_empty():
-                self.is_genesis = True
-                self._adopt(self.told.values())
-
-        self.node.ports.storage.write(
-            {
-                "known": dict(replica.known_incarnations),
-                "occupants": dict(replica.occupants.records),
-            },
-            answer,
+            peer = self.peers.get(name)
+            if peer is None:
+                continue
+            if peer.state is PeerState.READING:
+                self._send_page_request(address, peer.cursor)
+            elif peer.state is PeerState.FENCING:
+                self._send_epoch_announcement(name, address)
+
+    def _send_epoch_announcement(self, name: str, address: str) -> None:
+        is_bootstrap = self.is_bootstrap and name in self.reports
+        announcement = EpochAnnouncement(
+            replica_id=self.replica.replica_id,
+            incarnation=self.replica.incarnation,
+            start=self.start,
+            bootstrap_start=self.reports[name].start if is_bootstrap else None,
         )
+        self.node.send(address, announcement)
 
-    def _is_waiting_empty(self):
-        return (
-            self.replica.is_empty
-            and self.notes is None
-            and self.replica.state in (REJOINING, WAITING)
+    def _send_page_request(self, address: str, cursor: str) -> None:
+        request = PageRequest(
+            replica_id=self.replica.replica_id, transfer=self.start, after=cursor, since=0
         )
+        self.node.send(address, request)
 
-    def hear_noted(self, message):
-        name = message["seat"]
-        if (
-            self.notes is None
-            or message["incarnation"] != self.replica.incarnation
-            or name in self.cursors
-            or name not in self.notes
-        ):
+    def on_epoch_recorded(self, message: EpochRecorded) -> None:
+        """Read a replica once it refuses our older incarnations, or count it after a hand-over."""
+        peer = self.peers.get(message.replica_id)
+        is_current = message.incarnation == self.replica.incarnation
+        if peer is None or peer.state is not PeerState.FENCING or not is_current:
             return
-        self.moved_us = self.node.now_us()
-        if self.recorded is not None:
-            self.cursors[name] = None
-            self.recorded.add(name)
+        self.progress_us = self.node.now_us()
+        if self.state is RecoveryState.RECORDING:
+            peer.state = PeerState.RECORDED
             return self._vote_if_recorded()
-        self.cursors[name] = ""
-        self._browse(name, message["back"])
-
-    def _browse(self, name, address):
-        self.node.send_untyped(
-            address,
-            "rejoin_browse",
-            seat=self.replica.replica_id,
-            asked=self.start,
-            after=self.cursors[name],
-            since=0,
-        )
-
-    def hear_browse(self, message):
-        """One page of what this seat holds, in the order of its keys."""
-        replica, asked, after, since = (
-            self.replica,
-            message["asked"],
-            message["after"],
-            message["since"],
-        )
-        replica.leaving.note_browse(asked)
-        if asked not in self.browsers or not after:
-            while len(self.browsers) >= BROWSERS_AT_MOST:
-                del self.browsers[next(iter(self.browsers))]
-            keys = sorted(
-                key
-                for key, register_state in replica.states.items()
-                if register_state.version >= since
-            )
-            self.browsers[asked] = (keys, replica.change_count)
-        keys, version = self.browsers[asked]
-        place = bisect_right(keys, after)
-        page = keys[place : place + PAGE]
-        self.node.send_untyped(
-            message["back"],
-            "rejoin_page",
-            seat=replica.replica_id,
-            start=self.start,
-            asked=asked,
-            after=after,
-            since=since,
-            version=version,
-            left=len(keys) - place - len(page),
-            last=page[-1] if len(keys) > place + PAGE else None,
-            are_claims_open=replica.are_claims_open,
-            cells={
-                key: replica.states[key].as_record()[:3] for key in page if key in replica.states
-            },
-        )
-
-    def hear_page(self, message):
-        name = message["seat"]
-        if self.replica.successor.expects(message):
-            return self.replica.successor.on_page(message)
-        if (
-            self.notes is None
-            or message["asked"] != self.start
-            or self.cursors.get(name) != message["after"]
-        ):
+        peer.read_after("")
+        self._send_page_request(message.reply_to, peer.cursor)
+
+    def on_state_page(self, page: StatePage) -> None:
+        """Merge and sync one page, then ask for the next; a hand-over reads by the same pages."""
+        if self.succession.expects(page):
+            return self.succession.on_state_page(page)
+        peer = self.peers.get(page.replica_id)
+        if peer is None or page.transfer != self.start or not peer.expects(page):
             return
-        if name in self.told and self.told[name]["start"] != message["start"]:
-            return self.begin_anew()
-        self.cursors[name] = None
-        self.left[name] = message["left"]
-        self.moved_us = self.node.now_us()
-        changed = self.replica.merge(message["cells"])
-        notes = self.notes
-
-        def go_on(is_kept):
-            if self.notes is not notes:
+        report = self.reports.get(page.replica_id)
+        if report is not None and report.start != page.start:
+            return self.begin()
+        peer.state = PeerState.STORING
+        self.num_remaining[page.replica_id] = page.num_remaining
+        self.progress_us = self.node.now_us()
+        self._store_page(page, peer)
+
+    def _store_page(self, page: StatePage, peer: PeerTransfer) -> None:
+        """Ask for the next page only once this one is synced; `peers` tells a newer begin."""
+        peers, replica = self.peers, self.replica
+
+        def on_stored(is_kept: bool) -> None:
+            if self.peers is not peers:
                 return
             if not is_kept:
-                return self._hear_full_disk()
-            if message["last"] is not None:
-                self.cursors[name] = message["last"]
-                return self._browse(name, message["back"])
-            self.notes.discard(name)
-            self.replica.are_claims_open = (
-                self.replica.are_claims_open and message["are_claims_open"]
-            )
+                return self._on_disk_refusal()
+            if page.next_cursor is not None:
+                peer.read_after(page.next_cursor)
+                return self._send_page_request(page.reply_to, peer.cursor)
+            peers.pop(page.replica_id, None)
+            replica.are_claims_open = replica.are_claims_open and page.are_claims_open
             self._end_if_read()
 
-        self.node.ports.storage.write(changed, go_on)
-
-    def _end_if_read(self):
-        if self.notes is None or self.notes or self.replica.state == VOTING:
-            return
-        replica = self.replica
-        replica.are_claims_open = replica.are_claims_open and not self.is_genesis
+        self.node.ports.storage.write(replica.merge(page.registers), on_stored)
 
-        def vote(is_kept):
-            if not is_kept:
-                return self._hear_full_disk()
-            if self.notes is None:
-                return
-            self.is_doubted = False
-            self.cursors = {}
-            replica.begin_votes()
+    # the first vote
 
-        self.node.ports.storage.write(
-            {"is_partial": None, "sealed": None, "are_claims_open": replica.are_claims_open}, vote
-        )
+    def _vote_if_recorded(self) -> None:
+        num_recorded = sum(peer.state is PeerState.RECORDED for peer in self.peers.values())
+        if num_recorded < self.replica.majority - 1:
+            return
+        self.state = RecoveryState.VOTING
+        for peer in self.peers.values():
+            peer.state = PeerState.FENCING
+        self.replica.begin_votes(wait_us=self.lease_wait_us)
 
-    def tick(self, now_us):
-        is_first = now_us - self.started_us < FIRST_ASKS_US
-        if now_us - self.asked_us < (FIRST_ASK_US if is_first else ASK_US):
+    def _end_if_read(self) -> None:
+        """Sync that the state is complete, then vote."""
+        replica = self.replica
+        if not self.has_raised_incarnation or self.peers or replica.is_voting:
             return
-        self.asked_us = now_us
-        if now_us - self.moved_us > STUCK_US and (
-            self.notes is not None or self.replica.occupants.is_trying
-        ):
-            return self._try_anew()
-        if self.notes is not None:
-            return self._tell_notes()
+        replica.are_claims_open = replica.are_claims_open and not self.is_bootstrap
+        record = ReplicaRecord(is_partial=None, fence=None, are_claims_open=replica.are_claims_open)
+        self.node.ports.storage.write(record.as_items(), self._on_complete_synced)
+
+    def _on_complete_synced(self, is_kept: bool) -> None:
+        if not is_kept:
+            return self._on_disk_refusal()
+        if not self.has_raised_incarnation:
+            return
+        self.is_disputed = False
+        self.state = RecoveryState.VOTING
+        self.replica.begin_votes()
+
+    def tick(self, now_us: int) -> None:
+        """Send again what was not answered, and begin again where nothing moves."""
+        is_first = now_us - self.started_us < FIRST_QUERIES_US
+        if now_us - self.queried_us < (FIRST_QUERY_US if is_first else QUERY_US):
+            return
+        self.queried_us = now_us
+        is_stuck = now_us - self.progress_us > STUCK_US
+        if is_stuck and (self.has_raised_incarnation or self._is_candidate()):
+            return self._begin_again()
+        if self.has_raised_incarnation:
+            return self._send_to_peers()
         for name, (address, _) in self.replica.directory.replicas().items():
             if name != self.replica.replica_id:
-                self._ask(address)
-        self._weigh(now_us)
+                self._send_state_query(address)
+        self._weigh_reports(now_us)
+
+    def _begin_again(self) -> None:
+        """Neither recorded nor read for too long: another instance may have been first."""
+        if self.replica.is_learned and self.replica.is_empty:
+            return self.replica.retire()
+        self.begin()
--- /dev/null
+++ b/packages/consensus/src/linkhaven/consensus/recovery_responder.py
@@ -0,0 +1,175 @@
+"""What a replica does for another one that recovers or takes over from a departing one.
+
+| message | what it does here |
+| --- | --- |
+| `StateQuery` | reports how this replica stands, in any state that has a replica id |
+| `EpochAnnouncement` | records the incarnation if it is the newest, syncs that, confirms it |
+| `PageRequest` | sends one page of the registers, in the order of their keys |
+
+Invariant: one instance for each incarnation of a replica is recorded here
+(`test_a_second_occupant_is_not_noted_at_the_same_incarnation`).
+Invariant: an incarnation is confirmed only after it is synced; from then on every proposal that
+names an older one is refused, also after a restart of this replica.
+"""
+
+from bisect import bisect_right
+from typing import Any, Protocol
+
+from linkhaven.runtime import Node
+
+from .departure import Departure
+from .recovery import Recovery
+from .recovery_messages import (
+    EpochAnnouncement,
+    EpochRecorded,
+    PageRequest,
+    ReplicaStateReport,
+    StatePage,
+    StateQuery,
+)
+from .replica_instances import ReplicaInstances
+from .replica_records import ReplicaRecord
+
+PAGE_KEYS = 500
+MAX_TRANSFERS = 4
+"""The listings of more readers than this aren't kept; the oldest must begin again."""
+
+
+class ReportingReplica(Protocol):
+    """What the responder tells of its replica."""
+
+    replica_id: str
+    incarnation: int
+    known_incarnations: dict[str, int]
+    is_empty: bool
+    are_claims_open: bool
+    fence_record: Any
+    states: dict[str, Any]
+    change_count: int
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it votes now."""
+
+    def all_incarnations(self) -> dict[str, int]:
+        """The newest incarnations that it knows, its own among them."""
+
+    def learn_incarnations(self, known: dict[str, int]) -> None:
+        """Take in newer incarnations."""
+
+
+class RecoveryResponder:
+    """The answering side of recovery; it owns the listings of the transfers under way."""
+
+    __slots__ = ("node", "replica", "instances", "recovery", "departure", "listings")
+
+    def __init__(
+        self,
+        node: Node,
+        replica: ReportingReplica,
+        instances: ReplicaInstances,
+        recovery: Recovery,
+        departure: Departure,
+    ) -> None:
+        """`recovery` is this replica's own: two may recover at once and meet."""
+        self.node = node
+        self.replica = replica
+        self.instances = instances
+        self.recovery = recovery
+        self.departure = departure
+        self.listings: dict[str, tuple[list[str], int]] = {}
+        node.register_handler(StateQuery, self.on_state_query)
+        node.register_handler(EpochAnnouncement, self.on_epoch_announcement)
+        node.register_handler(PageRequest, self.on_page_request)
+
+    def reset(self) -> None:
+        """Forget the transfers, since this node is a spare now and has no registers."""
+        self.listings = {}
+
+    def on_state_query(self, query: StateQuery) -> None:
+        """Report how this replica stands, then ask back: who queries runs."""
+        replica = self.replica
+        if not replica.replica_id:
+            return
+        is_taken = replica.is_voting and self.instances.is_taken(
+            query.replica_id, query.sender, query.reply_to
+        )
+        report = ReplicaStateReport(
+            replica_id=replica.replica_id,
+            queried_by=query.replica_id,
+            queried_start=query.start,
+            is_voting=replica.is_voting,
+            is_empty=replica.is_empty or replica.fence_record is not None,
+            incarnation=replica.incarnation,
+            known_incarnations=self._incarnations_known_with(query.replica_id),
+            start=self.recovery.start,
+            recorded_name=self.instances.name_of(query.replica_id),
+            is_taken=is_taken,
+        )
+        self.node.send(query.reply_to, report)
+        self.recovery.query_back(query)
+
+    def _incarnations_known_with(self, replica_id: str) -> dict[str, int]:
+        """A replica that began at the first start announced nothing: only the instances say it."""
+        known = self.replica.all_incarnations()
+        instance = self.instances.records.get(replica_id)
+        if instance is not None and replica_id != self.replica.replica_id:
+            known[replica_id] = max(known.get(replica_id, 0), instance.incarnation)
+        return known
+
+    def on_epoch_announcement(self, announcement: EpochAnnouncement) -> None:
+        """Record the incarnation, and confirm it once it is synced."""
+        replica, name = self.replica, announcement.replica_id
+        if not replica.replica_id or name == replica.replica_id:
+            return
+        if not self.instances.record(announcement):
+            return
+        replica.learn_incarnations({name: announcement.incarnation})
+
+        def on_synced(is_kept: bool) -> None:
+            if not is_kept:
+                return
+            recorded = EpochRecorded(
+                replica_id=replica.replica_id, incarnation=announcement.incarnation
+            )
+            self.node.send(announcement.reply_to, recorded)
+            is_bootstrap = announcement.bootstrap_start == self.recovery.start
+            if is_bootstrap and self.recovery.may_join_bootstrap():
+                self.recovery.join_bootstrap()
+
+        record = ReplicaRecord(
+            known_incarnations=replica.known_incarnations, instances=self.instances.records
+        )
+        self.node.ports.storage.write(record.as_items(), on_synced)
+
+    def on_page_request(self, request: PageRequest) -> None:
+        """Send one page; the keys are listed once, at the first page of a transfer."""
+        replica, transfer = self.replica, request.transfer
+        self.departure.on_transfer_progress(transfer)
+        if transfer not in self.listings or not request.after:
+            self._list_keys(transfer, request.since)
+        keys, change_count = self.listings[transfer]
+        first = bisect_right(keys, request.after)
+        page = keys[first : first + PAGE_KEYS]
+        answer = StatePage(
+            replica_id=replica.replica_id,
+            start=self.recovery.start,
+            transfer=transfer,
+            after=request.after,
+            since=request.since,
+            change_count=change_count,
+            num_remaining=len(keys) - first - len(page),
+            next_cursor=page[-1] if len(keys) > first + PAGE_KEYS else None,
+            are_claims_open=replica.are_claims_open,
+            registers={
+                key: replica.states[key].as_record()[:3] for key in page if key in replica.states
+            },
+        )
+        self.node.send(request.reply_to, answer)
+
+    def _list_keys(self, transfer: str, since: int) -> None:
+        while len(self.listings) >= MAX_TRANSFERS:
+            del self.listings[next(iter(self.listings))]
+        states = self.replica.states
+        keys = sorted(key for key, state in states.items() if state.version >= since)
+        self.listings[transfer] = (keys, self.replica.change_count)
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -2,8 +2,12 @@
 
 from .claim_limits import default_claim_limits
 from .departure import Departure
-from .recovery import BEGINNING, FENCED, LEARNING, REJOINING, SEALED, SPARE, VOTING, Recovery
+from .recovery import Recovery
+from .recovery_responder import RecoveryResponder
+from .replica_assignment import ReplicaAssignment
 from .replica_instances import ReplicaInstances
+from .replica_records import ReplicaRecord, read_fence, read_handover, read_instances
+from .replica_state import IN_RECOVERY, ReplicaState
 from .replication_check import ReplicationCheck
 from .succession import Succession
 
@@ -52,16 +56,18 @@
         "clocked_us",
         "claim_limits",
         "claims",
-        "rejoin",
+        "recovery",
+        "recovery_responder",
         "are_claims_open",
         "ticked_us",
         "is_learned",
-        "occupants",
+        "instances",
+        "assignment",
         "change_count",
-        "sealed",
-        "leaving",
-        "holders",
-        "successor",
+        "fence_record",
+        "departure",
+        "replication",
+        "succession",
     )
 
     OWN_KEYS = (
@@ -84,6 +90,8 @@
         on_change,
         on_votes,
         claim_limits=default_claim_limits,
+        contact=None,
+        on_outbid=lambda key: None,
     ):
         """`seat` None: which one it is stands on the disk, or is learned."""
         self.node = node
@@ -114,21 +122,25 @@
         self.known_incarnations = held.get("known", {})
         self.clock_us = held.get("clock_us", 0)
         self.clocked_us = now_us
-        self.sealed = held.get("sealed")
+        self.fence_record = read_fence(held.get("sealed"))
         self.is_empty = (
-            not self.incarnation or held.get("is_partial", False) or self.sealed is not None
+            not self.incarnation or held.get("is_partial", False) or self.fence_record is not None
         )
         self.change_count = 0
         self.are_claims_open = held.get("are_claims_open", True)
         self.is_failing = False
-        self.state = REJOINING if self.replica_id else SPARE
+        self.state = ReplicaState.RECOVERING if self.replica_id else ReplicaState.SPARE
         self.votes_from_us = 0
-        self.occupants = ReplicaInstances(node, self, held.get("occupants", {}))
+        self.instances = ReplicaInstances(node, self, read_instances(held.get("occupants")))
         self.ticked_us = now_us
-        self.rejoin = Recovery(node, self)
-        self.holders = ReplicationCheck(node, self)
-        self.leaving = Departure(node, self, self.holders)
-        self.successor = Succession(node, self, held.get("offer"))
+        self.succession = Succession(node, self, read_handover(held.get("offer")))
+        self.assignment = ReplicaAssignment(node, self, self.succession, contact or node.address)
+        self.recovery = Recovery(node, self, self.instances, self.succession)
+        self.replication = ReplicationCheck(node, self, on_outbid)
+        self.departure = Departure(node, self, self.instances, self.recovery, self.replication)
+        self.recovery_responder = RecoveryResponder(
+            node, self, self.instances, self.recovery, self.departure
+        )
         node.map_handlers.update(
             prepare=self.hear_prepare, accept=self.hear_accept, chosen=self.hear_chosen
         )
@@ -139,11 +151,11 @@
             node.ports.log(1209)
         if self.is_learned:
             directory.restore_replica(self.replica_id, self.incarnation)
-            directory.add_seeds(self.occupants.addresses())
+            directory.add_seeds(self.instances.addresses())
 
     @property
     def is_voting(self):
-        return self.state == VOTING
+        return self.state == ReplicaState.VOTING
 
     def register_state(self, key):
         return self.states.get(key) or RegisterState()
@@ -182,30 +194,31 @@
 
     def begin_first(self, replica_id, contacts):
         """The first start of the whole system: nothing was ever chosen, so this seat votes at once."""
-        self.state = BEGINNING
+        self.state = ReplicaState.BOOTSTRAPPING
         self.replica_id, self.incarnation = replica_id, 1
-        self.occupants.expect(contacts)
+        self.instances.expect(contacts)
 
         def vote(is_kept):
             if not is_kept:
-                self.replica_id, self.state, self.incarnation = "", SPARE, 0
+                self.replica_id, self.state, self.incarnation = "", ReplicaState.SPARE, 0
                 return
             self.begin_votes(is_first=True)
 
-        self.node.ports.storage.write(
-            {"seat": replica_id, "incarnation": 1, "occupants": self.occupants.records}, vote
+        record = ReplicaRecord(
+            replica_id=replica_id, incarnation=1, instances=self.instances.records
         )
+        self.node.ports.storage.write(record.as_items(), vote)
 
-    def take(self, replica_id):
-        """A spare tries for a seat: what it needs to vote comes by the rejoin."""
+    def take(self, replica_id, is_core_lost=False):
+        """A spare tries to become this replica: what it needs to vote comes by recovery."""
         self.replica_id = replica_id
-        self.rejoin.begin_anew()
+        self.recovery.begin(is_core_lost=is_core_lost)
         self.node.ports.log(1201, seat=replica_id, empty=self.is_empty)
 
-    def take_anew(self, replica_id):
-        """The whole core lost its disks: this seat is taken without a vote, and announced as never voted on."""
-        self.take(replica_id)
-        self.rejoin.is_anew = True
+    def take_after_loss(self, replica_id):
+        """The whole core lost its disks: this replica is taken without a vote, and announced as
+        one that never voted."""
+        self.take(replica_id, is_core_lost=True)
         self.directory.announce_replica(replica_id, 0)
 
     def retire(self):
@@ -215,88 +228,89 @@
             *self.OWN_KEYS,
             *(f"cell/{key}" for key in self.states),
         ]
-        self.replica_id, self.state, self.incarnation = "", SPARE, 0
-        self.states, self.known_incarnations, self.sealed = {}, {}, None
+        self.replica_id, self.state, self.incarnation = "", ReplicaState.SPARE, 0
+        self.states, self.known_incarnations, self.fence_record = {}, {}, None
         self.claims.clear()
         self.is_empty, self.is_failing, self.are_claims_open = True, False, True
-        self.rejoin.forget()
+        self.recovery.reset()
+        self.recovery_responder.reset()
         self.node.ports.storage.write(dict.fromkeys(dropped), lambda is_kept: None)
         for hear in self.on_retired:
             hear()
         self.directory.announce_replica("", 0)
         self.node.ports.log(1209)
 
-    def seal(self, successor, done):
+    def fence(self, record, done):
         """No vote under this incarnation from here on; the record says so to a later start, too."""
-        self.state = SEALED
-        self.sealed = {**successor, "incarnation": self.incarnation}
+        self.state = ReplicaState.FENCED
+        self.fence_record = record
 
         def answer(is_kept):
             if not is_kept:
-                self.sealed = None
+                self.fence_record = None
                 self.resume()
             done(is_kept)
 
-        self.node.ports.storage.write({"sealed": self.sealed}, answer)
+        self.node.ports.storage.write(ReplicaRecord(fence=record).as_items(), answer)
 
-    def unseal(self):
-        """The successor never votes: this disk is whole, and goes on through an ordinary rejoin."""
+    def lift_fence(self):
+        """The successor never votes: this disk is whole, and goes on through ordinary recovery."""
 
         def go_on(is_kept):
-            if not is_kept or self.sealed is None or self.rejoin.notes is not None:
+            if not is_kept or self.fence_record is None or self.recovery.has_raised_incarnation:
                 return
-            self.sealed = None
+            self.fence_record = None
             self.is_empty = False
-            self.rejoin.begin_anew()
+            self.recovery.begin()
 
-        self.node.ports.storage.write({"sealed": None, "is_partial": None}, go_on)
+        self.node.ports.storage.write(ReplicaRecord(fence=None, is_partial=None).as_items(), go_on)
 
     def pause(self):
         """No vote until `resume`, in this process only."""
-        self.state = SEALED
+        self.state = ReplicaState.FENCED
 
     def resume(self):
-        if self.state == SEALED and self.sealed is None:
-            self.state = VOTING
-
-    def take_over(self, terms, offer, done):
-        """The whole state of the sealed occupant is here: one write makes this node the next occupant."""
-        incarnation = terms["incarnation"] + 1
-        occupants = {
-            replica_id: row
-            for replica_id, row in terms["occupants"].items()
-            if replica_id != terms["seat"]
-        }
-        record = {
-            "seat": terms["seat"],
-            "incarnation": incarnation,
-            "known": terms["known"],
-            "clock_us": self.clock_us,
-            "are_claims_open": terms["are_claims_open"],
-            "occupants": occupants,
-            "offer": offer,
+        if self.state == ReplicaState.FENCED and self.fence_record is None:
+            self.state = ReplicaState.VOTING
+
+    def take_over(self, seal, handover, done):
+        """The whole state of the fenced instance is here: one write makes this node the next one."""
+        incarnation = seal.incarnation + 1
+        instances = {
+            replica_id: instance
+            for replica_id, instance in seal.instances.items()
+            if replica_id != seal.replica_id
         }
+        record = ReplicaRecord(
+            replica_id=seal.replica_id,
+            incarnation=incarnation,
+            known_incarnations=seal.known_incarnations,
+            clock_us=self.clock_us,
+            are_claims_open=seal.are_claims_open,
+            instances=instances,
+            handover=handover,
+        )
 
         def answer(is_kept):
             if is_kept:
-                self.replica_id, self.incarnation = terms["seat"], incarnation
-                self.known_incarnations = dict(terms["known"])
-                self.are_claims_open = terms["are_claims_open"]
-                self.occupants.records = occupants
+                self.replica_id, self.incarnation = seal.replica_id, incarnation
+                self.known_incarnations = dict(seal.known_incarnations)
+                self.are_claims_open = seal.are_claims_open
+                self.instances.records = instances
             done(is_kept)
 
-        self.node.ports.storage.write(record, answer)
+        self.node.ports.storage.write(record.as_items(), answer)
 
-    def begin_moved(self, wait_us):
-        """Its state is that of the sealed occupant: it needs to be recorded by the others, and no reading."""
+    def begin_with_state(self, wait_us):
+        """Its state is that of the fenced instance: the others record it, and nothing is read."""
         self.is_empty = False
         self.node.ports.log(1201, seat=self.replica_id, empty=False)
-        self.rejoin.begin_moved(wait_us)
+        self.recovery.begin_with_state(wait_us)
 
     def begin_votes(self, is_first=False, wait_us=None):
         self.is_empty = self.is_failing = False
-        self.sealed = None
-        self.state = VOTING
+        self.fence_record = None
+        self.state = ReplicaState.VOTING
         wait_us = self.node.bounds.lease_us if wait_us is None else wait_us
         self.votes_from_us = 0 if is_first else self.node.now_us() + wait_us
         if self.is_learned:
@@ -304,7 +318,7 @@
         self.directory.learn_incarnations(self.all_incarnations())
         self.node.ports.log(1202, seat=self.replica_id, incarnation=self.incarnation)
         self.on_votes()
-        self.successor.tell_taken()
+        self.succession.on_votes_begun()
 
     def _refuse(self, message, say, why, **facts):
         self.node.send_untyped(
@@ -328,7 +342,7 @@
         )
 
     def _may_vote(self, message, say):
-        if self.state != VOTING:
+        if self.state != ReplicaState.VOTING:
             return self._refuse(message, say, self.state)
         if message["seat"] != self.replica_id:
             return self._refuse(message, say, "seat")
@@ -362,12 +376,13 @@
     def _hear_newer(self, incarnation):
         """A newer occupant fences this one. A core that began anew may only have forgotten: it asks the
         other seats, and rejoins above if none of them was told of a newer occupant."""
-        if self.rejoin.is_genesis:
-            return self.rejoin.begin_anew(is_doubted=True)
-        self.fence(incarnation)
+        if self.recovery.is_bootstrap:
+            return self.recovery.begin(is_disputed=True)
+        self.yield_to(incarnation)
 
-    def fence(self, incarnation):
-        self.state = FENCED
+    def yield_to(self, incarnation):
+        """A newer instance of this replica runs: this one votes no more."""
+        self.state = ReplicaState.SUPERSEDED
         self.node.ports.log(1204, seat=self.replica_id, incarnation=incarnation)
         if self.is_learned:
             self.retire()
@@ -405,7 +420,7 @@
                 self.node.ports.log(1205, key=key)
                 return self._refuse(message, say, "disk")
             self.is_failing = False
-            if self.state != VOTING or message["incarnation"] != self.incarnation:
+            if self.state != ReplicaState.VOTING or message["incarnation"] != self.incarnation:
                 return
             self.node.send_untyped(
                 message["back"],
@@ -443,7 +458,7 @@
         )
 
     def restore(self):
-        return self.rejoin.restore()
+        return self.recovery.restore()
 
     def tick(self, now_us):
         passed_us = now_us - self.ticked_us
@@ -452,20 +467,20 @@
         self.ticked_us = now_us
         if leap_us > 0 and self.votes_from_us:
             self.votes_from_us += leap_us
-        self.leaving.tick(now_us)
-        self.successor.tick(now_us)
-        if self.state == VOTING:
-            self.occupants.tick(now_us)
+        self.departure.tick(now_us)
+        self.succession.tick(now_us)
+        if self.state == ReplicaState.VOTING:
+            self.instances.tick(now_us)
             newest = self.directory.replicas()[self.replica_id][1]
             if newest > self.incarnation:
                 return self._hear_newer(newest)
             return self._sweep_claims(now_us)
-        if self.state == SPARE:
-            return self.occupants.search(now_us)
-        if self.sealed is not None and self.state != SEALED:
-            self.leaving.ask_fate(now_us)
-        if self.state not in (FENCED, BEGINNING, SEALED, LEARNING):
-            self.rejoin.tick(now_us)
+        if self.state == ReplicaState.SPARE:
+            return self.assignment.tick(now_us)
+        if self.fence_record is not None and self.state != ReplicaState.FENCED:
+            self.departure.query_outcome(now_us)
+        if self.state in IN_RECOVERY:
+            self.recovery.tick(now_us)
 
     def _sweep_claims(self, now_us):
         if now_us - self.clocked_us < SWEEP_US:
--- a/packages/consensus/src/linkhaven/consensus/replica_instances.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_instances.py
@@ -1,226 +1,180 @@
-SEARCH_US = 200_000
-FRESH_US = 700_000
-LOOK_US = 500_000
-LOST_VACANCIES, CALLED_VACANCIES = 4, 2
+"""Which node ran last as each replica, as this voting replica has recorded it.
+
+| message | what it does here |
+| --- | --- |
+| `EpochAnnouncement` | `record`: takes a newer incarnation, refuses any other instance of one |
+| `InstancesQuery` | a voting replica tells a spare who runs as what, and who is gone |
+
+What membership says of another replica is taken in, too, where it is as new: so a spare that asks
+is told the node that runs now. The records are on disk under one key, written here and with each
+`EpochAnnouncement`; how long a node has been gone is known in memory only, so a restarted replica
+waits the whole `Bounds.vacant_us` again before it calls another one vacant.
+"""
+
+from collections.abc import Iterable
+from typing import Any, Protocol
+
+from linkhaven.runtime import Node
+
+from .assignment_messages import InstancesQuery, InstancesReport, InstanceStatus
+from .recovery_messages import EpochAnnouncement
+from .replica_records import ReplicaInstance, ReplicaRecord
+
+CHECK_US = 500_000
+UNKNOWN = ReplicaInstance(0, "", "", "")
+
+
+class InstanceDirectory(Protocol):
+    """The members that membership knows."""
+
+    peers: dict[str, Any]
+
+    def replica_members(self) -> dict[str, Any]:
+        """The newest member that is known of each replica."""
+
+
+class RecordingReplica(Protocol):
+    """The replica that records the others' instances."""
+
+    replica_id: str
+    replica_ids: tuple[str, ...]
+    directory: InstanceDirectory
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it votes now."""
 
 
 class ReplicaInstances:
-    """Who has which seat. A voting seat keeps the last occupant of each on its disk and says which stand vacant; a
-    spare asks all of them, and takes a seat that all who answer hold for vacant, or that was its own."""
-
-    __slots__ = (
-        "node",
-        "replica",
-        "records",
-        "gone_us",
-        "looked_us",
-        "told",
-        "asked_us",
-        "contact",
-        "lost_us",
-    )
-
-    def __init__(self, node, replica, records):
+    """Owns the record of each replica's last instance, and since when that one is gone."""
+
+    __slots__ = ("node", "replica", "records", "gone_since_us", "checked_us")
+
+    def __init__(
+        self, node: Node, replica: RecordingReplica, records: dict[str, ReplicaInstance]
+    ) -> None:
+        """`records`: as the disk has them."""
         self.node = node
         self.replica = replica
         self.records = records
-        self.gone_us = {}
-        self.looked_us = 0
-        self.told = {}
-        self.asked_us = 0
-        self.contact = node.address
-        self.lost_us = None
-        node.map_handlers.update(occupants=self.hear_ask, occupants_told=self.hear_told)
-
-    @property
-    def is_trying(self):
-        """A spare on its way to a seat that it never voted on."""
-        return self.replica.is_learned and self.replica.is_empty and bool(self.replica.replica_id)
+        self.gone_since_us: dict[str, int] = {}
+        self.checked_us = 0
+        node.register_handler(InstancesQuery, self.on_instances_query)
 
-    def addresses(self):
-        return [address for _, _, _, address in self.records.values()]
+    def addresses(self) -> list[str]:
+        """Where the recorded instances were last."""
+        return [instance.address for instance in self.records.values()]
 
-    def emptied(self):
-        """Seats whose last occupant runs and has none: its disk is lost, and nothing more will come from it."""
-        members = self.replica.directory.peers
+    def emptied(self) -> set[str]:
+        """Replicas whose last node runs as a spare: its disk is lost, nothing more comes from it."""
         return {
             replica_id
-            for replica_id, (_, _, name, address) in self.records.items()
-            if name in members
-            and members[name].is_up
-            and members[name].address == address
-            and not members[name].replica_id
+            for replica_id, instance in self.records.items()
+            if self._runs_as_spare(instance)
         }
 
-    def name_of(self, replica_id):
-        return self.records[replica_id][2] if replica_id in self.records else ""
+    def _runs_as_spare(self, instance: ReplicaInstance) -> bool:
+        member = self.replica.directory.peers.get(instance.name)
+        return (
+            member is not None
+            and member.is_up
+            and member.address == instance.address
+            and not member.replica_id
+        )
+
+    def name_of(self, replica_id: str) -> str:
+        """The node that ran last as a replica; "" where none is known by name."""
+        return self.records.get(replica_id, UNKNOWN).name
 
-    def expect(self, contacts):
-        """A first start: the contacts take the first seats."""
+    def expect(self, contacts: Iterable[str]) -> None:
+        """Record a first start, in which the contacts become the first replicas in their order."""
         for replica_id, contact in zip(self.replica.replica_ids, contacts, strict=False):
             if replica_id != self.replica.replica_id:
-                self.records[replica_id] = [1, "", "", contact]
-
-    def note(self, message):
-        """One occupant for each incarnation of a seat; answers whether it is this one."""
-        replica_id, incarnation, start = message["seat"], message["incarnation"], message["start"]
-        held = self.records.get(replica_id)
-        if held is not None:
-            if incarnation < held[0]:
-                return False
-            is_other = held[1] != start if held[1] else held[2] not in ("", message["name"])
-            if incarnation == held[0] and is_other:
-                return False
-        self.records[replica_id] = [incarnation, start, message["name"], message["back"]]
-        self.gone_us.pop(replica_id, None)
+                self.records[replica_id] = ReplicaInstance(1, "", "", contact)
+
+    def record(self, announcement: EpochAnnouncement) -> bool:
+        """Record one instance for each incarnation; False where this isn't the one."""
+        replica_id, incarnation = announcement.replica_id, announcement.incarnation
+        known = self.records.get(replica_id)
+        if known is not None and not self._may_replace(known, announcement):
+            return False
+        self.records[replica_id] = ReplicaInstance(
+            incarnation, announcement.start, announcement.sender, announcement.reply_to
+        )
+        self.gone_since_us.pop(replica_id, None)
         return True
 
-    def tick(self, now_us):
-        if now_us - self.looked_us < LOOK_US:
+    def _may_replace(self, known: ReplicaInstance, announcement: EpochAnnouncement) -> bool:
+        """A start counts as another instance; one known from membership only, by its name."""
+        if announcement.incarnation != known.incarnation:
+            return announcement.incarnation > known.incarnation
+        if known.start:
+            return known.start == announcement.start
+        return known.name in ("", announcement.sender)
+
+    def tick(self, now_us: int) -> None:
+        """Look who is gone, so that its absence is counted from now on, and who is new."""
+        if now_us - self.checked_us < CHECK_US:
             return
-        self.looked_us = now_us
+        self.checked_us = now_us
         for replica_id in self.records:
             self._is_vacant(replica_id, now_us)
-        if self._learn():
-            self.node.ports.storage.write({"occupants": dict(self.records)}, lambda is_kept: None)
+        if self._learn_from_membership():
+            record = ReplicaRecord(instances=self.records)
+            self.node.ports.storage.write(record.as_items(), lambda is_kept: None)
 
-    def _learn(self):
+    def _learn_from_membership(self) -> bool:
+        """Take in what members say of themselves; whether anything was new."""
         is_new = False
         for replica_id, member in self.replica.directory.replica_members().items():
-            held = self.records.get(replica_id)
-            if (
-                replica_id == self.replica.replica_id
-                or held is not None
-                and member.replica_incarnation < held[0]
+            known = self.records.get(replica_id, UNKNOWN)
+            if replica_id == self.replica.replica_id or (
+                member.replica_incarnation < known.incarnation
             ):
                 continue
-            start = held[1] if held is not None and held[0] == member.replica_incarnation else ""
-            if start and held[2] != member.name:
+            start = known.start if known.incarnation == member.replica_incarnation else ""
+            if start and known.name != member.name:
                 continue
-            record = [member.replica_incarnation, start, member.name, member.address]
-            if record != held:
+            record = ReplicaInstance(member.replica_incarnation, start, member.name, member.address)
+            if record != self.records.get(replica_id):
                 self.records[replica_id] = record
                 is_new = True
         return is_new
 
-    def _is_vacant(self, replica_id, now_us):
-        held = self.records.get(replica_id)
-        if held is None:
+    def _is_vacant(self, replica_id: str, now_us: int) -> bool:
+        """Nobody runs as this replica: nobody ever did, or who did left or is gone for long."""
+        known = self.records.get(replica_id)
+        if known is None:
             return True
         member = self.replica.directory.replica_members().get(replica_id)
-        if member is not None and member.replica_incarnation >= held[0]:
+        if member is not None and member.replica_incarnation >= known.incarnation:
             if member.has_left:
                 return True
             if member.is_up:
-                self.gone_us.pop(replica_id, None)
+                self.gone_since_us.pop(replica_id, None)
                 return False
-        return now_us - self.gone_us.setdefault(replica_id, now_us) >= self.node.bounds.vacant_us
+        gone_us = now_us - self.gone_since_us.setdefault(replica_id, now_us)
+        return gone_us >= self.node.bounds.vacant_us
 
-    def is_taken(self, message):
-        """By another than the one who asks."""
-        replica_id = message["seat"]
+    def is_taken(self, replica_id: str, name: str, address: str) -> bool:
+        """Whether another node than this one runs as the replica."""
         if replica_id == self.replica.replica_id:
             return True
-        _, _, name, address = self.records.get(replica_id, [0, "", "", ""])
-        return (
-            name != message["name"]
-            and address != message["back"]
-            and not self._is_vacant(replica_id, self.node.now_us())
-        )
+        known = self.records.get(replica_id, UNKNOWN)
+        is_other = known.name != name and known.address != address
+        return is_other and not self._is_vacant(replica_id, self.node.now_us())
 
-    def hear_ask(self, message):
+    def on_instances_query(self, query: InstancesQuery) -> None:
+        """Tell a spare who runs as what; only a voting replica knows."""
         if not self.replica.is_voting:
             return
         now_us = self.node.now_us()
-        self._learn()
-        table = {self.replica.replica_id: [self.node.name, self.node.address, False]}
+        self._learn_from_membership()
+        own_id = self.replica.replica_id
+        instances = {own_id: InstanceStatus(self.node.name, self.node.address, False)}
         for replica_id in self.replica.replica_ids:
-            if replica_id != self.replica.replica_id:
-                _, _, name, address = self.records.get(replica_id, [0, "", "", ""])
-                table[replica_id] = [name, address, self._is_vacant(replica_id, now_us)]
-        self.node.send_untyped(
-            message["back"], "occupants_told", seat=self.replica.replica_id, table=table
-        )
-
-    def hear_told(self, message):
-        if self.replica.replica_id or self.replica.successor.is_learning():
-            return
-        self.told[message["seat"]] = (message["table"], self.node.now_us())
-        self._choose()
-
-    def search(self, now_us):
-        if now_us - self.asked_us < SEARCH_US:
-            return
-        self.asked_us = now_us
-        for address, _ in self.replica.directory.replicas().values():
-            self.node.send_untyped(address, "occupants")
-        self._begin_anew(now_us)
-
-    def _begin_anew(self, now_us):
-        """Every disk of the core is lost: as many spares as there are seats, and a router, know of no seat that was
-        ever taken. They take the seats in the order of their names and begin as a first start does."""
-        directory = self.replica.directory
-        vacant_us = self.node.bounds.vacant_us
-        if not self._is_core_lost(directory):
-            self.lost_us = None
-            return
-        if self.lost_us is None:
-            self.lost_us = now_us
-        is_called = any(member.replica_id for member in directory.peers.values())
-        if now_us - self.lost_us < vacant_us * (CALLED_VACANCIES if is_called else LOST_VACANCIES):
-            return
-        self.lost_us = None
-        names = sorted(
-            [self.node.name, *(member.name for member in directory.live_members("registry"))]
-        )
-        place = names.index(self.node.name)
-        if place < len(self.replica.replica_ids):
-            self.replica.take_anew(self.replica.replica_ids[place])
-
-    def _is_core_lost(self, directory):
-        if self.told or not self.replica.is_empty or not directory.live_members("router"):
-            return False
-        if any(
-            member.replica_id and member.replica_incarnation for member in directory.peers.values()
-        ):
-            return False
-        return len(directory.live_members("registry")) + 1 >= len(self.replica.replica_ids)
-
-    def _choose(self):
-        now_us = self.node.now_us()
-        tables = [table for table, told_us in self.told.values() if now_us - told_us < FRESH_US]
-        if len(tables) < len(self.replica.replica_ids) - self.replica.majority + 1:
-            return
-        own = [
-            replica_id
-            for replica_id in self.replica.replica_ids
-            if all(self._is_own(table[replica_id]) for table in tables)
-        ]
-        vacant = [
-            replica_id
-            for replica_id in self.replica.replica_ids
-            if all(table[replica_id][2] for table in tables)
-        ]
-        if own:
-            return self._take(own[0])
-        newcomers = sorted(
-            [
-                self.node.name,
-                *(
-                    member.name
-                    for member in self.replica.directory.live_members("registry")
-                    if not member.replica_id
-                ),
-            ]
-        )
-        place = newcomers.index(self.node.name)
-        if place < len(vacant):
-            self._take(vacant[place])
-
-    def _is_own(self, row):
-        name, address, _ = row
-        return name == self.node.name or address in (self.node.address, self.contact)
-
-    def _take(self, replica_id):
-        self.told = {}
-        self.replica.take(replica_id)
+            if replica_id != own_id:
+                known = self.records.get(replica_id, UNKNOWN)
+                is_vacant = self._is_vacant(replica_id, now_us)
+                instances[replica_id] = InstanceStatus(known.name, known.address, is_vacant)
+        self.node.send(query.reply_to, InstancesReport(replica_id=own_id, instances=instances))
--- /dev/null
+++ b/packages/consensus/src/linkhaven/consensus/replica_records.py
@@ -0,0 +1,77 @@
+"""What a replica keeps on disk about instances and hand-overs, as its bytes stand there."""
+
+from typing import Any
+
+import msgspec
+from msgspec import UNSET, UnsetType
+
+
+class ReplicaInstance(msgspec.Struct, array_like=True, frozen=True):
+    """The node that ran last as a replica, as far as it is recorded."""
+
+    incarnation: int
+    start: str
+    """Its process start; "" where only its membership record is known."""
+
+    name: str
+    """Its node name; "" for the contact of a first start, which is known by address only."""
+
+    address: str
+
+
+class HandoverRecord(msgspec.Struct):
+    """The last hand-over that this disk agreed to take, and how it ended."""
+
+    handover_id: str = msgspec.field(name="id")
+    is_taken: bool
+
+
+class FenceRecord(msgspec.Struct, frozen=True, kw_only=True):
+    """A departing replica gave its vote away under this incarnation."""
+
+    handover_id: str = msgspec.field(name="id")
+    successor_name: str = msgspec.field(name="name")
+    successor_address: str = msgspec.field(name="address")
+    incarnation: int
+
+
+class ReplicaRecord(msgspec.Struct, frozen=True, kw_only=True):
+    """The records of one write about the replica itself; what is unset stays as it is.
+
+    None removes a record.
+    """
+
+    replica_id: str | UnsetType = msgspec.field(default=UNSET, name="seat")
+    incarnation: int | UnsetType = UNSET
+    known_incarnations: dict[str, int] | UnsetType = msgspec.field(default=UNSET, name="known")
+    clock_us: int | UnsetType = UNSET
+    """Time lived through by all instances of this replica, by which claims expire."""
+
+    is_partial: bool | None | UnsetType = UNSET
+    """The registers on this disk are not all that the replica accepted."""
+
+    fence: FenceRecord | None | UnsetType = msgspec.field(default=UNSET, name="sealed")
+    are_claims_open: bool | UnsetType = UNSET
+    instances: dict[str, ReplicaInstance] | UnsetType = msgspec.field(
+        default=UNSET, name="occupants"
+    )
+    handover: HandoverRecord | UnsetType = msgspec.field(default=UNSET, name="offer")
+
+    def as_items(self) -> dict[str, Any]:
+        """Keys and values as the disk takes them."""
+        return msgspec.to_builtins(self)
+
+
+def read_instances(document: dict[str, Any] | None) -> dict[str, ReplicaInstance]:
+    """The recorded instances of a disk; none where it has none."""
+    return msgspec.convert(document or {}, dict[str, ReplicaInstance])
+
+
+def read_fence(document: dict[str, Any] | None) -> FenceRecord | None:
+    """The fence of a disk, or None where it never departed or was cleared for recovery."""
+    return None if document is None else msgspec.convert(document, FenceRecord)
+
+
+def read_handover(document: dict[str, Any] | None) -> HandoverRecord | None:
+    """The last hand-over that a disk agreed to take, or None."""
+    return None if document is None else msgspec.convert(document, HandoverRecord)
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -1,164 +1,204 @@
-"""Which other members hold everything that this one has accepted; those that lack a value are sent
-it.
+"""Which other replicas have everything that this one accepted; those that miss a value are sent it.
 
-A leaving member without a successor compares in rounds: it tells each other member its accepted
-ballots, page by
-page; a member answers which of them it lacks, and is sent those values as late accepts of the same
-ballots. A member
-that promised a higher ballot meanwhile can't take them: then the key is read anew, which writes
-its value under a
-higher ballot at a majority. The last round covers only what changed since the one before began."""
+A departing replica without a successor compares in rounds: it sends each other replica its accepted
+ballots, page by page (`BallotPage`); a replica answers which of them it misses (`MissingValues`),
+and is sent those values as late accepts of the same ballots (`LateAccepts`). A replica that
+promised a higher ballot meanwhile can't take them: then the register is read anew, which writes its
+value under a higher ballot at a majority. The last round covers only what changed since the one
+before began.
+
+| message | who gets it | what it does there |
+| --- | --- | --- |
+| `BallotPage` | a voting replica | answers what it misses |
+| `MissingValues` | the departing one, of its present round and page | sends values, or the next page |
+| `LateAccepts` | a voting replica | accepts what it hasn't promised away |
+
+Invariant: only a voting replica counts, and only for an instance that it doesn't refuse
+(`test_without_a_spare_the_others_hold_all_before_a_member_leaves`).
+"""
 
 from bisect import bisect_right
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from linkhaven.runtime import Node
 
-PAGE = 500
+from .recovery_messages import RegisterCopy
+from .replication_messages import BallotPage, LateAccepts, MissingValues
+
+PAGE_KEYS = 500
 RESEND_US = 100_000
 NEVER = -1
 
 
+class ComparedReplica(Protocol):
+    """The replica whose registers are compared."""
+
+    replica_id: str
+    majority: int
+    incarnation: int
+    known_incarnations: dict[str, int]
+    states: dict[str, Any]
+    change_count: int
+    directory: Any
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it votes now."""
+
+    def register_state(self, key: str) -> Any:
+        """The state of a register, an empty one where it was never written."""
+
+    def merge(self, registers: dict[str, RegisterCopy]) -> dict[str, Any]:
+        """Take in the highest ballots of another replica; gives the records to write."""
+
+
 class ReplicationCheck:
-    """The rounds of a leaving member, and the answers of those that stay."""
+    """The rounds of a departing replica, and the answers of those that stay."""
 
     __slots__ = (
         "node",
         "replica",
-        "round",
+        "round_number",
         "keys",
         "cursors",
-        "versions",
+        "began_at_change",
         "sent_us",
-        "on_stuck",
+        "on_outbid",
     )
 
-    def __init__(self, node, replica):
-        """`on_stuck(key)` is called for a value that only a higher ballot can write."""
+    def __init__(
+        self, node: Node, replica: ComparedReplica, on_outbid: Callable[[str], None]
+    ) -> None:
+        """`on_outbid(key)` is called for a value that only a higher ballot can write."""
         self.node = node
         self.replica = replica
-        self.round = 0
-        self.keys = []
-        self.cursors = {}
-        self.versions = [NEVER, NEVER]
+        self.on_outbid = on_outbid
+        self.round_number = 0
+        self.keys: list[str] = []
+        self.cursors: dict[str, str | None] = {}
+        self.began_at_change = NEVER
         self.sent_us = 0
-        self.on_stuck = lambda key: None
-        node.map_handlers.update(
-            holders_page=self.on_page,
-            holders_lack=self.on_lack,
-            holders_late=self.on_late,
-        )
+        node.register_handler(BallotPage, self.on_ballot_page)
+        node.register_handler(MissingValues, self.on_missing_values)
+        node.register_handler(LateAccepts, self.on_late_accepts)
 
-    def begin_round(self, is_final):
+    def begin_round(self, is_final: bool) -> None:
         """The final round looks only at what changed since the round before it began."""
-        since = self.versions[1] if is_final else NEVER
-        self.versions = [since, self.replica.change_count]
-        self.round += 1
+        replica = self.replica
+        since = self.began_at_change if is_final else NEVER
+        self.began_at_change = replica.change_count
+        self.round_number += 1
         self.keys = sorted(
             key
-            for key, register_state in self.replica.states.items()
-            if register_state.version > since and register_state.accepted is not None
+            for key, state in replica.states.items()
+            if state.version > since and state.accepted is not None
         )
-        self.cursors = {
-            name: ""
-            for name in self.replica.directory.replicas()
-            if name != self.replica.replica_id
-        }
+        others = (name for name in replica.directory.replicas() if name != replica.replica_id)
+        self.cursors = dict.fromkeys(others, "")
         self._send_all()
 
-    def is_held_without_us(self):
-        """A majority of all seats, this one not among them, holds all of this round."""
-        ended = sum(cursor is None for cursor in self.cursors.values())
-        return ended >= self.replica.majority
+    def is_replicated(self) -> bool:
+        """A majority of all replicas, this one not among them, has all of this round."""
+        num_ended = sum(cursor is None for cursor in self.cursors.values())
+        return num_ended >= self.replica.majority
 
-    def tick(self, now_us):
+    def tick(self, now_us: int) -> None:
         """Send the open pages again: messages and their answers may be lost."""
         if now_us - self.sent_us >= RESEND_US:
             self._send_all()
 
-    def _send_all(self):
+    def _send_all(self) -> None:
         self.sent_us = self.node.now_us()
-        for name in self.cursors:
-            if self.cursors[name] is not None:
-                self._send_page(name)
+        for name, cursor in self.cursors.items():
+            if cursor is not None:
+                self._send_ballot_page(name, cursor)
 
-    def _page(self, after):
-        place = bisect_right(self.keys, after)
-        return self.keys[place : place + PAGE]
+    def _page(self, after: str) -> list[str]:
+        first = bisect_right(self.keys, after)
+        return self.keys[first : first + PAGE_KEYS]
 
-    def _send_page(self, name):
-        holder = self.replica.directory.replicas().get(name)
-        if holder is None:
+    def _send_ballot_page(self, name: str, cursor: str) -> None:
+        replica = self.replica
+        found = replica.directory.replicas().get(name)
+        if found is None:
             return
-        page = [key for key in self._page(self.cursors[name]) if key in self.replica.states]
-        self.node.send_untyped(
-            holder[0],
-            "holders_page",
-            round=self.round,
-            after=self.cursors[name],
-            seat=self.replica.replica_id,
-            incarnation=self.replica.incarnation,
-            ballots={key: self.replica.states[key].accepted for key in page},
+        page = BallotPage(
+            round_number=self.round_number,
+            after=cursor,
+            replica_id=replica.replica_id,
+            incarnation=replica.incarnation,
+            ballots={
+                key: replica.states[key].accepted
+                for key in self._page(cursor)
+                if key in replica.states
+            },
         )
+        self.node.send(found[0], page)
 
-    def on_page(self, message):
-        """Say which values this member lacks. Only a voting member counts as a holder."""
-        replica = self.replica
-        if not replica.is_voting or message["incarnation"] < replica.known_incarnations.get(
-            message["seat"], 0
-        ):
+    def _takes_from(self, message: BallotPage | LateAccepts) -> bool:
+        """A replica that doesn't vote counts for nothing; an older instance is fenced."""
+        newest = self.replica.known_incarnations.get(message.replica_id, 0)
+        return self.replica.is_voting and message.incarnation >= newest
+
+    def on_ballot_page(self, page: BallotPage) -> None:
+        """Say which values this replica misses."""
+        if not self._takes_from(page):
             return
-        lacking, stuck = [], []
-        for key, ballot in message["ballots"].items():
-            register_state = replica.register_state(key)
-            if register_state.accepted is not None and register_state.accepted >= ballot:
+        missing: list[str] = []
+        outbid: list[str] = []
+        for key, ballot in page.ballots.items():
+            state = self.replica.register_state(key)
+            if state.accepted is not None and state.accepted >= ballot:
                 continue
-            (stuck if register_state.promise > ballot else lacking).append(key)
-        self.node.send_untyped(
-            message["back"],
-            "holders_lack",
-            seat=replica.replica_id,
-            round=message["round"],
-            after=message["after"],
-            lacking=lacking,
-            stuck=stuck,
+            (outbid if state.promise > ballot else missing).append(key)
+        answer = MissingValues(
+            replica_id=self.replica.replica_id,
+            round_number=page.round_number,
+            after=page.after,
+            missing=missing,
+            outbid=outbid,
         )
+        self.node.send(page.reply_to, answer)
 
-    def on_lack(self, message):
-        """Send what is lacking; go on to the next page once nothing is."""
-        name = message["seat"]
-        if message["round"] != self.round or self.cursors.get(name) != message["after"]:
+    def on_missing_values(self, answer: MissingValues) -> None:
+        """Send what is missing; go on to the next page once nothing is."""
+        name, cursor = answer.replica_id, answer.after
+        if answer.round_number != self.round_number or self.cursors.get(name) != cursor:
             return
-        for key in message["stuck"]:
-            self.on_stuck(key)
-        if message["lacking"]:
-            return self._send_late(message["back"], message["lacking"])
-        if message["stuck"]:
+        for key in answer.outbid:
+            self.on_outbid(key)
+        if answer.missing:
+            return self._send_late_accepts(answer.reply_to, answer.missing)
+        if answer.outbid:
             return
-        page = self._page(message["after"])
+        page = self._page(cursor)
         is_last = not page or page[-1] == self.keys[-1]
         self.cursors[name] = None if is_last else page[-1]
         if not is_last:
-            self._send_page(name)
+            self._send_ballot_page(name, page[-1])
 
-    def _send_late(self, address, keys):
+    def _send_late_accepts(self, address: str, keys: list[str]) -> None:
         states = self.replica.states
-        self.node.send_untyped(
-            address,
-            "holders_late",
-            seat=self.replica.replica_id,
+        accepts = LateAccepts(
+            replica_id=self.replica.replica_id,
             incarnation=self.replica.incarnation,
-            cells={key: [states[key].accepted, states[key].value] for key in keys if key in states},
+            registers={
+                key: (states[key].accepted, states[key].value) for key in keys if key in states
+            },
         )
+        self.node.send(address, accepts)
 
-    def on_late(self, message):
-        """An accept that comes late is kept as one that came in time; the next page asks again
-        what is lacking."""
-        replica = self.replica
-        if not replica.is_voting or message["incarnation"] < replica.known_incarnations.get(
-            message["seat"], 0
-        ):
+    def on_late_accepts(self, accepts: LateAccepts) -> None:
+        """Keep an accept that comes late as one that came in time, unless it was promised away.
+
+        The next page asks again what is missing, so a write that fails needs no answer.
+        """
+        if not self._takes_from(accepts):
             return
-        states = {
-            key: [ballot, ballot, value]
-            for key, (ballot, value) in message["cells"].items()
-            if replica.register_state(key).promise <= ballot
+        registers = {
+            key: (ballot, ballot, value)
+            for key, (ballot, value) in accepts.registers.items()
+            if self.replica.register_state(key).promise <= ballot
         }
-        self.node.ports.storage.write(replica.merge(states), lambda is_kept: None)
+        self.node.ports.storage.write(self.replica.merge(registers), lambda is_kept: None)
--- /dev/null
+++ b/packages/consensus/src/linkhaven/consensus/replication_messages.py
@@ -0,0 +1,43 @@
+"""Messages by which a departing replica compares what it accepted with the others, as on the wire.
+
+`BallotPage` is answered by `MissingValues`, that by `LateAccepts`, until nothing is missing.
+"""
+
+from typing import Any
+
+import msgspec
+
+from linkhaven.runtime import Message
+
+from .recovery_messages import Ballot
+
+
+class BallotPage(Message, frozen=True, tag="holders_page"):
+    """The accepted ballots of one page of a departing replica's registers."""
+
+    round_number: int = msgspec.field(name="round")
+    after: str
+    """The page cursor: the last key of the page before, "" for the first page."""
+
+    replica_id: str = msgspec.field(name="seat")
+    incarnation: int
+    ballots: dict[str, Ballot]
+
+
+class MissingValues(Message, frozen=True, tag="holders_lack"):
+    """Which registers of a page the sender has under a lower ballot or not at all."""
+
+    replica_id: str = msgspec.field(name="seat")
+    round_number: int = msgspec.field(name="round")
+    after: str
+    missing: list[str] = msgspec.field(name="lacking")
+    outbid: list[str] = msgspec.field(name="stuck")
+    """Missing, and promised to a higher ballot: a late accept of theirs would be refused."""
+
+
+class LateAccepts(Message, frozen=True, tag="holders_late"):
+    """The values that were missing, each with the ballot under which it was accepted."""
+
+    replica_id: str = msgspec.field(name="seat")
+    incarnation: int
+    registers: dict[str, tuple[Ballot, Any]] = msgspec.field(name="cells")
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -1,262 +1,327 @@
-"""How a spare takes over the seat of a member that leaves: it learns first, and votes only with
-the whole state.
-
-| state | event | next |
-| --- | --- | --- |
-| IDLE | offer, and it is a spare | LEARNING: read the voting member page by page |
-| LEARNING | last page | PROBING: ask the others whether they hear it |
-| PROBING | f others that vote have answered | READY: ask for the seal |
-| READY | seal | TAKING: read what changed since the first page |
-| TAKING | last page | KEEPING: sync seat, incarnation and state in one write |
-| KEEPING | synced | IDLE: an occupant with a disk; once the others recorded it, it votes |
-| KEEPING | the disk refuses | IDLE: a spare again |
-| LEARNING, PROBING, READY, TAKING | silence for PATIENCE_US | IDLE: a spare again, and says so |
+"""How a spare succeeds a departing replica: it reads first, and votes only with the whole state.
+
+| state | message or event | what it does | next |
+| --- | --- | --- | --- |
+| IDLE | `HandoverOffer`, and it is a spare | syncs the offer, reads page by page | READING |
+| IDLE | `HandoverOffer`, `HandoverSeal`, `HandoverQuery` of its last one | outcome | IDLE |
+| READING | last `StatePage` | probes whether the other replicas hear it | PROBING |
+| PROBING | `ReachabilityReply` of f replicas that vote | says that it is ready | READY |
+| READY | `HandoverSeal` | reads what changed since the first page | READING_REST |
+| READING_REST | last `StatePage` | syncs replica, incarnation and state in one write | SYNCING |
+| SYNCING | synced | it has a disk; once the others recorded it, it votes | IDLE |
+| SYNCING | the disk refuses | a spare again | IDLE |
+| READING to READING_REST | silence for `PATIENCE_US`, or `HandoverQuery` | a spare again, says so | IDLE |
+
+What stands in no row of its state is ignored.
 
 Invariant: it answers "not taken" only to a hand-over that it accepted and synced, and never takes
-that one later
-(`test_a_successor_that_gave_up_never_takes_the_seat_later`)."""
+that one later (`test_a_successor_that_gave_up_never_takes_the_seat_later`).
+"""
 
+from collections.abc import Callable
 from enum import Enum
-
-from .recovery import LEARNING, SPARE
+from typing import Any, Protocol
+
+from linkhaven.runtime import Node
+
+from .handover_messages import (
+    HandoverOffer,
+    HandoverOutcome,
+    HandoverQuery,
+    HandoverSeal,
+    ReachabilityProbe,
+    ReachabilityReply,
+    SuccessorReady,
+)
+from .recovery_messages import PageRequest, RegisterCopy, StatePage
+from .replica_records import HandoverRecord, ReplicaRecord
+from .replica_state import ReplicaState
 
 RESEND_US = 100_000
 PATIENCE_US = 2_000_000
 
 
 class SuccessionState(Enum):
-    """Where a spare stands between the offer of a seat and its first vote."""
+    """Where a spare stands between the offer of a replica and its first vote."""
 
     IDLE = "idle"
-    LEARNING = "learning"
+    READING = "reading"
     PROBING = "probing"
     READY = "ready"
-    TAKING = "taking"
-    KEEPING = "keeping"
+    READING_REST = "reading_rest"
+    SYNCING = "syncing"
+
+
+class SucceedingReplica(Protocol):
+    """The replica to be, on a node that is a spare."""
+
+    replica_id: str
+    majority: int
+    state: ReplicaState
+    directory: Any
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it votes now."""
+
+    def merge(self, registers: dict[str, RegisterCopy]) -> dict[str, Any]:
+        """Take in the highest ballots of another replica; gives the records to write."""
+
+    def take_over(
+        self, seal: HandoverSeal, handover: HandoverRecord, done: Callable[[bool], None]
+    ) -> None:
+        """Become the next instance of the departing replica, in one write."""
+
+    def begin_with_state(self, wait_us: int) -> None:
+        """Have the others record the new instance, then vote."""
+
+    def retire(self) -> None:
+        """Become a spare."""
 
 
 class Succession:
-    """The taking side of a hand-over."""
+    """The succeeding side of a hand-over; it owns `last_handover`, which is on disk."""
 
     __slots__ = (
         "node",
         "replica",
         "state",
-        "offer",
-        "leaver",
+        "last_handover",
+        "departing_address",
         "cursor",
         "since",
-        "version",
-        "left",
-        "start",
-        "terms",
-        "moved_us",
+        "change_count",
+        "num_remaining",
+        "departing_start",
+        "seal",
+        "progress_us",
         "sent_us",
         "reached",
     )
 
-    def __init__(self, node, replica, offer):
-        """`offer`: the last hand-over that this disk agreed to, and how it ended."""
+    def __init__(
+        self, node: Node, replica: SucceedingReplica, last_handover: HandoverRecord | None
+    ) -> None:
+        """`last_handover`: the last one that this disk agreed to, and how it ended."""
         self.node = node
         self.replica = replica
-        self.offer = offer
-        self.terms = None
+        self.last_handover = last_handover
+        self.seal: HandoverSeal | None = None
         self._reset()
-        node.map_handlers.update(
-            handover_offer=self.on_offer,
-            handover_sealed=self.on_sealed,
-            handover_ask=self.on_ask,
-            handover_probe=self.on_probe,
-            handover_reached=self.on_reached,
-        )
+        node.register_handler(HandoverOffer, self.on_handover_offer)
+        node.register_handler(HandoverSeal, self.on_handover_seal)
+        node.register_handler(HandoverQuery, self.on_handover_query)
+        node.register_handler(ReachabilityProbe, self.on_reachability_probe)
+        node.register_handler(ReachabilityReply, self.on_reachability_reply)
+
+    def is_active(self) -> bool:
+        """Whether a hand-over is under way; it takes no other replica meanwhile."""
+        return self.state is not SuccessionState.IDLE
+
+    def remaining_keys(self) -> dict[str, int | None]:
+        """The departing replica's address and how many keys come after its last page."""
+        if self.departing_address is None:
+            return {}
+        return {self.departing_address: self.num_remaining}
+
+    def _reset(self) -> None:
+        self.state = SuccessionState.IDLE
+        self.departing_address: str | None = None
+        self.cursor: str | None = ""
+        self.since = self.change_count = 0
+        self.num_remaining: int | None = None
+        self.departing_start: str | None = None
+        self.reached: set[str] = set()
+        self.progress_us = self.sent_us = 0
 
-    def is_learning(self):
-        """Whether a hand-over is under way; it takes no other seat meanwhile."""
-        return self.state != SuccessionState.IDLE
+    def _is_last_handover(self, handover_id: str) -> bool:
+        return self.last_handover is not None and self.last_handover.handover_id == handover_id
 
-    def _reset(self):
-        self.state = SuccessionState.IDLE
-        self.leaver = None
-        self.cursor = ""
-        self.since = self.version = 0
-        self.left = None
-        self.start = None
-        self.reached = set()
-        self.moved_us = self.sent_us = 0
-
-    def on_offer(self, message):
-        """Begin to learn; the offer is synced first, so that it can be answered for after a
-        restart."""
-        replica = self.replica
-        if replica.state != SPARE or self.state != SuccessionState.IDLE:
+    # reading while the departing replica votes
+
+    def on_handover_offer(self, offer: HandoverOffer) -> None:
+        """Begin to read; the offer is synced first, so that it can be answered for after a restart.
+
+        An offer that comes again was given up here, or taken: it is answered, not taken up.
+        """
+        if self.replica.state is not ReplicaState.SPARE or self.is_active():
             return
-        if self.offer is not None and self.offer["id"] == message["id"]:
-            return self._send_fate(message["back"])
+        if self._is_last_handover(offer.handover_id):
+            return self._send_outcome(offer.reply_to)
         self._reset()
-        self.state = SuccessionState.LEARNING
-        replica.state = LEARNING
-        self.leaver = message["back"]
-        self.offer = {"id": message["id"], "is_taken": False}
-        self.moved_us = self.node.now_us()
-        self.node.ports.log(1211, seat=message["seat"], leaver=message["name"])
-        offer = self.offer
-
-        def go_on(is_kept):
-            if self.offer is not offer or self.state != SuccessionState.LEARNING:
+        self.state = SuccessionState.READING
+        self.replica.state = ReplicaState.LEARNING
+        self.departing_address = offer.reply_to
+        handover = self.last_handover = HandoverRecord(offer.handover_id, is_taken=False)
+        self.progress_us = self.node.now_us()
+        self.node.ports.log(1211, seat=offer.replica_id, leaver=offer.sender)
+
+        def on_synced(is_kept: bool) -> None:
+            if self.last_handover is not handover or self.state is not SuccessionState.READING:
                 return
             if not is_kept:
                 return self._give_up()
-            self._send_browse()
+            self._send_page_request()
 
-        self.node.ports.storage.write({"offer": offer}, go_on)
+        self.node.ports.storage.write(ReplicaRecord(handover=handover).as_items(), on_synced)
 
-    def _send_browse(self):
+    def _send_page_request(self) -> None:
         self.sent_us = self.node.now_us()
-        self.node.send_untyped(
-            self.leaver,
-            "rejoin_browse",
-            seat="",
-            asked=self.offer["id"],
+        request = PageRequest(
+            replica_id="",
+            transfer=self.last_handover.handover_id,
             after=self.cursor,
             since=self.since,
         )
+        self.node.send(self.departing_address, request)
 
-    def expects(self, message):
-        """Whether this page is the one that is waited for."""
+    def expects(self, page: StatePage) -> bool:
+        """Whether this page is the one that was asked for."""
         return (
-            self.state in (SuccessionState.LEARNING, SuccessionState.TAKING)
-            and message["asked"] == self.offer["id"]
-            and message["after"] == self.cursor
-            and message["since"] == self.since
+            self.state in (SuccessionState.READING, SuccessionState.READING_REST)
+            and self._is_last_handover(page.transfer)
+            and page.after == self.cursor
+            and page.since == self.since
         )
 
-    def on_page(self, message):
-        """Keep one page, and ask for the next."""
-        if self.start not in (None, message["start"]):
+    def on_state_page(self, page: StatePage) -> None:
+        """Sync one page, then ask for the next; pages of two starts don't make one state."""
+        if self.departing_start not in (None, page.start):
             return self._give_up()
-        self.start = message["start"]
-        self.moved_us = self.node.now_us()
-        if not message["after"]:
-            self.version = message["version"]
+        self.departing_start = page.start
+        self.progress_us = self.node.now_us()
+        if not page.after:
+            self.change_count = page.change_count
         self.cursor = None
-        self.left = message["left"]
-        offer = self.offer
+        self.num_remaining = page.num_remaining
+        handover = self.last_handover
 
-        def go_on(is_kept):
-            if self.offer is not offer or self.cursor is not None:
+        def on_synced(is_kept: bool) -> None:
+            if self.last_handover is not handover or self.cursor is not None:
                 return
             if not is_kept:
                 return self._give_up()
-            if message["last"] is None:
-                return self._end_of_pages()
-            self.cursor = message["last"]
-            self._send_browse()
+            if page.next_cursor is None:
+                return self._on_last_page()
+            self.cursor = page.next_cursor
+            self._send_page_request()
 
-        self.node.ports.storage.write(self.replica.merge(message["cells"]), go_on)
+        self.node.ports.storage.write(self.replica.merge(page.registers), on_synced)
 
-    def _end_of_pages(self):
-        if self.state == SuccessionState.TAKING:
-            return self._take()
+    def _on_last_page(self) -> None:
+        if self.state is SuccessionState.READING_REST:
+            return self._take_over()
         self.state = SuccessionState.PROBING
         self._send_probes()
 
-    def _send_probes(self):
-        """Who can't reach those that must record it would leave the seat without a vote."""
+    # being heard by those that must record it
+
+    def _send_probes(self) -> None:
+        """Who can't reach those that must record it would leave the replica without a vote."""
         self.sent_us = self.node.now_us()
+        probe = ReachabilityProbe(handover_id=self.last_handover.handover_id)
         for address, _ in self.replica.directory.replicas().values():
-            if address != self.leaver:
-                self.node.send_untyped(address, "handover_probe", id=self.offer["id"])
+            if address != self.departing_address:
+                self.node.send(address, probe)
 
-    def on_probe(self, message):
-        """A voting member answers a successor to be."""
+    def on_reachability_probe(self, probe: ReachabilityProbe) -> None:
+        """A voting replica answers a successor to be."""
         if self.replica.is_voting:
-            self.node.send_untyped(
-                message["back"], "handover_reached", id=message["id"], seat=self.replica.replica_id
+            reply = ReachabilityReply(
+                handover_id=probe.handover_id, replica_id=self.replica.replica_id
             )
+            self.node.send(probe.reply_to, reply)
 
-    def on_reached(self, message):
-        """Enough others to record it hear it, and are heard."""
-        if self.state != SuccessionState.PROBING or message["id"] != self.offer["id"]:
+    def on_reachability_reply(self, reply: ReachabilityReply) -> None:
+        """Be ready once enough replicas to record it hear it, and are heard."""
+        is_awaited = self.state is SuccessionState.PROBING
+        if not is_awaited or not self._is_last_handover(reply.handover_id):
             return
-        self.reached.add(message["seat"])
+        self.reached.add(reply.replica_id)
         if len(self.reached) < self.replica.majority - 1:
             return
         self.state = SuccessionState.READY
-        self.moved_us = self.node.now_us()
+        self.progress_us = self.node.now_us()
         self._send_ready()
 
-    def _send_ready(self):
+    def _send_ready(self) -> None:
         self.sent_us = self.node.now_us()
-        self.node.send_untyped(self.leaver, "handover_ready", id=self.offer["id"])
+        ready = SuccessorReady(handover_id=self.last_handover.handover_id)
+        self.node.send(self.departing_address, ready)
 
-    def on_sealed(self, message):
-        """The leaving member votes no more: read what it voted for since."""
-        if self.offer is None or message["id"] != self.offer["id"]:
+    # the rest, and the take-over
+
+    def on_handover_seal(self, seal: HandoverSeal) -> None:
+        """The departing replica votes no more: read what it accepted since the first page."""
+        if not self._is_last_handover(seal.handover_id):
             return
-        if self.state == SuccessionState.IDLE:
-            return self._send_fate(message["back"])
-        if self.state != SuccessionState.READY:
+        if self.state is SuccessionState.IDLE:
+            return self._send_outcome(seal.reply_to)
+        if self.state is not SuccessionState.READY:
             return
-        self.state = SuccessionState.TAKING
-        self.terms = message
-        self.since, self.cursor = self.version + 1, ""
-        self.moved_us = self.node.now_us()
-        self._send_browse()
-
-    def _take(self):
-        self.state = SuccessionState.KEEPING
-        self.offer["is_taken"] = True
-
-        def go_on(is_kept):
-            if self.state != SuccessionState.KEEPING:
+        self.state = SuccessionState.READING_REST
+        self.seal = seal
+        self.since, self.cursor = self.change_count + 1, ""
+        self.progress_us = self.node.now_us()
+        self._send_page_request()
+
+    def _take_over(self) -> None:
+        self.state = SuccessionState.SYNCING
+        self.last_handover.is_taken = True
+
+        def on_synced(is_kept: bool) -> None:
+            if self.state is not SuccessionState.SYNCING:
                 return
             if not is_kept:
-                self.offer["is_taken"] = False
+                self.last_handover.is_taken = False
                 return self._give_up()
-            terms = self.terms
             self._reset()
-            self.replica.begin_moved(terms["wait_us"])
+            self.replica.begin_with_state(self.seal.wait_us)
+
+        self.replica.take_over(self.seal, self.last_handover, on_synced)
 
-        self.replica.take_over(self.terms, self.offer, go_on)
+    # how it ended
 
-    def on_ask(self, message):
-        """The leaving member was started again, and asks how it ended."""
-        if self.offer is None or message["id"] != self.offer["id"]:
+    def on_handover_query(self, query: HandoverQuery) -> None:
+        """The departing replica was started again, and asks how it ended; so it can't go on."""
+        if not self._is_last_handover(query.handover_id):
             return
-        if self.state == SuccessionState.KEEPING:
+        if self.state is SuccessionState.SYNCING:
             return
-        if self.state != SuccessionState.IDLE:
+        if self.is_active():
             return self._give_up()
-        self._send_fate(message["back"])
+        self._send_outcome(query.reply_to)
 
-    def _send_fate(self, address):
-        self.node.send_untyped(
-            address, "handover_fate", id=self.offer["id"], is_taken=self.offer["is_taken"]
+    def _send_outcome(self, address: str) -> None:
+        outcome = HandoverOutcome(
+            handover_id=self.last_handover.handover_id, is_taken=self.last_handover.is_taken
         )
+        self.node.send(address, outcome)
 
-    def tell_taken(self):
-        """It votes: the leaving member may go."""
-        if self.offer is not None and self.offer["is_taken"] and self.terms is not None:
-            self._send_fate(self.terms["back"])
+    def on_votes_begun(self) -> None:
+        """The new instance votes: the departing one may go."""
+        handover = self.last_handover
+        if handover is not None and handover.is_taken and self.seal is not None:
+            self._send_outcome(self.seal.reply_to)
 
-    def _give_up(self):
-        leaver = self.leaver
+    def _give_up(self) -> None:
+        address = self.departing_address
         self._reset()
         self.replica.retire()
-        if leaver is not None:
-            self._send_fate(leaver)
+        if address is not None:
+            self._send_outcome(address)
 
-    def tick(self, now_us):
-        """Send again what was not answered; give up a leaving member that fell silent."""
-        if self.state in (SuccessionState.IDLE, SuccessionState.KEEPING):
+    def tick(self, now_us: int) -> None:
+        """Send again what was not answered; give up a departing replica that fell silent."""
+        if self.state in (SuccessionState.IDLE, SuccessionState.SYNCING):
             return
-        if now_us - self.moved_us >= PATIENCE_US:
+        if now_us - self.progress_us >= PATIENCE_US:
             return self._give_up()
         if now_us - self.sent_us < RESEND_US:
             return
-        if self.state == SuccessionState.PROBING:
+        if self.state is SuccessionState.PROBING:
             return self._send_probes()
-        if self.state == SuccessionState.READY:
+        if self.state is SuccessionState.READY:
             return self._send_ready()
         if self.cursor is not None:
-            self._send_browse()
+            self._send_page_request()
--- a/packages/controller/src/linkhaven/controller/bootstrap.py
+++ b/packages/controller/src/linkhaven/controller/bootstrap.py
@@ -12,7 +12,7 @@
     sorted addresses of the nodes that start the core; the first of them get a replica each. A node
     with a disk that isn't empty, or with a replica already, keeps what it has.
     """
-    contact = replica.occupants.contact
+    contact = replica.assignment.contact
     if replica.replica_id or not replica.is_empty or not may_bootstrap or contact not in contacts:
         return
     index = contacts.index(contact)
--- a/packages/controller/src/linkhaven/controller/claim_admission.py
+++ b/packages/controller/src/linkhaven/controller/claim_admission.py
@@ -94,7 +94,7 @@
         self.node.send(address, ClaimsRequest(self._start(), offset))
 
     def _start(self) -> str:
-        return self.replica.rejoin.start
+        return self.replica.recovery.start
 
     def _have_enough_handed_over(self, routers: list[str], now_us: int) -> bool:
         """All routers that run; of a fleet that served before, most that the configuration counts.
--- a/packages/controller/src/linkhaven/controller/local_status.py
+++ b/packages/controller/src/linkhaven/controller/local_status.py
@@ -69,17 +69,14 @@
             incarnation=self.replica.incarnation,
             address=self.node.address,
             learning=self._learning(),
-            leaving=self.replica.leaving.state.value if is_draining else None,
+            leaving=self.replica.departure.state.value if is_draining else None,
         )
 
     def _learning(self) -> dict[str, Any] | None:
         """Whom it still reads, and how many records are left of those that were listed."""
-        successor, rejoin = self.replica.successor, self.replica.rejoin
-        if successor.leaver is not None:
-            return {"left": {successor.leaver: successor.left}}
-        if rejoin.notes:
-            return {"left": {name: rejoin.left.get(name) for name in rejoin.notes}}
-        return None
+        replica = self.replica
+        remaining = replica.succession.remaining_keys() or replica.recovery.remaining_keys()
+        return {"left": remaining} if remaining else None
 
     def facts(self) -> dict[str, Any]:
         """What this node knows of the core."""
@@ -92,7 +89,7 @@
             "are_claims_open": replica.are_claims_open,
             "is_empty": replica.is_empty,
             "is_failing": replica.is_failing,
-            "why": replica.rejoin.wait_reason,
+            "why": replica.recovery.wait_reason,
             "mark": self.watch_server.held_version(),
             "highest_mark": self.snapshot.highest_version,
             "seats": {
@@ -100,8 +97,8 @@
                 for name, (address, incarnation) in self.membership.replicas().items()
             },
             "heard": {
-                name: {"is_voting": state["is_voting"], "is_empty": state["is_empty"]}
-                for name, state in replica.rejoin.told.items()
+                name: {"is_voting": report.is_voting, "is_empty": report.is_empty}
+                for name, report in replica.recovery.reports.items()
             },
             "duties": {
                 name: {"held": lease.is_held(), **to_builtins(lease.record() or NO_LEASE)}
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -95,7 +95,7 @@
         "quorum_contact",
         "router_contact",
         "shutdown",
-        "stuck_keys",
+        "outbid_keys",
     )
 
     def __init__(
@@ -123,7 +123,7 @@
         super().__init__(name, address, ports, bounds)
         self.incarnation = incarnation
         self.snapshot = ConfigurationSnapshot()
-        self.stuck_keys: set[str] = set()
+        self.outbid_keys: set[str] = set()
         self._build_register(zone, seeds, replica_id, contact or address)
         self._build_configuration()
         self._build_singleton_roles(platform, desk_of)
@@ -155,9 +155,9 @@
             self.on_slot_changed,
             self.on_voting_started,
             self.claim_limits,
+            contact=contact,
+            on_outbid=self.on_key_outbid,
         )
-        self.replica.occupants.contact = contact
-        self.replica.holders.on_stuck = self.on_key_stuck
         self.claim_admission = ClaimAdmission(self, self.replica, self.membership, self.snapshot)
         self.proposer.accepted_of = self.replica.accepted_of
 
@@ -224,7 +224,7 @@
         self.router_contact = RouterContactMonitor(
             self, self.watch_server, self.membership, self.leases
         )
-        self.shutdown = GracefulShutdown(self, self.leases, self.replica.leaving, self.membership)
+        self.shutdown = GracefulShutdown(self, self.leases, self.replica.departure, self.membership)
         local = NodeStatus(
             self,
             self.replica,
@@ -302,15 +302,15 @@
         if not self.replica.votes_from_us:
             for lease in self.leases.values():
                 lease.allow_election_now()
-        elif self.replica.rejoin.has_met_no_vote:
+        elif self.replica.recovery.has_met_no_voter:
             self.leases[RUNNER_LIST].assume_vacant()
 
-    def on_key_stuck(self, key: str) -> None:
+    def on_key_outbid(self, key: str) -> None:
         """Too few replicas have the value of a key: write it to a majority under a higher ballot."""
-        if key in self.stuck_keys:
+        if key in self.outbid_keys:
             return
-        self.stuck_keys.add(key)
-        self.proposer.read(key, lambda outcome, value: self.stuck_keys.discard(key))
+        self.outbid_keys.add(key)
+        self.proposer.read(key, lambda outcome, value: self.outbid_keys.discard(key))
 
     def claim_limits(self) -> Any:
         """How long one-time claims are kept, and how many: of the configuration in force."""
--- a/packages/stage/src/linkhaven/stage/changecourse.py
+++ b/packages/stage/src/linkhaven/stage/changecourse.py
@@ -16,7 +16,7 @@
 """
 
 from linkhaven.controller import SINGLETON_ROLES
-from linkhaven.runtime import write_json
+from linkhaven.runtime import write_json, write_line
 
 from .core import SimCore
 from .cutcourse import PLAN
@@ -32,6 +32,7 @@
 STAGGER_US = 200_000
 RESTARTED, WIPED, NEW, WOKEN = "restarted", "wiped", "new", "woken"
 ALL_KILLED, ALL_POWERLESS = "all_killed", "all_powerless"
+CONSENSUS = "linkhaven.consensus"
 RING_LINES = ("hello", "members", "beat", "verdict", "bye", "ask", "news")
 
 
@@ -216,11 +217,14 @@
     for say, hear in list(node.map_handlers.items()):
         if say not in RING_LINES:
             node.map_handlers[say] = _counting(hear, found)
+    for message_type, hear in list(node.handlers.items()):
+        if message_type.__module__.startswith(CONSENSUS):
+            node.register_handler(message_type, _counting(hear, found))
 
 
 def _counting(hear, found):
     def count(message):
-        found.sent_bytes += 0 if found.took_us is not None else len(write_json(message))
+        found.sent_bytes += 0 if found.took_us is not None else len(write_line(message)) - 1
         hear(message)
 
     return count
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -1,6 +1,8 @@
 """The only module of the explorer that touches the insides of the real nodes: how one is built, what its
 messages say, how it is asked, and what it holds. A rename in the nodes is followed here."""
 
+from enum import Enum
+
 from linkhaven.configuration import (
     BlobExchange,
     BlobStore,
@@ -84,7 +86,6 @@
         self.replica = Replica(
             self, None, seats, self.membership, lambda key: None, self._hear_votes
         )
-        self.replica.occupants.contact = address
         self.snapshot = ConfigurationSnapshot()
         pending = PendingBlobs()
         self.blobs = BlobStore(self, self.replica, pending)
@@ -299,6 +300,8 @@
                 key=lambda row: row[0],
             )
         )
+    if isinstance(thing, Enum):
+        return (type(thing).__name__, thing.value)
     if callable(thing):
         return "function"
     if id(thing) in met:
--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -31,15 +31,15 @@
 
 
 def vote_before_reading(monkeypatch):
-    weigh = Recovery._weigh
+    weigh = Recovery._weigh_reports
 
     def hasty(self, now_us):
         weigh(self, now_us)
-        if self.notes:
-            self.notes = set()
+        if self.peers:
+            self.peers = {}
             self.replica.begin_votes()
 
-    monkeypatch.setattr(Recovery, "_weigh", hasty)
+    monkeypatch.setattr(Recovery, "_weigh_reports", hasty)
 
 
 def serve_without_contact(monkeypatch):
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -78,11 +78,11 @@
 def vote_without_reading(monkeypatch):
     """A start votes as soon as it has raised its epoch, before it has read what the others hold."""
 
-    def end_at_once(self, name, address):
-        self.notes.clear()
+    def end_at_once(self, address, cursor):
+        self.peers.clear()
         self._end_if_read()
 
-    monkeypatch.setattr(Recovery, "_browse", end_at_once)
+    monkeypatch.setattr(Recovery, "_send_page_request", end_at_once)
 
 
 def vote_under_the_old_epoch(monkeypatch):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -3,6 +3,7 @@
 
 import pytest
 
+from linkhaven.consensus.assignment_messages import InstancesReport, InstanceStatus
 from linkhaven.consensus.departure import DepartureState
 from linkhaven.stage.core import SimCore
 
@@ -75,7 +76,7 @@
         name: (
             host.node.replica.replica_id,
             host.node.replica.state,
-            host.node.replica.leaving.state.value,
+            host.node.replica.departure.state.value,
         )
         for name, host in core.machines.items()
         if host.node
@@ -191,7 +192,7 @@
     successor = core.machines["core-9"].node.replica
     assert core.world.wait_for(lambda: successor.states, 2 * SECOND, 1_000)
     acked(core, 3, 4, "core-1")
-    assert core.machines["core-2"].node.replica.leaving.state == DepartureState.OFFERING
+    assert core.machines["core-2"].node.replica.departure.state == DepartureState.OFFERING
     assert core.world.wait_for(lambda: told, 4 * SECOND, 1_000)
     core.world.links.clear()
     core.world.heal()
@@ -219,7 +220,7 @@
     """Run to the moment at which the seal is synced and the successor hasn't the rest."""
     node = core.machines[leaver].node
     assert core.world.wait_for(
-        lambda: node.replica.leaving.state == DepartureState.SEALED, 3 * SECOND, 100
+        lambda: node.replica.departure.state == DepartureState.FENCED, 3 * SECOND, 100
     )
 
 
@@ -233,7 +234,7 @@
     core.machines["core-9"].freeze()
     core.machines["core-2"].start()
     replica = core.machines["core-2"].node.replica
-    assert replica.sealed is not None
+    assert replica.fence_record is not None
     assert replica.is_empty
     core.machines["core-9"].wake()
     run_soundly(core, 6 * SECOND)
@@ -268,10 +269,11 @@
     old = core.machines["core-2"].node.replica
     core.world.cut(["core-2"], ["core-9"])
     core.world.run_for(4 * SECOND)
-    assert node.replica.successor.offer["is_taken"] is False
+    assert node.replica.succession.last_handover.is_taken is False
     core.world.heal()
     run_soundly(core, 3 * SECOND)
-    assert node.replica.successor.offer["id"] != (old.sealed or {}).get("id") or old.sealed is None
+    last = node.replica.succession.last_handover
+    assert old.fence_record is None or last.handover_id != old.fence_record.handover_id
     assert len(core.voting()) == 3, standings(core)
     assert held(core) == 3
 
@@ -415,10 +417,15 @@
     node = core.machines["core-9"].node
     leave(core, "core-2")
     assert core.world.wait_for(lambda: node.replica.state == "learning", SECOND, 1_000)
-    table = {"a": ["core-1", "", False], "b": ["core-2", "", False], "c": ["", "", True]}
-    node.replica.occupants.told.clear()
-    for seat in "ab":
-        node.replica.occupants.hear_told({"seat": seat, "table": table})
+    instances = {
+        "a": InstanceStatus("core-1", "", False),
+        "b": InstanceStatus("core-2", "", False),
+        "c": InstanceStatus("", "", True),
+    }
+    node.replica.assignment.reports.clear()
+    for replica_id in "ab":
+        report = InstancesReport(replica_id=replica_id, instances=instances)
+        node.replica.assignment.on_instances_report(report)
     assert node.replica.state == "learning"
     assert node.replica.replica_id == ""
     assert core.world.wait_for(lambda: node.replica.replica_id == "b", SECOND, 1_000)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -1,6 +1,6 @@
 import pytest
 
-from linkhaven.consensus.recovery import Recovery
+from linkhaven.consensus.recovery_responder import RecoveryResponder
 from linkhaven.stage.faults import Faults
 from linkhaven.stage.fleet import LICENSING, SimFleet
 from linkhaven.stage.world import Host, SimDisk
@@ -314,7 +314,7 @@
 def test_a_seat_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts(monkeypatch):
     """An accept that names the older occupant may still be on its way: whoever is read refuses it by then."""
     seen, old = [], []
-    hear_browse = Recovery.hear_browse
+    on_page_request = RecoveryResponder.on_page_request
 
     def spy(self, message):
         if old:
@@ -331,9 +331,9 @@
                 }
             )
             seen.append(self.replica.register_state("plan").value["mark"])
-        hear_browse(self, message)
+        on_page_request(self, message)
 
-    monkeypatch.setattr(Recovery, "hear_browse", spy)
+    monkeypatch.setattr(RecoveryResponder, "on_page_request", spy)
     fleet, _ = make_core()
     lost = fleet.registries["c"]
     old.append(lost.node.replica.incarnation)
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -9,7 +9,7 @@
     decode_configuration,
 )
 from linkhaven.consensus import Replica
-from linkhaven.consensus.replica import REJOINING
+from linkhaven.consensus.replica_state import ReplicaState
 from linkhaven.controller.claim_admission import ClaimAdmission
 from linkhaven.controller.role_change import RoleChange
 from linkhaven.controller.runner_discovery import RunnerDiscovery
@@ -177,8 +177,8 @@
     tick = Replica.tick
 
     def hasty(self, now_us):
-        if self.is_empty and self.state == REJOINING and now_us > 3 * SECOND:
-            return self.rejoin._adopt([])
+        if self.is_empty and self.state is ReplicaState.RECOVERING and now_us > 3 * SECOND:
+            return self.recovery._raise_incarnation([])
         tick(self, now_us)
 
     monkeypatch.setattr(Replica, "tick", hasty)
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -1,5 +1,7 @@
 import pytest
+from msgspec.structs import replace
 
+from linkhaven.consensus.recovery_messages import EpochAnnouncement
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Bounds
 from linkhaven.stage.core import SimCore
@@ -160,19 +162,20 @@
 def test_a_second_occupant_is_not_noted_at_the_same_incarnation():
     core = started(7)
     replica = core.machines["core-1"].node.replica
-    first = {
-        "seat": "c",
-        "incarnation": 9,
-        "start": "x/1",
-        "name": "x",
-        "back": "10.0.0.8:7000",
-        "genesis": None,
-    }
-    assert replica.occupants.note(first)
-    assert not replica.occupants.note({**first, "start": "y/1", "name": "y"})
-    assert replica.occupants.note(first)
-    assert replica.occupants.note({**first, "incarnation": 10, "start": "y/1", "name": "y"})
-    assert not replica.occupants.note(first)
+    first = EpochAnnouncement(
+        replica_id="c",
+        incarnation=9,
+        start="x/1",
+        sender="x",
+        reply_to="10.0.0.8:7000",
+        bootstrap_start=None,
+    )
+    other = replace(first, start="y/1", sender="y")
+    assert replica.instances.record(first)
+    assert not replica.instances.record(other)
+    assert replica.instances.record(first)
+    assert replica.instances.record(replace(other, incarnation=10))
+    assert not replica.instances.record(first)
 
 
 def test_a_frozen_occupant_that_wakes_after_its_seat_was_taken_is_a_spare():
