--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -300,10 +300,10 @@
 
     def query_outcome(self, now_us: int) -> None:
         """A fenced replica that was started again asks whether its successor took its place."""
-        if now_us - self.queried_us < RESEND_US:
+        fence = self.replica.fence_record
+        if fence is None or now_us - self.queried_us < RESEND_US:
             return
         self.queried_us = now_us
-        fence = self.replica.fence_record
         self.node.send(fence.successor_address, HandoverQuery(handover_id=fence.handover_id))
 
     def on_handover_outcome(self, outcome: HandoverOutcome) -> None:
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -31,7 +31,7 @@
 `tests/test_explore.py`).
 """
 
-from collections.abc import Collection
+from collections.abc import Collection, Mapping
 from enum import Enum
 from typing import Any, Protocol
 
@@ -148,7 +148,7 @@
     def learn_incarnations(self, known: dict[str, int]) -> None:
         """Take in the newest incarnations that another replica knows."""
 
-    def merge(self, registers: dict[str, RegisterCopy]) -> dict[str, Any]:
+    def merge(self, registers: Mapping[str, RegisterCopy]) -> dict[str, Any]:
         """Take in the highest ballots of another replica; gives the records to write."""
 
     def begin_votes(self, *, wait_us: int | None = None) -> None:
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -18,7 +18,7 @@
 """
 
 from bisect import bisect_right
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
 from linkhaven.runtime import Node
@@ -49,7 +49,7 @@
     def register_state(self, key: str) -> Any:
         """The state of a register, an empty one where it was never written."""
 
-    def merge(self, registers: dict[str, RegisterCopy]) -> dict[str, Any]:
+    def merge(self, registers: Mapping[str, RegisterCopy]) -> dict[str, Any]:
         """Take in the highest ballots of another replica; gives the records to write."""
 
 
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -18,7 +18,7 @@
 that one later (`test_a_successor_that_gave_up_never_takes_the_seat_later`).
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from enum import Enum
 from typing import Any, Protocol
 
@@ -64,7 +64,7 @@
     def is_voting(self) -> bool:
         """Whether it votes now."""
 
-    def merge(self, registers: dict[str, RegisterCopy]) -> dict[str, Any]:
+    def merge(self, registers: Mapping[str, RegisterCopy]) -> dict[str, Any]:
         """Take in the highest ballots of another replica; gives the records to write."""
 
     def take_over(
@@ -134,6 +134,11 @@
         self.reached: set[str] = set()
         self.progress_us = self.sent_us = 0
 
+    def _handover(self) -> HandoverRecord:
+        """The hand-over that is under way, or that ended last."""
+        assert self.last_handover is not None, "no hand-over was agreed to"
+        return self.last_handover
+
     def _is_last_handover(self, handover_id: str) -> bool:
         return self.last_handover is not None and self.last_handover.handover_id == handover_id
 
@@ -161,16 +166,17 @@
                 return
             if not is_kept:
                 return self._give_up()
-            self._send_page_request()
+            self._send_page_request("")
 
         self.node.ports.storage.write(ReplicaRecord(handover=handover).as_items(), on_synced)
 
-    def _send_page_request(self) -> None:
+    def _send_page_request(self, cursor: str) -> None:
         self.sent_us = self.node.now_us()
+        self.cursor = cursor
         request = PageRequest(
             replica_id="",
-            transfer=self.last_handover.handover_id,
-            after=self.cursor,
+            transfer=self._handover().handover_id,
+            after=cursor,
             since=self.since,
         )
         self.node.send(self.departing_address, request)
@@ -203,8 +209,7 @@
                 return self._give_up()
             if page.next_cursor is None:
                 return self._on_last_page()
-            self.cursor = page.next_cursor
-            self._send_page_request()
+            self._send_page_request(page.next_cursor)
 
         self.node.ports.storage.write(self.replica.merge(page.registers), on_synced)
 
@@ -219,7 +224,7 @@
     def _send_probes(self) -> None:
         """Who can't reach those that must record it would leave the replica without a vote."""
         self.sent_us = self.node.now_us()
-        probe = ReachabilityProbe(handover_id=self.last_handover.handover_id)
+        probe = ReachabilityProbe(handover_id=self._handover().handover_id)
         for address, _ in self.replica.directory.replicas().values():
             if address != self.departing_address:
                 self.node.send(address, probe)
@@ -246,7 +251,7 @@
 
     def _send_ready(self) -> None:
         self.sent_us = self.node.now_us()
-        ready = SuccessorReady(handover_id=self.last_handover.handover_id)
+        ready = SuccessorReady(handover_id=self._handover().handover_id)
         self.node.send(self.departing_address, ready)
 
     # the rest, and the take-over
@@ -261,24 +266,26 @@
             return
         self.state = SuccessionState.READING_REST
         self.seal = seal
-        self.since, self.cursor = self.change_count + 1, ""
+        self.since = self.change_count + 1
         self.progress_us = self.node.now_us()
-        self._send_page_request()
+        self._send_page_request("")
 
     def _take_over(self) -> None:
+        seal, handover = self.seal, self._handover()
+        assert seal is not None, "only a sealed hand-over is read to its end"
         self.state = SuccessionState.SYNCING
-        self.last_handover.is_taken = True
+        handover.is_taken = True
 
         def on_synced(is_kept: bool) -> None:
             if self.state is not SuccessionState.SYNCING:
                 return
             if not is_kept:
-                self.last_handover.is_taken = False
+                handover.is_taken = False
                 return self._give_up()
             self._reset()
-            self.replica.begin_with_state(self.seal.wait_us)
+            self.replica.begin_with_state(seal.wait_us)
 
-        self.replica.take_over(self.seal, self.last_handover, on_synced)
+        self.replica.take_over(seal, handover, on_synced)
 
     # how it ended
 
@@ -293,9 +300,8 @@
         self._send_outcome(query.reply_to)
 
     def _send_outcome(self, address: str) -> None:
-        outcome = HandoverOutcome(
-            handover_id=self.last_handover.handover_id, is_taken=self.last_handover.is_taken
-        )
+        handover = self._handover()
+        outcome = HandoverOutcome(handover_id=handover.handover_id, is_taken=handover.is_taken)
         self.node.send(address, outcome)
 
     def on_votes_begun(self) -> None:
@@ -324,4 +330,4 @@
         if self.state is SuccessionState.READY:
             return self._send_ready()
         if self.cursor is not None:
-            self._send_page_request()
+            self._send_page_request(self.cursor)
