--- a/packages/api/src/linkhaven/api/__init__.py
+++ b/packages/api/src/linkhaven/api/__init__.py
@@ -1,13 +1,18 @@
-from .check import check_document, list_complaints, read_schema
-from .errors import CATALOGUE, ServiceError, read_error
-from .events import EVENTS
+"""The native interface: its OpenAPI file, error codes, log events and checks of fields."""
+
+from .check import check_document, list_faults, read_schema
+from .errors import CATALOGUE, Done, ErrorDefinition, ServiceError, read_error
+from .events import EVENTS, EventDefinition
 
 __all__ = [
     "CATALOGUE",
+    "Done",
+    "ErrorDefinition",
+    "EventDefinition",
     "EVENTS",
     "ServiceError",
     "check_document",
-    "list_complaints",
+    "list_faults",
     "read_schema",
     "read_error",
 ]
--- a/packages/api/src/linkhaven/api/events.py
+++ b/packages/api/src/linkhaven/api/events.py
@@ -1,52 +1,82 @@
-EVENTS = {
-    1001: ("info", "node started"),
-    1002: ("info", "node draining"),
-    1003: ("info", "node stopped"),
-    1004: ("warning", "tick came late; grants are checked anew"),
-    1005: ("error", "a message or call could not be handled"),
-    1006: ("warning", "a line from another process was refused"),
-    1007: ("error", "log lines were lost: the queue was full, or a write was refused"),
-    1101: ("info", "member is up"),
-    1102: ("warning", "member is down: most of its watchers suspect it"),
-    1103: ("info", "a member of another protocol version said hello"),
-    1201: ("info", "seat rejoins without votes"),
-    1202: ("info", "seat votes"),
-    1203: ("warning", "seat waits for the operator: more was lost than a rejoin can rebuild"),
-    1204: ("warning", "seat was taken over by a newer occupant"),
-    1205: ("error", "disk refused a write; no vote is given"),
-    1206: ("warning", "operator restored the seat from its own disk"),
-    1207: ("info", "genesis plan taken from a router's image"),
-    1208: ("info", "keys won before this core began were told; claims are granted"),
-    1209: ("info", "node waits as a spare for a vacant seat"),
-    1210: ("info", "member leaves and offers its seat to a spare"),
-    1211: ("info", "spare reads the state of a leaving member"),
-    1212: ("error", "data folder was refused: torn, of another format, or another node's"),
-    1213: ("error", "refused data was set aside; the member counts as one that lost its disk"),
-    1301: ("info", "plan chosen"),
-    1302: ("warning", "plan put conflicted"),
-    1303: ("warning", "plan put ended without a majority"),
-    1304: ("error", "the body of a plan is not the one of its digest; it is refused"),
-    1305: ("error", "a seat names another body for the mark in force here"),
-    1401: ("info", "lease won"),
-    1402: ("warning", "lease lapsed"),
-    1501: ("info", "phase order sent"),
-    1502: ("warning", "phase order refused"),
-    1601: ("warning", "runner taken for dark"),
-    1602: ("info", "runner answers again"),
-    1603: ("info", "runner is leaving"),
-    1604: ("info", "runner is on the list"),
-    1605: ("info", "runner is no longer on the list"),
-    1606: ("info", "runner plays another part"),
-    1901: ("warning", "invariant violated"),
-    1902: ("warning", "an invariant of placement was violated"),
-    2001: ("info", "plan taken"),
-    2002: ("warning", "node takes no new work"),
-    2003: ("info", "node takes new work"),
-    2101: ("info", "request served"),
-    2102: ("warning", "request ended in trouble"),
-    2103: ("info", "request refused"),
-    2104: ("warning", "extra shot"),
-    2105: ("info", "stream moved"),
-    2106: ("info", "attempt failed"),
-    2107: ("info", "what was refused for want of a runner, and how the runners stood"),
+"""The numbered log events.
+
+Operators search and alert on the number, so it never changes its meaning; the text may change, and
+docs/events.md with it. The thousands tell the program: 1 for any node, 2 for routers.
+"""
+
+from typing import Literal, NamedTuple
+
+EventLevel = Literal["info", "warning", "error"]
+
+
+class EventDefinition(NamedTuple):
+    """The level at which an event is logged, and the text before its facts."""
+
+    level: EventLevel
+    text: str
+
+
+EVENTS: dict[int, EventDefinition] = {
+    1001: EventDefinition("info", "node started"),
+    1002: EventDefinition("info", "node draining"),
+    1003: EventDefinition("info", "node stopped"),
+    1004: EventDefinition("warning", "tick came late; grants are checked anew"),
+    1005: EventDefinition("error", "a message or call could not be handled"),
+    1006: EventDefinition("warning", "a line from another process was refused"),
+    1007: EventDefinition(
+        "error", "log lines were lost: the queue was full, or a write was refused"
+    ),
+    1101: EventDefinition("info", "member is up"),
+    1102: EventDefinition("warning", "member is down: most of its watchers suspect it"),
+    1103: EventDefinition("info", "a member of another protocol version said hello"),
+    1201: EventDefinition("info", "seat rejoins without votes"),
+    1202: EventDefinition("info", "seat votes"),
+    1203: EventDefinition(
+        "warning", "seat waits for the operator: more was lost than a rejoin can rebuild"
+    ),
+    1204: EventDefinition("warning", "seat was taken over by a newer occupant"),
+    1205: EventDefinition("error", "disk refused a write; no vote is given"),
+    1206: EventDefinition("warning", "operator restored the seat from its own disk"),
+    1207: EventDefinition("info", "genesis plan taken from a router's image"),
+    1208: EventDefinition("info", "keys won before this core began were told; claims are granted"),
+    1209: EventDefinition("info", "node waits as a spare for a vacant seat"),
+    1210: EventDefinition("info", "member leaves and offers its seat to a spare"),
+    1211: EventDefinition("info", "spare reads the state of a leaving member"),
+    1212: EventDefinition(
+        "error", "data folder was refused: torn, of another format, or another node's"
+    ),
+    1213: EventDefinition(
+        "error", "refused data was set aside; the member counts as one that lost its disk"
+    ),
+    1301: EventDefinition("info", "plan chosen"),
+    1302: EventDefinition("warning", "plan put conflicted"),
+    1303: EventDefinition("warning", "plan put ended without a majority"),
+    1304: EventDefinition(
+        "error", "the body of a plan is not the one of its digest; it is refused"
+    ),
+    1305: EventDefinition("error", "a seat names another body for the mark in force here"),
+    1401: EventDefinition("info", "lease won"),
+    1402: EventDefinition("warning", "lease lapsed"),
+    1501: EventDefinition("info", "phase order sent"),
+    1502: EventDefinition("warning", "phase order refused"),
+    1601: EventDefinition("warning", "runner taken for dark"),
+    1602: EventDefinition("info", "runner answers again"),
+    1603: EventDefinition("info", "runner is leaving"),
+    1604: EventDefinition("info", "runner is on the list"),
+    1605: EventDefinition("info", "runner is no longer on the list"),
+    1606: EventDefinition("info", "runner plays another part"),
+    1901: EventDefinition("warning", "invariant violated"),
+    1902: EventDefinition("warning", "an invariant of placement was violated"),
+    2001: EventDefinition("info", "plan taken"),
+    2002: EventDefinition("warning", "node takes no new work"),
+    2003: EventDefinition("info", "node takes new work"),
+    2101: EventDefinition("info", "request served"),
+    2102: EventDefinition("warning", "request ended in trouble"),
+    2103: EventDefinition("info", "request refused"),
+    2104: EventDefinition("warning", "extra shot"),
+    2105: EventDefinition("info", "stream moved"),
+    2106: EventDefinition("info", "attempt failed"),
+    2107: EventDefinition(
+        "info", "what was refused for want of a runner, and how the runners stood"
+    ),
 }
--- a/packages/api/src/linkhaven/api/fields.py
+++ b/packages/api/src/linkhaven/api/fields.py
@@ -1,10 +1,17 @@
+"""Checks of single fields, for documents that trafaret checks: settings, configurations, plans."""
+
+from typing import Any
+
 import trafaret as t
 
 NAME = t.Regexp(r"^[a-z0-9][a-z0-9-]{0,63}$")
+"""Names of nodes, groups, kinds and the like."""
 
 
-def whole(gte=None, lte=None):
-    def check(value):
+def whole(gte: int | None = None, lte: int | None = None) -> t.Call:
+    """A check for a whole number from `gte` to `lte`; True and False are none."""
+
+    def check(value: Any) -> Any:
         if type(value) is not int:
             return t.DataError("is not a whole number")
         if gte is not None and value < gte:
@@ -16,14 +23,21 @@
     return t.Call(check)
 
 
-def number(above=None, least=None, most=None):
-    def check(value):
+def number(
+    above: float | None = None, least: float | None = None, most: float | None = None
+) -> t.Call:
+    """A check for a number above `above`, or from `least`, up to `most`; NaN is none.
+
+    No caller gives both lower bounds.
+    """
+
+    def check(value: Any) -> Any:
         if type(value) not in (int, float) or value != value:
             return t.DataError("is not a number")
-        if above is not None and value <= above or least is not None and value < least:
-            return t.DataError(
-                f"is not {'above' if above is not None else 'at least'} {above if above is not None else least}"
-            )
+        if above is not None and value <= above:
+            return t.DataError(f"is not above {above}")
+        if least is not None and value < least:
+            return t.DataError(f"is not at least {least}")
         if most is not None and value > most:
             return t.DataError(f"is above {most}")
         return value
@@ -31,15 +45,15 @@
     return t.Call(check)
 
 
-def list_places(fault, place="."):
-    """Every fault of a checked document, with its place."""
+def list_places(fault: Any, place: str = ".") -> list[dict[str, str]]:
+    """Every fault of a checked document, as a flat list of `place` (a path) and `fault`."""
     if isinstance(fault, t.DataError):
         fault = fault.as_dict()
     if not isinstance(fault, dict):
         return [{"place": place, "fault": str(fault)}]
-    places = []
     if set(fault) <= {"key", "value"}:
         return [found for inner in fault.values() for found in list_places(inner, place)]
+    places = []
     for key, inner in fault.items():
         places += list_places(inner, str(key) if place == "." else f"{place}/{key}")
     return places
--- a/packages/wire/src/linkhaven/wire/log.py
+++ b/packages/wire/src/linkhaven/wire/log.py
@@ -30,7 +30,7 @@
 
     def __call__(self, number, **facts):
         """Log an event; `facts` must be JSON."""
-        if self.logger.isEnabledFor(LEVELS[EVENTS[number][0]]):
+        if self.logger.isEnabledFor(LEVELS[EVENTS[number].level]):
             self.writer.put(self.event_line(number, facts))
 
     def event_line(self, number, facts):
