--- a/packages/runtime/src/linkhaven/runtime/__init__.py
+++ b/packages/runtime/src/linkhaven/runtime/__init__.py
@@ -5,25 +5,43 @@
     PROTOCOL_VERSION,
     LineReader,
     Message,
+    UntypedMessage,
     kind_of,
     reply_address_of,
     write_line,
 )
 from .node import Node
-from .ports import Call, Ports, ResponseHandler
+from .ports import (
+    Call,
+    Clock,
+    EventLog,
+    Network,
+    PendingCall,
+    Ports,
+    Random,
+    ResponseHandler,
+    Storage,
+)
 from .tables import Table
 from .text import read_json, write_json
 
 __all__ = [
     "PROTOCOL_VERSION",
+    "Bounds",
     "Call",
-    "ResponseHandler",
+    "Clock",
+    "EventLog",
     "LineReader",
     "Message",
+    "Network",
     "Node",
+    "PendingCall",
     "Ports",
+    "Random",
+    "ResponseHandler",
+    "Storage",
     "Table",
-    "Bounds",
+    "UntypedMessage",
     "kind_of",
     "read_json",
     "reply_address_of",
--- a/packages/runtime/src/linkhaven/runtime/bounds.py
+++ b/packages/runtime/src/linkhaven/runtime/bounds.py
@@ -1,85 +1,83 @@
-"""The bounds in time that a deployment's settings say."""
-
-
-class Bounds:
-    """A node's time bounds, in microseconds unless named otherwise; set once at its start.
-
-    `plan_stale_us` and `roster_stale_us`: how old the confirmation of the plan and the list of
-    runners may be before a router takes no new work; None means that it goes on with what it
-    has. `alone_us`: how long a seat with a disk waits for the others before it goes on with a
-    majority. `vacant_us`: how long the occupant of a seat must be gone before a newcomer takes
-    the seat. `linger_us`: how long a stopping router still takes new work. `body_wait_us`: how
-    long a router waits for a plan's body from the nearest seat after another has told of it.
-    `orders_after_us`: how long after winning its duty a holder waits before its first order.
-    `seats`: how many core seats there are (2f + 1). `silent_us`: how long an order or a read at
-    a registry waits for a majority that says nothing; shorter than its sender's patience.
-    `contact_us`: how old a core member's last answer from a majority may be while it still
-    calls its plan current. `stand_in_us`: how long a runner that leaves is still given what no
-    other can take, from the last list that had it as serving; 0 where runners take nothing once
-    they leave. `bootstrap`: this is the first start of the whole system, on empty
-    disks.
-    """
-
-    __slots__ = (
-        "plan_stale_us",
-        "roster_stale_us",
-        "alone_us",
-        "lease_us",
-        "drain_us",
-        "linger_us",
-        "poll_us",
-        "report_us",
-        "dark_us",
-        "news_hold_us",
-        "body_wait_us",
-        "beat_us",
-        "missed_us",
-        "vacant_us",
-        "seats",
-        "bootstrap",
-        "thaw_us",
-        "orders_after_us",
-        "hold_share",
-        "retry_least_us",
-        "silent_us",
-        "contact_us",
-        "stand_in_us",
-    )
-
-    DEFAULTS = {
-        "plan_stale_us": 1_500_000,
-        "roster_stale_us": 3_000_000,
-        "alone_us": 5_000_000,
-        "lease_us": 3_000_000,
-        "drain_us": 10_000_000,
-        "linger_us": 0,
-        "poll_us": 250_000,
-        "report_us": 250_000,
-        "dark_us": 1_200_000,
-        "news_hold_us": 250_000,
-        "body_wait_us": 100_000,
-        "beat_us": 250_000,
-        "missed_us": 1_000_000,
-        "vacant_us": 1_500_000,
-        "seats": 3,
-        "bootstrap": False,
-        "thaw_us": 0,
-        "orders_after_us": 0,
-        "hold_share": None,
-        "retry_least_us": 1_000_000,
-        "silent_us": 600_000,
-        "contact_us": 1_500_000,
-        "stand_in_us": 0,
-    }
-
-    def __init__(self, **given):
-        """The defaults, but for the bounds given here."""
-        unknown = set(given) - set(self.DEFAULTS)
-        if unknown:
-            raise TypeError(f"no such bounds: {sorted(unknown)}")
-        for name, value in {**self.DEFAULTS, **given}.items():
-            setattr(self, name, value)
-
-    def as_record(self):
-        """All bounds by their names."""
-        return {name: getattr(self, name) for name in self.__slots__}
+"""The bounds in time, and a few in number, that a deployment's settings say."""
+
+import msgspec
+
+
+class Bounds(msgspec.Struct, frozen=True, kw_only=True, gc=False):
+    """A node's bounds, set once at its start; times are whole microseconds."""
+
+    plan_stale_us: int | None = 1_500_000
+    """How old the confirmation of the configuration may be before a router takes no new work; None
+    means that it goes on with what it has."""
+
+    roster_stale_us: int | None = 3_000_000
+    """How old the list of runners may be before a router takes no new work; None means that it goes
+    on with what it has."""
+
+    alone_us: int = 5_000_000
+    """How long a replica with a disk waits for the others before it goes on with a majority."""
+
+    lease_us: int = 3_000_000
+    """How long a lease, and a grant by its holder, lasts."""
+
+    drain_us: int = 10_000_000
+    """How long a stopping node waits for the work that it has."""
+
+    linger_us: int = 0
+    """How long a stopping router still takes new work."""
+
+    poll_us: int = 250_000
+    """How often the list of runners is asked for."""
+
+    report_us: int = 250_000
+    """How often each runner is asked for its report."""
+
+    dark_us: int = 1_200_000
+    """How long a runner may give no report before it counts as unresponsive."""
+
+    news_hold_us: int = 250_000
+    """How long a watch server holds a router's request while there is nothing new."""
+
+    body_wait_us: int = 100_000
+    """How long a router waits for a configuration's blob from the nearest replica after another has
+    named it."""
+
+    beat_us: int = 250_000
+    """How often a member sends a heartbeat."""
+
+    missed_us: int = 1_000_000
+    """How long a member may be silent before its watchers suspect it."""
+
+    vacant_us: int = 1_500_000
+    """How long a replica's instance must be gone before a newcomer takes its place."""
+
+    seats: int = 3
+    """How many replicas the core has: 2f + 1 for f faults."""
+
+    bootstrap: bool = False
+    """This is the first start of the whole system, on empty disks."""
+
+    thaw_us: int = 0
+    """How long a holder orders nothing after its process was paused."""
+
+    orders_after_us: int = 0
+    """How long after winning its lease a holder waits before its first order."""
+
+    hold_share: float | None = None
+    """The part of its deadline for which a request that can't be placed yet is held; None if none
+    is."""
+
+    retry_least_us: int = 1_000_000
+    """The least time that a refusal names in Retry-After."""
+
+    silent_us: int = 600_000
+    """How long a proposal or a read waits for a majority that is silent; shorter than its sender's
+    patience."""
+
+    contact_us: int = 1_500_000
+    """How old a replica's last answer from a majority may be while it still calls its configuration
+    current."""
+
+    stand_in_us: int = 0
+    """How long a runner that leaves is still given what no other can take, from the last list that
+    had it as serving; 0 where runners take nothing once they leave."""
--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -1,25 +1,44 @@
-"""The base of our nodes: messages, calls and ticks come in, everything else goes through ports."""
+"""The base of our nodes: messages, calls and ticks come in, everything else goes through ports.
+
+| what comes in | what the node does with it |
+| --- | --- |
+| a line that fits its type | `dispatch`: sender listeners, then the handler of the type |
+| a line of a kind without a type here | `dispatch`: the handler of that map, or nothing |
+| a line that fits no message | event 1006; no handler is called |
+| an HTTP call | `serve`: the route of its method and path, else `unknown_path` |
+| a tick | `tick`: each system once; after a pause of the process the late checks first |
+
+Invariant: what one handler raises ends neither the node nor the handling of other messages
+(`test_a_fault_in_a_handler_is_logged_and_ends_nothing`).
+"""
+
+from collections.abc import Callable
+from typing import Any
 
 from msgspec.structs import replace
 
 from linkhaven.api import ServiceError
 
 from .bounds import Bounds
-from .messages import LineReader, Message
+from .messages import KIND, REPLY_TO, SENDER, LineReader, Message, UntypedMessage
+from .ports import Call, Ports
 
 LATE_TICK_US = 1_000_000
-"""A tick this late tells that the process was paused."""
+"""A tick this late tells that the process was paused, so that what it knew may be out of date."""
 
 HANDLER_FAULTS = (KeyError, TypeError, ValueError, AttributeError, ServiceError)
 """What a handler may raise over a message; it is logged, and the next message is handled."""
 
+System = Callable[[int], Any]
+"""Run each tick, with the node's time in microseconds."""
+
 
 class Node:
-    """A node without clock, socket or dice of its own, so that a simulated world can run it.
+    """A node without clock, socket or random numbers of its own, so that a world can simulate it.
 
     Its parts register with it: `register_handler` and `map_handlers` for messages, `routes` for
     calls, `systems` for each tick, `on_late` for what a late tick does first, `sender_listeners`
-    for who spoke.
+    for who spoke. It belongs to one thread.
     """
 
     __slots__ = (
@@ -37,42 +56,42 @@
         "bounds",
     )
 
-    def __init__(self, name, address, ports, bounds=None):
+    def __init__(self, name: str, address: str, ports: Ports, bounds: Bounds | None = None) -> None:
         """Nothing is registered yet; `bounds` are those that its settings say."""
-        self.bounds = bounds or Bounds()
+        self.bounds: Bounds = bounds or Bounds()
         self.name = name
         self.address = address
         self.ports = ports
         self.reader = LineReader()
-        self.handlers = {}
-        self.map_handlers = {}
-        self.routes = {}
-        self.systems = []
+        self.handlers: dict[type[Message], Callable[[Any], Any]] = {}
+        self.map_handlers: dict[str, Callable[[UntypedMessage], Any]] = {}
+        self.routes: dict[tuple[str, str], Callable[..., Any]] = {}
+        self.systems: list[System] = []
         self.ticked_us = ports.clock.now_us()
-        self.on_late = []
-        self.sender_listeners = []
+        self.on_late: list[System] = []
+        self.sender_listeners: list[Callable[[str], Any]] = []
 
-    def now_us(self):
-        """This node's monotonic time."""
+    def now_us(self) -> int:
+        """This node's monotonic time, in microseconds."""
         return self.ports.clock.now_us()
 
-    def send_untyped(self, address, say, **facts):
+    def send_untyped(self, address: str, say: str, **facts: Any) -> None:
         """Send a map of a kind that has no type yet."""
-        facts["say"] = say
-        facts["name"] = self.name
-        facts["back"] = self.address
+        facts[KIND] = say
+        facts[SENDER] = self.name
+        facts[REPLY_TO] = self.address
         self.ports.network.send(address, facts)
 
-    def register_handler(self, message_type, handler):
+    def register_handler(self, message_type: type[Message], handler: Callable[[Any], Any]) -> None:
         """Have every message of this type handed to `handler`."""
         self.reader.add(message_type)
         self.handlers[message_type] = handler
 
-    def send(self, address, message):
+    def send(self, address: str, message: Message) -> None:
         """Send a typed message in this node's name; nothing says whether it arrives."""
         self.ports.network.send(address, replace(message, sender=self.name, reply_to=self.address))
 
-    def read_line(self, line):
+    def read_line(self, line: bytes) -> Message | UntypedMessage | None:
         """The message of a line, or None where it fits no message, which is logged.
 
         Raises `bad_request` where the line is no JSON: no node of ours wrote it.
@@ -85,36 +104,36 @@
                 raise
             return None
 
-    def dispatch(self, message):
+    def dispatch(self, message: Message | UntypedMessage) -> None:
         """Hand a message to its handler; a fault there ends neither the node nor other messages."""
         if isinstance(message, Message):
             self._dispatch_typed(message)
         else:
             self._dispatch_map(message)
 
-    def _dispatch_typed(self, message):
+    def _dispatch_typed(self, message: Message) -> None:
         handler = self.handlers.get(type(message))
         if handler is None:
             return
         try:
             for listener in self.sender_listeners:
-                listener(message.sender)
+                listener(message.sender)  # type: ignore[arg-type]  # what was read has a sender
             handler(message)
         except HANDLER_FAULTS as fault:
             self.ports.log(1005, say=type(message).__name__, fault=repr(fault))
 
-    def _dispatch_map(self, message):
-        handler = self.map_handlers.get(message.get("say"))
+    def _dispatch_map(self, message: UntypedMessage) -> None:
+        handler = self.map_handlers.get(message.get(KIND, ""))
         if handler is None:
             return
         try:
             for listener in self.sender_listeners:
-                listener(message["name"])
+                listener(message[SENDER])
             handler(message)
         except HANDLER_FAULTS as fault:
-            self.ports.log(1005, say=message.get("say"), fault=repr(fault))
+            self.ports.log(1005, say=message.get(KIND), fault=repr(fault))
 
-    def serve(self, call):
+    def serve(self, call: Call) -> None:
         """Hand a call to the function of its path; a path that ends in / takes the rest of it."""
         path = call.path.partition("?")[0]
         serve, rest = self.routes.get((call.method, path)), None
@@ -124,19 +143,23 @@
         if serve is None:
             return call.answer_error(ServiceError("unknown_path", path=path, method=call.method))
         try:
-            serve(call) if rest is None else serve(call, rest)
+            if rest is None:
+                serve(call)
+            else:
+                serve(call, rest)
         except ServiceError as error:
             if not call.is_ended and not call.is_begun:
                 call.answer_error(error)
 
-    def rest_us(self):
+    def rest_us(self) -> int:
         """How long after this tick the next may follow; more than 0 with nothing to wait for."""
         return 0
 
-    def tick(self):
+    def tick(self) -> int:
         """Run every system once, those for a late tick first where this one is late.
 
-        Gives how long the next tick may be off, in microseconds."""
+        Returns how long the next tick may be off, in microseconds.
+        """
         now_us = self.now_us()
         late_us = now_us - self.ticked_us
         self.ticked_us = now_us
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -2,6 +2,7 @@
 
 import pytest
 from connections_world import HOST, MS, ROUTES, Asked, Caller, RuleBrokenError, World
+from msgspec.structs import replace
 
 from linkhaven.platform.translation import translate_configuration
 from linkhaven.router.doors import Doors
@@ -73,7 +74,7 @@
 
 
 def test_without_its_lingering_they_would_be_refused(world):
-    world.node.bounds.linger_us = 0
+    world.node.bounds = replace(world.node.bounds, linger_us=0)
     stop(world)
     assert status_of(world, "/safe/x") == 503
 
