--- a/tests/recorded_world.py
+++ b/tests/recorded_world.py
@@ -524,7 +524,7 @@
         stage.routers["edge-2"].node.drain(stage.routers["edge-2"].kill)
         stage.world.run_for(2 * SECOND // 3)
         stage.world.heal()
-        wire.tell(cores["a"].address, {"say": "beat", "name": "x", "back": "10.8.1.1:1"})
+        wire.send(cores["a"].address, {"say": "beat", "name": "x", "back": "10.8.1.1:1"})
         cores["b"].disk.is_full = True
         stage.put_plan(stage.plan, 1)
         stage.world.run_for(3 * SECOND)
