--- a/packages/runtime/src/linkhaven/runtime/messages.py
+++ b/packages/runtime/src/linkhaven/runtime/messages.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import msgspec
-from msgspec import UNSET, UnsetType
+from msgspec import UNSET
 
 from linkhaven.api import ServiceError
 
@@ -28,6 +28,9 @@
 WHY_CHARACTERS = 200
 """A refusal quotes so much of the reason."""
 
+NOT_SENT: Any = UNSET
+"""The envelope of a message that was not sent yet; its type is that of one sent or read."""
+
 UntypedMessage = dict[str, Any]
 """A message of a kind that has no type here: the map of its line."""
 
@@ -38,8 +41,8 @@
     The node that sends a message fills in the envelope; every message that was read has it.
     """
 
-    sender: str | UnsetType = msgspec.field(default=UNSET, name=SENDER)
-    reply_to: str | UnsetType = msgspec.field(default=UNSET, name=REPLY_TO)
+    sender: str = msgspec.field(default=NOT_SENT, name=SENDER)
+    reply_to: str = msgspec.field(default=NOT_SENT, name=REPLY_TO)
 
 
 class Envelope(msgspec.Struct, frozen=True, gc=False):
--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -117,7 +117,7 @@
             return
         try:
             for listener in self.sender_listeners:
-                listener(message.sender)  # type: ignore[arg-type]  # what was read has a sender
+                listener(message.sender)
             handler(message)
         except HANDLER_FAULTS as fault:
             self.ports.log(1005, say=type(message).__name__, fault=repr(fault))
