--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -165,7 +165,7 @@
     # rates of groups, in tokens a second
 
     def _rate_for(self, group, router, allowance, now_us):
-        """Return a router's rate: by demand, at least the plan's floor, at most what is left."""
+        """Return a router's rate: by demand, within the least share and what is left."""
         demands = self._demands_for(group)
         demands.expire(now_us)
         demand = demands.amount_of(router)
--- a/packages/credit/src/linkhaven/credit/retry_budget.py
+++ b/packages/credit/src/linkhaven/credit/retry_budget.py
@@ -28,7 +28,7 @@
 
     __slots__ = (
         "node",
-        "share",
+        "attempts_per_request",
         "default_bucket",
         "buckets",
         "spent",
@@ -43,7 +43,7 @@
     def __init__(self, node):
         """Start empty and without a grant."""
         self.node = node
-        self.share = 0.0
+        self.attempts_per_request = 0.0
         self.default_bucket = TokenBucket(0.0, 0.0, node.now_us())
         self.buckets = {None: self.default_bucket}
         self.spent = {}
@@ -58,8 +58,8 @@
     # what the configuration and the allocator say
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Follow a configuration; `share` is what each request earns, in attempts."""
-        self.share = configuration.retry_budget.attempts_per_request
+        """Follow a configuration."""
+        self.attempts_per_request = configuration.retry_budget.attempts_per_request
         pools = configuration.pools
         for pool in [pool for pool in self.buckets if pool is not None and pool not in pools]:
             del self.buckets[pool]
@@ -104,7 +104,7 @@
         self.earned_us = self.node.now_us()
         self.tick(self.earned_us)
         bucket = self._bucket_of(pool)
-        bucket.level = min(bucket.capacity, bucket.level + self.share)
+        bucket.level = min(bucket.capacity, bucket.level + self.attempts_per_request)
 
     def has(self, cost, pool=None):
         """Whether a pool's budget covers `cost` attempts."""
--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -652,7 +652,7 @@
         service = {"name": "pool-1", "health_path": "/health", "max_connections": 360}
         document = {"revision": 1, "route_rules": routes, "services": [service]}
         self.node.snapshot.take({"mark": 1, "plan": translate_configuration(document, 0.2, 50)})
-        self.node.extra.share = 1.0
+        self.node.extra.attempts_per_request = 1.0
         self.node.extra.apply_grant(50, 1, 1 << 60)
 
     def renew_runners(self):
