--- a/packages/configuration/src/linkhaven/configuration/commands.py
+++ b/packages/configuration/src/linkhaven/configuration/commands.py
@@ -11,19 +11,21 @@
 from linkhaven.runtime import read_json
 
 from .command_update import CommandUpdate, MakeContents
+from .document_faults import document_invalid_at
 from .history import digest_of_json
 from .overlay import (
     apply_overlay,
     attach_overlay_kind,
-    overlay_of,
     put_overlay_group,
     remove_overlay_group,
 )
 from .patch import apply_to_mappings, read_mapping_patch
 from .records import (
     NOTHING_SHOWN,
+    Overlay,
     Record,
     document_of,
+    overlay_of,
     revision_of,
     shown_record,
     source_text_of,
@@ -62,7 +64,7 @@
 EditDocument = Callable[[dict, str, dict], dict]
 """Given the document, the item's name and the command's fields, returns the edited document."""
 
-EditOverlay = Callable[[dict, Any, str, dict], Any]
+EditOverlay = Callable[[dict, Overlay, str, dict], Overlay]
 """Given document, overlay, the item's name and the command's fields, returns the edited overlay."""
 
 
@@ -86,15 +88,11 @@
 
 def _without_item(document: dict, section: str, name: str) -> dict:
     if name not in document.get(section, {}):
-        raise _misfit(f"{section}/{name}", "is not in the plan")
+        raise document_invalid_at(f"{section}/{name}", "is not in the plan")
     items = {other: item for other, item in document[section].items() if other != name}
     return _with_section(document, section, items)
 
 
-def _misfit(place: str, fault: str) -> ServiceError:
-    return ServiceError("plan_invalid", places=[{"place": place, "fault": fault}])
-
-
 def _put_group(document: dict, name: str, fields: dict) -> dict:
     groups = {**document.get("groups", {}), name: fields["group"]}
     return _with_section(document, "groups", groups)
@@ -113,20 +111,20 @@
     return _without_item(document, "kinds", name)
 
 
-def _put_group_beside(document: dict, overlay: Any, name: str, fields: dict) -> Any:
+def _put_group_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
     return put_overlay_group(document, overlay, name, fields["group"])
 
 
-def _remove_group_beside(document: dict, overlay: Any, name: str, fields: dict) -> Any:
+def _remove_group_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
     return remove_overlay_group(document, overlay, name)
 
 
-def _attach_kind_beside(document: dict, overlay: Any, name: str, fields: dict) -> Any:
+def _attach_kind_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
     return attach_overlay_kind(document, overlay, name, fields["kind"])
 
 
-def _reject_beside(document: dict, overlay: Any, name: str, fields: dict) -> Any:
-    raise _misfit(f"kinds/{name}", "is its document's; its sender removes it")
+def _reject_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
+    raise document_invalid_at(f"kinds/{name}", "is its document's; its sender removes it")
 
 
 PUT_GROUP = ItemCommand("GroupPut", _put_group, _put_group_beside)
@@ -208,7 +206,7 @@
         def make(record: Record | None, reader: RecordReader) -> Contents:
             opened = _opened(record, reader)
             if source_text_of(opened) is not None:
-                raise _misfit(".", "came as a document; its sender changes it by name")
+                raise document_invalid_at(".", "came as a document; its sender changes it by name")
             if not opened:
                 raise ServiceError("plan_absent")
             document = apply_to_mappings(document_of(opened), patch, PATCHED_SECTIONS)
--- a/packages/configuration/src/linkhaven/configuration/document_update.py
+++ b/packages/configuration/src/linkhaven/configuration/document_update.py
@@ -17,8 +17,7 @@
 from linkhaven.api import ServiceError
 
 from .history import digest_of_json, digest_of_update, find_update, knows_revision
-from .overlay import overlay_of
-from .records import Record, revision_of, source_text_of
+from .records import Record, overlay_of, revision_of, source_text_of
 from .updates import Contents, RecordReader
 from .validation import decode_configuration
 
--- a/packages/configuration/src/linkhaven/configuration/overlay.py
+++ b/packages/configuration/src/linkhaven/configuration/overlay.py
@@ -4,32 +4,12 @@
 an overlay, which survives the next document, and is applied to whatever document is in force.
 """
 
-from collections.abc import Mapping
-from typing import Any, TypedDict
-
 from .document import Configuration, RequestKind
 from .document_faults import document_invalid_at
+from .records import Overlay, Record, document_of, overlay_of
 from .validation import decode_configuration
 
 
-class Overlay(TypedDict):
-    """The overlay as it is stored in the value of the configuration key."""
-
-    groups: dict[str, dict]
-    """Groups as in a document: they replace the document's of the same name, or are added."""
-
-    kinds: dict[str, str]
-    """The groups to which kinds of the document are attached, by the kinds' names."""
-
-
-EMPTY: Overlay = {"groups": {}, "kinds": {}}
-
-
-def overlay_of(value: Mapping[str, Any] | None) -> Overlay:
-    """Return the overlay of a stored value; empty where it has none."""
-    return (value or {}).get("overlay") or EMPTY
-
-
 def apply_overlay(document: dict, overlay: Overlay) -> dict:
     """Return a document with an overlay applied to it.
 
@@ -45,12 +25,12 @@
     return {**document, "groups": groups, "kinds": kinds}
 
 
-def effective_configuration(value: Mapping[str, Any]) -> Configuration:
-    """Return the configuration that a stored value puts in force.
+def effective_configuration(record: Record) -> Configuration:
+    """Return the configuration that a record with its document in it puts in force.
 
-    Raises ServiceError `plan_invalid`, which no value that was checked before it was stored does.
+    Raises ServiceError `plan_invalid`, which none does that was checked before it was stored.
     """
-    return decode_configuration(apply_overlay(value["plan"], overlay_of(value)))
+    return decode_configuration(apply_overlay(document_of(record), overlay_of(record)))
 
 
 def put_overlay_group(document: dict, overlay: Overlay, name: str, group: dict) -> Overlay:
--- a/packages/configuration/src/linkhaven/configuration/records.py
+++ b/packages/configuration/src/linkhaven/configuration/records.py
@@ -19,9 +19,7 @@
 """
 
 from collections.abc import Mapping
-from typing import Any
-
-from .overlay import overlay_of
+from typing import Any, TypedDict
 
 Record = Mapping[str, Any]
 """A record as it was decoded; see the table above."""
@@ -42,6 +40,24 @@
 """What a watcher keeps of a record, beside the digest of its document."""
 
 
+class Overlay(TypedDict):
+    """What our own commands changed beside a source text, as the record keeps it (`overlay.py`)."""
+
+    groups: dict[str, dict]
+    """Groups as in a document: they replace the document's of the same name, or are added."""
+
+    kinds: dict[str, str]
+    """The groups to which kinds of the document are attached, by the kinds' names."""
+
+
+NO_OVERLAY: Overlay = {"groups": {}, "kinds": {}}
+
+
+def overlay_of(record: Record | None) -> Overlay:
+    """Return the overlay of a record; an empty one where it has none."""
+    return (record or {}).get("overlay") or NO_OVERLAY
+
+
 def version_of(record: Record | None) -> int:
     """Return the version of a record, 0 before the first."""
     return record["mark"] if record else 0
--- a/packages/configuration/src/linkhaven/configuration/updates.py
+++ b/packages/configuration/src/linkhaven/configuration/updates.py
@@ -5,7 +5,7 @@
 from linkhaven.api import ServiceError
 
 from .history import UpdateKey
-from .records import Record
+from .records import Overlay, Record
 
 
 class Contents:
@@ -14,7 +14,7 @@
     __slots__ = ("document", "source_text", "revision", "overlay")
 
     def __init__(
-        self, document: dict, source_text: str | None, revision: int, overlay: dict
+        self, document: dict, source_text: str | None, revision: int, overlay: Overlay
     ) -> None:
         """`source_text` is None and `revision` unchanged where our own command made the document."""
         self.document = document
@@ -44,11 +44,14 @@
     parts of the record before it, rather than replacing all of them.
     """
 
-    key: UpdateKey
     digest: str
     expected: int
     needs_blobs: bool
 
+    @property
+    def key(self) -> UpdateKey:
+        """What the history knows it by."""
+
     @property
     def update_id(self) -> str:
         """What the update is called in logs and in the record."""
