--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -203,7 +203,6 @@
             self.snapshot,
         )
         self.quota_allocator = QuotaAllocator(self, self.leases[QUOTA_ALLOCATOR], self.snapshot)
-        self.quota_allocator.on_won = self.watch_server.shorten_holds
 
     def _build_reporting(self) -> None:
         """What is published to routers and operators, recovery from routers, and the way out."""
@@ -327,6 +326,7 @@
             self.role_balancer.on_lease_won(role)
         elif role == QUOTA_ALLOCATOR:
             self.quota_allocator.on_lease_won(role)
+            self.watch_server.shorten_holds()
         else:
             self.watch_server.answer_all()
 
--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -49,7 +49,6 @@
         "serial",
         "unclaimed",
         "unclaimed_counted_us",
-        "on_won",
     )
 
     def __init__(self, node, lease, snapshot):
@@ -63,7 +62,6 @@
         self.serial = 0
         self.unclaimed = 0
         self.unclaimed_counted_us = None
-        self.on_won = lambda: None
 
     # the lease
 
@@ -73,7 +71,6 @@
         self.grants = {}
         self.demands = {}
         self.unclaimed_counted_us = None
-        self.on_won()
 
     def on_lease_lapsed(self, role):
         """Grant nothing more."""
