--- a/packages/membership/src/linkhaven/membership/failure_detector.py
+++ b/packages/membership/src/linkhaven/membership/failure_detector.py
@@ -62,7 +62,7 @@
         """Suspect whom this node watches and didn't hear; a new watcher counts from now."""
         watched = self.table.watched_names()
         for member in self.table.peers.rows():
-            if member.has_left or member.name not in watched:
+            if member.name not in watched or member.has_left:
                 member.last_heartbeat_us = None
                 continue
             if member.last_heartbeat_us is None:
@@ -74,7 +74,7 @@
     def _count_suspicions(self) -> None:
         """Watchers that fall silent or are heard again change the majority."""
         for member in self.table.peers.rows():
-            if member.is_up and member.suspicions and any(member.suspicions.values()):
+            if member.suspicions and member.is_up and any(member.suspicions.values()):
                 self._decide(member)
 
     # messages
--- a/packages/membership/src/linkhaven/membership/member.py
+++ b/packages/membership/src/linkhaven/membership/member.py
@@ -29,18 +29,13 @@
     """It left, and a suspicion that its watchers held was withdrawn after that."""
 
 
-SUSPECTED = {
-    MemberState.ALIVE: MemberState.FAILED,
-    MemberState.LEFT_CLEARED: MemberState.LEFT,
-}
-CLEARED = {
-    MemberState.FAILED: MemberState.ALIVE,
-    MemberState.LEFT: MemberState.LEFT_CLEARED,
-}
-RETURNED = {
-    MemberState.LEFT: MemberState.FAILED,
-    MemberState.LEFT_CLEARED: MemberState.ALIVE,
-}
+# Bound here since looking a state up in its Enum costs more than the comparison that needs it.
+ALIVE, FAILED = MemberState.ALIVE, MemberState.FAILED
+LEFT, LEFT_CLEARED = MemberState.LEFT, MemberState.LEFT_CLEARED
+
+SUSPECTED = {ALIVE: FAILED, LEFT_CLEARED: LEFT}
+CLEARED = {FAILED: ALIVE, LEFT: LEFT_CLEARED}
+RETURNED = {LEFT: FAILED, LEFT_CLEARED: ALIVE}
 
 
 class Member:
@@ -77,7 +72,7 @@
         self.replica_incarnation = 0
         self.configuration_version = 0
         self.protocol_version: int | None = None
-        self.state = MemberState.ALIVE
+        self.state = ALIVE
         self.down_us = 0
         self.suspicions: dict[str, bool] = {}
         self.last_heartbeat_us: int | None = None
@@ -87,17 +82,17 @@
     @property
     def is_up(self) -> bool:
         """Whether its watchers take it for running, be it that it left."""
-        return self.state is MemberState.ALIVE or self.state is MemberState.LEFT_CLEARED
+        return self.state is ALIVE or self.state is LEFT_CLEARED
 
     @property
     def has_left(self) -> bool:
         """Whether it stopped on purpose."""
-        return self.state is MemberState.LEFT or self.state is MemberState.LEFT_CLEARED
+        return self.state is LEFT or self.state is LEFT_CLEARED
 
     @property
     def is_live(self) -> bool:
         """Whether it is up and has not left."""
-        return self.state is MemberState.ALIVE
+        return self.state is ALIVE
 
     def fail(self, now_us: int) -> None:
         """Most of its watchers suspect it."""
@@ -111,7 +106,7 @@
 
     def leave(self, now_us: int) -> None:
         """It stopped on purpose."""
-        self.state = MemberState.LEFT
+        self.state = LEFT
         self.down_us = now_us
 
     def come_back(self) -> None:
