--- a/packages/controller/src/linkhaven/controller/figure_relay.py
+++ b/packages/controller/src/linkhaven/controller/figure_relay.py
@@ -1,58 +1,67 @@
-"""Figures that routers tell of the runners, added up at a seat."""
+"""Relays figures between routers: each reports its own and is given the sum of the others'.
 
-QUIET_US = 2_500_000
-"""A router that told nothing for so long is left out."""
+Above a number of routers these don't exchange figures of the runners with each other; each reports
+its own with its watch requests, as rows of runner, incarnation and figures, and is given the sums
+with the runner list. The sums are as old as the routers' last reports.
+"""
 
+from collections.abc import Sequence
+from typing import Any
 
-class FigureRelay:
-    """The sums, told back late.
+from linkhaven.runtime import Node
+
+REPORT_TIMEOUT_US = 2_500_000
+"""A router that reported nothing for so long is left out of the sums."""
+
+Key = tuple[str, int]
+"""A runner's name and incarnation."""
 
-    Each router tells the core its own figures with its asks, in the field named `field` as rows of
-    runner, incarnation and figures, and hears the sum of the others' with the list of runners.
-    """
 
-    __slots__ = ("node", "field", "told", "sums")
+class FigureRelay:
+    """Owns what each router reported in one field of its watch requests, and the sums over all."""
+
+    __slots__ = ("node", "field", "reports", "sums")
 
-    def __init__(self, node, field):
-        """Nothing is told yet."""
+    def __init__(self, node: Node, field: str) -> None:
+        """Relay the rows in the field named `field`; nothing was reported yet."""
         self.node = node
         self.field = field
-        self.told = {}
-        self.sums = {}
+        self.reports: dict[str, tuple[Sequence[Any], int]] = {}
+        self.sums: dict[Key, tuple[Any, ...]] = {}
         node.systems.append(self.tick)
 
-    def on_watch_request(self, message):
-        """Take a router's figures in place of those that it told before."""
+    def on_watch_request(self, message: dict[str, Any]) -> None:
+        """Take a router's rows in place of those that it reported before."""
         if self.field in message:
             self._replace(message["name"], message[self.field])
 
-    def add_watch_facts(self, ask, facts):
-        """Add what the other routers told to the answer to a router that told its own."""
-        if self.field in ask:
-            facts[self.field] = self.of_others(ask["name"])
+    def add_watch_facts(self, request: dict[str, Any], response: dict[str, Any]) -> None:
+        """Add the sum of the others' rows, for a router that reported its own."""
+        if self.field in request:
+            response[self.field] = self.of_others(request["name"])
 
-    def _replace(self, router, views):
-        before, _ = self.told.pop(router, ((), 0))
+    def _replace(self, router: str, rows: Sequence[Any] | None) -> None:
+        before, _ = self.reports.pop(router, ((), 0))
         self._add(before, -1)
-        if views is not None:
-            self.told[router] = (views, self.node.now_us())
-            self._add(views, 1)
+        if rows is not None:
+            self.reports[router] = (rows, self.node.now_us())
+            self._add(rows, 1)
 
-    def _add(self, views, sign):
-        for name, incarnation, *figures in views:
+    def _add(self, rows: Sequence[Any], sign: int) -> None:
+        for name, incarnation, *figures in rows:
             key = (name, incarnation)
-            held = self.sums.get(key) or (0,) * len(figures)
-            total = tuple(one + sign * other for one, other in zip(held, figures, strict=False))
+            sums = self.sums.get(key) or (0,) * len(figures)
+            total = tuple(one + sign * other for one, other in zip(sums, figures, strict=False))
             if any(total):
                 self.sums[key] = total
             else:
                 self.sums.pop(key, None)
 
-    def of_others(self, router):
-        """The sums without what this router told itself."""
+    def of_others(self, router: str) -> list[list[Any]]:
+        """The sums without what this router reported itself."""
         own = {
             (name, incarnation): figures
-            for name, incarnation, *figures in self.told.get(router, ((), 0))[0]
+            for name, incarnation, *figures in self.reports.get(router, ((), 0))[0]
         }
         rows = []
         for key, total in self.sums.items():
@@ -66,9 +75,11 @@
                 rows.append([*key, *rest])
         return rows
 
-    def tick(self, now_us):
-        """Leave out who told nothing for a while."""
+    def tick(self, now_us: int) -> None:
+        """Leave out the routers that reported nothing for a while."""
         for router in [
-            router for router, (_, told_us) in self.told.items() if now_us - told_us > QUIET_US
+            router
+            for router, (_, reported_us) in self.reports.items()
+            if now_us - reported_us > REPORT_TIMEOUT_US
         ]:
             self._replace(router, None)
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -192,9 +192,8 @@
             self.runner_client,
             platform,
             (self.leases[RUNNER_LIST], self.leases[ROLE_BALANCER]),
+            observer=self,
         )
-        self.runner_discovery.on_blind = self.leases[RUNNER_LIST].step_down
-        self.runner_discovery.on_ready = self.watch_server.answer_all
         self.role_balancer = RoleBalancer(
             self,
             self.leases[ROLE_BALANCER],
@@ -255,7 +254,7 @@
         self.watch_server.on_ask += [
             *(relay.on_watch_request for relay in self.relays),
             self.runner_discovery.on_evidence,
-            self.role_balancer.on_watch_request,
+            self.role_balancer.demand.on_watch_request,
             self.quota_allocator.on_ask,
             self.configuration_recovery.on_watch_request,
             FencingTokenObserver(self.leases).on_watch_request,
@@ -297,15 +296,23 @@
         self.claim_admission.on_voting_started()
         self.configuration_recovery.on_voting_started()
         rank_candidates(self.leases, self.replica.replica_ids, self.replica.replica_id)
-        self.runner_discovery.start_serials_at(self.replica.incarnation)
+        self.runner_discovery.list.start_serials_at(self.replica.incarnation)
         if not self.replica.votes_from_us:
             for lease in self.leases.values():
                 lease.allow_election_now()
         elif self.replica.recovery.has_met_no_voter:
             self.leases[RUNNER_LIST].assume_vacant()
 
+    def on_runner_list_ready(self) -> None:
+        """The runner list may be published: routers needn't wait for their next request."""
+        self.watch_server.answer_all()
+
+    def on_runner_list_outdated(self) -> None:
+        """This node can't reach the platform: another one should keep the list."""
+        self.leases[RUNNER_LIST].step_down()
+
     def on_key_outbid(self, key: str) -> None:
-        """Too few replicas have the value of a key: write it to a majority under a higher ballot."""
+        """Too few replicas have a key's value: write it to a majority under a higher ballot."""
         if key in self.outbid_keys:
             return
         self.outbid_keys.add(key)
--- a/packages/controller/src/linkhaven/controller/runner_list_publisher.py
+++ b/packages/controller/src/linkhaven/controller/runner_list_publisher.py
@@ -55,18 +55,18 @@
                 "fence": rank,
                 **self.discovery.document(known_serial if known_rank == rank else None),
             }
-        self.balancer.add_watch_facts(response)
+        self.balancer.orders.add_watch_facts(response)
 
     def is_urgent(self, request: dict[str, Any]) -> bool:
         """Whether the router lacks a role change or a change of the runner list."""
         lease = self.leases[ROLE_BALANCER]
-        newest = (lease.fencing_token, self.balancer.serial)
+        newest = (lease.fencing_token, self.balancer.orders.serial)
         if lease.is_held() and newest > tuple(request.get(ROLE_BALANCER) or NOTHING_SEEN):
             return True
         rank = self._rank()
         if rank is None or not self.discovery.is_ready():
             return False
-        return (rank, self.discovery.changes.newest) > tuple(
+        return (rank, self.discovery.list.delta.newest) > tuple(
             request.get(RUNNER_LIST) or NOTHING_SEEN
         )
 
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -729,11 +729,11 @@
             "runners": len(router.roster.runners),
             "evidence": len(router.roster.evidence),
             "shunned": len(router.pairing.shunned),
-            "heard": len(core.runner_discovery.heard_us),
-            "leaving": len(core.runner_discovery.leaving),
+            "heard": len(core.runner_discovery.health.seen_us),
+            "leaving": len(core.runner_discovery.health.leaving),
             "out": sum(map(len, core.quota_allocator.grants.values())),
             "fellows": len(core.membership.peers),
-            "rates": len(core.role_balancer.rates),
+            "rates": len(core.role_balancer.demand.rates),
             "asks": len(core.watch_server.polls),
         }
 
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -15,6 +15,9 @@
     return None
 
 
+OBSERVER = SimpleNamespace(on_runner_list_ready=lambda: None, on_runner_list_outdated=lambda: None)
+
+
 class Logged:
     def __init__(self):
         self.events = []
@@ -328,7 +331,9 @@
     is_answered, is_unresponsive
 ):
     node, desk = Router(), Reports()
-    runner_discovery = RunnerDiscovery(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
+    runner_discovery = RunnerDiscovery(
+        node, desk, "list", [SimpleNamespace(is_held=lambda: True)], OBSERVER
+    )
 
     def run_for(span_us):
         for _ in range(span_us // 10_000):
@@ -351,7 +356,9 @@
 
 def test_evidence_older_than_the_last_report_asks_nothing():
     node, desk = Router(), Reports()
-    runner_discovery = RunnerDiscovery(node, desk, "list", [SimpleNamespace(is_held=lambda: True)])
+    runner_discovery = RunnerDiscovery(
+        node, desk, "list", [SimpleNamespace(is_held=lambda: True)], OBSERVER
+    )
     runner_discovery.tick(node.us)
     while desk.asked:
         desk.asked.pop()(None, record("d-1"), True)
--- a/tests/test_exchanged_address.py
+++ b/tests/test_exchanged_address.py
@@ -20,10 +20,18 @@
     def is_held(self):
         return True
 
-    def is_quiet(self):
+    def is_holder_suspected(self):
         return False
 
 
+class Observer:
+    def on_runner_list_ready(self):
+        pass
+
+    def on_runner_list_outdated(self):
+        pass
+
+
 class Ports:
     def log(self, number, **facts):
         pass
@@ -52,7 +60,7 @@
 
 def listing(*rounds):
     node, desk = Node(), Desk()
-    runner_discovery = RunnerDiscovery(node, desk, "10.0.0.9:1", (Duty(),))
+    runner_discovery = RunnerDiscovery(node, desk, "10.0.0.9:1", (Duty(),), Observer())
     for names in rounds:
         node.us += 1_000_000
         runner_discovery.tick(node.us)
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -161,5 +161,5 @@
 def test_no_order_of_a_phase_is_ever_weighed_for_a_plain_runner():
     core, runner_discovery = plain_core()
     sides = PoolRoles()
-    sides.add(runner_discovery.runners["i-1"], runner_discovery, None)
+    sides.add(runner_discovery.runners["i-1"], runner_discovery.health, None)
     assert sides.members() == 0 and not sides.unreported
--- a/tests/test_recovery_speed.py
+++ b/tests/test_recovery_speed.py
@@ -146,5 +146,7 @@
     others = [host for host in core.machines.values() if host is not old]
     assert core.world.wait_for(lambda: holder_of(others, "steward"), SECOND, 5 * MS)
     role_balancer = holder_of(others, "steward").node.role_balancer
-    assert not role_balancer.may_order(core.world.now_us + role_balancer.lease.lease_us - 20 * MS)
-    assert role_balancer.may_order(core.world.now_us + role_balancer.lease.lease_us)
+    assert not role_balancer.permission.may_order(
+        core.world.now_us + role_balancer.lease.lease_us - 20 * MS
+    )
+    assert role_balancer.permission.may_order(core.world.now_us + role_balancer.lease.lease_us)
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -12,7 +12,7 @@
 from linkhaven.consensus.replica_state import ReplicaState
 from linkhaven.controller.claim_admission import ClaimAdmission
 from linkhaven.controller.role_change import RoleChange
-from linkhaven.controller.runner_discovery import RunnerDiscovery
+from linkhaven.controller.runner_health import RunnerHealth
 from linkhaven.credit import QuotaAllocator, RetryBudget
 from linkhaven.leases import Lease
 from linkhaven.router.attempts import Attempts
@@ -133,7 +133,7 @@
 
 
 def overlook_leaving(monkeypatch):
-    monkeypatch.setattr(RunnerDiscovery, "_mark_leaving", lambda self, runner: None)
+    monkeypatch.setattr(RunnerHealth, "on_leaving", lambda self, runner: None)
 
 
 def leave_slowly(fleet_of):
--- a/tests/test_vacant_roles.py
+++ b/tests/test_vacant_roles.py
@@ -9,9 +9,10 @@
 from pooled_fleet import POOL, POOLED, SLOTS, SPEEDS, PooledFleet
 
 from linkhaven.controller import ControllerNode
-from linkhaven.controller.role_balancer import NOTICE_US
 from linkhaven.controller.role_change import RoleChange
-from linkhaven.controller.runner_discovery import PRESS_US, UNANSWERED_US
+from linkhaven.controller.role_decisions import NOTICE_US
+from linkhaven.controller.runner_discovery import PRESS_US
+from linkhaven.controller.runner_health import UNANSWERED_US
 from linkhaven.leases.observer import MARGIN_US, RANK_US
 from linkhaven.runner.roster import DECODE, PREFILL
 from linkhaven.runtime import Bounds
@@ -91,7 +92,7 @@
 
 def may_order(one):
     node = holder(one)
-    return node is not None and node.role_balancer.may_order(one.world.now_us)
+    return node is not None and node.role_balancer.permission.may_order(one.world.now_us)
 
 
 def playing(one, phase):
@@ -302,7 +303,7 @@
     one.world.run_for(3 * SECOND)
     assert role_balancer.runner_discovery.runners["runner-4"].is_leaving
     assert not orders(one, PREFILL, began_us)
-    assert not role_balancer.changes
+    assert not role_balancer.orders.changes
 
 
 @pytest.mark.parametrize("way", ["dark", "crash"])
@@ -327,9 +328,9 @@
     began_us = one.world.now_us
     readers = playing(one, PREFILL)
     one.list_runners(**{name.replace("-", "_"): "leaving" for name in readers})
-    assert one.world.wait_for(lambda: role_balancer.changes, 2 * SECOND, STEP)
+    assert one.world.wait_for(lambda: role_balancer.orders.changes, 2 * SECOND, STEP)
     left = {f"runner_{place}": "leaving" for place in (1, 2, 3, 4, 5)}
-    chosen = next(iter(role_balancer.changes))
+    chosen = next(iter(role_balancer.orders.changes))
     left[chosen.replace("-", "_")] = "serving"
     one.list_runners(at_once=True, **left)
     one.world.run_for(3 * SECOND)
@@ -342,7 +343,9 @@
     role_balancer = holder(one).role_balancer
     began_us = one.world.now_us
     runner = role_balancer.runner_discovery.runners["runner-1"]
-    role_balancer.changes[runner.name] = RoleChange(runner, DECODE, one.world.now_us, NOTICE_US)
+    role_balancer.orders.changes[runner.name] = RoleChange(
+        runner, DECODE, one.world.now_us, NOTICE_US
+    )
     one.world.run_for(2 * SECOND)
     assert not orders(one, DECODE, began_us)
 
