--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -6,12 +6,15 @@
 | --- | --- |
 | `snapshot` | the configuration in force, as far as this node knows |
 | `membership` | the members of the fleet and their health |
-| `seat`, `proposer` | the register: what this replica voted for, the proposals in flight |
-| `blobs`, `blob_exchange`, `configuration_store`, `watch_server` | the configuration's documents, their way here, its changes, the routers that watch it |
+| `replica`, `proposer` | the register: what this replica voted for, the proposals in flight |
+| `blobs`, `blob_exchange` | the configuration's documents and their way here |
+| `configuration_store` | the changes of the configuration |
+| `watch_server` | the routers that watch the configuration |
 | `leases` | the singleton roles: role balancer, quota allocator, runner list |
-| `runner_discovery`, `role_balancer`, `quota_allocator` | what the holders of these roles know and decide |
+| `runner_discovery`, `role_balancer` | the runners; their prefill and decode roles |
+| `quota_allocator` | the quotas of groups |
 | `configuration_recovery`, `claim_admission` | what routers give back to a core that lost it |
-| `quorum_contact`, `router_contact` | whether this node is cut off from the other replicas, or from the routers |
+| `quorum_contact`, `router_contact` | whether replicas, and routers, reach this node |
 | `shutdown` | the way out |
 
 Ticks run in the order in which the parts are built, since parts register theirs; those of the parts
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -64,7 +64,9 @@
 
 
 def grant_keys_from_an_empty_core(monkeypatch):
-    monkeypatch.setattr(ClaimAdmission, "_has_heard_enough", lambda self, routers, now_us: True)
+    monkeypatch.setattr(
+        ClaimAdmission, "_have_enough_handed_over", lambda self, routers, now_us: True
+    )
     monkeypatch.setattr(ClaimAdmission, "on_keys", lambda self, message: None)
 
 
