--- a/packages/configuration/src/linkhaven/configuration/__init__.py
+++ b/packages/configuration/src/linkhaven/configuration/__init__.py
@@ -1,4 +1,11 @@
-"""The plan: its checks, its place in the register, and how routers hear of it."""
+"""The operators' configuration: its form and checks, its store, and how routers follow it.
+
+A *document* is the configuration as JSON, stored and sent as it came; a `Configuration` is the
+typed record that all other packages read. Documents: `schema` (form), `document` (records and
+defaults), `validation` (checks, decoding), `document_faults` (errors), `patch` (changes by name),
+`overlay` (our commands beside a foreign operator's text), `document_diff` (for people), `changes`
+(for routers). On the wire and in commands a document is called `plan`.
+"""
 
 from .blob_exchange import BlobExchange
 from .blobs import BlobStore
--- a/packages/configuration/src/linkhaven/configuration/document.py
+++ b/packages/configuration/src/linkhaven/configuration/document.py
@@ -153,7 +153,7 @@
     """From the first byte to the end of the headers."""
 
     idle_us: int | None = None
-    """Between two calls on a connection."""
+    """Between two calls on a connection, and for the rest of a call once its headers are read."""
 
 
 class PlacementSettings(msgspec.Struct, frozen=True):
