--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -71,8 +71,6 @@
 class Replica(Protocol):
     """The replica of this node; it may be none yet, and then has accepted nothing."""
 
-    on_retired: list[Callable[[], None]]
-
     def register_state(self, key: str, /) -> RegisterState:
         """Return the state of a key."""
 
@@ -114,14 +112,13 @@
         self.synced: set[str] = set()
         self.writing: set[str] = set()
         self._load()
-        replica.on_retired.append(self._on_retired)
 
     def _load(self) -> None:
         for key, packed in self.node.ports.storage.load().items():
             if key.startswith(DISK_PREFIX) and self.take(key[len(DISK_PREFIX) :], packed):
                 self.synced.add(key[len(DISK_PREFIX) :])
 
-    def _on_retired(self) -> None:
+    def on_replica_retired(self) -> None:
         """A retired replica deletes all its records; what is being written counts for nothing."""
         self.synced.clear()
         self.writing.clear()
--- a/packages/configuration/src/linkhaven/configuration/vote_guard.py
+++ b/packages/configuration/src/linkhaven/configuration/vote_guard.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from linkhaven.consensus import LateAccepts, StatePage
+from linkhaven.consensus import Accept, LateAccepts, StatePage
 from linkhaven.runtime import reply_address_of
 
 from .blob_exchange import BlobExchange
@@ -20,7 +20,6 @@
 class GuardedNode(Protocol):
     """The node, as far as it hands messages to handlers by their kind."""
 
-    map_handlers: dict[str, Callable[[Any], None]]
     handlers: dict[Any, Callable[[Any], None]]
 
 
@@ -43,16 +42,16 @@
         self.replica = replica
         self.blobs = blobs
         self.exchange = exchange
-        self._guard("accept", self._records_of_accept)
+        self._guard(Accept, self._records_of_accept)
         self._guard(StatePage, self._records_of_page)
         self._guard(LateAccepts, self._records_of_late_accepts)
 
-    def _guard(self, kind: Any, records_of: Callable[[Any], Iterable[Record]]) -> None:
-        """`kind`: the type of the messages, or the name of a kind that has no type yet."""
-        handlers: dict[Any, Callable[[Any], None]] = (
-            self.node.map_handlers if isinstance(kind, str) else self.node.handlers
-        )
-        handle = handlers[kind]
+    def _guard(
+        self,
+        message_type: type,
+        records_of: Callable[[Any], Iterable[Record]],
+    ) -> None:
+        handle = self.node.handlers[message_type]
 
         def handle_with_blobs(message: Any) -> None:
             digests = [digest for record in records_of(message) for digest in digests_of(record)]
@@ -63,11 +62,11 @@
 
             self.exchange.when_here(digests, resume, lambda: None, reply_address_of(message))
 
-        handlers[kind] = handle_with_blobs
+        self.node.handlers[message_type] = handle_with_blobs
 
-    def _records_of_accept(self, message: Any) -> list[Record]:
-        is_for_vote = message["key"] == REGISTER_KEY and self.replica.is_voting
-        return [message["value"]] if is_for_vote else []
+    def _records_of_accept(self, message: Accept) -> list[Record]:
+        is_for_vote = message.key == REGISTER_KEY and self.replica.is_voting
+        return [message.value] if is_for_vote else []
 
     def _records_of_page(self, page: StatePage) -> list[Record]:
         register = page.registers.get(REGISTER_KEY)
--- a/packages/consensus/src/linkhaven/consensus/__init__.py
+++ b/packages/consensus/src/linkhaven/consensus/__init__.py
@@ -1,14 +1,34 @@
+"""Registers that a majority of the core's replicas agrees on, one by Paxos for each key.
+
+`Proposer` changes registers, `Replica` votes on them and keeps them; `RegisterTable` is what it
+keeps. The other modules are their parts; `docs/control.md` describes the protocol.
+"""
+
 from .claim_limits import ClaimLimits, default_claim_limits
+from .paxos_messages import Accept, Accepted, Chosen, Prepare, Promise
+from .proposal import Outcome, UpdateAction
 from .proposer import Proposer
 from .recovery_messages import StatePage
+from .registers import RegisterState, RegisterTable
 from .replica import Replica
+from .replica_state import ReplicaState
 from .replication_messages import LateAccepts
 
 __all__ = [
+    "Accept",
+    "Accepted",
+    "Chosen",
     "ClaimLimits",
     "LateAccepts",
+    "Outcome",
+    "Prepare",
+    "Promise",
     "Proposer",
+    "RegisterState",
+    "RegisterTable",
     "Replica",
+    "ReplicaState",
     "StatePage",
+    "UpdateAction",
     "default_claim_limits",
 ]
--- /dev/null
+++ b/packages/consensus/src/linkhaven/consensus/acceptor.py
@@ -0,0 +1,165 @@
+"""The acceptor: the votes of a replica on ballots of its registers (Lamport, Paxos Made Simple, 2.2).
+
+| message | the register | what it does |
+| --- | --- | --- |
+| any | the replica may not vote on it | refuses, with the reason of the replica |
+| `Prepare` | promised this ballot or a higher one | refuses as outbid |
+| `Prepare` | promised lower ones | promises it, and names what it accepted last |
+| `Accept` | promised a higher ballot | refuses as outbid |
+| `Accept` | promised this ballot or lower ones | accepts the value |
+| `Chosen` | accepted this very ballot last | notes that its value is chosen |
+| `Chosen` | any other | nothing |
+
+Invariant: no register accepts a ballot below its promise (`forget_promises` in
+`tests/test_explore.py`).
+Invariant: a ballot is promised once, as it names its proposer (`let_ballots_be_alike` there).
+Invariant: a vote leaves only once the disk has synced what it promises (`answer_before_the_sync`
+there).
+Invariant: a vote whose sync ends under another incarnation, or once the replica votes no more, is
+never sent: the one that asked may have been told that it counts for nothing.
+"""
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from linkhaven.runtime import Node
+
+from .paxos_messages import (
+    DISK_REFUSED,
+    OUTBID,
+    Accept,
+    Accepted,
+    Ballot,
+    Chosen,
+    Prepare,
+    Promise,
+    Request,
+)
+from .registers import RegisterState, RegisterTable, record_key
+
+DISK_REFUSED_EVENT = 1205
+
+
+class Voter(Protocol):
+    """The replica whose votes these are."""
+
+    @property
+    def replica_id(self) -> str:
+        """Which replica this node is; "" for a spare."""
+
+    @property
+    def incarnation(self) -> int:
+        """Its incarnation, which votes name."""
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it gives votes at all."""
+
+    def refusal_of(self, request: Request) -> str | None:
+        """Return why it may not vote on a request, None where it may."""
+
+    def all_incarnations(self) -> dict[str, int]:
+        """Return the newest incarnation of each replica that it knows."""
+
+    def on_vote_synced(self, is_synced: bool) -> None:
+        """Note whether the disk took a vote."""
+
+
+class Acceptor:
+    """Gives a replica's votes; changes `registers`, and syncs each change before it answers."""
+
+    __slots__ = ("node", "voter", "registers", "on_change")
+
+    def __init__(
+        self,
+        node: Node,
+        voter: Voter,
+        registers: RegisterTable,
+        on_change: Callable[[str], None],
+    ) -> None:
+        """`on_change` is called with the key of a register after a vote, and once it is chosen."""
+        self.node = node
+        self.voter = voter
+        self.registers = registers
+        self.on_change = on_change
+        node.register_handler(Prepare, self.on_prepare)
+        node.register_handler(Accept, self.on_accept)
+        node.register_handler(Chosen, self.on_chosen)
+
+    def on_prepare(self, message: Prepare) -> None:
+        """Promise a ballot that is higher than all before."""
+        reason = self.voter.refusal_of(message)
+        if reason is not None:
+            return self._refuse(message, Promise, reason)
+        register = self.registers.get_or_create(message.key)
+        if message.ballot <= register.promise:
+            return self._refuse(message, Promise, OUTBID, highest=register.promise)
+        register.promise = message.ballot
+        accepted = register.accepted
+        value = None if accepted == message.own_accepted else register.value
+        self._vote(message, register, Promise, accepted=accepted, value=value)
+
+    def on_accept(self, message: Accept) -> None:
+        """Accept a value, unless a higher ballot was promised."""
+        reason = self.voter.refusal_of(message)
+        if reason is not None:
+            return self._refuse(message, Accepted, reason)
+        register = self.registers.get_or_create(message.key)
+        if message.ballot < register.promise:
+            return self._refuse(message, Accepted, OUTBID, highest=register.promise)
+        register.promise = message.ballot
+        register.accepted = message.ballot
+        register.value = message.value
+        self._vote(message, register, Accepted)
+
+    def on_chosen(self, message: Chosen) -> None:
+        """Note that what this replica accepted last is chosen."""
+        register = self.registers.states.get(message.key)
+        if register is None or register.accepted != message.ballot:
+            return
+        register.chosen = register.accepted
+        self.on_change(message.key)
+
+    def _vote(
+        self,
+        message: Request,
+        register: RegisterState,
+        answer_type: type[Promise] | type[Accepted],
+        **facts: Any,
+    ) -> None:
+        """Sync the register, then answer yes."""
+        self.registers.note_change(register)
+
+        def on_synced(is_synced: bool) -> None:
+            self.voter.on_vote_synced(is_synced)
+            if not is_synced:
+                self.node.ports.log(DISK_REFUSED_EVENT, key=message.key)
+                return self._refuse(message, answer_type, DISK_REFUSED)
+            if not self.voter.is_voting or message.incarnation != self.voter.incarnation:
+                return
+            self._answer(message, answer_type, is_yes=True, **facts)
+            self.on_change(message.key)
+
+        self.node.ports.storage.write({record_key(message.key): register.as_record()}, on_synced)
+
+    def _refuse(
+        self,
+        message: Request,
+        answer_type: type[Promise] | type[Accepted],
+        reason: str,
+        **facts: Ballot,
+    ) -> None:
+        self._answer(message, answer_type, is_yes=False, reason=reason, **facts)
+
+    def _answer(
+        self, message: Request, answer_type: type[Promise] | type[Accepted], **facts: Any
+    ) -> None:
+        answer = answer_type(
+            id=message.id,
+            ballot=message.ballot,
+            replica_id=self.voter.replica_id,
+            incarnation=self.voter.incarnation,
+            known_incarnations=self.voter.all_incarnations(),
+            **facts,
+        )
+        self.node.send(message.reply_to, answer)
--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -74,7 +74,11 @@
     state: ReplicaState
     incarnation: int
     known_incarnations: dict[str, int]
-    clock_us: int
+
+    @property
+    def clock_us(self) -> int:
+        """Time lived through by all instances of the replica."""
+
     votes_from_us: int
     is_learned: bool
     are_claims_open: bool
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -135,7 +135,11 @@
     state: ReplicaState
     incarnation: int
     known_incarnations: dict[str, int]
-    clock_us: int
+
+    @property
+    def clock_us(self) -> int:
+        """Time lived through by all instances of the replica."""
+
     is_learned: bool
     is_empty: bool
     is_failing: bool
--- a/packages/consensus/src/linkhaven/consensus/recovery_messages.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery_messages.py
@@ -11,8 +11,7 @@
 
 from linkhaven.runtime import Message
 
-Ballot = list[Any]
-"""Number and node name of a proposal; ballots compare element by element."""
+from .paxos_messages import Ballot
 
 RegisterCopy = tuple[Ballot, Ballot | None, Any]
 """Promised ballot, accepted ballot and accepted value of one register."""
--- a/packages/consensus/src/linkhaven/consensus/recovery_responder.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery_responder.py
@@ -27,6 +27,7 @@
     StatePage,
     StateQuery,
 )
+from .registers import RegisterTable
 from .replica_instances import ReplicaInstances
 from .replica_records import ReplicaRecord
 
@@ -44,8 +45,7 @@
     is_empty: bool
     are_claims_open: bool
     fence_record: Any
-    states: dict[str, Any]
-    change_count: int
+    registers: RegisterTable
 
     @property
     def is_voting(self) -> bool:
@@ -151,6 +151,7 @@
         keys, change_count = self.listings[transfer]
         first = bisect_right(keys, request.after)
         page = keys[first : first + PAGE_KEYS]
+        states = replica.registers.states
         answer = StatePage(
             replica_id=replica.replica_id,
             start=self.recovery.start,
@@ -161,15 +162,13 @@
             num_remaining=len(keys) - first - len(page),
             next_cursor=page[-1] if len(keys) > first + PAGE_KEYS else None,
             are_claims_open=replica.are_claims_open,
-            registers={
-                key: replica.states[key].as_record()[:3] for key in page if key in replica.states
-            },
+            registers={key: states[key].as_copy() for key in page if key in states},
         )
         self.node.send(request.reply_to, answer)
 
     def _list_keys(self, transfer: str, since: int) -> None:
         while len(self.listings) >= MAX_TRANSFERS:
             del self.listings[next(iter(self.listings))]
-        states = self.replica.states
+        states = self.replica.registers.states
         keys = sorted(key for key, state in states.items() if state.version >= since)
-        self.listings[transfer] = (keys, self.replica.change_count)
+        self.listings[transfer] = (keys, self.replica.registers.change_count)
--- a/packages/consensus/src/linkhaven/consensus/replica_records.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_records.py
@@ -1,10 +1,14 @@
 """What a replica keeps on disk about instances and hand-overs, as its bytes stand there."""
 
+from collections.abc import Mapping
 from typing import Any
 
 import msgspec
 from msgspec import UNSET, UnsetType
 
+HANDOVER_RECORD = "offer"
+"""The key of the record of the last hand-over."""
+
 
 class ReplicaInstance(msgspec.Struct, array_like=True, frozen=True):
     """The node that ran last as a replica, as far as it is recorded."""
@@ -55,23 +59,21 @@
     instances: dict[str, ReplicaInstance] | UnsetType = msgspec.field(
         default=UNSET, name="occupants"
     )
-    handover: HandoverRecord | UnsetType = msgspec.field(default=UNSET, name="offer")
+    handover: HandoverRecord | UnsetType = msgspec.field(default=UNSET, name=HANDOVER_RECORD)
 
     def as_items(self) -> dict[str, Any]:
         """Keys and values as the disk takes them."""
         return msgspec.to_builtins(self)
 
-
-def read_instances(document: dict[str, Any] | None) -> dict[str, ReplicaInstance]:
-    """The recorded instances of a disk; none where it has none."""
-    return msgspec.convert(document or {}, dict[str, ReplicaInstance])
-
-
-def read_fence(document: dict[str, Any] | None) -> FenceRecord | None:
-    """The fence of a disk, or None where it never departed or was cleared for recovery."""
-    return None if document is None else msgspec.convert(document, FenceRecord)
+    @classmethod
+    def load(cls, stored: Mapping[str, Any]) -> "ReplicaRecord":
+        """Take the replica's own records out of all that a disk holds."""
+        return msgspec.convert(stored, cls)
 
 
-def read_handover(document: dict[str, Any] | None) -> HandoverRecord | None:
-    """The last hand-over that a disk agreed to take, or None."""
-    return None if document is None else msgspec.convert(document, HandoverRecord)
+OWN_RECORDS = tuple(
+    field.encode_name
+    for field in msgspec.structs.fields(ReplicaRecord)
+    if field.encode_name != HANDOVER_RECORD
+)
+"""The keys of these records on disk, but for the hand-over, for which a spare answers, too."""
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -24,6 +24,7 @@
 from linkhaven.runtime import Node
 
 from .recovery_messages import RegisterCopy
+from .registers import RegisterTable
 from .replication_messages import BallotPage, LateAccepts, MissingValues
 
 PAGE_KEYS = 500
@@ -38,8 +39,7 @@
     majority: int
     incarnation: int
     known_incarnations: dict[str, int]
-    states: dict[str, Any]
-    change_count: int
+    registers: RegisterTable
     directory: Any
 
     @property
@@ -87,11 +87,11 @@
         """The final round looks only at what changed since the round before it began."""
         replica = self.replica
         since = self.began_at_change if is_final else NEVER
-        self.began_at_change = replica.change_count
+        self.began_at_change = replica.registers.change_count
         self.round_number += 1
         self.keys = sorted(
             key
-            for key, state in replica.states.items()
+            for key, state in replica.registers.states.items()
             if state.version > since and state.accepted is not None
         )
         others = (name for name in replica.directory.replicas() if name != replica.replica_id)
@@ -123,16 +123,13 @@
         found = replica.directory.replicas().get(name)
         if found is None:
             return
+        states: Mapping[str, Any] = replica.registers.states
         page = BallotPage(
             round_number=self.round_number,
             after=cursor,
             replica_id=replica.replica_id,
             incarnation=replica.incarnation,
-            ballots={
-                key: replica.states[key].accepted
-                for key in self._page(cursor)
-                if key in replica.states
-            },
+            ballots={key: states[key].accepted for key in self._page(cursor) if key in states},
         )
         self.node.send(found[0], page)
 
@@ -179,7 +176,7 @@
             self._send_ballot_page(name, page[-1])
 
     def _send_late_accepts(self, address: str, keys: list[str]) -> None:
-        states = self.replica.states
+        states: Mapping[str, Any] = self.replica.registers.states
         accepts = LateAccepts(
             replica_id=self.replica.replica_id,
             incarnation=self.replica.incarnation,
--- a/packages/controller/src/linkhaven/controller/local_status.py
+++ b/packages/controller/src/linkhaven/controller/local_status.py
@@ -85,7 +85,7 @@
             "seat": replica.replica_id,
             "standing": replica.state,
             "incarnation": replica.incarnation,
-            "claims": len(replica.claims),
+            "claims": len(replica.registers.claims),
             "are_claims_open": replica.are_claims_open,
             "is_empty": replica.is_empty,
             "is_failing": replica.is_failing,
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -34,7 +34,7 @@
     VoteGuard,
     WatchServer,
 )
-from linkhaven.consensus import Proposer, Replica, default_claim_limits
+from linkhaven.consensus import Proposer, RegisterTable, Replica, default_claim_limits
 from linkhaven.credit import QuotaAllocator
 from linkhaven.leases import Lease
 from linkhaven.membership import Member, Membership
@@ -76,6 +76,7 @@
     __slots__ = (
         "membership",
         "replica",
+        "registers",
         "proposer",
         "snapshot",
         "blobs",
@@ -149,20 +150,26 @@
             current_version=lambda: self.snapshot.version,
             on_configuration_version=self.on_member_version,
         )
-        self.proposer = Proposer(self, self.membership, silent_us=self.bounds.silent_us)
+        self.registers = RegisterTable.load(self, self.claim_limits)
+        self.proposer = Proposer(
+            self,
+            self.membership,
+            silent_us=self.bounds.silent_us,
+            own_registers=self.registers,
+        )
         self.replica = Replica(
             self,
             replica_id,
             REPLICA_NAMES[: self.bounds.seats],
             self.membership,
-            self.on_slot_changed,
-            self.on_voting_started,
-            self.claim_limits,
+            self.registers,
+            on_change=self.on_slot_changed,
+            on_votes=self.on_voting_started,
+            on_retired=self.on_replica_retired,
             contact=contact,
             on_outbid=self.on_key_outbid,
         )
         self.claim_admission = ClaimAdmission(self, self.replica, self.membership, self.snapshot)
-        self.proposer.accepted_of = self.replica.accepted_of
 
     def _build_configuration(self) -> None:
         """The configuration's store and its watch server."""
@@ -314,6 +321,10 @@
         """This node can't reach the platform: another one should keep the list."""
         self.leases[RUNNER_LIST].step_down()
 
+    def on_replica_retired(self) -> None:
+        """This node is a spare again: what it kept on disk is dropped, blobs with it."""
+        self.blobs.on_replica_retired()
+
     def on_key_outbid(self, key: str) -> None:
         """Too few replicas have a key's value: write it to a majority under a higher ballot."""
         if key in self.outbid_keys:
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -13,7 +13,7 @@
     VoteGuard,
 )
 from linkhaven.configuration.history import digest_of_update, read_history
-from linkhaven.consensus import Proposer, Replica
+from linkhaven.consensus import Proposer, RegisterTable, Replica
 from linkhaven.controller import ControllerNode
 from linkhaven.leases import Lease, SilentListener
 from linkhaven.membership import Membership
@@ -66,6 +66,7 @@
 
     __slots__ = (
         "membership",
+        "registers",
         "proposer",
         "replica",
         "snapshot",
@@ -81,10 +82,17 @@
             self, "registry", "z", [], ports.clock.now_us() + ports.clock.start
         )
         self.systems.remove(self.membership.tick)
+        self.registers = RegisterTable.load(self)
         self.proposer = Proposer(self, self.membership)
         seats = SEATS[: bounds.seats]
         self.replica = Replica(
-            self, None, seats, self.membership, lambda key: None, self._hear_votes
+            self,
+            None,
+            seats,
+            self.membership,
+            self.registers,
+            on_votes=self._hear_votes,
+            on_retired=self._hear_retired,
         )
         self.snapshot = ConfigurationSnapshot()
         pending = PendingBlobs()
@@ -102,6 +110,9 @@
         if contacts and self.replica.is_empty and not self.replica.replica_id:
             self.replica.begin_first(seats[contacts.index(address)], contacts)
 
+    def _hear_retired(self):
+        self.blobs.on_replica_retired()
+
     def _hear_votes(self):
         if self.lease is not None and not self.replica.votes_from_us:
             self.lease.allow_election_now()
@@ -279,7 +290,7 @@
     if any(epoch > marks.get(seat, 0) for seat, epoch in message["known"].items()):
         return False
     change = machine.node.proposer.proposals.get(message["id"])
-    return change is None or message["ballot"] < (change.ballot or [0, ""])
+    return change is None or message["ballot"] < change.ballot
 
 
 def canonical(thing, now_us, met=None):
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -10,7 +10,7 @@
 from linkhaven.configuration.packing import BlobMismatchError, open_blob, pack_blob
 from linkhaven.configuration.records import digests_of
 from linkhaven.configuration.vote_guard import VoteGuard
-from linkhaven.consensus.replica import RegisterState
+from linkhaven.consensus import Promise, RegisterState
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Bounds, kind_of
 from linkhaven.stage.core import SimCore
@@ -81,7 +81,7 @@
 
             @staticmethod
             def send(address, message):
-                if kind_of(message) == "accepted" and message["is_yes"]:
+                if kind_of(message) == "accepted" and message.is_yes:
                     self.note(host)
                 send(address, message)
 
@@ -269,18 +269,18 @@
 def test_a_promise_names_the_ballot_alone_where_the_proposer_holds_its_value():
     core = started()
     assert is_taken(put(core, 1))
-    told, hear = [], core.machines["core-2"].node.map_handlers["promise"]
+    told, hear = [], core.machines["core-2"].node.handlers[Promise]
 
     def keep(message):
         told.append(message)
         hear(message)
 
-    core.machines["core-2"].node.map_handlers["promise"] = keep
+    core.machines["core-2"].node.handlers[Promise] = keep
     assert is_taken(put(core, 2, "core-2"))
     assert core.read("core-2")[1]["document"] == "text 2"
-    of_plan = [message for message in told if message.get("accepted")]
-    assert len(of_plan) >= 4 and all(message["value"] is None for message in of_plan)
-    core.machines["core-2"].node.replica.states["plan"].accepted = None
+    of_plan = [message for message in told if message.accepted]
+    assert len(of_plan) >= 4 and all(message.value is None for message in of_plan)
+    core.machines["core-2"].node.replica.registers.states["plan"].accepted = None
     assert core.read("core-2")[1]["document"] == "text 2"
 
 
@@ -365,7 +365,8 @@
         "overlay": {"groups": {}, "kinds": {}},
     }
     for host in core.machines.values():
-        host.node.replica.states["plan"] = RegisterState([5, "core-1"], [5, "core-1"], value)
+        register = RegisterState([5, "core-1"], [5, "core-1"], value)
+        host.node.replica.registers.states["plan"] = register
     router = with_router(core)
     assert weight_at(router) == 7.0
     assert core.read()[1]["document"] == "text 7"
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from linkhaven.consensus import Proposer
+from linkhaven.consensus import Promise
+from linkhaven.consensus.majority_monitor import MajorityMonitor
 from linkhaven.controller.quorum_contact import QuorumContact
 from linkhaven.controller.status import ANSWER_TIMEOUT_US
 from linkhaven.leases import Lease
@@ -62,11 +63,11 @@
 
 
 def wait_for_the_deadline(monkeypatch):
-    monkeypatch.setattr(Proposer, "_silent_bound_us", lambda self: None)
+    monkeypatch.setattr(MajorityMonitor, "silence_bound_us", lambda self: None)
 
 
 def forget_that_nobody_answered(monkeypatch):
-    monkeypatch.setattr(Proposer, "_silent_bound_us", lambda self: self.silent_us)
+    monkeypatch.setattr(MajorityMonitor, "silence_bound_us", lambda self: self.silent_us)
 
 
 def serve_without_contact(monkeypatch):
@@ -231,14 +232,14 @@
     core = core_with_plan(seats)
     others = [name for name in core.machines if name != "core-1"]
     proposer = core.machines["core-1"].node.proposer
-    take = proposer.node.map_handlers["promise"]
+    take = proposer.node.handlers[Promise]
 
     def cut_after(message):
         take(message)
         if any(change.has_sent_accept for change in proposer.proposals.values()):
             core.world.cut(["core-1"], others, how=RESET)
 
-    proposer.node.map_handlers["promise"] = cut_after
+    proposer.node.handlers[Promise] = cut_after
     told = call(core, "core-1", "PUT", "/v1/plan", PUT)
     assert (told.status, told.document["code"]) == (504, "put_unknown")
     assert told.document["done"] == "unknown" and told.headers_out["retry-after"] == "1"
--- a/tests/test_control_races.py
+++ b/tests/test_control_races.py
@@ -1,9 +1,10 @@
 """Point 2 of docs/control.md: operators race under one number, and answers get lost."""
 
 import pytest
+from msgspec.structs import replace
 
 from linkhaven.configuration import document_update
-from linkhaven.consensus import Proposer
+from linkhaven.consensus import Promise, Proposer
 from linkhaven.stage.control import judge_race
 from linkhaven.stage.core import SimCore
 from linkhaven.stage.cutcourse import PLAN
@@ -28,18 +29,18 @@
 def choose_alone(monkeypatch):
     init = Proposer.__init__
 
-    def lone(self, node, directory, majority=None, silent_us=None):
-        init(self, node, directory, 1, silent_us)
+    def lone(self, node, directory, majority=None, silent_us=None, own_registers=None):
+        init(self, node, directory, 1, silent_us, own_registers)
 
     monkeypatch.setattr(Proposer, "__init__", lone)
 
 
 def overlook_what_was_accepted(monkeypatch):
-    hear = Proposer.hear_promise
+    hear = Proposer.on_promise
     monkeypatch.setattr(
         Proposer,
-        "hear_promise",
-        lambda self, message: hear(self, {**message, "accepted": None, "value": None}),
+        "on_promise",
+        lambda self, message: hear(self, replace(message, accepted=None, value=None)),
     )
 
 
@@ -71,19 +72,19 @@
     core.world.run_for(2 * SECOND)
     operators = Operators(core, core.world.dice)
     first = core.machines["core-1"]
-    hear = first.node.map_handlers["promise"]
+    hear = first.node.handlers[Promise]
 
     def cut_before_the_accept(message):
         core.world.cut(["core-1"], ["core-3", "core-4", "core-5"])
         hear(message)
 
     def cut_at_the_third_promise(message):
-        change = first.node.proposer.proposals.get(message["id"])
+        change = first.node.proposer.proposals.get(message.id)
         if change is not None and change.key == "plan" and len(change.votes) == 2:
             return cut_before_the_accept(message)
         hear(message)
 
-    first.node.map_handlers["promise"] = cut_at_the_third_promise
+    first.node.handlers[Promise] = cut_at_the_third_promise
     operators.put("core-1", Order(0, 5, "left behind", PLAN))
     core.world.run_for(8_000)
     held = [
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -15,6 +15,7 @@
     digest_of_update,
     extend_history,
 )
+from linkhaven.consensus import Accept, Accepted, Prepare, Promise
 from linkhaven.controller import program
 from linkhaven.runtime import Call
 from linkhaven.stage.core import SimCore
@@ -118,14 +119,14 @@
     core = make_core()
     lone, others = core.machines["core-1"], ["core-2", "core-3"]
     told = core.put(0, 5, "text", PLAN, "core-1", wait=False)
-    hear = lone.node.map_handlers["promise"]
+    hear = lone.node.handlers[Promise]
 
     def cut_after(message):
         hear(message)
-        if message["seat"] != "a":
+        if message.replica_id != "a":
             core.world.cut(["core-1"], others)
 
-    lone.node.map_handlers["promise"] = cut_after
+    lone.node.handlers[Promise] = cut_after
     core.world.wait_for(lambda: told, 5 * SECOND)
     assert code(told) == "put_unknown"
     core.world.heal()
@@ -387,13 +388,13 @@
     assert put_whole(core, 1, "first", PLAN)[1]["code"] == "mark_conflict"
 
 
-def without_answers(host, say):
+def without_answers(host, message_type):
     """The node hears none of these any more, until the returned function is called."""
-    hear = host.node.map_handlers[say]
-    host.node.map_handlers[say] = lambda message: None
+    hear = host.node.handlers[message_type]
+    host.node.handlers[message_type] = lambda message: None
 
     def mend():
-        host.node.map_handlers[say] = hear
+        host.node.handlers[message_type] = hear
 
     return mend
 
@@ -403,7 +404,7 @@
     """Its accept was chosen, its answers are lost, and another change went on top."""
     core = make_core()
     lone = core.machines["core-1"]
-    mend = without_answers(lone, "accepted")
+    mend = without_answers(lone, Accepted)
     told = core.put(0, 3, "text 3", PLAN, "core-1", wait=False)
     core.world.run_for(100_000)
     assert not told
@@ -433,9 +434,11 @@
         assert again == (None if place == won else "revision_conflict")
 
 
-def drop(host, say, is_dropped):
-    hear = host.node.map_handlers[say]
-    host.node.map_handlers[say] = lambda message: None if is_dropped(message) else hear(message)
+def drop(host, message_type, is_dropped):
+    hear = host.node.handlers[message_type]
+    host.node.handlers[message_type] = lambda message: (
+        None if is_dropped(message) else hear(message)
+    )
 
 
 def test_no_order_is_refused_for_a_value_that_may_yet_lose_to_it():
@@ -445,15 +448,15 @@
     core = make_core()
     rules = {name: set() for name in core.machines}
     for name, host in core.machines.items():
-        for say in ("prepare", "accept"):
-            drop(host, say, lambda m, name=name, say=say: (say, m["name"]) in rules[name])
-    rules["core-2"] = rules["core-3"] = {("accept", "core-1")}
+        for kind in (Prepare, Accept):
+            drop(host, kind, lambda m, name=name: (type(m), m.sender) in rules[name])
+    rules["core-2"] = rules["core-3"] = {(Accept, "core-1")}
     core.put(0, 5, "rival", PLAN, "core-1", wait=False)
     core.world.run_for(50_000)
     core.machines["core-1"].node.proposer.proposals.clear()
-    rules["core-1"] = {("prepare", "core-3"), ("accept", "core-3")}
-    rules["core-2"] = {("accept", "core-3")}
-    rules["core-3"] = {("prepare", "core-2")}
+    rules["core-1"] = {(Prepare, "core-3"), (Accept, "core-3")}
+    rules["core-2"] = {(Accept, "core-3")}
+    rules["core-3"] = {(Prepare, "core-2")}
     core.machines["core-3"].node.proposer.counter = 50
     first = core.put(0, 7, "order", PLAN, "core-3", wait=False)
     core.world.run_for(50_000)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -6,8 +6,10 @@
 
 from linkhaven.api import ServiceError
 from linkhaven.configuration import ConfigurationStore
-from linkhaven.consensus import Proposer, Replica
+from linkhaven.consensus import Proposer
+from linkhaven.consensus.acceptor import Acceptor
 from linkhaven.consensus.recovery import Recovery
+from linkhaven.consensus.registers import record_key
 from linkhaven.stage.explore.cases import RACE, core_cases
 from linkhaven.stage.explore.report import (
     Totals,
@@ -25,15 +27,15 @@
 
 def let_ballots_be_alike(monkeypatch):
     """Ballots don't say whose they are, and an acceptor promises the same one twice."""
-    hear = Replica.hear_prepare
+    hear = Acceptor.on_prepare
 
     def promise_again(self, message):
-        cell = self._state_to_keep(message["key"])
-        if cell.promise == message["ballot"]:
+        cell = self.registers.get_or_create(message.key)
+        if cell.promise == message.ballot:
             cell.promise = [0, ""]
         hear(self, message)
 
-    monkeypatch.setattr(Replica, "hear_prepare", promise_again)
+    monkeypatch.setattr(Acceptor, "on_prepare", promise_again)
     prepare = Proposer._prepare
 
     def alike(self, change, now_us):
@@ -46,33 +48,24 @@
 
 def forget_promises(monkeypatch):
     """An acceptor takes accepts of ballots below its promise."""
-    hear = Replica.hear_accept
+    hear = Acceptor.on_accept
 
     def forgetful(self, message):
-        self._state_to_keep(message["key"]).promise = [0, ""]
+        self.registers.get_or_create(message.key).promise = [0, ""]
         hear(self, message)
 
-    monkeypatch.setattr(Replica, "hear_accept", forgetful)
+    monkeypatch.setattr(Acceptor, "on_accept", forgetful)
 
 
 def answer_before_the_sync(monkeypatch):
     """A vote leaves before what it promises is on the disk."""
 
-    def hasty(self, message, say, key, cell, **facts):
-        self.node.send_untyped(
-            message["back"],
-            say,
-            id=message["id"],
-            ballot=message["ballot"],
-            is_yes=True,
-            seat=self.replica_id,
-            incarnation=self.incarnation,
-            known=self.all_incarnations(),
-            **facts,
-        )
-        self.node.ports.storage.write({f"cell/{key}": cell.as_record()}, lambda is_kept: None)
-
-    monkeypatch.setattr(Replica, "_keep", hasty)
+    def hasty(self, message, register, answer_type, **facts):
+        self._answer(message, answer_type, is_yes=True, **facts)
+        record = {record_key(message.key): register.as_record()}
+        self.node.ports.storage.write(record, lambda is_kept: None)
+
+    monkeypatch.setattr(Acceptor, "_vote", hasty)
 
 
 def vote_without_reading(monkeypatch):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -190,7 +190,7 @@
     core.world.slow.update({("core-2", "core-9"): 100_000, ("core-9", "core-2"): 100_000})
     told = leave(core, "core-2")
     successor = core.machines["core-9"].node.replica
-    assert core.world.wait_for(lambda: successor.states, 2 * SECOND, 1_000)
+    assert core.world.wait_for(lambda: successor.registers.states, 2 * SECOND, 1_000)
     acked(core, 3, 4, "core-1")
     assert core.machines["core-2"].node.replica.departure.state == DepartureState.OFFERING
     assert core.world.wait_for(lambda: told, 4 * SECOND, 1_000)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -1,5 +1,6 @@
 import pytest
 
+from linkhaven.consensus import Accept, Promise
 from linkhaven.consensus.recovery_responder import RecoveryResponder
 from linkhaven.stage.faults import Faults
 from linkhaven.stage.fleet import LICENSING, SimFleet
@@ -66,16 +67,16 @@
     others = [fleet.registries[seat] for seat in "bc"]
     proposer = lone.node.proposer
     told = []
-    hear = proposer.node.map_handlers["promise"]
+    hear = proposer.node.handlers[Promise]
 
     def cut_before_accepts(message):
-        change = proposer.proposals.get(message["id"])
-        if change is not None and change.key == "plan" and message["seat"] != "a":
+        change = proposer.proposals.get(message.id)
+        if change is not None and change.key == "plan" and message.replica_id != "a":
             for other in others:
                 world.cuts.add((lone.name, other.name))
         hear(message)
 
-    proposer.node.map_handlers["promise"] = cut_before_accepts
+    proposer.node.handlers[Promise] = cut_before_accepts
     fleet.put_plan(fleet.plan, 1, "a", 0, lambda status, document: told.append((status, document)))
     assert world.wait_for(lambda: told, 5 * SECOND, 10_000)
     status, document = told[0]
@@ -307,7 +308,7 @@
     begun_us = fleet.world.now_us
     assert fleet.world.wait_for(lambda: standing(fleet, "c") == "voting", 10 * SECOND, 10_000)
     assert fleet.world.now_us - begun_us < 2 * SECOND
-    assert len(lost.node.replica.claims) == 20_000
+    assert len(lost.node.replica.registers.claims) == 20_000
     assert len(lost.disk.synced) > 20_000
 
 
@@ -318,17 +319,17 @@
 
     def spy(self, message):
         if old:
-            self.replica.hear_accept(
-                {
-                    "id": "late",
-                    "key": "plan",
-                    "ballot": [99, "edge-1"],
-                    "value": {"mark": 9},
-                    "back": self.node.address,
-                    "seat": self.replica.replica_id,
-                    "incarnation": self.replica.incarnation,
-                    "known": {"c": old[0]},
-                }
+            self.replica.acceptor.on_accept(
+                Accept(
+                    id="late",
+                    key="plan",
+                    ballot=[99, "edge-1"],
+                    value={"mark": 9},
+                    reply_to=self.node.address,
+                    replica_id=self.replica.replica_id,
+                    incarnation=self.replica.incarnation,
+                    known_incarnations={"c": old[0]},
+                )
             )
             seen.append(self.replica.register_state("plan").value["mark"])
         on_page_request(self, message)
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -3,7 +3,7 @@
 
 from linkhaven.consensus.recovery_messages import EpochAnnouncement
 from linkhaven.router import RouterNode
-from linkhaven.runtime import Bounds
+from linkhaven.runtime import Bounds, write_json
 from linkhaven.stage.core import SimCore
 from linkhaven.stage.world import Host
 
@@ -301,7 +301,8 @@
     core = started(11)
     acked(core, 0, 3)
     replica = core.machines["core-2"].node.replica
-    core.machines["core-2"].node.dispatch(
+    node = core.machines["core-2"].node
+    line = write_json(
         {
             "say": say,
             "id": "x/1",
@@ -315,6 +316,7 @@
             "known": {"a": 1, "b": 1, "c": replica.incarnation + 3},
         }
     )
+    node.dispatch(node.read_line(line))
     assert replica.is_voting
     assert replica.register_state("plan").promise < [900, "core-1"]
     core.world.run_for(SECOND)
