--- a/packages/controller/src/linkhaven/controller/role_orders.py
+++ b/packages/controller/src/linkhaven/controller/role_orders.py
@@ -3,7 +3,7 @@
 Invariant: no order reaches a runner after a later holder's. A holder orders only while its lease is
 held, after a quorum recorded that it will act, and only once any earlier holder can act no more;
 the order carries the lease's fencing token, and a runner refuses one with a lower token than it has
-seen (`test_an_order_with_an_old_fence_is_refused_by_the_runner`).
+seen (`test_an_order_with_an_old_fencing_token_is_refused_by_the_runner`).
 """
 
 from collections.abc import Callable
--- a/packages/controller/src/linkhaven/controller/singleton_roles.py
+++ b/packages/controller/src/linkhaven/controller/singleton_roles.py
@@ -47,7 +47,7 @@
     """Has each lease learn the fencing tokens that a router has seen.
 
     Without it a core that lost its disks would give out a token anew, and runners would refuse its
-    orders (`test_a_new_holder_has_a_fence_above_any_that_was_observed`).
+    orders (`test_a_new_holder_has_a_fencing_token_above_any_that_was_observed`).
     """
 
     __slots__ = ("leases",)
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -22,12 +22,12 @@
     return [(at_us, facts) for at_us, known, facts in fleet.world.record if known == kind]
 
 
-def holder_of(fleet, duty):
+def holder_of(fleet, role):
     return next(
         (
             host
             for host in fleet.registries.values()
-            if host.node and not host.is_frozen and host.node.leases[duty].is_held()
+            if host.node and not host.is_frozen and host.node.leases[role].is_held()
         ),
         None,
     )
@@ -146,20 +146,20 @@
     assert fleet.registries["a"].node.membership.peers["edge-1"].is_up
 
 
-@pytest.mark.parametrize("duty", ["steward", "bursar", "roster"])
-def test_a_vacant_duty_is_filled_by_exactly_one_with_a_higher_fence(duty):
+@pytest.mark.parametrize("role", ["steward", "bursar", "roster"])
+def test_a_vacant_role_is_filled_by_exactly_one_with_a_higher_fencing_token(role):
     fleet, _ = make(LICENSING, 7)
-    old = holder_of(fleet, duty)
-    fence = old.node.leases[duty].fencing_token
+    old = holder_of(fleet, role)
+    fence = old.node.leases[role].fencing_token
     old.kill()
     killed_us = fleet.world.now_us
-    assert fleet.world.wait_for(lambda: holder_of(fleet, duty), 10 * SECOND, 10_000)
+    assert fleet.world.wait_for(lambda: holder_of(fleet, role), 10 * SECOND, 10_000)
     assert fleet.world.now_us - killed_us < 4_500_000
-    new = holder_of(fleet, duty)
-    assert new.node.leases[duty].fencing_token > fence
+    new = holder_of(fleet, role)
+    assert new.node.leases[role].fencing_token > fence
     fleet.world.run_for(5 * SECOND)
     held = [
-        host for host in fleet.registries.values() if host.node and host.node.leases[duty].is_held()
+        host for host in fleet.registries.values() if host.node and host.node.leases[role].is_held()
     ]
     assert held == [new]
 
@@ -188,7 +188,7 @@
     assert events(fleet, 1402, woke_us)
 
 
-def test_an_order_with_an_old_fence_is_refused_by_the_runner():
+def test_an_order_with_an_old_fencing_token_is_refused_by_the_runner():
     fleet, _ = make(LICENSING, 9)
     runner = fleet.runners["runner-3"]
     runner.node.fence = 1_000
@@ -201,7 +201,7 @@
     assert events(fleet, 1502)
 
 
-def test_after_the_loss_of_the_whole_core_fences_go_on_from_those_who_were_told():
+def test_after_the_loss_of_the_whole_core_fencing_tokens_go_on_from_those_reported():
     fleet, _ = make(LICENSING, 22)
     world = fleet.world
     for _ in range(2):
@@ -542,7 +542,7 @@
     assert len([facts for _, facts in noted(fleet, "offered") if facts["runner"] == "runner-5"]) > 5
 
 
-def test_the_roster_stays_fresh_while_its_duty_stands_vacant():
+def test_the_runner_list_stays_fresh_while_its_role_stands_vacant():
     fleet, faults = make(LICENSING, 27)
     world = fleet.world
     fleet.load(10.0)
@@ -589,7 +589,7 @@
     world.run_for(8 * SECOND)
     assert fleet.is_ready()
     assert old.node.replica.state == "fenced"
-    assert not any(duty.is_held() for duty in old.node.leases.values())
+    assert not any(lease.is_held() for lease in old.node.leases.values())
     asked = fleet.ask("seat-question")
     world.run_for(5 * SECOND)
     assert asked.how == "done"
