--- a/packages/membership/src/linkhaven/membership/failure_detector.py
+++ b/packages/membership/src/linkhaven/membership/failure_detector.py
@@ -8,7 +8,8 @@
 
 Each member sends heartbeats to its successors on the hash ring. A watcher that hears none for
 `missed_us` suspects the member and tells all. A member has failed when most of its watchers that
-can be heard from suspect it, so one watcher that is cut off convicts nobody. A watcher that said
+can be heard from suspect it, so one watcher that is cut off convicts nobody
+(`test_a_node_that_cannot_hear_does_not_talk_others_down`). A watcher that said
 nothing for `missed_us` is probed with a hello, and left out until it speaks. Incarnations refute,
 as in SWIM (DSN 2002), section 4.2: a suspicion is of one start of a process.
 """
--- a/packages/membership/src/linkhaven/membership/record_merge.py
+++ b/packages/membership/src/linkhaven/membership/record_merge.py
@@ -19,7 +19,9 @@
     """Merges records into the table.
 
     A higher incarnation replaces a lower one. Within one incarnation only the member itself says
-    where it runs; versions and incarnations of replicas only rise, whoever tells of them.
+    where it runs; versions and incarnations of replicas only rise, whoever tells of them. A node
+    whose own start is lower than one that others know goes above it
+    (`test_a_restarted_node_with_its_wall_clock_set_back_is_known_again`).
     """
 
     __slots__ = ("node", "table", "directory", "on_configuration_version")
--- a/packages/membership/src/linkhaven/membership/replica_directory.py
+++ b/packages/membership/src/linkhaven/membership/replica_directory.py
@@ -18,8 +18,8 @@
     """The replicas of the core as the members tell of them.
 
     Invariant: an incarnation that was learned is never forgotten nor lowered, so messages to a
-    replica name the newest one and an older instance is fenced
-    (`test_cached_tables_follow_each_change`).
+    replica name the newest one that is known, whichever of its instances answers
+    (`test_a_learned_incarnation_of_a_replica_is_never_lowered`).
     """
 
     __slots__ = (
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -190,6 +190,16 @@
     assert digest != before
 
 
+def test_a_learned_incarnation_of_a_replica_is_never_lowered():
+    net = Net(NAMES)
+    membership, about = viewer_and_subject(net)
+    membership.learn_incarnations({"a": 7})
+    record = MemberRecord(about, 1, about, "registry", "south", "a", 3, 0, True)
+    membership.gossip.on_member_list(of(about, MemberList([record])))
+    membership.learn_incarnations({"a": 2})
+    assert membership.replicas() == {"a": (about, 7)}
+
+
 @pytest.mark.parametrize(
     "events, state, is_up, has_left",
     [
