--- a/packages/leases/src/linkhaven/leases/compare_and_set.py
+++ b/packages/leases/src/linkhaven/leases/compare_and_set.py
@@ -4,8 +4,13 @@
 
 from .records import LeaseRecord, Version, read_record, write_record
 
+COMMITTED, STOPPED = "chosen", "stopped"
+"""Outcomes of a proposal: a majority accepted its value; its step ended it. Others tell nothing."""
+
+KEEP, SET, STOP = "keep", "set", "stop"
+
 Step = tuple[str, Any]
-"""What a proposal does with a value: `keep` it, `set` another one, or `stop` with the value."""
+"""What a proposal does with a value: `KEEP` it, `SET` another one, or `STOP` with the value."""
 
 
 class Acquisition:
@@ -22,14 +27,14 @@
         """Apply it; a record that an earlier try of the same proposal set is kept."""
         record = read_record(value)
         if record == self.wanted:
-            return "keep", None
+            return KEEP, None
         if (record and record.version) != self.expected:
-            return "stop", value
-        return "set", write_record(self.wanted)
+            return STOP, value
+        return SET, write_record(self.wanted)
 
     def is_committed(self, outcome: str, value: Any) -> bool:
         """Whether the answer of a proposal says that the wanted record was committed."""
-        return outcome == "chosen" and read_record(value) == self.wanted
+        return outcome == COMMITTED and read_record(value) == self.wanted
 
 
 class Vacation:
@@ -50,6 +55,6 @@
             or record.fencing_token != self.fencing_token
             or record.holder != self.holder
         ):
-            return "stop", value
+            return STOP, value
         vacant = LeaseRecord(None, self.fencing_token, record.renewal + 1, record.actions)
-        return "set", write_record(vacant)
+        return SET, write_record(vacant)
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -32,7 +32,7 @@
 from linkhaven.runtime import Node
 
 from .announcement import ActionAnnouncement
-from .compare_and_set import Acquisition, Vacation
+from .compare_and_set import STOPPED, Acquisition, Vacation
 from .interfaces import LeaseListener, LiveIncarnations, Proposer, Replica
 from .observer import LeaseObserver
 from .records import LeaseRecord, Version, lease_key, read_record
@@ -285,7 +285,7 @@
         acquisition = Acquisition(wanted, self._known_version())
 
         def done(outcome: str, value: Any) -> None:
-            if outcome == "stopped":
+            if outcome == STOPPED:
                 self.observer.observe(read_record(value), self.node.now_us())
             if self.state is LeaseState.RELEASED:
                 return
