--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -1,4 +1,4 @@
-"""How a voting replica departs: it hands its state to a spare, or makes sure that the others have all.
+"""How a voting replica departs: it hands its state to a spare, or sees that the others have it.
 
 | state | message or event | what it does | next |
 | --- | --- | --- | --- |
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -10,23 +10,20 @@
 | IDLE | `begin` | queries all replicas | COLLECTING |
 | COLLECTING | `ReplicaStateReport` | weighs the reports, see `rebuild_rule.py` | CATCHING_UP |
 | COLLECTING | report of a newer instance | yields to it: fenced, or a spare again | IDLE |
-| CATCHING_UP | `EpochRecorded` | reads that replica's first page | CATCHING_UP |
-| CATCHING_UP | `StatePage` | merges and syncs it, asks for the next | CATCHING_UP |
-| CATCHING_UP | last `StatePage` of the last replica | syncs that its state is complete | VOTING |
-| CATCHING_UP | `StatePage` of another start | what was read is void | COLLECTING |
+| CATCHING_UP | one more replica is read | goes on, see `state_transfer.py` | CATCHING_UP |
+| CATCHING_UP | the last replica is read | syncs that its state is complete | VOTING |
+| CATCHING_UP | a replica started anew | what was read is void | COLLECTING |
 | CATCHING_UP | no progress for `STUCK_US` | another instance may have been first | COLLECTING |
 | CATCHING_UP | the disk refuses a write | | COLLECTING |
 | IDLE | `begin_with_state`, at the end of a hand-over | announces its incarnation | RECORDING |
-| RECORDING | `EpochRecorded` of a majority | it has the whole state and reads nothing | VOTING |
+| RECORDING | a majority recorded it | it has the whole state and reads nothing | VOTING |
 | RECORDING | no progress for `STUCK_US` | goes on as a restart with its disk | COLLECTING |
-| VOTING | `EpochRecorded` that comes late after a hand-over | reads that replica, too | VOTING |
+| VOTING | another recorded it late, after a hand-over | reads that replica, too | VOTING |
 | any | `reset`, once it is a spare | | IDLE |
 
 What stands in no row of its state is ignored. What the others do for a recovering replica is in
 `recovery_responder.py`.
 
-Invariant: a replica is read only after it synced the new incarnation
-(`test_a_seat_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts`).
 Invariant: no vote is given before the last page is synced (`vote_without_reading` in
 `tests/test_explore.py`).
 """
@@ -39,17 +36,14 @@
 
 from .rebuild_rule import RebuildBasis, rebuild_basis
 from .recovery_messages import (
-    EpochAnnouncement,
-    EpochRecorded,
-    PageRequest,
     RegisterCopy,
     ReplicaStateReport,
-    StatePage,
     StateQuery,
 )
 from .replica_instances import ReplicaInstances
 from .replica_records import ReplicaRecord
 from .replica_state import IN_RECOVERY, ReplicaState
+from .state_transfer import Directory, StateTransfer
 from .succession import Succession
 
 QUERY_US = 200_000
@@ -82,49 +76,6 @@
     """Recovered: its votes count."""
 
 
-class PeerState(Enum):
-    """How far a recovering replica is with one of the others."""
-
-    FENCING = "fencing"
-    """It was asked to record the new incarnation, and so to refuse the older ones."""
-
-    READING = "reading"
-    """The page after `cursor` was asked for."""
-
-    STORING = "storing"
-    """Its page is being synced here."""
-
-    RECORDED = "recorded"
-    """It recorded the incarnation and, after a hand-over, needn't be read."""
-
-
-class PeerTransfer:
-    """The transfer of one other replica's state to this one."""
-
-    __slots__ = ("state", "cursor")
-
-    def __init__(self) -> None:
-        """Nothing is read before the replica has recorded the incarnation."""
-        self.state = PeerState.FENCING
-        self.cursor = ""
-
-    def read_after(self, cursor: str) -> None:
-        """Wait for the page that comes after this key."""
-        self.state = PeerState.READING
-        self.cursor = cursor
-
-    def expects(self, page: StatePage) -> bool:
-        """Whether this page is the one that was asked for."""
-        return self.state is PeerState.READING and self.cursor == page.after
-
-
-class Directory(Protocol):
-    """Who runs as which replica, as membership knows it."""
-
-    def replicas(self) -> dict[str, tuple[str, int]]:
-        """Address and newest incarnation of each replica."""
-
-
 class RecoveringReplica(Protocol):
     """What recovery reads and changes of the replica that it brings back."""
 
@@ -177,15 +128,12 @@
         "node",
         "replica",
         "instances",
-        "succession",
         "state",
         "start",
         "reports",
-        "peers",
-        "num_remaining",
+        "transfer",
         "queried_us",
         "started_us",
-        "progress_us",
         "is_bootstrap",
         "is_disputed",
         "is_core_lost",
@@ -207,22 +155,18 @@
         self.node = node
         self.replica = replica
         self.instances = instances
-        self.succession = succession
         self.state = RecoveryState.COLLECTING if replica.replica_id else RecoveryState.IDLE
         self.start = f"{node.name}/{now_us}/{node.ports.random.getrandbits(48)}"
         self.reports: dict[str, ReplicaStateReport] = {}
-        self.peers: dict[str, PeerTransfer] = {}
-        self.num_remaining: dict[str, int] = {}
+        self.transfer = StateTransfer(node, replica, succession, self, self.start)
         self.queried_us = 0
-        self.started_us = self.progress_us = now_us
+        self.started_us = now_us
         self.is_bootstrap = self.is_disputed = self.is_core_lost = False
         self.has_met_no_voter = False
         self.wait_reason: str | None = None
         self.queried_back: str | None = None
         self.lease_wait_us = 0
         node.register_handler(ReplicaStateReport, self.on_replica_state_report)
-        node.register_handler(EpochRecorded, self.on_epoch_recorded)
-        node.register_handler(StatePage, self.on_state_page)
 
     # begin and end
 
@@ -236,10 +180,9 @@
         self.is_core_lost = is_core_lost or self.is_core_lost
         self.replica.state = ReplicaState.RECOVERING
         self.state = RecoveryState.COLLECTING
-        self.peers = {}
-        self.num_remaining = {}
+        self.transfer.restart()
         self.reports = {}
-        self.started_us = self.progress_us = self.node.now_us()
+        self.started_us = self.node.now_us()
 
     def begin_with_state(self, wait_us: int) -> None:
         """Begin where a hand-over brought the whole state of the fenced predecessor.
@@ -249,15 +192,16 @@
         self.begin()
         self.has_met_no_voter = False
         self.state = RecoveryState.RECORDING
-        others = (name for name in self.replica.replica_ids if name != self.replica.replica_id)
-        self.peers = {name: PeerTransfer() for name in others}
+        starts = dict.fromkeys(self.replica.replica_ids)
+        del starts[self.replica.replica_id]
+        self.transfer.begin(starts, is_bootstrap=False, is_reading=False)
         self.lease_wait_us = wait_us
-        self._send_to_peers()
+        self.transfer.send_to_peers()
 
     def reset(self) -> None:
         """Forget all, since this node is a spare now."""
         self.state = RecoveryState.IDLE
-        self.peers = {}
+        self.transfer.end()
         self.reports = {}
         self.is_bootstrap = self.is_disputed = self.is_core_lost = False
 
@@ -279,10 +223,6 @@
         """Whether this start went beyond collecting reports."""
         return self.state not in (RecoveryState.IDLE, RecoveryState.COLLECTING)
 
-    def remaining_keys(self) -> dict[str, int | None]:
-        """For each replica that is still read, how many keys come after its last page."""
-        return {name: self.num_remaining.get(name) for name in self.peers}
-
     # collecting
 
     def is_collecting(self) -> bool:
@@ -373,8 +313,8 @@
             replica.learn_incarnations(report.known_incarnations)
         replica.incarnation = highest + 1
         self.state = RecoveryState.CATCHING_UP
-        self.peers = {report.replica_id: PeerTransfer() for report in reports}
-        self.progress_us = self.node.now_us()
+        starts = {report.replica_id: report.start for report in reports}
+        self.transfer.begin(starts, is_bootstrap=self.is_bootstrap, is_reading=True)
         record = ReplicaRecord(
             replica_id=replica.replica_id,
             incarnation=replica.incarnation,
@@ -386,108 +326,37 @@
 
     def _on_incarnation_synced(self, is_kept: bool) -> None:
         if not is_kept:
-            return self._on_disk_refusal()
+            return self.on_storage_refused()
         if self.has_raised_incarnation:
-            self._send_to_peers()
-            self._end_if_read()
+            self.transfer.send_to_peers()
+            self.on_peer_read()
 
-    def _on_disk_refusal(self) -> None:
+    def on_storage_refused(self) -> None:
+        """Begin again at collecting: what isn't synced counts for nothing."""
         self.replica.is_failing = True
         is_recovering = self.replica.state in IN_RECOVERY
         self.state = RecoveryState.COLLECTING if is_recovering else RecoveryState.IDLE
-        self.peers = {}
+        self.transfer.end()
         self.node.ports.log(1205, key="rejoin")
 
-    # fencing and reading
+    # what the transfer tells, and the first vote
 
-    def _send_to_peers(self) -> None:
-        """Send again whatever each replica that is still to be read hasn't answered."""
-        for name, (address, _) in self.replica.directory.replicas().items():
-            peer = self.peers.get(name)
-            if peer is None:
-                continue
-            if peer.state is PeerState.READING:
-                self._send_page_request(address, peer.cursor)
-            elif peer.state is PeerState.FENCING:
-                self._send_epoch_announcement(name, address)
-
-    def _send_epoch_announcement(self, name: str, address: str) -> None:
-        is_bootstrap = self.is_bootstrap and name in self.reports
-        announcement = EpochAnnouncement(
-            replica_id=self.replica.replica_id,
-            incarnation=self.replica.incarnation,
-            start=self.start,
-            bootstrap_start=self.reports[name].start if is_bootstrap else None,
-        )
-        self.node.send(address, announcement)
-
-    def _send_page_request(self, address: str, cursor: str) -> None:
-        request = PageRequest(
-            replica_id=self.replica.replica_id, transfer=self.start, after=cursor, since=0
-        )
-        self.node.send(address, request)
+    def on_transfer_void(self) -> None:
+        """A replica started anew while it was read: its state now may be another one."""
+        self.begin()
 
-    def on_epoch_recorded(self, message: EpochRecorded) -> None:
-        """Read a replica once it refuses our older incarnations, or count it after a hand-over."""
-        peer = self.peers.get(message.replica_id)
-        is_current = message.incarnation == self.replica.incarnation
-        if peer is None or peer.state is not PeerState.FENCING or not is_current:
-            return
-        self.progress_us = self.node.now_us()
-        if self.state is RecoveryState.RECORDING:
-            peer.state = PeerState.RECORDED
-            return self._vote_if_recorded()
-        peer.read_after("")
-        self._send_page_request(message.reply_to, peer.cursor)
-
-    def on_state_page(self, page: StatePage) -> None:
-        """Merge and sync one page, then ask for the next; a hand-over reads by the same pages."""
-        if self.succession.expects(page):
-            return self.succession.on_state_page(page)
-        peer = self.peers.get(page.replica_id)
-        if peer is None or page.transfer != self.start or not peer.expects(page):
-            return
-        report = self.reports.get(page.replica_id)
-        if report is not None and report.start != page.start:
-            return self.begin()
-        peer.state = PeerState.STORING
-        self.num_remaining[page.replica_id] = page.num_remaining
-        self.progress_us = self.node.now_us()
-        self._store_page(page, peer)
-
-    def _store_page(self, page: StatePage, peer: PeerTransfer) -> None:
-        """Ask for the next page only once this one is synced; `peers` tells a newer begin."""
-        peers, replica = self.peers, self.replica
-
-        def on_stored(is_kept: bool) -> None:
-            if self.peers is not peers:
-                return
-            if not is_kept:
-                return self._on_disk_refusal()
-            if page.next_cursor is not None:
-                peer.read_after(page.next_cursor)
-                return self._send_page_request(page.reply_to, peer.cursor)
-            peers.pop(page.replica_id, None)
-            replica.are_claims_open = replica.are_claims_open and page.are_claims_open
-            self._end_if_read()
-
-        self.node.ports.storage.write(replica.merge(page.registers), on_stored)
-
-    # the first vote
-
-    def _vote_if_recorded(self) -> None:
-        num_recorded = sum(peer.state is PeerState.RECORDED for peer in self.peers.values())
-        if num_recorded < self.replica.majority - 1:
+    def on_incarnation_recorded(self) -> None:
+        """Vote once a majority, this replica among it, recorded the incarnation of a hand-over."""
+        if self.transfer.num_recorded() < self.replica.majority - 1:
             return
         self.state = RecoveryState.VOTING
-        for peer in self.peers.values():
-            peer.state = PeerState.FENCING
+        self.transfer.read_from_now_on()
         self.replica.begin_votes(wait_us=self.lease_wait_us)
 
-    def _end_if_read(self) -> None:
-        """Sync that the state is complete, then vote."""
+    def on_peer_read(self) -> None:
+        """Once all are read, sync that the state is complete, then vote."""
         replica = self.replica
-        if not self.has_raised_incarnation or self.peers or replica.is_voting:
+        if not self.has_raised_incarnation or self.transfer.peers or replica.is_voting:
             return
         replica.are_claims_open = replica.are_claims_open and not self.is_bootstrap
         record = ReplicaRecord(is_partial=None, fence=None, are_claims_open=replica.are_claims_open)
@@ -495,7 +364,7 @@
 
     def _on_complete_synced(self, is_kept: bool) -> None:
         if not is_kept:
-            return self._on_disk_refusal()
+            return self.on_storage_refused()
         if not self.has_raised_incarnation:
             return
         self.is_disputed = False
@@ -508,11 +377,11 @@
         if now_us - self.queried_us < (FIRST_QUERY_US if is_first else QUERY_US):
             return
         self.queried_us = now_us
-        is_stuck = now_us - self.progress_us > STUCK_US
+        is_stuck = now_us - self.transfer.progress_us > STUCK_US
         if is_stuck and (self.has_raised_incarnation or self._is_candidate()):
             return self._begin_again()
         if self.has_raised_incarnation:
-            return self._send_to_peers()
+            return self.transfer.send_to_peers()
         for name, (address, _) in self.replica.directory.replicas().items():
             if name != self.replica.replica_id:
                 self._send_state_query(address)
--- a/packages/consensus/src/linkhaven/consensus/replica_assignment.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_assignment.py
@@ -130,7 +130,7 @@
         self.replica.take(replica_id)
 
     def _begin_anew_if_lost(self, now_us: int) -> None:
-        """Every disk of the group is lost: the spares take the replicas in the order of their names.
+        """Every disk of the group is lost: the spares take the replicas in order of their names.
 
         Then they begin as a first start does, and a router's configuration is taken over.
         """
@@ -153,7 +153,7 @@
             self.replica.take_after_loss(self.replica.replica_ids[rank])
 
     def _is_group_lost(self) -> bool:
-        """As many spares as replicas, and a router, and nobody knows of a replica that ever voted."""
+        """As many spares as replicas, and a router, and nobody knows of one that ever voted."""
         directory = self.replica.directory
         if self.reports or not self.replica.is_empty or not directory.live_members("router"):
             return False
--- a/packages/consensus/src/linkhaven/consensus/replica_instances.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_instances.py
@@ -66,7 +66,7 @@
         return [instance.address for instance in self.records.values()]
 
     def emptied(self) -> set[str]:
-        """Replicas whose last node runs as a spare: its disk is lost, nothing more comes from it."""
+        """Replicas whose last node runs as a spare: its disk is lost, no more comes from it."""
         return {
             replica_id
             for replica_id, instance in self.records.items()
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -10,7 +10,7 @@
 | message | who gets it | what it does there |
 | --- | --- | --- |
 | `BallotPage` | a voting replica | answers what it misses |
-| `MissingValues` | the departing one, of its present round and page | sends values, or the next page |
+| `MissingValues` | the departing one, of its round and page | sends values, or the next page |
 | `LateAccepts` | a voting replica | accepts what it hasn't promised away |
 
 Invariant: only a voting replica counts, and only for an instance that it doesn't refuse
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -10,7 +10,7 @@
 | READING_REST | last `StatePage` | syncs replica, incarnation and state in one write | SYNCING |
 | SYNCING | synced | it has a disk; once the others recorded it, it votes | IDLE |
 | SYNCING | the disk refuses | a spare again | IDLE |
-| READING to READING_REST | silence for `PATIENCE_US`, or `HandoverQuery` | a spare again, says so | IDLE |
+| READING to READING_REST | silence, or `HandoverQuery` | a spare again, says so | IDLE |
 
 What stands in no row of its state is ignored.
 
--- a/packages/controller/src/linkhaven/controller/local_status.py
+++ b/packages/controller/src/linkhaven/controller/local_status.py
@@ -75,7 +75,9 @@
     def _learning(self) -> dict[str, Any] | None:
         """Whom it still reads, and how many records are left of those that were listed."""
         replica = self.replica
-        remaining = replica.succession.remaining_keys() or replica.recovery.remaining_keys()
+        remaining = (
+            replica.succession.remaining_keys() or replica.recovery.transfer.remaining_keys()
+        )
         return {"left": remaining} if remaining else None
 
     def facts(self) -> dict[str, Any]:
--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -35,8 +35,8 @@
 
     def hasty(self, now_us):
         weigh(self, now_us)
-        if self.peers:
-            self.peers = {}
+        if self.transfer.peers:
+            self.transfer.end()
             self.replica.begin_votes()
 
     monkeypatch.setattr(Recovery, "_weigh_reports", hasty)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -10,6 +10,7 @@
 from linkhaven.consensus.acceptor import Acceptor
 from linkhaven.consensus.recovery import Recovery
 from linkhaven.consensus.registers import record_key
+from linkhaven.consensus.state_transfer import StateTransfer
 from linkhaven.stage.explore.cases import RACE, core_cases
 from linkhaven.stage.explore.report import (
     Totals,
@@ -73,9 +74,9 @@
 
     def end_at_once(self, address, cursor):
         self.peers.clear()
-        self._end_if_read()
+        self.listener.on_peer_read()
 
-    monkeypatch.setattr(Recovery, "_send_page_request", end_at_once)
+    monkeypatch.setattr(StateTransfer, "_send_page_request", end_at_once)
 
 
 def vote_under_the_old_epoch(monkeypatch):
