--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -120,13 +120,13 @@
 
     def remaining_keys(self) -> dict[str, int | None]:
         """The departing replica's address and how many keys come after its last page."""
-        if self.departing_address is None:
+        if not self.departing_address:
             return {}
         return {self.departing_address: self.num_remaining}
 
     def _reset(self) -> None:
         self.state = SuccessionState.IDLE
-        self.departing_address: str | None = None
+        self.departing_address = ""
         self.cursor: str | None = ""
         self.since = self.change_count = 0
         self.num_remaining: int | None = None
@@ -314,7 +314,7 @@
         address = self.departing_address
         self._reset()
         self.replica.retire()
-        if address is not None:
+        if address:
             self._send_outcome(address)
 
     def tick(self, now_us: int) -> None:
