--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -42,7 +42,7 @@
 )
 from .recovery import Recovery
 from .replica_instances import ReplicaInstances
-from .replica_records import FenceRecord
+from .replica_records import CONTROLLER_KIND, FenceRecord
 from .replica_state import IN_RECOVERY, ReplicaState
 from .replication_check import ReplicationCheck
 
@@ -51,6 +51,8 @@
 RETRY_US = 2_000_000
 """A spare that gave up is offered the place again after this."""
 
+OFFERED_EVENT = 1210
+
 
 class DepartureState(Enum):
     """Where a replica stands on its way out; the values stand in `GET /v1/core`."""
@@ -206,7 +208,7 @@
             return []
         spares = [
             member
-            for member in self.replica.directory.live_members("registry")
+            for member in self.replica.directory.live_members(CONTROLLER_KIND)
             if not member.replica_id and not self._was_rejected(member.name)
         ]
         return sorted(spares, key=lambda member: member.name)
@@ -236,7 +238,7 @@
         self.successor = (spare.name, spare.address)
         self.handover_id = f"{self.recovery.start}/{self.replica.incarnation}/{now_us}"
         self.progress_us = now_us
-        self.node.ports.log(1210, seat=self.replica.replica_id, successor=spare.name)
+        self.node.ports.log(OFFERED_EVENT, seat=self.replica.replica_id, successor=spare.name)
         self._resend(now_us)
 
     def _resend(self, now_us: int) -> None:
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -56,6 +56,13 @@
 STUCK_US = 1_000_000
 """Without progress for this long, it begins again from the first query."""
 
+WAITING_EVENT = 1203
+STORAGE_REFUSED_EVENT = 1205
+RESTORED_EVENT = 1206
+
+LOG_KEY = "rejoin"
+"""What `STORAGE_REFUSED_EVENT` names in place of a register's key."""
+
 
 class RecoveryState(Enum):
     """Where a started replica stands before it may vote."""
@@ -209,7 +216,7 @@
         """Rebuild from what is there, at an operator's word; False where it doesn't wait for it."""
         if self.replica.state != ReplicaState.WAITING:
             return False
-        self.node.ports.log(1206, seat=self.replica.replica_id)
+        self.node.ports.log(RESTORED_EVENT, seat=self.replica.replica_id)
         self._raise_incarnation(self.reports.values())
         return True
 
@@ -300,7 +307,7 @@
             return
         self.replica.state = ReplicaState.WAITING
         self.wait_reason = "too few others in standing to rebuild from"
-        self.node.ports.log(1203, seat=self.replica.replica_id, heard=len(self.reports))
+        self.node.ports.log(WAITING_EVENT, seat=self.replica.replica_id, heard=len(self.reports))
 
     def _raise_incarnation(self, reports: Collection[ReplicaStateReport]) -> None:
         """Go above every incarnation that anybody knows, and sync that before it is announced."""
@@ -329,6 +336,7 @@
             return self.on_storage_refused()
         if self.has_raised_incarnation:
             self.transfer.send_to_peers()
+            # Where an operator restores it without any report, there is nobody to read.
             self.on_peer_read()
 
     def on_storage_refused(self) -> None:
@@ -337,7 +345,7 @@
         is_recovering = self.replica.state in IN_RECOVERY
         self.state = RecoveryState.COLLECTING if is_recovering else RecoveryState.IDLE
         self.transfer.end()
-        self.node.ports.log(1205, key="rejoin")
+        self.node.ports.log(STORAGE_REFUSED_EVENT, key=LOG_KEY)
 
     # what the transfer tells, and the first vote
 
--- a/packages/consensus/src/linkhaven/consensus/replica_assignment.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_assignment.py
@@ -13,6 +13,7 @@
 from linkhaven.runtime import Node
 
 from .assignment_messages import InstancesQuery, InstancesReport, InstanceStatus
+from .replica_records import CONTROLLER_KIND, ROUTER_KIND
 from .succession import Succession
 
 QUERY_US = 200_000
@@ -114,7 +115,7 @@
         ]
         spares = [
             member.name
-            for member in replica.directory.live_members("registry")
+            for member in replica.directory.live_members(CONTROLLER_KIND)
             if not member.replica_id
         ]
         rank = sorted([self.node.name, *spares]).index(self.node.name)
@@ -146,7 +147,7 @@
             return
         self.lost_since_us = None
         names = sorted(
-            [self.node.name, *(member.name for member in directory.live_members("registry"))]
+            [self.node.name, *(member.name for member in directory.live_members(CONTROLLER_KIND))]
         )
         rank = names.index(self.node.name)
         if rank < len(self.replica.replica_ids):
@@ -155,10 +156,10 @@
     def _is_group_lost(self) -> bool:
         """As many spares as replicas, and a router, and nobody knows of one that ever voted."""
         directory = self.replica.directory
-        if self.reports or not self.replica.is_empty or not directory.live_members("router"):
+        if self.reports or not self.replica.is_empty or not directory.live_members(ROUTER_KIND):
             return False
         if any(
             member.replica_id and member.replica_incarnation for member in directory.peers.values()
         ):
             return False
-        return len(directory.live_members("registry")) + 1 >= len(self.replica.replica_ids)
+        return len(directory.live_members(CONTROLLER_KIND)) + 1 >= len(self.replica.replica_ids)
--- a/packages/consensus/src/linkhaven/consensus/replica_records.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_records.py
@@ -9,6 +9,9 @@
 HANDOVER_RECORD = "offer"
 """The key of the record of the last hand-over."""
 
+CONTROLLER_KIND, ROUTER_KIND = "registry", "router"
+"""How membership spells the kinds of nodes that may become a replica and that ask one."""
+
 
 class ReplicaInstance(msgspec.Struct, array_like=True, frozen=True):
     """The node that ran last as a replica, as far as it is recorded."""
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -40,6 +40,8 @@
 RESEND_US = 100_000
 PATIENCE_US = 2_000_000
 
+READING_EVENT = 1211
+
 
 class SuccessionState(Enum):
     """Where a spare stands between the offer of a replica and its first vote."""
@@ -159,7 +161,7 @@
         self.departing_address = offer.reply_to
         handover = self.last_handover = HandoverRecord(offer.handover_id, is_taken=False)
         self.progress_us = self.node.now_us()
-        self.node.ports.log(1211, seat=offer.replica_id, leaver=offer.sender)
+        self.node.ports.log(READING_EVENT, seat=offer.replica_id, leaver=offer.sender)
 
         def on_synced(is_kept: bool) -> None:
             if self.last_handover is not handover or self.state is not SuccessionState.READING:
