--- a/packages/configuration/src/linkhaven/configuration/blob_exchange.py
+++ b/packages/configuration/src/linkhaven/configuration/blob_exchange.py
@@ -14,6 +14,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from msgspec import UNSET
+
 from .blobs import BlobStore
 from .messages import BlobDelivery, BlobRequest
 from .pending_blobs import PENDING_TIMEOUT_US, PendingBlobs, PendingOperation, WantedBlob
@@ -122,7 +124,7 @@
         """Send those of the blobs that are here."""
         packed = self.blobs.packed
         blobs = {digest: packed[digest] for digest in message.digests if digest in packed}
-        if blobs:
+        if blobs and message.reply_to is not UNSET:
             self.node.send(message.reply_to, BlobDelivery(blobs=blobs))
 
     def on_blob_delivery(self, message: BlobDelivery) -> None:
--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -44,7 +44,7 @@
         """Return all records, as they were at the start."""
 
     def write(self, records: dict[str, Any], on_synced: Callable[[bool], None], /) -> None:
-        """Write records, None to delete one; those of one turn are synced together or not at all."""
+        """Write records, None deletes one; those of one turn are synced together or not at all."""
 
 
 class StorePorts(Protocol):
--- a/packages/configuration/src/linkhaven/configuration/commands.py
+++ b/packages/configuration/src/linkhaven/configuration/commands.py
@@ -1,7 +1,7 @@
 """Our own commands over HTTP: show, check, put and patch the configuration, and edit parts of it.
 
 Each command that changes something becomes one `CommandUpdate`. Where a foreign operator's source
-text is in force, groups and kinds are edited beside it, in the overlay; its sender changes the rest.
+text is in force, groups and kinds are edited beside it, in the overlay; the rest is its sender's.
 """
 
 from collections.abc import Callable
--- a/packages/configuration/src/linkhaven/configuration/messages.py
+++ b/packages/configuration/src/linkhaven/configuration/messages.py
@@ -1,17 +1,180 @@
-"""The messages of this package, their names on the wire bound to those of the code."""
+"""The messages of this package, their names on the wire bound to those of the code.
 
-from msgspec import field
+A watch request and its response carry optional sections of other packages (demand, shares, runner
+list and so on). Those aren't typed here: a section stands in the map of the message, under the name
+that its owner gave it, and passes through as it is.
+"""
+
+from collections.abc import Mapping
+from typing import Any
+
+from msgspec import UNSET, Struct, UnsetType, field
 
 from linkhaven.runtime import Message
 
+from .records import Record
+
+WATCH_REQUEST, WATCH_RESPONSE = "ask", "news"
+"""The kinds of the messages of a watch on the wire."""
+
+Sections = dict[str, Any]
+"""A watch message as it goes over the wire, with the sections of other packages in it."""
+
 
-class BlobDelivery(Message, tag="bodies"):
+class BlobDelivery(Message, tag="bodies", frozen=True):
     """Packed blobs by digest: sent ahead of an accept that names them, or as an answer."""
 
     blobs: dict[str, str] = field(name="bodies")
 
 
-class BlobRequest(Message, tag="want_bodies"):
+class BlobRequest(Message, tag="want_bodies", frozen=True):
     """Asks for the blobs of these digests; the answer has those that are there."""
 
     digests: list[str]
+
+
+class WatchRequest(Struct, frozen=True, kw_only=True):
+    """A router's poll of one replica: it is answered once there is something newer, or at its end.
+
+    `heard_version`, `wants_document`, `held_digest` and `hold_us` are missing from a router of an
+    earlier version: it is sent every document whole, and held for the usual time.
+    """
+
+    reply_to: str = field(name="back")
+    id: str
+    version: int = field(name="mark")
+    """The version in force at the router."""
+
+    heard_version: int | UnsetType = field(default=UNSET, name="heard")
+    """The highest version that the router has heard of."""
+
+    wants_document: bool | UnsetType = field(default=UNSET, name="wants_plan")
+    """Whether this replica is the one that is to send the document."""
+
+    known: dict[str, int]
+    """The incarnation of each replica, as the router knows it."""
+
+    held_digest: str | UnsetType = field(default=UNSET, name="holds")
+    """The digest of the document at the router, on which changes may build."""
+
+    hold_us: int | UnsetType = UNSET
+    """How long the replica may hold the poll, where that isn't the usual time."""
+
+
+class WatchResponse(Struct, frozen=True, kw_only=True):
+    """What a replica answers a poll with.
+
+    A newer document comes in one of three ways: as changes to the one that the router holds, as a
+    packed blob, or, from a replica of an earlier version, inside the record. A replica that isn't
+    the router's source names only its digest.
+    """
+
+    id: str
+    replica_id: str = field(name="seat")
+    incarnation: int
+    is_current: bool
+    """Whether the replica knows that no newer version is in force."""
+
+    version: int = field(name="mark")
+    known: dict[str, int]
+    digest: str | UnsetType = UNSET
+    record: dict[str, Any] | UnsetType = field(default=UNSET, name="plan")
+    packed: str | UnsetType = field(default=UNSET, name="body")
+    base_digest: str | UnsetType = field(default=UNSET, name="base")
+    packed_changes: str | UnsetType = field(default=UNSET, name="changes")
+
+
+def read_watch_request(message: Mapping[str, Any]) -> WatchRequest:
+    """Return the request in a map as it came; raises KeyError where a field is missing."""
+    return WatchRequest(
+        reply_to=message["back"],
+        id=message["id"],
+        version=message["mark"],
+        heard_version=message.get("heard", UNSET),
+        wants_document=message.get("wants_plan", UNSET),
+        known=message["known"],
+        held_digest=message.get("holds", UNSET),
+        hold_us=message.get("hold_us", UNSET),
+    )
+
+
+def read_watch_response(message: Mapping[str, Any]) -> WatchResponse:
+    """Return the response in a map as it came; raises KeyError where a field is missing."""
+    return WatchResponse(
+        id=message["id"],
+        replica_id=message["seat"],
+        incarnation=message["incarnation"],
+        is_current=message["is_current"],
+        version=message["mark"],
+        known=message["known"],
+        digest=message.get("digest", UNSET),
+        record=message.get("plan", UNSET),
+        packed=message.get("body", UNSET),
+        base_digest=message.get("base", UNSET),
+        packed_changes=message.get("changes", UNSET),
+    )
+
+
+def begin_watch_request(
+    request_id: str,
+    version: int,
+    heard_version: int,
+    wants_document: bool,
+    known: dict[str, int],
+    held_digest: str | None,
+    hold_us: int | None,
+) -> Sections:
+    """Return the fields of a request, to which sections are added; None leaves a field out."""
+    fields: Sections = {
+        "id": request_id,
+        "mark": version,
+        "heard": heard_version,
+        "wants_plan": wants_document,
+        "known": known,
+    }
+    if held_digest is not None:
+        fields["holds"] = held_digest
+    if hold_us is not None:
+        fields["hold_us"] = hold_us
+    return fields
+
+
+def begin_watch_response(
+    request_id: str,
+    replica_id: str,
+    incarnation: int,
+    is_current: bool,
+    version: int,
+    known: dict[str, int],
+) -> Sections:
+    """Return the fields of a response, to which a document and sections are added."""
+    return {
+        "id": request_id,
+        "seat": replica_id,
+        "incarnation": incarnation,
+        "is_current": is_current,
+        "mark": version,
+        "known": known,
+    }
+
+
+def add_digest(response: Sections, digest: str) -> None:
+    """Name the document in force."""
+    response["digest"] = digest
+
+
+def add_blob(response: Sections, record: Record, packed: str) -> None:
+    """Add a published record and its document, packed."""
+    response["body"] = packed
+    response["plan"] = record
+
+
+def add_changes(response: Sections, record: Record, base_digest: str, changes: str) -> None:
+    """Add a published record and the changes that lead to its document, packed."""
+    response["base"], response["changes"] = base_digest, changes
+    response["plan"] = record
+
+
+def add_whole_record(response: Sections, record: Record) -> None:
+    """Add a record with its document in it, for a router of an earlier version."""
+    response["plan"] = record
--- /dev/null
+++ b/packages/configuration/src/linkhaven/configuration/received.py
@@ -0,0 +1,107 @@
+"""What a watcher has received: the published record, and its document packed."""
+
+from typing import Any, Protocol
+
+import msgspec
+
+from linkhaven.api import ServiceError
+from linkhaven.runtime import read_json
+
+from .changes import apply_changes, read_changes
+from .history import digest_of
+from .packing import BlobMismatchError, open_blob, open_packed, pack_blob, write_document
+from .records import (
+    Record,
+    document_digest_of,
+    document_of,
+    published_record_of_earlier,
+    with_document,
+)
+from .snapshot import ConfigurationSnapshot
+
+
+class EventLog(Protocol):
+    """Where events go, by their numbers in `linkhaven.api.events`."""
+
+    def log(self, number: int, **facts: Any) -> None:
+        """Log one event."""
+
+
+class ReceivedConfiguration:
+    """Owns the published record that the snapshot was taken from, and its document packed.
+
+    Invariant: a document is taken only if it is the one of the digest that its record names,
+    whatever way it came. Test: `test_a_router_refuses_a_spoiled_body_and_has_it_from_another_seat`.
+    """
+
+    __slots__ = ("ports", "snapshot", "record", "packed", "accepts_changes")
+
+    def __init__(self, ports: EventLog, snapshot: ConfigurationSnapshot) -> None:
+        """Nothing was received yet."""
+        self.ports = ports
+        self.snapshot = snapshot
+        self.record: Record | None = None
+        self.packed: str | None = None
+        """None where the document came as changes: it is packed when it is asked for."""
+
+        self.accepts_changes = True
+        """False after changes that led elsewhere, until a whole document was taken."""
+
+    def digest(self) -> str | None:
+        """Return the digest of the document in force here, None before the first."""
+        return None if self.record is None else document_digest_of(self.record)
+
+    def packed_configuration(self) -> tuple[Record, str] | None:
+        """Return the record and its document packed; None before there was one."""
+        if self.record is None:
+            return None
+        if self.packed is None:
+            self.packed = pack_blob(write_document(document_of(self.snapshot.value or {})))
+        return self.record, self.packed
+
+    def take_blob(self, record: Record, packed: str) -> bool:
+        """Take a document that came whole; return whether it is in force now."""
+        digest = document_digest_of(record)
+        try:
+            document = read_json(open_blob(digest, packed))
+        except BlobMismatchError as error:
+            self.ports.log(1304, digest=digest, why=str(error))
+            return False
+        return self._take(record, document, packed)
+
+    def take_whole_record(self, record: Record) -> bool:
+        """Take a record of a replica of an earlier version, which has the document in it."""
+        text = write_document(document_of(record))
+        return self.take_blob(published_record_of_earlier(record, digest_of(text)), pack_blob(text))
+
+    def take_changes(self, record: Record, base_digest: str, packed_changes: str) -> bool:
+        """Take changes to the document here; return whether their result is in force now.
+
+        Whatever doesn't lead to the document of the digest is dropped, and the whole is asked for.
+        Test: `test_changes_that_lead_elsewhere_are_dropped_and_the_whole_is_asked_for`.
+        """
+        digest = document_digest_of(record)
+        try:
+            document = self._changed_document(digest, base_digest, packed_changes)
+        except (BlobMismatchError, msgspec.ValidationError, ServiceError) as error:
+            self.accepts_changes = False
+            self.ports.log(1304, digest=digest, why=str(error))
+            return False
+        return self._take(record, document, None)
+
+    def _changed_document(self, digest: str, base_digest: str, packed_changes: str) -> dict:
+        if self.snapshot.value is None or self.digest() != base_digest:
+            raise BlobMismatchError(f"the plan held here isn't {base_digest}")
+        changes = read_changes(open_packed(packed_changes))
+        document = apply_changes(document_of(self.snapshot.value), changes)
+        if digest_of(write_document(document)) != digest:
+            raise BlobMismatchError(f"the changes don't lead to the plan named {digest}")
+        return document
+
+    def _take(self, record: Record, document: dict, packed: str | None) -> bool:
+        if not self.snapshot.take(with_document(record, document)):
+            return False
+        self.record = record
+        self.packed = packed
+        self.accepts_changes = True
+        return True
--- a/packages/configuration/src/linkhaven/configuration/records.py
+++ b/packages/configuration/src/linkhaven/configuration/records.py
@@ -12,7 +12,9 @@
 | `bodies` | the digests of the blobs: of the document and, where there is one, the source text |
 | `overlay` | what our own commands changed beside a source text (`overlay.py`) |
 | `taken` | the newest committed updates (`history.py`) |
-| `plan`, `document` | the document and the source text themselves: in an opened record, and in one that was written before blobs stood apart |
+| `plan`, `document` | the document and the source text themselves: in an opened record |
+
+A record that was written before blobs stood apart has no `bodies`, and its parts in it.
 
 The *document* is the configuration in our own form. The *source text* is what a foreign operator
 sent, byte for byte, from which the document was made.
@@ -123,7 +125,7 @@
     update_id: str,
     digests: dict[str, str],
     revision: int,
-    overlay: Mapping[str, Any],
+    overlay: Overlay,
     history: list[list],
 ) -> dict[str, Any]:
     """Return the record of a change, as the register keeps it."""
--- a/packages/configuration/src/linkhaven/configuration/snapshot.py
+++ b/packages/configuration/src/linkhaven/configuration/snapshot.py
@@ -1,44 +1,57 @@
-"""What a node holds of the plan in force."""
+"""What a node knows of the configuration in force."""
 
+from collections.abc import Callable
+
+from .document import Configuration
 from .overlay import effective_configuration
+from .records import Record, version_of
 
 
 class ConfigurationSnapshot:
-    """The newest plan a node holds, and the highest mark it has heard of; neither ever goes back."""
+    """Owns the newest configuration here, and the highest version heard of; neither goes back.
+
+    `value` is the record, with its document in it. The snapshot isn't kept on disk: a controller
+    takes it from its register again, a router from the replicas.
+    """
 
     __slots__ = ("version", "value", "configuration", "highest_version", "on_new")
 
-    def __init__(self):
+    def __init__(self) -> None:
+        """Nothing is in force yet."""
         self.version = 0
-        self.value = None
-        self.configuration = None
+        self.value: Record | None = None
+        self.configuration: Configuration | None = None
         self.highest_version = 0
-        self.on_new = []
+        self.on_new: list[Callable[[], None]] = []
 
     @property
-    def is_behind(self):
+    def is_behind(self) -> bool:
+        """Whether a newer version than the one here was heard of."""
         return self.highest_version > self.version
 
-    def observe_version(self, version):
+    def observe_version(self, version: int) -> None:
+        """Note a version that another node named."""
         if version > self.highest_version:
             self.highest_version = version
 
-    def is_newer(self, value):
-        """Whether a value is newer than the plan held, and not older than one that was heard of."""
-        return (
-            value is not None
-            and value["mark"] > self.version
-            and value["mark"] >= self.highest_version
-        )
-
-    def take(self, value):
-        """A value with its plan in it; whether it is in force here now."""
-        if not self.is_newer(value):
+    def is_newer(self, record: Record | None) -> bool:
+        """Whether a record is newer than the one here, and not older than one heard of."""
+        if record is None:
+            return False
+        version = version_of(record)
+        return version > self.version and version >= self.highest_version
+
+    def take(self, record: Record) -> bool:
+        """Put a record with its document in force here, if it is newer; return whether it is.
+
+        Invariant: the version in force never goes back. Test: the sabotage `take_any_image`.
+        """
+        if not self.is_newer(record):
             return False
-        self.configuration = effective_configuration(value)
-        self.version = value["mark"]
-        self.value = value
+        self.configuration = effective_configuration(record)
+        self.version = version_of(record)
+        self.value = record
         self.highest_version = self.version
-        for hear in self.on_new:
-            hear()
+        for notify in self.on_new:
+            notify()
         return True
--- a/packages/configuration/src/linkhaven/configuration/store.py
+++ b/packages/configuration/src/linkhaven/configuration/store.py
@@ -122,7 +122,7 @@
     def __init__(
         self, store: "ConfigurationStore", update: ConfigurationUpdate, on_result: ReadDone
     ) -> None:
-        """`on_result(error, result)` is called once, with a `CommitResult` where it is committed."""
+        """`on_result(error, result)` is called once, with a `CommitResult` if it is committed."""
         self.store = store
         self.update = update
         self.on_result = on_result
@@ -242,7 +242,7 @@
         self.proposer.read(REGISTER_KEY, on_read)
 
     def commit(self, update: ConfigurationUpdate, on_result: ReadDone) -> None:
-        """Commit an update; call `on_result(error, result)` once, with a `CommitResult` if it is."""
+        """Commit an update; call `on_result(error, result)` once, with a `CommitResult` if so."""
         Commit(self, update, on_result).start()
 
     def put_document(
--- a/packages/configuration/src/linkhaven/configuration/updates.py
+++ b/packages/configuration/src/linkhaven/configuration/updates.py
@@ -16,7 +16,7 @@
     def __init__(
         self, document: dict, source_text: str | None, revision: int, overlay: Overlay
     ) -> None:
-        """`source_text` is None and `revision` unchanged where our own command made the document."""
+        """Where our own command made it, `source_text` is None and `revision` unchanged."""
         self.document = document
         self.source_text = source_text
         self.revision = revision
@@ -37,20 +37,23 @@
 
 
 class ConfigurationUpdate(Protocol):
-    """One update: how it is known, whether a record takes it, and what it makes of the record.
+    """One update: how it is known, whether a record takes it, and what it makes of the record."""
 
-    `key` and `digest` are what the history knows it by; `update_id` names it in logs and records;
-    `expected` is the version or revision that it builds on; `needs_blobs` says whether it changes
-    parts of the record before it, rather than replacing all of them.
-    """
+    @property
+    def key(self) -> UpdateKey:
+        """What the history knows the update by."""
+
+    @property
+    def digest(self) -> str:
+        """The digest of what was submitted."""
 
-    digest: str
-    expected: int
-    needs_blobs: bool
+    @property
+    def expected(self) -> int:
+        """The version or revision that it builds on."""
 
     @property
-    def key(self) -> UpdateKey:
-        """What the history knows it by."""
+    def needs_blobs(self) -> bool:
+        """Whether it changes parts of the record before it."""
 
     @property
     def update_id(self) -> str:
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -1,61 +1,133 @@
-"""Core side of the news: what a seat tells the routers that ask it.
+"""The side of a replica in a watch: long polls of routers, held until there is something newer.
 
-The body of a plan goes with the news only to a router that asks this seat for it, as the changes
-to the plan that the router holds where these are shorter; every other answer carries the mark and
-the digest, which say that the plan is in force."""
+A document goes only to a router that asks this replica for it, as the changes to the one that the
+router holds where these are shorter. Every other response carries the version and the digest, which
+say that the configuration is in force.
+
+| a poll is | when | then |
+| --- | --- | --- |
+| answered at once | it comes, and a newer version is in force | version and document |
+| held | it comes, and nothing is newer | until one of the following |
+| answered | a newer version comes into force | version and document |
+| answered | a long hold, after `URGENT_US`, and a section is urgent | version and sections |
+| answered | its hold is over, or `answer_all` | version and sections |
+| replaced | the router polls again | the older one is never answered |
+
+A replica that isn't current (it doesn't vote, knows of a newer version, lacks the document, or has
+lost contact with a majority) answers with `is_current` false, which confirms nothing.
+"""
+
+from collections.abc import Callable
+from typing import Any, Protocol
 
 from cachetools import LRUCache
+from msgspec import UNSET
 
 from linkhaven.runtime import read_json
 
+from .blobs import BlobStore
 from .changes import diff_of
-from .overlay import overlay_of
+from .messages import (
+    WATCH_REQUEST,
+    WATCH_RESPONSE,
+    Sections,
+    WatchRequest,
+    add_blob,
+    add_changes,
+    add_digest,
+    add_whole_record,
+    begin_watch_response,
+    read_watch_request,
+)
 from .packing import open_blob, pack_blob
+from .records import REGISTER_KEY, Record, published_record, version_of
+from .snapshot import ConfigurationSnapshot
+
+READ_AGAIN_US = 100_000
+"""The least time between two reads of the register by a replica that may be behind."""
 
-READ_US = 100_000
 URGENT_US = 100_000
+"""How long a long poll is held at least, also where a section is urgent."""
 
 KEPT_CHANGES = 16
-"""The changes between so many pairs of plans are kept packed, since many routers ask for them."""
+"""The changes between so many pairs of documents are kept packed: many routers ask for them."""
 
-KEY = "plan"
 
+class ServerNode(Protocol):
+    """What the server needs of its node."""
 
-class Poll:
-    """One open ask of a router: what it holds, what it heard of, whether it wants the body here.
+    bounds: Any
+    ports: Any
+    map_handlers: dict[str, Callable[[dict[str, Any]], None]]
+    systems: list[Callable[[int], None]]
 
-    `holds`: the digest of the plan that changes may build on, None where it wants the whole.
+    def now_us(self) -> int:
+        """Return this node's monotonic time."""
 
-    A router of an earlier version says neither of the last two, and is sent every plan whole."""
+    def send_untyped(self, address: str, say: str, /, **fields: Any) -> None:
+        """Send a message as a map."""
 
-    __slots__ = (
-        "back",
-        "id",
-        "mark",
-        "heard",
-        "wants_plan",
-        "holds",
-        "is_of_earlier",
-        "facts",
-        "until_us",
-        "urgent_us",
-    )
 
-    def __init__(self, message, until_us, urgent_us):
-        self.back = message["back"]
-        self.id = message["id"]
-        self.mark = message["mark"]
-        self.heard = message.get("heard", message["mark"])
-        self.is_of_earlier = "wants_plan" not in message
-        self.wants_plan = message.get("wants_plan", True)
-        self.holds = message.get("holds")
-        self.facts = message
-        self.until_us = until_us
-        self.urgent_us = urgent_us
+class WatchedReplica(Protocol):
+    """The replica of this node, with the register's newest record."""
+
+    directory: Any
+    replica_id: Any
+    incarnation: int
+    is_voting: bool
+
+    def register_state(self, key: str, /) -> Any:
+        """Return what was accepted last under a key."""
+
+    def is_known_chosen(self, key: str, /) -> bool:
+        """Whether that is known to be chosen."""
+
+    def all_incarnations(self) -> dict[str, int]:
+        """Return the incarnation of each replica, as it is known here."""
+
+
+class RegisterReader(Protocol):
+    """The proposer, as far as it reads."""
+
+    def read(self, key: str, on_result: Callable[[str, Any], None], /) -> None:
+        """Call `on_result(outcome, value)` with the newest value that a majority has accepted."""
+
+
+class QuorumContact(Protocol):
+    """Whether a majority of the replicas was heard from lately."""
+
+    def is_held(self) -> bool:
+        """Whether it was."""
+
+
+class ServerSections(Protocol):
+    """The other parts of a controller that talk with routers inside of watch messages."""
+
+    def on_watch_request(self, message: Sections) -> None:
+        """Take the sections of a request, as soon as it comes."""
+
+    def add_watch_facts(self, request: Sections, response: Sections) -> None:
+        """Add sections to a response."""
+
+    def is_watch_urgent(self, request: Sections) -> bool:
+        """Whether the router lacks something that can't wait for the end of a long hold."""
+
+
+class Poll:
+    """One poll that is held."""
+
+    __slots__ = ("request", "message", "until_us", "urgent_us")
+
+    def __init__(self, request: WatchRequest, message: Sections, now_us: int, hold_us: int) -> None:
+        """`message` is the request as it came, with its sections."""
+        self.request = request
+        self.message = message
+        self.until_us = now_us + hold_us
+        self.urgent_us = now_us + min(URGENT_US, hold_us)
 
 
 class WatchServer:
-    """Holds each router's ask until there is something to tell or a hold runs out."""
+    """Owns the polls that are held, one a router; nothing of it outlives the process."""
 
     __slots__ = (
         "node",
@@ -63,165 +135,192 @@
         "proposer",
         "snapshot",
         "blobs",
+        "contact",
+        "sections",
         "polls",
-        "extras",
-        "is_urgent",
-        "on_ask",
+        "polled_us",
         "is_reading",
         "read_us",
-        "polled_us",
-        "has_contact",
         "changes",
     )
 
-    def __init__(self, node, replica, proposer, snapshot, blobs):
+    def __init__(
+        self,
+        node: ServerNode,
+        replica: WatchedReplica,
+        proposer: RegisterReader,
+        snapshot: ConfigurationSnapshot,
+        blobs: BlobStore,
+        contact: QuorumContact,
+        sections: ServerSections,
+    ) -> None:
+        """Register the handler of requests and the timer."""
         self.node = node
         self.replica = replica
         self.proposer = proposer
         self.snapshot = snapshot
         self.blobs = blobs
-        self.polls = {}
-        self.extras = []
-        self.is_urgent = lambda facts: False
-        self.on_ask = []
+        self.contact = contact
+        self.sections = sections
+        self.polls: dict[str, Poll] = {}
+        self.polled_us = node.now_us()
         self.is_reading = False
         self.read_us = 0
-        self.polled_us = node.now_us()
-        self.has_contact = lambda: True
-        self.changes = LRUCache(KEPT_CHANGES)
-        node.map_handlers["ask"] = self.on_watch_request
-        node.systems.append(self.tick)
+        self.changes: LRUCache = LRUCache(KEPT_CHANGES)
+        node.map_handlers[WATCH_REQUEST] = self.on_watch_request
+        node.systems.append(self.on_tick)
 
-    def on_watch_request(self, message):
-        now_us = self.polled_us = self.node.now_us()
-        self.replica.directory.learn_incarnations(message["known"])
-        for hear in self.on_ask:
-            hear(message)
-        hold_us = message.get("hold_us", self.node.bounds.news_hold_us)
-        ask = Poll(message, now_us + hold_us, now_us + min(URGENT_US, hold_us))
-        if message["mark"] > self.held_version():
-            self.snapshot.observe_version(message["mark"])
-        self.polls[ask.back] = ask
-        if self._has_news(ask):
-            self._answer(ask)
-
-    def _value(self):
-        return self.replica.register_state(KEY).value
-
-    def held_version(self):
-        value = self._value()
-        return value["mark"] if value else 0
-
-    def is_current(self):
-        """Whether what this seat holds may be handed out: it is the newest known, and a majority was heard lately."""
-        return self._is_newest_known() and self.has_contact()
-
-    def _is_newest_known(self):
+    # what is in force
+
+    def _record(self) -> Record | None:
+        return self.replica.register_state(REGISTER_KEY).value
+
+    def held_version(self) -> int:
+        """Return the version that this replica accepted last."""
+        return version_of(self._record())
+
+    def is_current(self) -> bool:
+        """Whether what this replica has may be handed out as in force.
+
+        It is the newest known, and a majority was heard lately: without that a newer one could be
+        in force. Test: the sabotage `serve_without_contact`.
+        """
+        return self._is_newest_known() and self.contact.is_held()
+
+    def _is_newest_known(self) -> bool:
         return (
             self.replica.is_voting
-            and self.replica.is_known_chosen(KEY)
+            and self.replica.is_known_chosen(REGISTER_KEY)
             and self.snapshot.highest_version <= self.held_version()
-            and self.blobs.has(self._value())
+            and self.blobs.has(self._record())
         )
 
-    def _has_news(self, ask):
+    # polls
+
+    def on_watch_request(self, message: Sections) -> None:
+        """Hold a poll, or answer it where a newer version is in force."""
+        now_us = self.polled_us = self.node.now_us()
+        request = read_watch_request(message)
+        self.replica.directory.learn_incarnations(request.known)
+        self.sections.on_watch_request(message)
+        usual_us = self.node.bounds.news_hold_us
+        hold_us = usual_us if request.hold_us is UNSET else request.hold_us
+        poll = Poll(request, message, now_us, hold_us)
+        if request.version > self.held_version():
+            self.snapshot.observe_version(request.version)
+        self.polls[request.reply_to] = poll
+        if self._has_newer_for(request):
+            self._answer(poll)
+
+    def _has_newer_for(self, request: WatchRequest) -> bool:
         if not self.is_current():
             return False
-        known = ask.mark if ask.wants_plan else max(ask.mark, ask.heard)
+        known = request.version
+        if request.wants_document is False and request.heard_version is not UNSET:
+            known = max(known, request.heard_version)
         return self.held_version() > known
 
-    def answer_waiting(self):
-        for ask in list(self.polls.values()):
-            if self._has_news(ask):
-                self._answer(ask)
+    def answer_waiting(self) -> None:
+        """Answer the polls for which a newer version is in force."""
+        for poll in list(self.polls.values()):
+            if self._has_newer_for(poll.request):
+                self._answer(poll)
 
-    def shorten_holds(self):
-        """Ends long holds soon, each at its own moment: answered together, routers would go on
-        asking together, and place by the same news at the same time."""
+    def answer_all(self) -> None:
+        """Answer all polls now, whatever there is to say."""
+        for poll in list(self.polls.values()):
+            self._answer(poll)
+
+    def shorten_holds(self) -> None:
+        """End long holds soon, each at its own moment.
+
+        Answered together, routers would go on polling together, and place by the same figures at
+        the same time.
+        """
         now_us, usual_us = self.node.now_us(), self.node.bounds.news_hold_us
-        for ask in self.polls.values():
-            if "hold_us" in ask.facts:
+        for poll in self.polls.values():
+            if poll.request.hold_us is not UNSET:
                 soon_us = now_us + self.node.ports.random.randrange(usual_us)
-                ask.until_us = min(ask.until_us, soon_us)
+                poll.until_us = min(poll.until_us, soon_us)
+
+    def on_tick(self, now_us: int) -> None:
+        """Answer polls whose hold is over, and read the register where this replica is behind."""
+        if not self._is_newest_known() and self.replica.is_voting:
+            self._read(now_us)
+        for poll in list(self.polls.values()):
+            if now_us >= poll.until_us or self._is_urgent(poll, now_us):
+                self._answer(poll)
 
-    def answer_all(self):
-        for ask in list(self.polls.values()):
-            self._answer(ask)
+    def _is_urgent(self, poll: Poll, now_us: int) -> bool:
+        """Whether a router that asked for a long hold must be told something before its end."""
+        return (
+            poll.request.hold_us is not UNSET
+            and now_us >= poll.urgent_us
+            and self.sections.is_watch_urgent(poll.message)
+        )
 
-    def _answer(self, ask):
-        if self.polls.get(ask.back) is ask:
-            del self.polls[ask.back]
+    # responses
+
+    def _answer(self, poll: Poll) -> None:
+        request = poll.request
+        if self.polls.get(request.reply_to) is poll:
+            del self.polls[request.reply_to]
         is_current = self.is_current()
-        value = self._value()
-        facts = {
-            "id": ask.id,
-            "seat": self.replica.replica_id,
-            "incarnation": self.replica.incarnation,
-            "is_current": is_current,
-            "mark": self.held_version(),
-            "known": self.replica.all_incarnations(),
-        }
-        if is_current and value and value["mark"] > ask.mark:
-            self._add_plan(ask, value, facts)
-        for extra in self.extras:
-            extra(ask.facts, facts)
-        self.node.send_untyped(ask.back, "news", **facts)
-
-    def _add_plan(self, ask, value, facts):
-        if ask.is_of_earlier:
-            facts["plan"] = self.blobs.with_document(value)
-            return
-        facts["digest"], packed = self.blobs.packed_document(value)
-        if not ask.wants_plan:
+        record = self._record()
+        response = begin_watch_response(
+            request.id,
+            self.replica.replica_id,
+            self.replica.incarnation,
+            is_current,
+            version_of(record),
+            self.replica.all_incarnations(),
+        )
+        if is_current and record and version_of(record) > request.version:
+            self._add_document(request, record, response)
+        self.sections.add_watch_facts(poll.message, response)
+        self.node.send_untyped(request.reply_to, WATCH_RESPONSE, **response)
+
+    def _add_document(self, request: WatchRequest, record: Record, response: Sections) -> None:
+        if request.wants_document is UNSET:
+            return add_whole_record(response, self.blobs.with_document(record))
+        digest, packed = self.blobs.packed_document(record)
+        add_digest(response, digest)
+        if not request.wants_document:
             return
-        changes = self._changes(ask.holds, facts["digest"])
-        if changes is None:
-            facts["body"] = packed
+        published = published_record(record, digest)
+        base = request.held_digest
+        changes = None if base is UNSET else self._packed_changes(base, digest)
+        if base is UNSET or changes is None:
+            add_blob(response, published, packed)
         else:
-            facts["base"], facts["changes"] = ask.holds, changes
-        facts["plan"] = {
-            "mark": value["mark"],
-            "put_id": value["put_id"],
-            "revision": value.get("revision") or 0,
-            "overlay": overlay_of(value),
-            "bodies": {"plan": facts["digest"]},
-        }
-
-    def _changes(self, held, newest):
-        """Return the packed changes from one plan to another, None where the whole is no longer."""
-        if held is None or held not in self.blobs.packed:
+            add_changes(response, published, base, changes)
+
+    def _packed_changes(self, base: str, digest: str) -> str | None:
+        """Return the packed changes between two documents, None where the whole is no longer."""
+        if not self.blobs.is_here(base):
             return None
-        key = (held, newest)
+        key = (base, digest)
         if key not in self.changes:
-            packed, whole = self.blobs.packed[held], self.blobs.packed[newest]
-            old, new = read_json(open_blob(held, packed)), read_json(open_blob(newest, whole))
+            packed, whole = self.blobs.packed[base], self.blobs.packed[digest]
+            old, new = read_json(open_blob(base, packed)), read_json(open_blob(digest, whole))
             changes = pack_blob(diff_of(old, new).write())
             self.changes[key] = changes if len(changes) < len(whole) else None
         return self.changes[key]
 
-    def tick(self, now_us):
-        if not self._is_newest_known() and self.replica.is_voting:
-            self._read(now_us)
-        for ask in list(self.polls.values()):
-            if now_us >= ask.until_us or self._is_urgent(ask, now_us):
-                self._answer(ask)
-
-    def _is_urgent(self, ask, now_us):
-        """Whether a router that asked for a long hold has to hear something before its end."""
-        return "hold_us" in ask.facts and now_us >= ask.urgent_us and self.is_urgent(ask.facts)
+    # reading the register
 
-    def _read(self, now_us):
-        if self.is_reading or now_us - self.read_us < READ_US:
+    def _read(self, now_us: int) -> None:
+        """Learn from a majority what is in force; one read at a time."""
+        if self.is_reading or now_us - self.read_us < READ_AGAIN_US:
             return
         self.is_reading = True
         self.read_us = now_us
+        self.proposer.read(REGISTER_KEY, self._on_read)
 
-        def done(outcome, value):
-            self.is_reading = False
-            if outcome != "chosen":
-                return
-            if self.snapshot.is_newer(value) and self.blobs.has_document(value):
-                self.snapshot.take(self.blobs.with_document(value))
-            self.answer_waiting()
-
-        self.proposer.read(KEY, done)
+    def _on_read(self, outcome: str, record: Any) -> None:
+        self.is_reading = False
+        if outcome != "chosen":
+            return
+        if self.snapshot.is_newer(record) and self.blobs.has_document(record):
+            self.snapshot.take(self.blobs.with_document(record))
+        self.answer_waiting()
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -1,335 +1,384 @@
-"""Router side of the news: one open ask at every seat, and the body of a plan from one of them.
-
-The plan is confirmed as of the sending of the asks that a majority of seats has answered. The body
-comes from the nearest seat that answers; the others name it by its digest. Where the nearest is
-silent or behind for `body_wait_us` after another seat has told of a newer plan, one that told of it
-is asked at once."""
+"""The side of a router in a watch: one open long poll at every replica.
+
+The version in force is confirmed as of the sending of the polls that a majority of the replicas has
+answered. The document comes from the source, which is the nearest replica that answers; the others
+name it by its digest. Where the source is silent or behind for `body_wait_us` after another replica
+has named a newer version, one that named it is asked at once.
+
+| state of a poll | met with | then |
+| --- | --- | --- |
+| none sent | tick | sent |
+| open | its response | taken, and the next poll is sent |
+| open | another response | dropped: it is late and says nothing |
+| open | tick, hold and `LATE_US` over | sent again |
+| open, long hold | tick, the replica moved, or the hold would now be shorter | sent again |
+
+| a current response | version here | then |
+| --- | --- | --- |
+| brings the document | older | taken if it fits its digest; who named it confirms it |
+| names a newer version | older | the document is missing: asked for where it is named |
+| names the same version and digest | same | confirmed by this replica |
+| names another digest | same | logged (1305), confirms nothing |
+"""
 
 import hashlib
+from collections.abc import Callable
 from functools import lru_cache
+from typing import Any, Protocol
 
-import msgspec
-
-from linkhaven.api import ServiceError
-from linkhaven.runtime import read_json
+from msgspec import UNSET
 
-from .changes import apply_changes, read_changes
-from .history import digest_of
+from .confirmation import MajorityConfirmation
 from .long_poll import LongPollHold
-from .packing import BlobMismatchError, open_blob, open_packed, pack_blob, write_document
+from .messages import (
+    WATCH_REQUEST,
+    WATCH_RESPONSE,
+    Sections,
+    WatchResponse,
+    begin_watch_request,
+    read_watch_response,
+)
+from .received import ReceivedConfiguration
+from .records import Record
+from .snapshot import ConfigurationSnapshot
 
 LATE_US = 350_000
-TOLD = ("mark", "put_id", "revision", "overlay")
-DUTY_PARTS = ("roster", "steward", "shares")
+"""How long after its hold a response may come, before the poll is sent again."""
 
+LEASE_HOLDER_SECTIONS = ("roster", "steward", "shares")
+"""Sections that only holders of leases send, by their names on the wire."""
 
-@lru_cache(maxsize=1024)
-def spread(name, seat):
-    """Where a seat stands in one router's order of seats that are equally near."""
-    return hashlib.blake2b(f"{name}/{seat}".encode(), digest_size=4).digest()
 
+class WatcherNode(Protocol):
+    """What the watcher needs of its node."""
+
+    name: str
+    bounds: Any
+    ports: Any
+    map_handlers: dict[str, Callable[[dict[str, Any]], None]]
+    systems: list[Callable[[int], None]]
+
+    def now_us(self) -> int:
+        """Return this node's monotonic time."""
+
+    def send_untyped(self, address: str, say: str, /, **fields: Any) -> None:
+        """Send a message as a map."""
+
+
+class ReplicaDirectory(Protocol):
+    """Where the replicas are, and in which zone."""
+
+    me: Any
+
+    def replicas(self) -> dict[str, tuple[str, int]]:
+        """Return the address and incarnation of each replica, by its id."""
+
+    def replica_members(self) -> dict[str, Any]:
+        """Return the member that each replica runs on."""
 
-def apart(value):
-    """A value that a seat of an earlier version told whole: as it is told now, and its body."""
-    text = write_document(value["plan"])
-    told = {name: value[name] for name in TOLD if name in value}
-    return {**told, "bodies": {"plan": digest_of(text)}}, pack_blob(text)
+    def learn_incarnations(self, known: dict[str, int], /) -> None:
+        """Take newer incarnations of replicas."""
 
 
-class Told:
-    """The ask at one seat, and what its answers confirmed."""
+class WatcherSections(Protocol):
+    """The other parts of a router that talk with the core inside of watch messages."""
 
-    __slots__ = ("id", "sent_us", "hold_us", "asked", "confirmed_us", "incarnation", "quiet_us")
+    def add_watch_facts(self, request: Sections, replica_id: str) -> None:
+        """Add sections to a poll of a replica."""
 
-    def __init__(self, now_us):
-        self.id = None
+    def is_short_of_shares(self) -> bool:
+        """Whether this router waits for a larger share than it has."""
+
+    def on_watch_response(self, response: Sections, sent_us: int) -> None:
+        """Take the sections of a response to a poll that was sent at `sent_us`."""
+
+
+@lru_cache(maxsize=1024)
+def rendezvous_rank(router: str, replica_id: str) -> bytes:
+    """Return where a replica stands in one router's order of those that are equally near.
+
+    Highest random weight (Thaler & Ravishankar, 1998): routers spread over the replicas.
+    """
+    return hashlib.blake2b(f"{router}/{replica_id}".encode(), digest_size=4).digest()
+
+
+class ReplicaPoll:
+    """The poll at one replica; `request_id` is None while none is open."""
+
+    __slots__ = ("request_id", "sent_us", "hold_us", "destination", "answered_us")
+
+    def __init__(self, now_us: int) -> None:
+        """None was sent yet."""
+        self.request_id: str | None = None
         self.sent_us = 0
         self.hold_us = 0
-        self.asked = None
-        self.confirmed_us = None
-        self.incarnation = 0
-        self.quiet_us = now_us
+        self.destination: tuple[str, int] | None = None
+        """The address and incarnation of the replica to which it was sent."""
+
+        self.answered_us = now_us
+        """When the replica answered last; at first, when it was polled first."""
+
 
+class MissingDocument:
+    """A newer version that replicas have named and whose document has not come yet."""
 
-class Lacking:
-    """A plan that seats have told of and whose body has not come yet."""
+    __slots__ = ("version", "named_by", "tried", "request_us")
 
-    __slots__ = ("mark", "digest", "tellers", "tried", "ask_us")
+    def __init__(self, version: int, request_us: int) -> None:
+        """`request_us`: when it is asked for where it was named, if it hasn't come by then."""
+        self.version = version
+        self.named_by: dict[str, tuple[str | None, int, int]] = {}
+        """By replica: the digest that it named, when its poll was sent, and its incarnation."""
 
-    def __init__(self, mark, digest, ask_us):
-        self.mark = mark
-        self.digest = digest
-        self.tellers = {}
-        self.tried = set()
-        self.ask_us = ask_us
+        self.tried: set[str] = set()
+        self.request_us = request_us
 
 
 class ConfigurationWatcher:
-    """What a router knows of the plan in force, and as of when."""
+    """Owns the open polls and the document that is missing; nothing of it outlives the process."""
 
     __slots__ = (
         "node",
         "directory",
         "snapshot",
-        "majority",
-        "told",
+        "sections",
+        "polls",
         "serial",
-        "facts",
-        "on_news",
-        "confirmed_us",
-        "lacking",
-        "held",
-        "pace",
-        "is_pressed",
-        "takes_changes",
+        "confirmation",
+        "missing",
+        "received",
+        "hold",
     )
 
-    def __init__(self, node, directory, snapshot, majority=None, count_routers=lambda: 1):
-        """Hears news and asks for more from here on."""
+    def __init__(
+        self,
+        node: WatcherNode,
+        directory: ReplicaDirectory,
+        snapshot: ConfigurationSnapshot,
+        sections: WatcherSections,
+        majority: int,
+        count_routers: Callable[[], int],
+    ) -> None:
+        """Register the handler of responses and the timer."""
         self.node = node
         self.directory = directory
         self.snapshot = snapshot
-        self.majority = majority or node.bounds.seats // 2 + 1
-        self.told = {}
+        self.sections = sections
+        self.polls: dict[str, ReplicaPoll] = {}
         self.serial = 0
-        self.facts = []
-        self.on_news = []
-        self.confirmed_us = None
-        self.lacking = None
-        self.held = None
-        self.pace = LongPollHold(node.bounds, count_routers)
-        self.is_pressed = lambda: False
-        self.takes_changes = True
-        node.map_handlers["news"] = self.on_watch_response
-        node.systems.append(self.tick)
-
-    def is_fresh(self):
-        """Whether the plan held here may be served by now."""
+        self.confirmation = MajorityConfirmation(majority)
+        self.missing: MissingDocument | None = None
+        self.received = ReceivedConfiguration(node.ports, snapshot)
+        self.hold = LongPollHold(node.bounds, count_routers)
+        node.map_handlers[WATCH_RESPONSE] = self.on_watch_response
+        node.systems.append(self.on_tick)
+
+    # what is in force
+
+    def has_confirmation(self) -> bool:
+        """Whether a majority has confirmed anything since the start."""
+        return self.confirmation.confirmed_us is not None
+
+    def is_fresh(self) -> bool:
+        """Whether the configuration here may be served by now.
+
+        With `plan_stale_us` set, a majority must have confirmed it within that time.
+        """
         if self.snapshot.configuration is None:
             return False
         stale_us = self.node.bounds.plan_stale_us
         if stale_us is None:
             return True
-        if self.snapshot.is_behind or self.confirmed_us is None:
+        confirmed_us = self.confirmation.confirmed_us
+        if self.snapshot.is_behind or confirmed_us is None:
             return False
-        return self.node.now_us() - self.confirmed_us <= stale_us
-
-    def packed_configuration(self):
-        """The value and the packed body that the image was taken from; None before there was one."""
-        if self.held is None:
-            return None
-        value, body = self.held
-        if body is None:
-            body = pack_blob(write_document(self.snapshot.value["plan"]))
-            self.held = (value, body)
-        return value, body
-
-    # Asking
-
-    def _ask(self, seat, place, now_us, wants_plan=None):
-        told = self.told.get(seat)
-        if told is None:
-            told = self.told[seat] = Told(now_us)
+        return self.node.now_us() - confirmed_us <= stale_us
+
+    def packed_configuration(self) -> tuple[Record, str] | None:
+        """Return the published record and its document packed; None before there was one."""
+        return self.received.packed_configuration()
+
+    # polls
+
+    def _poll(
+        self,
+        replica_id: str,
+        destination: tuple[str, int],
+        now_us: int,
+        wants_document: bool | None = None,
+    ) -> None:
+        """Send a poll; `wants_document` None: if the replica is the source."""
+        poll = self.polls.get(replica_id)
+        if poll is None:
+            poll = self.polls[replica_id] = ReplicaPoll(now_us)
         self.serial += 1
-        told.id = f"{self.serial}"
-        told.sent_us = now_us
-        told.asked = place
-        told.hold_us = self.pace.hold_us(seat, self.is_pressed(), now_us)
-        if wants_plan is None:
-            wants_plan = self._is_source(seat, now_us)
-        if wants_plan and self.lacking is not None:
-            self.lacking.tried.add(seat)
-        facts = {
-            "id": told.id,
-            "mark": self.snapshot.version,
-            "heard": self.lacking.mark if self.lacking is not None else self.snapshot.version,
-            "wants_plan": wants_plan,
-            "known": {
-                seat: incarnation for seat, (_, incarnation) in self.directory.replicas().items()
-            },
-        }
-        if wants_plan and self.held is not None and self.takes_changes:
-            facts["holds"] = self.held[0]["bodies"]["plan"]
-        if told.hold_us != self.node.bounds.news_hold_us:
-            facts["hold_us"] = told.hold_us
-        for add in self.facts:
-            add(facts, seat)
-        self.node.send_untyped(place[0], "ask", **facts)
-
-    def _is_source(self, seat, now_us):
-        """Whether this seat's answers are to bring the body: the nearest that isn't silent."""
-        seats = self._by_nearness()
-        answering = [other for other in seats if not self._is_silent(other, now_us)]
-        return seat == (answering or seats)[0]
-
-    def _is_silent(self, seat, now_us):
-        told = self.told.get(seat)
-        if told is None:
+        poll.request_id = f"{self.serial}"
+        poll.sent_us = now_us
+        poll.destination = destination
+        is_short = self.sections.is_short_of_shares()
+        poll.hold_us = self.hold.hold_us(replica_id, is_short, now_us)
+        if wants_document is None:
+            wants_document = self._is_source(replica_id, now_us)
+        if wants_document and self.missing is not None:
+            self.missing.tried.add(replica_id)
+        fields = self._request_fields(poll, wants_document)
+        self.sections.add_watch_facts(fields, replica_id)
+        self.node.send_untyped(destination[0], WATCH_REQUEST, **fields)
+
+    def _request_fields(self, poll: ReplicaPoll, wants_document: bool) -> Sections:
+        version, missing = self.snapshot.version, self.missing
+        may_build = wants_document and self.received.accepts_changes
+        usual_us = self.node.bounds.news_hold_us
+        return begin_watch_request(
+            poll.request_id or "",
+            version,
+            version if missing is None else missing.version,
+            wants_document,
+            {name: incarnation for name, (_, incarnation) in self.directory.replicas().items()},
+            self.received.digest() if may_build else None,
+            None if poll.hold_us == usual_us else poll.hold_us,
+        )
+
+    def _is_source(self, replica_id: str, now_us: int) -> bool:
+        """Whether this replica is to send the document: the nearest that isn't silent."""
+        nearest = self._by_nearness()
+        answering = [other for other in nearest if not self._is_silent(other, now_us)]
+        return replica_id == (answering or nearest)[0]
+
+    def _is_silent(self, replica_id: str, now_us: int) -> bool:
+        poll = self.polls.get(replica_id)
+        if poll is None:
             return False
-        longest_us = max(self.node.bounds.news_hold_us, told.hold_us) + LATE_US
-        return now_us - told.quiet_us > longest_us
+        longest_us = max(self.node.bounds.news_hold_us, poll.hold_us) + LATE_US
+        return now_us - poll.answered_us > longest_us
 
-    def _by_nearness(self):
-        """Seats in this router's zone come first; beyond that routers spread over the seats."""
+    def _by_nearness(self) -> list[str]:
+        """Return the replicas in this router's zone first, then the others."""
         zone, name = self.directory.me.zone, self.node.name
-        holders = self.directory.replica_members()
-        return sorted(holders, key=lambda seat: (holders[seat].zone != zone, spread(name, seat)))
-
-    def tick(self, now_us):
-        """Asks again where an answer is overdue, and elsewhere for a body that doesn't come."""
-        is_pressed = self.is_pressed()
-        for seat, place in self.directory.replicas().items():
-            told = self.told.get(seat)
-            if told is None or self._is_due(seat, told, place, is_pressed, now_us):
-                self._ask(seat, place, now_us)
-        self._chase(now_us)
-
-    def _is_due(self, seat, told, place, is_pressed, now_us):
-        """No answer is awaited from the seat, or none can come any more, or it would come late."""
-        if told.id is None or now_us - told.sent_us > told.hold_us + LATE_US:
+        members = self.directory.replica_members()
+        return sorted(
+            members, key=lambda other: (members[other].zone != zone, rendezvous_rank(name, other))
+        )
+
+    def on_tick(self, now_us: int) -> None:
+        """Poll again where a response is overdue, and elsewhere for a document that is missing."""
+        is_short = self.sections.is_short_of_shares()
+        for replica_id, destination in self.directory.replicas().items():
+            poll = self.polls.get(replica_id)
+            if poll is None or self._is_due(replica_id, poll, destination, is_short, now_us):
+                self._poll(replica_id, destination, now_us)
+        self._request_missing(now_us)
+
+    def _is_due(
+        self,
+        replica_id: str,
+        poll: ReplicaPoll,
+        destination: tuple[str, int],
+        is_short: bool,
+        now_us: int,
+    ) -> bool:
+        """Whether no response is awaited, none can come any more, or it would come too late."""
+        if poll.request_id is None or now_us - poll.sent_us > poll.hold_us + LATE_US:
             return True
-        least_us = self.node.bounds.news_hold_us
-        if told.hold_us == least_us or now_us - told.sent_us < least_us:
+        usual_us = self.node.bounds.news_hold_us
+        if poll.hold_us == usual_us or now_us - poll.sent_us < usual_us:
             return False
-        if told.asked != place:
+        if poll.destination != destination:
             return True
-        return is_pressed and self.pace.hold_us(seat, True, now_us) < told.hold_us
+        return is_short and self.hold.hold_us(replica_id, True, now_us) < poll.hold_us
 
-    def _chase(self, now_us):
-        lacking, seats = self.lacking, self.directory.replicas()
-        if lacking is None or now_us < lacking.ask_us:
+    def _request_missing(self, now_us: int) -> None:
+        """Ask the next replica that named the missing document, when its time has come."""
+        missing, replicas = self.missing, self.directory.replicas()
+        if missing is None or now_us < missing.request_us:
             return
-        lacking.ask_us = now_us + self.node.bounds.body_wait_us
-        tellers = [seat for seat in self._by_nearness() if seat in lacking.tellers]
-        if not tellers:
+        missing.request_us = now_us + self.node.bounds.body_wait_us
+        named_by = [name for name in self._by_nearness() if name in missing.named_by]
+        if not named_by:
             return
-        untried = [seat for seat in tellers if seat not in lacking.tried]
+        untried = [name for name in named_by if name not in missing.tried]
         if not untried:
-            lacking.tried.clear()
-        seat = (untried or tellers)[0]
-        self._ask(seat, seats[seat], now_us, wants_plan=True)
-
-    # Hearing
-
-    def on_watch_response(self, message):
-        """The answer to the ask that is open at this seat; any other is late and says nothing."""
-        told = self.told.get(message["seat"])
-        if told is None or told.id != message["id"]:
+            missing.tried.clear()
+        replica_id = (untried or named_by)[0]
+        self._poll(replica_id, replicas[replica_id], now_us, wants_document=True)
+
+    # responses
+
+    def on_watch_response(self, message: Sections) -> None:
+        """Take the response to the poll that is open at a replica; any other is late."""
+        response = read_watch_response(message)
+        replica_id = response.replica_id
+        poll = self.polls.get(replica_id)
+        if poll is None or poll.request_id != response.id:
             return
         now_us = self.node.now_us()
-        told.quiet_us = now_us
-        self.directory.learn_incarnations(message["known"])
-        known = self.directory.replicas().get(message["seat"])
-        is_newest = known is not None and known[1] <= message["incarnation"]
-        if is_newest and message["is_current"]:
-            self._on_current_configuration(message, told)
-        for hear in self.on_news:
-            hear(message, told.sent_us)
-        told.id = None
-        self.pace.note_news(message["seat"], message, DUTY_PARTS, now_us)
-        if known is not None:
-            self._ask(message["seat"], known, now_us)
-
-    def _on_current_configuration(self, message, told):
-        mark = message["mark"]
-        self.snapshot.observe_version(mark)
-        if "changes" in message:
-            self._take_changes(message["plan"], message["base"], message["changes"])
-        elif "body" in message:
-            self._take_body(message["plan"], message["body"])
-        elif "plan" in message:
-            self._take_body(*apart(message["plan"]))
-        if mark > self.snapshot.version:
-            return self._note_lacking(message, told)
-        if mark == self.snapshot.version and self._is_other_body(message):
+        poll.answered_us = now_us
+        self.directory.learn_incarnations(response.known)
+        destination = self.directory.replicas().get(replica_id)
+        is_newest = destination is not None and destination[1] <= response.incarnation
+        if is_newest and response.is_current:
+            self._on_current_response(response, poll.sent_us)
+        self.sections.on_watch_response(message, poll.sent_us)
+        poll.request_id = None
+        self.hold.note_response(replica_id, message, LEASE_HOLDER_SECTIONS, now_us)
+        if destination is not None:
+            self._poll(replica_id, destination, now_us)
+
+    def _on_current_response(self, response: WatchResponse, sent_us: int) -> None:
+        self.snapshot.observe_version(response.version)
+        if self._take_document(response):
+            self._on_document_taken()
+        if response.version > self.snapshot.version:
+            return self._note_missing(response, sent_us)
+        if response.version == self.snapshot.version and self._has_other_digest(response):
             return
-        self._confirm_at(told, told.sent_us, message["incarnation"])
-
-    def _take_body(self, value, body):
-        digest = value["bodies"]["plan"]
-        try:
-            plan = read_json(open_blob(digest, body))
-        except BlobMismatchError as fault:
-            return self.node.ports.log(1304, digest=digest, why=str(fault))
-        self._take_plan(value, plan, body)
-
-    def _take_changes(self, value, base, packed):
-        """Take the changes to the plan held here; whatever doesn't lead to the plan of its digest
-        is dropped, and the whole is asked for. Test: `test_changes_that_lead_elsewhere_...`.
-        """
-        digest = value["bodies"]["plan"]
-        try:
-            if self.held is None or self.held[0]["bodies"]["plan"] != base:
-                raise BlobMismatchError(f"the plan held here isn't {base}")
-            changes = read_changes(open_packed(packed))
-            plan = apply_changes(self.snapshot.value["plan"], changes)
-            if digest_of(write_document(plan)) != digest:
-                raise BlobMismatchError(f"the changes don't lead to the plan named {digest}")
-        except (BlobMismatchError, msgspec.ValidationError, ServiceError) as fault:
-            self.takes_changes = False
-            return self.node.ports.log(1304, digest=digest, why=str(fault))
-        self._take_plan(value, plan, None)
-
-    def _take_plan(self, value, plan, body):
-        if not self.snapshot.take({**value, "plan": plan}):
+        self._confirm(response.replica_id, sent_us, response.incarnation)
+
+    def _take_document(self, response: WatchResponse) -> bool:
+        """Take the document that a response brings; return whether it is in force now."""
+        record = response.record
+        if record is UNSET:
+            return False
+        if response.packed_changes is not UNSET and response.base_digest is not UNSET:
+            return self.received.take_changes(record, response.base_digest, response.packed_changes)
+        if response.packed is not UNSET:
+            return self.received.take_blob(record, response.packed)
+        return self.received.take_whole_record(record)
+
+    def _on_document_taken(self) -> None:
+        """Nothing is missing any more; who named the document that came confirms it."""
+        missing = self.missing
+        if missing is None or missing.version > self.snapshot.version:
             return
-        self.held = (value, body)
-        self.takes_changes = True
-        digest = value["bodies"]["plan"]
-        lacking = self.lacking
-        if lacking is None or lacking.mark > self.snapshot.version:
+        self.missing = None
+        if missing.version == self.snapshot.version:
+            digest = self.received.digest()
+            for replica_id, (named, sent_us, incarnation) in missing.named_by.items():
+                if named == digest:
+                    self._confirm(replica_id, sent_us, incarnation)
+
+    def _note_missing(self, response: WatchResponse, sent_us: int) -> None:
+        missing, version = self.missing, response.version
+        if missing is not None and version < missing.version:
             return
-        self.lacking = None
-        if lacking.mark == self.snapshot.version:
-            self._confirm_tellers(lacking, digest)
+        if missing is None or version > missing.version:
+            request_us = self.node.now_us() + self.node.bounds.body_wait_us
+            missing = self.missing = MissingDocument(version, request_us)
+        digest = None if response.digest is UNSET else response.digest
+        missing.named_by[response.replica_id] = (digest, sent_us, response.incarnation)
 
-    def _confirm_tellers(self, lacking, digest):
-        for seat, (named, sent_us, incarnation) in lacking.tellers.items():
-            if named == digest:
-                self._confirm_at(self.told[seat], sent_us, incarnation)
+    def _has_other_digest(self, response: WatchResponse) -> bool:
+        """Whether a replica names another document for the version that is in force here.
 
-    def _note_lacking(self, message, told):
-        now_us = self.node.now_us()
-        lacking, mark = self.lacking, message["mark"]
-        if lacking is not None and mark < lacking.mark:
-            return
-        if lacking is None or mark > lacking.mark:
-            ask_us = now_us + self.node.bounds.body_wait_us
-            lacking = self.lacking = Lacking(mark, message.get("digest"), ask_us)
-        lacking.tellers[message["seat"]] = (
-            message.get("digest"),
-            told.sent_us,
-            message["incarnation"],
-        )
-
-    def _is_other_body(self, message):
-        """Two seats that name two bodies for one mark: never while the register keeps its promise."""
-        if "digest" not in message or self.held is None:
-            return False
-        held = self.held[0]["bodies"]["plan"]
-        if message["digest"] == held:
+        Never while the register chooses one value for each version.
+        """
+        held_digest = self.received.digest()
+        if response.digest is UNSET or held_digest is None or response.digest == held_digest:
             return False
         self.node.ports.log(
-            1305, mark=message["mark"], seat=message["seat"], named=message["digest"]
+            1305, mark=response.version, seat=response.replica_id, named=response.digest
         )
         return True
 
-    def _confirm_at(self, told, sent_us, incarnation):
-        told.confirmed_us = max(told.confirmed_us or sent_us, sent_us)
-        told.incarnation = incarnation
-        self._confirm()
-
-    def _confirm(self):
-        seats = self.directory.replicas()
-        sent = sorted(
-            (
-                told.confirmed_us
-                for seat, told in self.told.items()
-                if told.confirmed_us is not None
-                and seat in seats
-                and told.incarnation >= seats[seat][1]
-            ),
-            reverse=True,
-        )
-        if len(sent) >= self.majority:
-            self.confirmed_us = sent[self.majority - 1]
+    def _confirm(self, replica_id: str, sent_us: int, incarnation: int) -> None:
+        self.confirmation.add(replica_id, sent_us, incarnation, self.directory.replicas())
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -83,6 +83,8 @@
         "blob_exchange",
         "configuration_store",
         "watch_server",
+        "watch_listeners",
+        "watch_contributors",
         "leases",
         "runner_client",
         "runner_discovery",
@@ -183,9 +185,14 @@
         ConfigurationCommands(self, self.configuration_store)
         self.quorum_contact = QuorumContact(self, self.replica, self.membership, self.snapshot)
         self.watch_server = WatchServer(
-            self, self.replica, self.proposer, self.snapshot, self.blobs
+            self,
+            self.replica,
+            self.proposer,
+            self.snapshot,
+            self.blobs,
+            self.quorum_contact,
+            self,
         )
-        self.watch_server.has_contact = self.quorum_contact.is_held
 
     def _build_singleton_roles(
         self, platform: str, make_runner_client: Callable[[Node], Any]
@@ -261,7 +268,7 @@
 
     def _subscribe(self) -> None:
         """Who hears of a member's version and of each watch request, and adds to its response."""
-        self.watch_server.on_ask += [
+        self.watch_listeners = [
             *(relay.on_watch_request for relay in self.relays),
             self.runner_discovery.on_evidence,
             self.role_balancer.demand.on_watch_request,
@@ -270,11 +277,24 @@
             FencingTokenObserver(self.leases).on_watch_request,
             self.group_usage.on_watch_request,
         ]
-        self.watch_server.extras += [
+        self.watch_contributors = [
             self.publisher.add_watch_facts,
             self.quota_allocator.add_shares,
         ]
-        self.watch_server.is_urgent = self.publisher.is_urgent
+
+    def on_watch_request(self, message: dict[str, Any]) -> None:
+        """Hand the sections of a router's poll to the parts that read them."""
+        for listener in self.watch_listeners:
+            listener(message)
+
+    def add_watch_facts(self, request: dict[str, Any], response: dict[str, Any]) -> None:
+        """Have each part add its section to the answer of a poll."""
+        for contributor in self.watch_contributors:
+            contributor(request, response)
+
+    def is_watch_urgent(self, request: dict[str, Any]) -> bool:
+        """Whether a router lacks something that can't wait for the end of its long poll."""
+        return self.publisher.is_urgent(request)
 
     def _route(self) -> None:
         """The calls of operators."""
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -121,7 +121,7 @@
         )
         self.proposer = Proposer(self, self.membership, majority)
         self.watcher = ConfigurationWatcher(
-            self, self.membership, self.snapshot, majority, self._count_routers
+            self, self.membership, self.snapshot, self, majority, self._count_routers
         )
         self.roster = Roster(self)
         self.desk = desk_of(self)
@@ -155,9 +155,6 @@
         self.typical_tokens = {}
         self.on_end = []
         self.snapshot.on_new.append(self._take_plan)
-        self.watcher.facts.append(self._add_facts)
-        self.watcher.is_pressed = self._is_pressed
-        self.watcher.on_news.append(self._hear_news)
         self.roster.on_new.append(self.wake_queue)
         self.map_handlers["want_image"] = self._hear_want_image
         self.systems += [
@@ -213,19 +210,19 @@
     def _count_routers(self):
         return 1 + len(self.membership.live_members("router"))
 
-    def _is_pressed(self):
+    def is_short_of_shares(self):
         """Whether this router waits for a larger share than it has."""
         return self.extra.was_refused_lately() or self.credit.is_waiting()
 
-    def _add_facts(self, facts, seat):
+    def add_watch_facts(self, facts, seat):
         """What a seat is told: its duties' holders hear what only these need."""
-        now_us, pace = self.now_us(), self.watcher.pace
-        is_roster = pace.is_teller(seat, "roster", now_us)
-        if pace.is_teller(seat, "shares", now_us):
+        now_us, pace = self.now_us(), self.watcher.hold
+        is_roster = pace.is_sender(seat, "roster", now_us)
+        if pace.is_sender(seat, "shares", now_us):
             facts["credit"] = self.credit.demand_reports()
             facts["extra"] = self.extra.demand_report()
         facts["usage"] = self.credit.usage_reports()
-        is_keeping = is_roster or pace.is_teller(seat, "steward", now_us)
+        is_keeping = is_roster or pace.is_sender(seat, "steward", now_us)
         facts["evidence"] = self.roster.tell_evidence(is_keeping)
         facts["rates"] = [*self.rates, self.pairing.estimator.seen_rate()]
         facts["roster"] = self.roster.place
@@ -242,7 +239,7 @@
             "bursar": newest_grant // GRANT_NUMBERS_PER_FENCE,
         }
 
-    def _hear_news(self, message, sent_us):
+    def on_watch_response(self, message, sent_us):
         roster = message.get("roster")
         if roster is not None:
             self.roster.take(roster, sent_us)
@@ -279,7 +276,7 @@
         if (
             self.snapshot.configuration is None
             and not self.snapshot.is_behind
-            and self.watcher.confirmed_us is not None
+            and self.watcher.has_confirmation()
         ):
             raise ServiceError("plan_absent", retry_us=2_000_000)
         if not self.may_start():
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -6,7 +6,7 @@
 
 from linkhaven.configuration.blobs import KEPT_BLOBS, BlobStore
 from linkhaven.configuration.history import digest_of
-from linkhaven.configuration.messages import BlobDelivery
+from linkhaven.configuration.messages import BlobDelivery, read_watch_response
 from linkhaven.configuration.packing import BlobMismatchError, open_blob, pack_blob
 from linkhaven.configuration.records import digests_of
 from linkhaven.configuration.vote_guard import VoteGuard
@@ -451,10 +451,10 @@
     core.world.slow[(source.name, router.name)] = 20 * MS
     told = put(core, 2, wait=False)
     watcher = router.node.watcher
-    assert core.world.wait_for(lambda: watcher.lacking is not None, SECOND, 1 * MS)
+    assert core.world.wait_for(lambda: watcher.missing is not None, SECOND, 1 * MS)
     assert router.node.snapshot.is_behind and not watcher.is_fresh()
     assert core.world.wait_for(lambda: weight_at(router) == 2.0, 200 * MS, 1 * MS)
-    assert is_taken(told) and watcher.is_fresh() and watcher.lacking is None
+    assert is_taken(told) and watcher.is_fresh() and watcher.missing is None
 
 
 @pytest.mark.parametrize("spoiled_part", ("body", "changes", "both"))
@@ -464,7 +464,7 @@
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
     source, hear, spoiled = source_of(router), router.node.map_handlers["news"], []
-    router.node.watcher.takes_changes = spoiled_part != "body"
+    router.node.watcher.received.accepts_changes = spoiled_part != "body"
     core.world.run_for(SECOND)
 
     def spoil(message):
@@ -487,11 +487,16 @@
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
     watcher, snapshot = router.node.watcher, router.node.snapshot
-    message = {"seat": "a", "mark": snapshot.version, "digest": "0" * 24}
-    assert watcher._is_other_body(message)
+
+    def naming(digest):
+        message = {"id": "1", "seat": "a", "incarnation": 1, "is_current": True, "known": {}}
+        message |= {"mark": snapshot.version, "digest": digest}
+        return read_watch_response(message)
+
+    assert watcher._has_other_digest(naming("0" * 24))
     assert events(core, 1305)[0][3]["named"] == "0" * 24
     held = watcher.packed_configuration()[0]["bodies"]["plan"]
-    assert not watcher._is_other_body({**message, "digest": held})
+    assert not watcher._has_other_digest(naming(held))
 
 
 def test_news_between_changes_carry_no_body_and_no_document():
@@ -555,8 +560,8 @@
     replica.ports.network = Earlier
     ask = {"say": "ask", "name": "old", "back": "10.5.0.9:7000", "id": "1", "mark": 0}
     facts = {"known": {}, "credit": {}, "usage": {}, "extra": [0, 0], "evidence": [], "fences": {}}
-    replica.watch_server.on_ask.clear()
-    replica.watch_server.extras.clear()
+    replica.watch_listeners.clear()
+    replica.watch_contributors.clear()
     replica.watch_server.on_watch_request({**ask, **facts})
     assert told[0]["plan"]["plan"] == plan_of(1.0) and "body" not in told[0]
 
@@ -573,8 +578,9 @@
         "revision": 0,
         "overlay": {"groups": {}, "kinds": {}},
     }
-    message = {"seat": "a", "mark": 3, "incarnation": 1, "plan": value}
-    watcher._on_current_configuration(message, watcher.told["a"])
-    assert weight_at(router) == 3.0 and watcher.lacking is None
+    message = {"id": "1", "seat": "a", "mark": 3, "incarnation": 1, "plan": value}
+    response = read_watch_response({**message, "is_current": True, "known": {}})
+    watcher._on_current_response(response, watcher.polls["a"].sent_us)
+    assert weight_at(router) == 3.0 and watcher.missing is None
     held, body = watcher.packed_configuration()
     assert json.loads(open_blob(held["bodies"]["plan"], body)) == plan_of(3.0)
--- a/tests/test_long_poll.py
+++ b/tests/test_long_poll.py
@@ -33,8 +33,8 @@
 
 def test_the_seats_that_matter_are_asked_more_often_at_a_large_fleet():
     pace = pace_of(80, plan_stale_us=None)
-    pace.note_news("a", {"roster": {}, "steward": {}}, PARTS, 0)
-    pace.note_news("b", {"shares": {}}, PARTS, 0)
+    pace.note_response("a", {"roster": {}, "steward": {}}, PARTS, 0)
+    pace.note_response("b", {"shares": {}}, PARTS, 0)
     assert pace.hold_us("c", False, 0) == pace.longest_us() == LONGEST_US
     assert pace.hold_us("a", False, 0) == LONGEST_US // 2
     assert pace.hold_us("b", False, 0) == LONGEST_US
@@ -44,16 +44,16 @@
 
 def test_a_small_fleet_tells_every_seat_all():
     pace = pace_of(SMALL_FLEET)
-    pace.note_news("a", {"roster": {}}, PARTS, 0)
-    assert all(pace.is_teller(seat, "roster", 0) for seat in "abc")
+    pace.note_response("a", {"roster": {}}, PARTS, 0)
+    assert all(pace.is_sender(seat, "roster", 0) for seat in "abc")
 
 
 def test_while_no_seat_tells_a_part_any_may():
     pace = pace_of(80)
-    assert all(pace.is_teller(seat, "roster", 0) for seat in "abc")
-    pace.note_news("a", {"roster": {}}, PARTS, 0)
-    assert [seat for seat in "abc" if pace.is_teller(seat, "roster", 0)] == ["a"]
-    pace.note_news("b", {"roster": {}}, PARTS, 0)
-    pace.note_news("a", {}, PARTS, 0)
-    assert [seat for seat in "abc" if pace.is_teller(seat, "roster", 0)] == ["b"]
-    assert all(pace.is_teller(seat, "roster", HOLDER_US) for seat in "abc")
+    assert all(pace.is_sender(seat, "roster", 0) for seat in "abc")
+    pace.note_response("a", {"roster": {}}, PARTS, 0)
+    assert [seat for seat in "abc" if pace.is_sender(seat, "roster", 0)] == ["a"]
+    pace.note_response("b", {"roster": {}}, PARTS, 0)
+    pace.note_response("a", {}, PARTS, 0)
+    assert [seat for seat in "abc" if pace.is_sender(seat, "roster", 0)] == ["b"]
+    assert all(pace.is_sender(seat, "roster", HOLDER_US) for seat in "abc")
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -121,7 +121,7 @@
     put(core, 2, plan)
     assert router.node.snapshot.value["plan"] == plan and router.node.snapshot.version == 2
     assert [part for part, _ in heard] == ["body", "changes", "body"]
-    assert router.node.watcher.takes_changes
+    assert router.node.watcher.received.accepts_changes
 
 
 def test_a_router_that_starts_again_and_one_far_behind_get_the_whole():
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -141,7 +141,7 @@
 def test_a_router_without_a_plan_denies_nothing(world, is_behind):
     world.node.snapshot.configuration = None
     world.node.snapshot.highest_version = 7 if is_behind else 0
-    world.node.watcher.confirmed_us = world.clock.us
+    world.node.watcher.confirmation.confirmed_us = world.clock.us
     assert status_of(world, "/safe/x") == 503
 
 
