--- a/packages/configuration/src/linkhaven/configuration/validation.py
+++ b/packages/configuration/src/linkhaven/configuration/validation.py
@@ -1,7 +1,7 @@
 """Checks an operator's document, whole, and decodes it to the `Configuration` that code reads."""
 
 from collections.abc import Iterator
-from typing import Any, Protocol
+from typing import Any, Protocol, cast
 
 import msgspec
 import trafaret as t
@@ -40,7 +40,7 @@
     try:
         configuration = _decode(document)
     except t.DataError as error:
-        faults += list_places(error)
+        faults += cast(list[DocumentFault], list_places(error))
     faults += _list_inconsistencies(document)
     if configuration is None or faults:
         raise document_invalid(*sorted(faults, key=lambda fault: fault["place"]))
