--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -21,10 +21,10 @@
 
 Invariant: what a successor votes with has everything that the departing replica ever accepted,
 since the pages after the seal are read when it votes no more
-(`test_what_only_the_leaver_and_one_other_hold_is_with_the_successor`).
+(`test_what_only_the_departing_replica_and_one_other_accepted_is_with_the_successor`).
 Invariant: a fenced replica counts as one that lost its disk, also after a restart, unless its
 successor says that it never took its place
-(`test_a_sealed_member_that_starts_again_counts_as_one_without_a_disk`).
+(`test_a_fenced_replica_that_starts_again_counts_as_one_without_a_disk`).
 """
 
 from collections.abc import Callable
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -19,7 +19,7 @@
 (`test_no_order_is_refused_for_a_value_that_may_yet_lose_to_it`).
 Invariant: a promise that comes from an older instance than the proposer knows counts for nothing,
 and an accept names the instances whose promises it rests on
-(`test_a_seat_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts`).
+(`test_a_replica_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts`).
 """
 
 from collections.abc import Mapping
--- a/packages/consensus/src/linkhaven/consensus/recovery_responder.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery_responder.py
@@ -7,7 +7,7 @@
 | `PageRequest` | sends one page of the registers, in the order of their keys |
 
 Invariant: one instance for each incarnation of a replica is recorded here
-(`test_a_second_occupant_is_not_noted_at_the_same_incarnation`).
+(`test_a_second_instance_is_not_recorded_at_the_same_incarnation`).
 Invariant: an incarnation is confirmed only after it is synced; from then on every proposal that
 names an older one is refused, also after a restart of this replica.
 """
--- a/packages/consensus/src/linkhaven/consensus/replica_assignment.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_assignment.py
@@ -5,7 +5,7 @@
 disk of the group is lost, nobody votes and nobody answers: then the spares begin the group anew.
 
 Two spares may still choose the same replica; recovery lets only one of them vote, since each
-incarnation is recorded for one instance (`test_two_newcomers_never_vote_on_one_seat`).
+incarnation is recorded for one instance (`test_two_newcomers_never_vote_as_one_replica`).
 """
 
 from typing import Any, Protocol
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -14,7 +14,7 @@
 | `LateAccepts` | a voting replica | accepts what it hasn't promised away |
 
 Invariant: only a voting replica counts, and only for an instance that it doesn't refuse
-(`test_without_a_spare_the_others_hold_all_before_a_member_leaves`).
+(`test_without_a_spare_all_is_replicated_before_a_replica_departs`).
 """
 
 from bisect import bisect_right
--- a/packages/consensus/src/linkhaven/consensus/state_transfer.py
+++ b/packages/consensus/src/linkhaven/consensus/state_transfer.py
@@ -17,7 +17,7 @@
 What stands in no row is ignored: an answer that comes twice, or belongs to an earlier begin.
 
 Invariant: a replica is read only after it synced the new incarnation
-(`test_a_seat_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts`).
+(`test_a_replica_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts`).
 """
 
 from collections.abc import Mapping
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -15,7 +15,7 @@
 What stands in no row of its state is ignored.
 
 Invariant: it answers "not taken" only to a hand-over that it accepted and synced, and never takes
-that one later (`test_a_successor_that_gave_up_never_takes_the_seat_later`).
+that one later (`test_a_successor_that_gave_up_never_takes_over_later`).
 """
 
 from collections.abc import Callable, Mapping
--- a/tests/test_leaving.py
+++ b/tests/test_departure.py
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("seats", [3, 5])
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_a_leaving_member_votes_until_its_successor_does(seed, seats):
+def test_a_departing_replica_votes_until_its_successor_does(seed, seats):
     core = started(seed, seats, ["core-9"])
     acked(core, 0, 3)
     told = leave(core, "core-2")
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_a_member_that_leaves_right_after_a_loss_leaves_a_majority(seed):
+def test_a_replica_that_departs_right_after_a_loss_leaves_a_majority(seed):
     """One member is lost for good; before its seat is taken another leaves, and the spare takes
     that one's seat."""
     core = started(seed, 3, ["core-9"])
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_the_successor_holds_what_was_accepted_while_it_learned(seed):
+def test_the_successor_has_what_was_accepted_while_it_read(seed):
     """Orders go on at every moment of the hand-over; after it the two that stayed lose one."""
     core = started(seed, 3, ["core-9"])
     acked(core, 0, 1)
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_what_only_the_leaver_and_one_other_hold_is_with_the_successor(seed):
+def test_what_only_the_departing_replica_and_one_other_accepted_is_with_the_successor(seed):
     """The order comes after the successor's first page and before the seal; then that other is
     lost."""
     core = started(seed, 3, ["core-9"])
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_sealed_member_that_starts_again_counts_as_one_without_a_disk(seed):
+def test_a_fenced_replica_that_starts_again_counts_as_one_without_a_disk(seed):
     core = started(seed, 3, ["core-9"])
     acked(core, 0, 3)
     leave(core, "core-2")
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_sealed_disk_is_good_again_once_the_successor_says_that_it_never_took_the_seat(seed):
+def test_a_fenced_disk_is_good_again_once_the_successor_says_that_it_never_took_over(seed):
     """Whole core killed right after the seal, another disk lost: the sealed disk is one of the two
     that are left."""
     core = started(seed, 3, ["core-9"])
@@ -260,7 +260,7 @@
     assert held(core) == 3
 
 
-def test_a_successor_that_gave_up_never_takes_the_seat_later():
+def test_a_successor_that_gave_up_never_takes_over_later():
     core = started(5, 3, ["core-9"])
     acked(core, 0, 3)
     node = core.machines["core-9"].node
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_two_that_leave_at_once_with_one_spare_leave_a_majority(seed):
+def test_two_that_depart_at_once_with_one_spare_leave_a_majority(seed):
     core = started(seed, 5, ["core-9"])
     acked(core, 0, 3)
     told = [leave(core, name) for name in ("core-2", "core-4")]
@@ -290,7 +290,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_without_a_spare_the_others_hold_all_before_a_member_leaves(seed):
+def test_without_a_spare_all_is_replicated_before_a_replica_departs(seed):
     """What was chosen by it and one other is with both others when it is gone; then that other
     loses its disk."""
     core = started(seed, 3)
@@ -335,7 +335,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_a_spare_that_comes_while_a_member_waits_to_leave_is_its_successor(seed):
+def test_a_spare_that_comes_while_a_replica_waits_to_depart_is_its_successor(seed):
     core = started(seed, 3)
     acked(core, 0, 3)
     core.machines["core-3"].kill()
@@ -380,7 +380,7 @@
     assert "b" not in told["voting"]
 
 
-def test_core_status_tells_who_learns_and_how_far():
+def test_core_status_tells_who_reads_state_and_how_far():
     core = started(4, 3, ["core-9"])
     acked(core, 0, 3)
     core.world.slow.update({("core-2", "core-9"): 100_000, ("core-9", "core-2"): 100_000})
@@ -396,7 +396,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_spare_that_the_others_do_not_hear_gets_no_seat_until_they_do(seed):
+def test_a_spare_that_the_others_do_not_hear_takes_over_nothing_until_they_do(seed):
     """With one member lost, a seal for such a spare would leave one voter of three."""
     core = started(seed, 3, ["core-9"])
     acked(core, 0, 3)
@@ -412,7 +412,7 @@
     acked(core, 4, 5, "core-9")
 
 
-def test_a_spare_that_learns_from_a_leaving_member_takes_no_other_seat():
+def test_a_spare_that_reads_a_departing_replica_becomes_no_other_replica():
     core = started(6, 3, ["core-9"])
     node = core.machines["core-9"].node
     leave(core, "core-2")
--- a/tests/test_late_newcomer.py
+++ b/tests/test_late_newcomer.py
@@ -1,7 +1,7 @@
-from test_seats import SECOND, acked, held, started
+from test_replica_instances import SECOND, acked, held, started
 
 
-def test_a_newcomer_that_comes_long_after_the_loss_takes_the_first_occupants_seat():
+def test_a_newcomer_that_comes_long_after_the_loss_replaces_the_first_instance():
     core = started(4)
     acked(core, 0, 3)
     core.machines["core-3"].kill()
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -116,7 +116,7 @@
     assert show(fleet, "a")[1]["mark"] == 1
 
 
-def test_the_operator_restores_a_seat_when_more_was_lost_than_a_rejoin_rebuilds():
+def test_the_operator_restores_a_replica_when_more_was_lost_than_recovery_rebuilds():
     fleet, _ = make_core()
     for seat in "ab":
         fleet.registries[seat].kill()
@@ -144,7 +144,7 @@
     assert show(fleet, "a")[1]["mark"] == 1
 
 
-def test_a_woken_former_occupant_of_a_seat_has_no_vote():
+def test_a_woken_former_instance_of_a_replica_has_no_vote():
     fleet, faults = make_core()
     old = fleet.registries["a"]
     faults.begin("exchange_awake_core", "a")
@@ -163,7 +163,7 @@
     assert router.snapshot.version == 3
 
 
-def test_a_seat_that_lost_acknowledged_writes_rebuilds_them_before_it_votes():
+def test_a_replica_that_lost_acknowledged_writes_rebuilds_them_before_it_votes():
     fleet, faults = make_core()
     assert put(fleet, 1, "a")[0] == 200
     replica = fleet.registries["b"]
@@ -293,7 +293,7 @@
     assert ask_with_keys(fleet, [None, "k"]) == ["key_missing", "done"]
 
 
-def test_a_seat_with_many_thousand_keys_rejoins_by_pages_within_its_time():
+def test_a_replica_with_many_thousand_keys_recovers_by_pages_within_its_time():
     fleet, _ = make_core()
     cells = {
         f"claim/g/{place:06d}": [[1, "r"], [1, "r"], {"by": f"r-{place}"}]
@@ -312,7 +312,7 @@
     assert len(lost.disk.synced) > 20_000
 
 
-def test_a_seat_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts(monkeypatch):
+def test_a_replica_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts(monkeypatch):
     """An accept that names the older occupant may still be on its way: whoever is read refuses it by then."""
     seen, old = [], []
     on_page_request = RecoveryResponder.on_page_request
--- a/tests/test_seats.py
+++ b/tests/test_replica_instances.py
@@ -53,7 +53,7 @@
     )
 
 
-def test_five_seats_begin_with_three_contacts_and_learn_the_other_two():
+def test_five_replicas_begin_with_three_contacts_and_assign_the_other_two():
     core = SimCore(2, seats=5).bootstrap(3, 2)
     core.world.run_for(SECOND // 2)
     assert {"a", "b", "c"} <= set(core.voting())
@@ -66,7 +66,7 @@
     assert held(core, "core-5") == 9
 
 
-def test_a_planned_exchange_gives_the_new_machine_the_seat_at_once():
+def test_a_planned_replacement_makes_the_new_machine_a_replica_at_once():
     core = started(3)
     acked(core, 0, 3)
     core.add("core-9").start()
@@ -94,7 +94,7 @@
     assert held(core, "core-9") == 3
 
 
-def test_a_returning_process_keeps_its_seat_from_a_spare():
+def test_a_returning_process_stays_the_replica_though_a_spare_is_there():
     core = started(5)
     core.add("core-9").start()
     core.world.run_for(SECOND)
@@ -106,7 +106,7 @@
     assert core.voting()["c"] == "core-3"
 
 
-def test_a_wiped_disk_at_the_old_address_takes_its_old_seat():
+def test_a_wiped_disk_at_the_old_address_becomes_the_same_replica():
     core = started(6)
     acked(core, 0, 3)
     lost = core.machines["core-2"]
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_two_newcomers_never_vote_on_one_seat(seed):
+def test_two_newcomers_never_vote_as_one_replica(seed):
     core = started(seed)
     acked(core, 0, 3)
     core.machines["core-3"].kill()
@@ -159,7 +159,7 @@
     assert held(core, core.voting()["c"]) == 3
 
 
-def test_a_second_occupant_is_not_noted_at_the_same_incarnation():
+def test_a_second_instance_is_not_recorded_at_the_same_incarnation():
     core = started(7)
     replica = core.machines["core-1"].node.replica
     first = EpochAnnouncement(
@@ -178,7 +178,7 @@
     assert not replica.instances.record(first)
 
 
-def test_a_frozen_occupant_that_wakes_after_its_seat_was_taken_is_a_spare():
+def test_a_frozen_instance_that_wakes_after_it_was_replaced_is_a_spare():
     core = started(8)
     acked(core, 0, 3)
     old = core.machines["core-2"]
@@ -199,7 +199,7 @@
     assert held(core, "core-2") == 6
 
 
-def test_a_dead_occupant_that_returns_with_its_disk_after_its_seat_was_taken_is_a_spare():
+def test_a_dead_instance_that_returns_with_its_disk_after_it_was_replaced_is_a_spare():
     core = started(9)
     core.machines["core-2"].kill()
     core.add("core-9").start()
@@ -237,7 +237,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_a_core_that_lost_all_disks_begins_anew_from_a_routers_image(seed):
+def test_a_core_that_lost_all_disks_begins_anew_from_a_routers_snapshot(seed):
     core = started(seed)
     router = add_router(core)
     acked(core, 0, 7)
@@ -263,7 +263,7 @@
     return value["revision"] if error is None and value else None
 
 
-def test_a_core_begins_anew_only_with_as_many_machines_as_seats():
+def test_a_core_begins_anew_only_with_as_many_machines_as_replicas():
     core = started(1)
     add_router(core)
     acked(core, 0, 7)
@@ -277,7 +277,7 @@
     assert core.wait_voting(3, 12 * SECOND)
 
 
-def test_spares_that_know_of_a_seat_never_begin_anew():
+def test_spares_that_know_of_a_replica_never_begin_anew():
     core = started(1)
     add_router(core)
     acked(core, 0, 7)
@@ -295,7 +295,7 @@
 
 
 @pytest.mark.parametrize("say", ["prepare", "accept"])
-def test_a_proposal_for_another_seat_at_this_address_neither_fences_nor_gets_a_vote(say):
+def test_a_proposal_for_another_replica_at_this_address_neither_supersedes_nor_gets_a_vote(say):
     """The address had another seat's occupant before; who was away still sends that seat's
     proposals there."""
     core = started(11)
