--- a/packages/configuration/src/linkhaven/configuration/store.py
+++ b/packages/configuration/src/linkhaven/configuration/store.py
@@ -15,6 +15,7 @@
 from typing import Any, Protocol
 
 from linkhaven.api import ServiceError
+from linkhaven.consensus import Outcome, UpdateAction
 
 from .blobs import name_blobs
 from .document_update import MakeDocument, patch_update, replacement
@@ -35,8 +36,6 @@
 RETRY_US = 1_000_000
 """When a sender may come again whose update could not be decided now."""
 
-CHOSEN, STOPPED, UNKNOWN = "chosen", "stopped", "unknown"
-SET, KEEP, STOP = "set", "keep", "stop"
 
 ReadDone = Callable[[ServiceError | None, Any], Any]
 """Called once with an error and None, or None and what was read."""
@@ -137,19 +136,19 @@
     def _apply(self, record: Record | None) -> tuple[str, Any]:
         """Return what becomes of the record; asked anew in each round of the proposal."""
         if self.update.is_committed(record):
-            return KEEP, None
+            return UpdateAction.KEEP, None
         rejection = self.update.rejection(record)
         if rejection is not None:
-            return STOP, rejection
+            return UpdateAction.STOP, rejection
         blobs = self.store.blobs
         if self.update.needs_blobs and record is not None and not blobs.has(record):
             self.missing = record
-            return STOP, missing_blobs_error()
+            return UpdateAction.STOP, missing_blobs_error()
         try:
             contents = self.update.contents(record, blobs)
         except ServiceError as error:
-            return STOP, error
-        return SET, self._next_record(record, contents)
+            return UpdateAction.STOP, error
+        return UpdateAction.SET, self._next_record(record, contents)
 
     def _next_record(self, record: Record | None, contents: Contents) -> dict[str, Any]:
         """Return the record that the update makes, its blobs on their way to all replicas.
@@ -170,10 +169,10 @@
         )
 
     def _on_outcome(self, outcome: str, value: Any) -> None:
-        if outcome == STOPPED and self.missing is not None and value.code == "core_unready":
+        if outcome == Outcome.STOPPED and self.missing is not None and value.code == "core_unready":
             return self.store.exchange.gather(self.missing, self._on_gathered)
         self.store.log_outcome(outcome, value, self.update)
-        if outcome != CHOSEN:
+        if outcome != Outcome.CHOSEN:
             return self.on_result(self._error_of(outcome, value), None)
         self.store.publish(value)
         committed = find_update(value, self.update.key)
@@ -187,9 +186,9 @@
         self.start()
 
     def _error_of(self, outcome: str, value: Any) -> ServiceError:
-        if outcome == STOPPED:
+        if outcome == Outcome.STOPPED:
             return value
-        if outcome == UNKNOWN:
+        if outcome == Outcome.UNKNOWN:
             return ServiceError("put_unknown", retry_us=RETRY_US, put_id=self.update.update_id)
         return ServiceError("core_unready", retry_us=RETRY_US, why=value)
 
@@ -226,7 +225,7 @@
         """
 
         def on_read(outcome: str, record: Any) -> None:
-            if outcome != CHOSEN:
+            if outcome != Outcome.CHOSEN:
                 error = ServiceError("core_unready", done="no", retry_us=RETRY_US, why=record)
                 return on_result(error, None)
             if record is None:
@@ -278,9 +277,9 @@
     def log_outcome(self, outcome: str, value: Any, update: ConfigurationUpdate) -> None:
         """Log what became of an update."""
         log = self.node.ports.log
-        if outcome == CHOSEN:
+        if outcome == Outcome.CHOSEN:
             log(1301, mark=version_of(value), put_id=update.update_id)
-        elif outcome == STOPPED:
+        elif outcome == Outcome.STOPPED:
             log(1302, expect=update.expected, code=value.code)
-        elif outcome == UNKNOWN:
+        elif outcome == Outcome.UNKNOWN:
             log(1303, expect=update.expected, put_id=update.update_id)
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -23,6 +23,7 @@
 from cachetools import LRUCache
 from msgspec import UNSET
 
+from linkhaven.consensus import Outcome
 from linkhaven.runtime import read_json
 
 from .blobs import BlobStore
@@ -319,7 +320,7 @@
 
     def _on_read(self, outcome: str, record: Any) -> None:
         self.is_reading = False
-        if outcome != "chosen":
+        if outcome != Outcome.CHOSEN:
             return
         if self.snapshot.is_newer(record) and self.blobs.has_document(record):
             self.snapshot.take(self.blobs.with_document(record))
--- a/packages/consensus/src/linkhaven/consensus/acceptor.py
+++ b/packages/consensus/src/linkhaven/consensus/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor: the votes of a replica on ballots of its registers (Lamport, Paxos Made Simple, 2.2).
+"""The acceptor: a replica's votes on ballots of its registers (Lamport, Paxos Made Simple, 2.2).
 
 | message | the register | what it does |
 | --- | --- | --- |
--- a/packages/consensus/src/linkhaven/consensus/claims.py
+++ b/packages/consensus/src/linkhaven/consensus/claims.py
@@ -24,8 +24,8 @@
 class ClaimRetention:
     """Which claims are kept, and since when; owns the clock by which they expire.
 
-    The clock counts time that all instances of this replica lived through, so that neither a stopped
-    process nor a clock that leaps lets a claim expire early.
+    The clock counts time that all instances of this replica lived through, so that neither a
+    stopped process nor a clock that leaps lets a claim expire early.
     """
 
     __slots__ = ("limits", "clock_us", "swept_us", "kept")
@@ -71,7 +71,7 @@
         return True
 
     def pop_expired(self) -> list[str]:
-        """Take out the claims whose retention is over, the oldest first, as many as one write takes."""
+        """Take out the claims whose retention is over: the oldest, as many as one write takes."""
         expired: list[str] = []
         expired_us = self.clock_us - self.limits().retention_us
         while self.kept and self.kept[0][0] < expired_us and len(expired) < SWEPT_AT_ONCE - 1:
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -8,9 +8,9 @@
 | PREPARE | the update stops, and the value is chosen | ends: STOPPED | - |
 | PREPARE | a majority, and no value to write | ends: CHOSEN with None, or STOPPED | - |
 | ACCEPT | `Accepted` of a majority | sends `Chosen`, ends: CHOSEN or STOPPED | - |
-| PREPARE, ACCEPT | refusal of an outbid ballot | raises its counter, waits a random time | RESTING |
+| PREPARE, ACCEPT | outbid | raises its counter, waits a random time | RESTING |
 | any | the attempt's time is over | sends `Prepare` under a new ballot | PREPARE |
-| any | the deadline, or silence of the majority | ends: UNKNOWN once accepts were sent, else REFUSED | - |
+| any | deadline, or silence | ends: UNKNOWN once accepts were sent, else REFUSED | - |
 
 Answers to another ballot or phase are ignored, but count as a sign of contact.
 
--- a/packages/consensus/src/linkhaven/consensus/registers.py
+++ b/packages/consensus/src/linkhaven/consensus/registers.py
@@ -1,7 +1,7 @@
 """The registers of a replica as its acceptor keeps them, in memory and in the form of its disk.
 
-A register's record is a list of its promise, its accepted ballot, its accepted value and when it was
-created, under `cell/` and its key.
+A register's record is a list of its promise, its accepted ballot, its accepted value and when it
+was created, under `cell/` and its key.
 """
 
 from collections.abc import Callable, Mapping
@@ -58,7 +58,7 @@
 
 
 class RegisterTable:
-    """All registers of a replica, and the count of their changes; the acceptor and recovery write it.
+    """The registers of a replica and the count of their changes; acceptor and recovery write it.
 
     Memory is ahead of the disk: whoever changes a register answers for it only once its record is
     synced.
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -105,7 +105,7 @@
         contact: str | None = None,
         on_outbid: Callable[[str], None] = _ignore,
     ) -> None:
-        """Read the disk, and build the parts; `replica_id` None: the disk says it, or it is learned.
+        """Read the disk, build the parts; `replica_id` None: the disk says it, or it is learned.
 
         `directory` is the membership. `on_change` is called with the key of a register that was
         voted on or chosen, `on_votes` once the replica votes, `on_retired` once it is a spare that
@@ -286,7 +286,7 @@
     def take_over(
         self, seal: HandoverSeal, handover: HandoverRecord, done: Callable[[bool], None]
     ) -> None:
-        """The whole state of the fenced instance is here: one write makes this node the next one."""
+        """The fenced instance's whole state is here: one write makes this node the next one."""
         incarnation = seal.incarnation + 1
         instances = {
             replica_id: instance
--- a/packages/controller/src/linkhaven/controller/configuration_recovery.py
+++ b/packages/controller/src/linkhaven/controller/configuration_recovery.py
@@ -18,7 +18,7 @@
 from typing import Any, Protocol
 
 from linkhaven.configuration import BlobExchange, BlobStore, ConfigurationSnapshot, write_document
-from linkhaven.consensus import Proposer, Replica
+from linkhaven.consensus import Outcome, Proposer, Replica, UpdateAction
 from linkhaven.runtime import Node
 
 from .messages import ConfigurationRequest, ConfigurationResponse
@@ -129,13 +129,13 @@
     def _write(self, reported: Mapping[str, Any]) -> None:
         def step(value: dict[str, Any] | None) -> tuple[str, dict[str, Any] | None]:
             if value is not None and value["mark"] >= reported["mark"]:
-                return "keep", None
+                return UpdateAction.KEEP, None
             self.blob_exchange.send_texts([write_document(reported["plan"])])
-            return "set", {name: reported[name] for name in reported if name != "plan"}
+            return UpdateAction.SET, {name: reported[name] for name in reported if name != "plan"}
 
         def done(outcome: str, value: dict[str, Any]) -> None:
             self.is_writing = False
-            if outcome == "chosen":
+            if outcome == Outcome.CHOSEN:
                 self.node.ports.log(1207, mark=value["mark"])
                 if self.snapshot.is_newer(value) and self.blobs.has_document(value):
                     self.snapshot.take(self.blobs.with_document(value))
--- a/packages/leases/src/linkhaven/leases/compare_and_set.py
+++ b/packages/leases/src/linkhaven/leases/compare_and_set.py
@@ -2,15 +2,12 @@
 
 from typing import Any
 
-from .records import LeaseRecord, Version, read_record, write_record
-
-COMMITTED, STOPPED = "chosen", "stopped"
-"""Outcomes of a proposal: a majority accepted its value; its step ended it. Others tell nothing."""
+from linkhaven.consensus import Outcome, UpdateAction
 
-KEEP, SET, STOP = "keep", "set", "stop"
+from .records import LeaseRecord, Version, read_record, write_record
 
 Step = tuple[str, Any]
-"""What a proposal does with a value: `KEEP` it, `SET` another one, or `STOP` with the value."""
+"""What a proposal does with a value: an `UpdateAction`, and the new value or the one found."""
 
 
 class Acquisition:
@@ -27,14 +24,14 @@
         """Apply it; a record that an earlier try of the same proposal set is kept."""
         record = read_record(value)
         if record == self.wanted:
-            return KEEP, None
+            return UpdateAction.KEEP, None
         if (record and record.version) != self.expected:
-            return STOP, value
-        return SET, write_record(self.wanted)
+            return UpdateAction.STOP, value
+        return UpdateAction.SET, write_record(self.wanted)
 
     def is_committed(self, outcome: str, value: Any) -> bool:
         """Whether the answer of a proposal says that the wanted record was committed."""
-        return outcome == COMMITTED and read_record(value) == self.wanted
+        return outcome == Outcome.CHOSEN and read_record(value) == self.wanted
 
 
 class Vacation:
@@ -55,6 +52,6 @@
             or record.fencing_token != self.fencing_token
             or record.holder != self.holder
         ):
-            return STOP, value
+            return UpdateAction.STOP, value
         vacant = LeaseRecord(None, self.fencing_token, record.renewal + 1, record.actions)
-        return SET, write_record(vacant)
+        return UpdateAction.SET, write_record(vacant)
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -29,10 +29,11 @@
 from enum import Enum
 from typing import Any
 
+from linkhaven.consensus import Outcome
 from linkhaven.runtime import Node
 
 from .announcement import ActionAnnouncement
-from .compare_and_set import STOPPED, Acquisition, Vacation
+from .compare_and_set import Acquisition, Vacation
 from .interfaces import LeaseListener, LiveIncarnations, Proposer, Replica
 from .observer import LeaseObserver
 from .records import LeaseRecord, Version, lease_key, read_record
@@ -285,7 +286,7 @@
         acquisition = Acquisition(wanted, self._known_version())
 
         def done(outcome: str, value: Any) -> None:
-            if outcome == STOPPED:
+            if outcome == Outcome.STOPPED:
                 self.observer.observe(read_record(value), self.node.now_us())
             if self.state is LeaseState.RELEASED:
                 return
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -3,6 +3,7 @@
 
 from linkhaven.api import ServiceError
 from linkhaven.configuration import ClaimSettings, Configuration
+from linkhaven.consensus import Outcome, UpdateAction
 
 from . import request as states
 
@@ -39,19 +40,19 @@
 
         def step(value):
             if value is None or value["by"] is None:
-                return "set", {"by": request.id}
+                return UpdateAction.SET, {"by": request.id}
             if value["by"] == request.id:
-                return "keep", None
-            return "stop", value
+                return UpdateAction.KEEP, None
+            return UpdateAction.STOP, value
 
         def done(outcome, value):
-            if outcome == "chosen":
+            if outcome == Outcome.CHOSEN:
                 self.won[request.claim_key] = (request.id, self.node.now_us())
             if request.state != states.CLAIMING:
                 return
-            if outcome == "chosen":
+            if outcome == Outcome.CHOSEN:
                 return go_on(request)
-            if outcome == "stopped":
+            if outcome == Outcome.STOPPED:
                 return self.node.end_with_error(request, ServiceError("key_used"))
             self.node.end_with_error(
                 request, ServiceError("claim_unavailable", retry_us=1_000_000, why=value)
@@ -68,8 +69,8 @@
 
         def step(value):
             if value is None or value["by"] != request.id:
-                return "stop", value
-            return "set", {"by": None}
+                return UpdateAction.STOP, value
+            return UpdateAction.SET, {"by": None}
 
         self.proposer.propose(request.claim_key, step, lambda outcome, value: None)
 
