--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -96,6 +96,7 @@
         "publisher",
         "relays",
         "status",
+        "node_status",
         "standing",
         "incarnation",
         "quorum_contact",
@@ -240,7 +241,7 @@
             self, self.watch_server, self.membership, self.leases
         )
         self.shutdown = GracefulShutdown(self, self.leases, self.replica.departure, self.membership)
-        local = NodeStatus(
+        self.node_status = NodeStatus(
             self,
             self.replica,
             self.membership,
@@ -249,7 +250,7 @@
             self.leases,
             self.shutdown,
         )
-        self.status = ClusterStatus(self, self.membership, local)
+        self.status = ClusterStatus(self, self.membership, self.node_status)
         self.standing = StandingView(
             self,
             self.replica,
@@ -302,7 +303,7 @@
             {
                 ("GET", "/v1/core"): self.status.serve,
                 ("GET", "/v1/groups"): self.group_usage.serve,
-                ("POST", "/v1/core/restore"): self.status.local.serve_restore,
+                ("POST", "/v1/core/restore"): self.node_status.serve_restore,
                 ("GET", "/v1/standing"): self.standing.serve,
             }
         )
--- a/packages/controller/src/linkhaven/controller/role_balancer.py
+++ b/packages/controller/src/linkhaven/controller/role_balancer.py
@@ -145,9 +145,13 @@
         for name, roles in counted.items():
             self.pools.setdefault(name, RunnerPool(name)).take(roles, now_us)
 
+    def _configuration(self) -> Any:
+        """The configuration in force; the round runs only where there is one."""
+        return self.snapshot.configuration
+
     def _is_balanced(self) -> bool:
         """Whether roles are balanced at all: a deployment may fix them itself."""
-        return bool(self.snapshot.configuration.placement.is_balancing_enabled)
+        return bool(self._configuration().placement.is_balancing_enabled)
 
     # vacant roles
 
@@ -159,7 +163,7 @@
                 self.monitor.end(pool, role)
 
     def _vacancy_bound_us(self, pool: RunnerPool, role: str) -> int:
-        configuration = self.snapshot.configuration
+        configuration = self._configuration()
         settings = configuration.pools.get(pool.name, NO_POOL_SETTINGS)
         deadlines_us = [kind.deadline_us for kind in configuration.kinds.values()]
         report_us = self.node.bounds.report_us
@@ -205,7 +209,7 @@
 
     def _weigh(self, pool: RunnerPool, now_us: int) -> None:
         """Weigh the ratio, once each runner of the pool has reported and none is switching."""
-        roles, settings = pool.now, self.snapshot.configuration.placement
+        roles, settings = pool.now, self._configuration().placement
         if roles.unreported or any(roles.arriving.values()):
             return
         pool.observed = roles.counts()
@@ -237,7 +241,7 @@
 
     def _advance(self, change: RoleChange, now_us: int) -> None:
         """Do what is due about a change."""
-        runner = self.runner_discovery.runners.get(change.name)
+        runner: Any = self.runner_discovery.runners.get(change.name)
         progress = progress_of(change, runner, now_us)
         if progress is ChangeProgress.RUNNER_LOST:
             self._on_runner_lost(change, now_us)
@@ -293,5 +297,5 @@
         self._drop(change)
         pool = self.pools.get(change.pool)
         if pool is not None:
-            dwell_us = self.snapshot.configuration.placement.balancing_dwell_us
+            dwell_us = self._configuration().placement.balancing_dwell_us
             pool.dwell_until_us = now_us + dwell_us
--- a/packages/controller/src/linkhaven/controller/runner_list.py
+++ b/packages/controller/src/linkhaven/controller/runner_list.py
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         """No runner is known."""
-        self.runners = Table()
+        self.runners: Any = Table()
         self.serial = 0
         self.changed_serial = 0
         self.delta = RunnerListDelta()
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -16,7 +16,7 @@
     extend_history,
 )
 from linkhaven.consensus import Accept, Accepted, Prepare, Promise
-from linkhaven.controller import program
+from linkhaven.controller import commands
 from linkhaven.runtime import Call
 from linkhaven.stage.core import SimCore
 from linkhaven.stage.fleet import LICENSING, SimFleet
@@ -281,9 +281,9 @@
 )
 def test_a_group_is_put_with_an_allowance_or_without_one(monkeypatch, flags, credit):
     sent = []
-    monkeypatch.setattr(program, "call_json", lambda *call: sent.append(call) or {})
+    monkeypatch.setattr(commands, "call_json", lambda *call: sent.append(call) or {})
     assert (
-        CommandTester(program.GroupPutCommand()).execute(f"desks --expect 7 --weight 2 {flags}")
+        CommandTester(commands.GroupPutCommand()).execute(f"desks --expect 7 --weight 2 {flags}")
         == 0
     )
     ((_, method, path, document),) = sent
