--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -122,7 +122,7 @@
     ) -> None:
         """Build the parts of the node `name`, reached at `address`.
 
-        `seat`: the name of its replica; None where the disk says it, a first start's `contacts`
+        `replica_id`: its replica; None where the disk says it, a first start's `contacts`
         say it, or it is learned from a running core. `contact`: its address among `contacts`.
         `platform`: where the platform's list of runners is. `desk_of`: makes the client that calls
         platform and runners.
@@ -176,12 +176,16 @@
 
     def _build_configuration(self) -> None:
         """The configuration's store and its watch server."""
+        # The interfaces of these parts name attributes as settable, which they only read.
+        node: Any = self
+        replica: Any = self.replica
+        membership: Any = self.membership
         pending_blobs = PendingBlobs()
-        self.blobs = BlobStore(self, self.replica, pending_blobs)
-        self.blob_exchange = BlobExchange(self, self.membership, self.blobs, pending_blobs)
-        VoteGuard(self, self.replica, self.blobs, self.blob_exchange)
+        self.blobs = BlobStore(node, replica, pending_blobs)
+        self.blob_exchange = BlobExchange(node, membership, self.blobs, pending_blobs)
+        VoteGuard(node, replica, self.blobs, self.blob_exchange)
         self.configuration_store = ConfigurationStore(
-            self, self.proposer, self.blobs, self.blob_exchange, self.snapshot
+            node, self.proposer, self.blobs, self.blob_exchange, self.snapshot
         )
         ConfigurationCommands(self, self.configuration_store)
         self.quorum_contact = QuorumContact(self, self.replica, self.membership, self.snapshot)
@@ -200,8 +204,9 @@
     ) -> None:
         """The leases, and what their holders do."""
         self.runner_client = make_runner_client(self)
+        replica: Any = self.replica
         self.leases = {
-            role: Lease(self, role, self.proposer, self.replica, self.membership, listener=self)
+            role: Lease(self, role, self.proposer, replica, self.membership, listener=self)
             for role in SINGLETON_ROLES
         }
         rank_candidates(self.leases, self.replica.replica_ids, self.replica.replica_id)
