--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -194,7 +194,7 @@
         if replica.fence_record is None and not replica.is_voting and not self._is_recovering():
             return self._go()
         if not replica.is_voting:
-            return self._go_if_alone()
+            return self._go() if self._is_alone() else None
         spares = self._spares()
         if spares:
             return self._offer(spares[0], now_us)
@@ -218,10 +218,6 @@
         rejected_us = self.rejected_us.get(name)
         return rejected_us is not None and self.node.now_us() - rejected_us < RETRY_US
 
-    def _go_if_alone(self) -> None:
-        if self._is_alone():
-            self._go()
-
     def _is_alone(self) -> bool:
         """So many others left in order that no majority remains without this replica.
 
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -9,16 +9,20 @@
 | --- | --- | --- | --- |
 | IDLE | `begin` | queries all replicas | COLLECTING |
 | COLLECTING | `ReplicaStateReport` | weighs the reports, see `rebuild_rule.py` | CATCHING_UP |
-| COLLECTING | report of a newer instance | yields to it: fenced, or a spare again | IDLE |
+| COLLECTING | report of a newer instance | yields to it: superseded, or a spare again | IDLE |
+| COLLECTING | `join_bootstrap`: another one found all empty | follows it | CATCHING_UP |
+| COLLECTING | too little after `Bounds.alone_us` | waits for more, or for `restore` | COLLECTING |
 | CATCHING_UP | one more replica is read | goes on, see `state_transfer.py` | CATCHING_UP |
 | CATCHING_UP | the last replica is read | syncs that its state is complete | VOTING |
 | CATCHING_UP | a replica started anew | what was read is void | COLLECTING |
 | CATCHING_UP | no progress for `STUCK_US` | another instance may have been first | COLLECTING |
-| CATCHING_UP | the disk refuses a write | | COLLECTING |
+| CATCHING_UP | the disk refuses a write | what isn't synced counts for nothing | COLLECTING |
+| COLLECTING, CATCHING_UP | no progress, and it never voted | a spare again | IDLE |
 | IDLE | `begin_with_state`, at the end of a hand-over | announces its incarnation | RECORDING |
 | RECORDING | a majority recorded it | it has the whole state and reads nothing | VOTING |
 | RECORDING | no progress for `STUCK_US` | goes on as a restart with its disk | COLLECTING |
 | VOTING | another recorded it late, after a hand-over | reads that replica, too | VOTING |
+| VOTING | `begin`: a bootstrap may have forgotten a newer incarnation | queries | COLLECTING |
 | any | `reset`, once it is a spare | | IDLE |
 
 What stands in no row of its state is ignored. What the others do for a recovering replica is in
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -256,8 +256,6 @@
         ready = SuccessorReady(handover_id=self._handover().handover_id)
         self.node.send(self.departing_address, ready)
 
-    # the rest, and the take-over
-
     def on_handover_seal(self, seal: HandoverSeal) -> None:
         """The departing replica votes no more: read what it accepted since the first page."""
         if not self._is_last_handover(seal.handover_id):
@@ -289,8 +287,6 @@
 
         self.replica.take_over(seal, handover, on_synced)
 
-    # how it ended
-
     def on_handover_query(self, query: HandoverQuery) -> None:
         """The departing replica was started again, and asks how it ended; so it can't go on."""
         if not self._is_last_handover(query.handover_id):
