--- a/packages/consensus/src/linkhaven/consensus/acceptor.py
+++ b/packages/consensus/src/linkhaven/consensus/acceptor.py
@@ -16,7 +16,8 @@
 Invariant: a vote leaves only once the disk has synced what it promises (`answer_before_the_sync`
 there).
 Invariant: a vote whose sync ends under another incarnation, or once the replica votes no more, is
-never sent: the one that asked may have been told that it counts for nothing.
+never sent: who read this replica since then relies on it
+(`test_a_vote_is_never_sent_under_another_incarnation_or_by_one_that_ended_to_vote`).
 """
 
 from collections.abc import Callable
--- a/packages/consensus/src/linkhaven/consensus/claims.py
+++ b/packages/consensus/src/linkhaven/consensus/claims.py
@@ -2,7 +2,7 @@
 
 Invariant: a claim is kept for the whole retention, counted in time that this replica lived through;
 where there is no room for more, new ones get no vote, and no old one is forgotten early
-(`test_full_means_that_new_keys_are_refused_and_no_old_one_is_forgotten`).
+(`test_full_means_that_new_claims_are_refused_and_no_old_one_is_forgotten`).
 """
 
 from collections import deque
--- a/tests/test_register.py
+++ b/tests/test_consensus.py
@@ -100,7 +100,7 @@
     assert put(fleet, shown["mark"], "c")[0] == 200
 
 
-def test_an_empty_seat_gives_no_vote_while_it_cannot_hear_both_others():
+def test_an_empty_replica_gives_no_vote_while_it_cannot_hear_both_others():
     fleet, _ = make_core()
     lost = fleet.registries["a"]
     lost.kill()
@@ -176,7 +176,8 @@
 
 @pytest.mark.parametrize("fault, own", [("is_full", "c"), ("is_stalled", "a")])
 def test_a_failing_disk_gives_no_vote_and_two_good_ones_go_on(fault, own):
-    """A full disk's seat still takes a put to the others; a stalled one stands still with its whole process."""
+    """A replica with a full disk still takes a put to the others; a stalled one stands still with
+    its whole process."""
     fleet, _ = make_core()
     setattr(fleet.registries["c"].disk, fault, True)
     assert put(fleet, 1, own)[0] == 200
@@ -213,7 +214,7 @@
     assert put(fleet, 2, "b")[0] == 200
 
 
-def test_a_first_start_goes_on_whatever_the_order_of_the_seats():
+def test_a_first_start_goes_on_whatever_the_order_of_the_replicas():
     fleet = SimFleet(LICENSING, 3, routers=1)
     world = fleet.world
     for pause_us, seat in ((0, "c"), (7 * SECOND, "a"), (3 * SECOND, "b")):
@@ -267,7 +268,7 @@
     return [one.code or one.how for one in asked]
 
 
-def test_full_means_that_new_keys_are_refused_and_no_old_one_is_forgotten():
+def test_full_means_that_new_claims_are_refused_and_no_old_one_is_forgotten():
     plan = LICENSING.plan(claims={"keep_us": 60 * SECOND, "most": 3})
     fleet = SimFleet(LICENSING, 51, plan=plan).start()
     fleet.world.run_for(3 * SECOND)
@@ -313,7 +314,8 @@
 
 
 def test_a_replica_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts(monkeypatch):
-    """An accept that names the older occupant may still be on its way: whoever is read refuses it by then."""
+    """An accept that names the older instance may still be on its way: whoever is read refuses it
+    by then."""
     seen, old = [], []
     on_page_request = RecoveryResponder.on_page_request
 
