--- a/packages/leases/src/linkhaven/leases/compare_and_set.py
+++ b/packages/leases/src/linkhaven/leases/compare_and_set.py
@@ -6,7 +6,7 @@
 
 from .records import LeaseRecord, Version, read_record, write_record
 
-Step = tuple[str, Any]
+Step = tuple[UpdateAction, Any]
 """What a proposal does with a value: an `UpdateAction`, and the new value or the one found."""
 
 
@@ -29,7 +29,7 @@
             return UpdateAction.STOP, value
         return UpdateAction.SET, write_record(self.wanted)
 
-    def is_committed(self, outcome: str, value: Any) -> bool:
+    def is_committed(self, outcome: Outcome, value: Any) -> bool:
         """Whether the answer of a proposal says that the wanted record was committed."""
         return outcome == Outcome.CHOSEN and read_record(value) == self.wanted
 
--- a/packages/leases/src/linkhaven/leases/interfaces.py
+++ b/packages/leases/src/linkhaven/leases/interfaces.py
@@ -3,6 +3,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from linkhaven.consensus import Outcome, UpdateAction
+
 
 class LeaseListener(Protocol):
     """Hears when this node begins and ends to play a role."""
@@ -39,8 +41,8 @@
     def propose(
         self,
         key: str,
-        step: Callable[[Any], tuple[str, Any]],
-        done: Callable[[str, Any], None],
+        step: Callable[[Any], tuple[UpdateAction, Any]],
+        done: Callable[[Outcome, Any], None],
         *,
         is_patient: bool = ...,
     ) -> None:
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -285,7 +285,7 @@
         is_succession = self.observer.is_vacant and bool(self.observer.last_version)
         acquisition = Acquisition(wanted, self._known_version())
 
-        def done(outcome: str, value: Any) -> None:
+        def done(outcome: Outcome, value: Any) -> None:
             if outcome == Outcome.STOPPED:
                 self.observer.observe(read_record(value), self.node.now_us())
             if self.state is LeaseState.RELEASED:
