--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -176,7 +176,7 @@
 
     def _build_configuration(self) -> None:
         """The configuration's store and its watch server."""
-        # The interfaces of these parts name attributes as settable, which they only read.
+        # The interfaces of these parts ask for settable attributes, which they only read.
         node: Any = self
         replica: Any = self.replica
         membership: Any = self.membership
@@ -190,8 +190,8 @@
         ConfigurationCommands(self, self.configuration_store)
         self.quorum_contact = QuorumContact(self, self.replica, self.membership, self.snapshot)
         self.watch_server = WatchServer(
-            self,
-            self.replica,
+            node,
+            replica,
             self.proposer,
             self.snapshot,
             self.blobs,
