--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -16,7 +16,7 @@
     extend_history,
 )
 from linkhaven.consensus import Accept, Accepted, Prepare, Promise
-from linkhaven.controller import commands
+from linkhaven.controller import commands, program
 from linkhaven.runtime import Call
 from linkhaven.stage.core import SimCore
 from linkhaven.stage.fleet import LICENSING, SimFleet
@@ -470,3 +470,12 @@
     revision = core.read()[1]["revision"]
     assert not (is_refused and revision == 7)
     assert (code(again) is None) == (revision == 7)
+
+
+def test_options_of_a_node_stand_for_the_settings_of_the_same_names():
+    tester = CommandTester(program.CheckCommand())
+    place = "--name core-1 --zone z --lines 127.0.0.1:7001 --http 127.0.0.1:8001"
+    place += " --seed 127.0.0.1:7001"
+    assert tester.execute(f"{place} --seat b --data folder --platform 127.0.0.1:9000") == 0
+    shown = json.loads(tester.io.fetch_output())
+    assert (shown["seat"], shown["data"], shown["platform"]) == ("b", "folder", "127.0.0.1:9000")
