--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -5,7 +5,7 @@
 
 Invariant: no vote is on the disk before the blobs that its record names. `write_ahead` is called
 before the vote is written, in the same turn, and the disk keeps the writes of one turn together or
-not at all. Tests: `test_without_it_votes_come_before_their_blobs` and those of restarts beside it.
+not at all. Test: `test_without_its_mechanism_a_vote_for_a_blob_that_isnt_synced_is_found`.
 """
 
 from collections import OrderedDict
--- a/packages/configuration/src/linkhaven/configuration/received.py
+++ b/packages/configuration/src/linkhaven/configuration/received.py
@@ -31,7 +31,8 @@
     """Owns the published record that the snapshot was taken from, and its document packed.
 
     Invariant: a document is taken only if it is the one of the digest that its record names,
-    whatever way it came. Test: `test_a_router_refuses_a_spoiled_body_and_has_it_from_another_seat`.
+    whatever way it came.
+    Test: `test_a_router_refuses_a_spoiled_blob_and_has_it_from_another_replica`.
     """
 
     __slots__ = ("ports", "snapshot", "record", "packed", "accepts_changes")
--- a/packages/configuration/src/linkhaven/configuration/vote_guard.py
+++ b/packages/configuration/src/linkhaven/configuration/vote_guard.py
@@ -3,7 +3,7 @@
 A replica votes for a record only with its blobs on the disk: else a majority could vote for a
 record whose document nobody has. An accept that names a missing blob therefore waits, and so does
 what a recovering replica is sent; the blobs are written right before the message is handled.
-Test: `test_without_it_votes_come_before_their_blobs` takes the guard out.
+Test: `test_without_its_mechanism_a_vote_for_a_blob_that_isnt_synced_is_found` takes the guard out.
 """
 
 from collections.abc import Callable, Iterable
@@ -26,7 +26,9 @@
 class Voter(Protocol):
     """The replica of this node."""
 
-    is_voting: bool
+    @property
+    def is_voting(self) -> bool:
+        """Whether it may vote now."""
 
 
 class VoteGuard:
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -65,7 +65,7 @@
     def now_us(self) -> int:
         """Return this node's monotonic time."""
 
-    def send_untyped(self, address: str, say: str, /, **fields: Any) -> None:
+    def send_untyped(self, address: str, say: str, **facts: Any) -> None:
         """Send a message as a map."""
 
 
@@ -75,7 +75,10 @@
     directory: Any
     replica_id: Any
     incarnation: int
-    is_voting: bool
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it may vote now."""
 
     def register_state(self, key: str, /) -> Any:
         """Return what was accepted last under a key."""
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -61,7 +61,7 @@
     def now_us(self) -> int:
         """Return this node's monotonic time."""
 
-    def send_untyped(self, address: str, say: str, /, **fields: Any) -> None:
+    def send_untyped(self, address: str, say: str, **facts: Any) -> None:
         """Send a message as a map."""
 
 
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_member_that_lost_the_body_message_asks_and_votes_only_with_it_on_disk(seed):
+def test_a_member_that_lost_the_blob_delivery_asks_and_votes_only_with_it_on_disk(seed):
     core = started(seed)
     watch = VoteWatch(core)
     lost = []
@@ -160,7 +160,7 @@
     assert len({frozenset(bodies_on_disk(host)) for host in core.machines.values()}) == 1
 
 
-def test_no_member_votes_while_the_body_cant_be_had_and_the_order_has_no_clear_answer():
+def test_no_member_votes_while_the_blob_cant_be_had_and_the_update_has_no_clear_answer():
     core = started()
     watch = VoteWatch(core)
     for name in ("core-2", "core-3"):
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("loses", (0, 1, 2))
-def test_a_member_killed_between_body_and_vote_has_both_or_neither(seed, loses):
+def test_a_member_killed_between_blob_and_vote_has_both_or_neither(seed, loses):
     core = started(seed)
     watch = VoteWatch(core)
     host = core.machines["core-2"]
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_newcomer_gets_the_bodies_that_it_lacks_before_it_votes(seed):
+def test_a_newcomer_gets_the_blobs_that_it_lacks_before_it_votes(seed):
     core = started(seed)
     for revision in range(1, 4):
         assert is_taken(put(core, revision))
@@ -216,7 +216,7 @@
     assert not watch.bare
 
 
-def test_a_newcomer_without_the_bodies_doesnt_vote():
+def test_a_newcomer_without_the_blobs_doesnt_vote():
     core = started()
     assert is_taken(put(core, 1))
     core.machines["core-3"].kill()
@@ -227,7 +227,7 @@
     assert "core-9" not in core.voting().values()
 
 
-def test_a_full_disk_gives_no_vote_and_a_mended_one_keeps_body_and_vote():
+def test_a_full_disk_gives_no_vote_and_a_mended_one_keeps_blob_and_vote():
     core = started()
     watch = VoteWatch(core)
     full = core.machines["core-2"]
@@ -240,7 +240,7 @@
     assert "core-2" in watch.votes and not watch.bare
 
 
-def test_full_disks_at_a_majority_leave_the_order_without_a_clear_answer():
+def test_full_disks_at_a_majority_leave_the_update_without_a_clear_answer():
     core = started()
     router = with_router(core)
     assert is_taken(put(core, 1))
@@ -251,7 +251,7 @@
     assert weight_at(router) == 1.0
 
 
-def test_a_seat_that_retires_forgets_what_its_disk_held():
+def test_a_replica_that_retires_forgets_what_its_disk_had():
     core = started()
     assert is_taken(put(core, 1))
     host = core.machines["core-3"]
@@ -292,7 +292,7 @@
 
 
 @pytest.mark.parametrize("packed", ("", "junk", pack_blob("another"), pack_blob("x")[:-4]))
-def test_a_body_that_is_not_the_one_of_its_digest_is_refused(packed):
+def test_a_blob_that_is_not_the_one_of_its_digest_is_refused(packed):
     core = started()
     host = core.machines["core-2"]
     digest = digest_of("x")
@@ -305,7 +305,7 @@
         open_blob(digest, packed)
 
 
-def test_a_body_spoiled_on_the_disk_is_had_from_another_seat_before_it_is_told():
+def test_a_blob_spoiled_on_the_disk_is_had_from_another_replica_before_it_is_sent():
     core = started()
     assert is_taken(put(core, 1))
     host = core.machines["core-2"]
@@ -324,7 +324,7 @@
     assert core.read("core-2")[1]["document"] == "text 1"
 
 
-def test_a_value_whose_body_nobody_has_is_never_shown_or_told():
+def test_a_value_whose_blob_nobody_has_is_never_shown_or_sent():
     core = started()
     assert is_taken(put(core, 1))
     for host in core.machines.values():
@@ -354,7 +354,7 @@
     assert core.read("core-3")[1]["revision"] == 4 * KEPT_BLOBS - 1
 
 
-def test_a_value_written_before_bodies_stood_apart_is_still_read_and_built_on():
+def test_a_value_written_before_blobs_stood_apart_is_still_read_and_built_on():
     core = started()
     value = {
         "mark": 4,
@@ -393,7 +393,7 @@
 
 
 @pytest.mark.parametrize("count", (3, 5))
-def test_a_router_gets_each_body_once_and_from_the_nearest_seat(count):
+def test_a_router_gets_each_blob_once_and_from_the_nearest_replica(count):
     core = SimCore(3, count)
     core.bootstrap(count)
     near = core.machines["core-2"]
@@ -412,7 +412,7 @@
     assert heard == [("core-2", revision) for revision in range(1, 21)]
 
 
-def test_routers_without_a_seat_in_their_zone_spread_over_the_seats():
+def test_routers_without_a_replica_in_their_zone_spread_over_the_replicas():
     core = started()
     routers = [
         add_router(core, f"router-{place}", "far", f"10.5.0.{place}:7000") for place in range(1, 10)
@@ -422,7 +422,7 @@
 
 
 @pytest.mark.parametrize("how", ("killed", "frozen", "cut off", "behind"))
-def test_a_router_whose_nearest_seat_is_silent_or_behind_gets_the_body_at_once_elsewhere(how):
+def test_a_router_whose_nearest_replica_is_silent_or_behind_gets_the_blob_at_once_elsewhere(how):
     core = started()
     router = with_router(core)
     assert is_taken(put(core, 1))
@@ -442,7 +442,7 @@
     assert core.world.wait_for(lambda: weight_at(router) == 2.0, 200 * MS, 1 * MS)
 
 
-def test_a_router_that_hears_the_digest_first_is_confirmed_by_it_when_the_body_comes():
+def test_a_router_that_hears_the_digest_first_is_confirmed_by_it_when_the_blob_comes():
     core = started()
     router = with_router(core)
     assert is_taken(put(core, 1))
@@ -458,7 +458,7 @@
 
 
 @pytest.mark.parametrize("spoiled_part", ("body", "changes", "both"))
-def test_a_router_refuses_a_spoiled_body_and_has_it_from_another_seat(spoiled_part):
+def test_a_router_refuses_a_spoiled_blob_and_has_it_from_another_replica(spoiled_part):
     core = started()
     router = with_router(core)
     assert is_taken(put(core, 1))
@@ -481,7 +481,7 @@
     assert spoiled and len(events(core, 1304)) == len(spoiled)
 
 
-def test_two_seats_that_name_two_bodies_for_one_mark_are_told_apart():
+def test_two_replicas_that_name_two_documents_for_one_version_are_told_apart():
     core = started()
     router = with_router(core)
     assert is_taken(put(core, 1))
@@ -499,7 +499,7 @@
     assert not watcher._has_other_digest(naming(held))
 
 
-def test_news_between_changes_carry_no_body_and_no_document():
+def test_responses_between_changes_carry_no_blob_and_no_document():
     core = started()
     router = with_router(core)
     assert is_taken(put(core, 1))
@@ -544,7 +544,7 @@
 # Versions side by side
 
 
-def test_a_router_of_an_earlier_version_is_told_the_plan_whole():
+def test_a_router_of_an_earlier_version_is_sent_the_document_whole():
     core = started()
     assert is_taken(put(core, 1))
     told = []
@@ -566,7 +566,7 @@
     assert told[0]["plan"]["plan"] == plan_of(1.0) and "body" not in told[0]
 
 
-def test_a_router_takes_a_plan_that_a_seat_of_an_earlier_version_tells_whole():
+def test_a_router_takes_a_document_that_a_replica_of_an_earlier_version_sends_whole():
     core = started()
     router = with_router(core)
     watcher = router.node.watcher
--- a/tests/test_long_poll.py
+++ b/tests/test_long_poll.py
@@ -31,7 +31,7 @@
         assert longest_us * 3 <= max(3 * bounds.news_hold_us, stale_us)
 
 
-def test_the_seats_that_matter_are_asked_more_often_at_a_large_fleet():
+def test_the_replicas_that_matter_are_polled_more_often_at_a_large_fleet():
     pace = pace_of(80, plan_stale_us=None)
     pace.note_response("a", {"roster": {}, "steward": {}}, PARTS, 0)
     pace.note_response("b", {"shares": {}}, PARTS, 0)
@@ -42,13 +42,13 @@
     assert pace.hold_us("c", True, 0) == LONGEST_US
 
 
-def test_a_small_fleet_tells_every_seat_all():
+def test_a_small_fleet_lets_every_replica_count():
     pace = pace_of(SMALL_FLEET)
     pace.note_response("a", {"roster": {}}, PARTS, 0)
     assert all(pace.is_sender(seat, "roster", 0) for seat in "abc")
 
 
-def test_while_no_seat_tells_a_part_any_may():
+def test_while_no_replica_sends_a_section_any_may():
     pace = pace_of(80)
     assert all(pace.is_sender(seat, "roster", 0) for seat in "abc")
     pace.note_response("a", {"roster": {}}, PARTS, 0)
