--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -204,9 +204,10 @@
     ) -> None:
         """The leases, and what their holders do."""
         self.runner_client = make_runner_client(self)
+        proposer: Any = self.proposer
         replica: Any = self.replica
         self.leases = {
-            role: Lease(self, role, self.proposer, replica, self.membership, listener=self)
+            role: Lease(self, role, proposer, replica, self.membership, listener=self)
             for role in SINGLETON_ROLES
         }
         rank_candidates(self.leases, self.replica.replica_ids, self.replica.replica_id)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -475,7 +475,7 @@
 def test_options_of_a_node_stand_for_the_settings_of_the_same_names():
     tester = CommandTester(program.CheckCommand())
     place = "--name core-1 --zone z --lines 127.0.0.1:7001 --http 127.0.0.1:8001"
-    place += " --seed 127.0.0.1:7001"
+    place += "".join(f" --seed 127.0.0.1:{port}" for port in (7002, 7003, 7004))
     assert tester.execute(f"{place} --seat b --data folder --platform 127.0.0.1:9000") == 0
     shown = json.loads(tester.io.fetch_output())
     assert (shown["seat"], shown["data"], shown["platform"]) == ("b", "folder", "127.0.0.1:9000")
