--- a/packages/router/src/linkhaven/router/program.py
+++ b/packages/router/src/linkhaven/router/program.py
@@ -1,7 +1,7 @@
 from cleo.helpers import argument, option
 
 from linkhaven.traces import TraceWriter
-from linkhaven.wire import Shell, make_log
+from linkhaven.wire import Shell, make_log, shell_options
 from linkhaven.wire.console import PLACE_OPTIONS, CodedCommand, call_json, run_application
 
 from .node import RouterNode
@@ -11,6 +11,23 @@
 )
 
 
+def router_builder(settings):
+    """What makes the node of a router's checked settings, from ports and an incarnation."""
+
+    def build(ports, incarnation):
+        return RouterNode(
+            settings["name"],
+            settings["lines"],
+            ports,
+            settings["zone"],
+            settings["seeds"],
+            incarnation,
+            settings["requests"],
+        )
+
+    return build
+
+
 class ServeCommand(CodedCommand):
     name = "serve"
     description = "Run this router until SIGTERM, then drain."
@@ -18,27 +35,11 @@
 
     def act(self):
         settings = self.read_place("router")
-
-        def build(ports, incarnation):
-            return RouterNode(
-                settings["name"],
-                settings["lines"],
-                ports,
-                settings["zone"],
-                settings["seeds"],
-                incarnation,
-                settings["requests"],
-            )
-
         traces = TraceWriter(settings["traces"], settings["name"]) if "traces" in settings else None
         shell = Shell(
-            settings["name"],
-            settings["lines"],
-            settings["http"],
-            build,
-            body_bytes=settings["body_bytes"],
-            conns=settings["conns"],
+            build=router_builder(settings),
             log=make_log(settings["name"], **settings["log"]),
+            **shell_options(settings),
         )
         if traces:
             shell.node.on_end.append(traces.write)
--- a/packages/stage/src/linkhaven/stage/soak/node.py
+++ b/packages/stage/src/linkhaven/stage/soak/node.py
@@ -7,8 +7,8 @@
 
 from linkhaven.controller import ControllerNode
 from linkhaven.controller.storage import open_storage
-from linkhaven.router import RouterNode
-from linkhaven.wire import Shell, make_log
+from linkhaven.router.program import router_builder
+from linkhaven.wire import Shell, make_log, shell_options
 
 
 class RelayedShell(Shell):
@@ -18,15 +18,7 @@
         """`listen` is the address behind the relay."""
         self.listen_address = listen
         super().__init__(
-            settings["name"],
-            settings["lines"],
-            settings["http"],
-            build,
-            disk,
-            settings["log"]["level"],
-            settings["log"].get("file"),
-            settings["body_bytes"],
-            settings["conns"],
+            build=build, disk=disk, level=settings["log"]["level"], **shell_options(settings)
         )
 
     def add_lines(self, address):
@@ -36,19 +28,7 @@
 
 def run_router(settings, listen):
     """Run a router until SIGTERM; gives its exit code."""
-
-    def build(ports, incarnation):
-        return RouterNode(
-            settings["name"],
-            settings["lines"],
-            ports,
-            settings["zone"],
-            settings["seeds"],
-            incarnation,
-            settings["requests"],
-        )
-
-    return RelayedShell(settings, listen, build).run_to_end()
+    return RelayedShell(settings, listen, router_builder(settings)).run_to_end()
 
 
 def run_registry(settings, listen):
--- a/packages/wire/src/linkhaven/wire/shell.py
+++ b/packages/wire/src/linkhaven/wire/shell.py
@@ -5,6 +5,7 @@
 import sys
 import threading
 import time
+from typing import Any
 
 from circuits import BaseComponent, handler
 from circuits.core.events import exception
@@ -33,6 +34,17 @@
     return isinstance(fault, OSError) and fault.errno == GONE_CALLER
 
 
+def shell_options(settings: dict[str, Any]) -> dict[str, Any]:
+    """The arguments of a `Shell` that the checked settings of a router or core member say."""
+    return {
+        "name": settings["name"],
+        "lines": settings["lines"],
+        "http": settings["http"],
+        "body_bytes": settings["body_bytes"],
+        "conns": settings["conns"],
+    }
+
+
 class Shell(BaseComponent):
     """One process: a node, its sockets, its clock and its log, on one loop and one thread.
 
