--- a/packages/controller/src/linkhaven/controller/program.py
+++ b/packages/controller/src/linkhaven/controller/program.py
@@ -1,10 +1,12 @@
 """The program `linkhaven-registry`: runs a node of the control plane and has its commands."""
 
+from collections.abc import Callable
 from typing import Any
 
 from cleo.helpers import option
 
-from linkhaven.wire import Shell, make_log
+from linkhaven.runtime import Ports
+from linkhaven.wire import Shell, make_log, shell_options
 from linkhaven.wire.console import PLACE_OPTIONS, CodedCommand, run_application
 
 from .commands import OPERATOR_COMMANDS
@@ -22,6 +24,24 @@
 """The settings that options may replace, by the names of both."""
 
 
+def controller_builder(settings: dict[str, Any]) -> Callable[[Ports, int], ControllerNode]:
+    """What makes the node of a member's checked settings, from ports and an incarnation."""
+
+    def build(ports: Ports, incarnation: int) -> ControllerNode:
+        return ControllerNode(
+            settings["name"],
+            settings["lines"],
+            ports,
+            settings["zone"],
+            settings["seeds"],
+            incarnation,
+            settings["seat"],
+            settings["platform"],
+        )
+
+    return build
+
+
 class CoreCommand(CodedCommand):
     """A command that reads a node's settings."""
 
@@ -45,29 +65,12 @@
         settings = self.read_core()
         log = make_log(settings["name"], **settings["log"])
         storage = open_storage(settings["data"], settings["data_bytes"], settings["name"], log)
-
-        def build(ports: Any, incarnation: int) -> ControllerNode:
-            return ControllerNode(
-                settings["name"],
-                settings["lines"],
-                ports,
-                settings["zone"],
-                settings["seeds"],
-                incarnation,
-                settings["seat"],
-                settings["platform"],
-            )
-
         try:
             shell = Shell(
-                settings["name"],
-                settings["lines"],
-                settings["http"],
-                build,
-                storage,
-                body_bytes=settings["body_bytes"],
-                conns=settings["conns"],
+                build=controller_builder(settings),
+                disk=storage,
                 log=log,
+                **shell_options(settings),
             )
             return shell.run_to_end()
         finally:
--- a/packages/stage/src/linkhaven/stage/soak/node.py
+++ b/packages/stage/src/linkhaven/stage/soak/node.py
@@ -5,7 +5,7 @@
 can only listen where their settings send their fellows.
 """
 
-from linkhaven.controller import ControllerNode
+from linkhaven.controller.program import controller_builder
 from linkhaven.controller.storage import open_storage
 from linkhaven.router.program import router_builder
 from linkhaven.wire import Shell, make_log, shell_options
@@ -35,21 +35,8 @@
     """Run a registry until SIGTERM; gives its exit code."""
     log = make_log(settings["name"], settings["log"]["level"], settings["log"].get("file"))
     disk = open_storage(settings["data"], settings["data_bytes"], settings["name"], log)
-
-    def build(ports, incarnation):
-        return ControllerNode(
-            settings["name"],
-            settings["lines"],
-            ports,
-            settings["zone"],
-            settings["seeds"],
-            incarnation,
-            settings["seat"],
-            settings["platform"],
-        )
-
     try:
-        return RelayedShell(settings, listen, build, disk).run_to_end()
+        return RelayedShell(settings, listen, controller_builder(settings), disk).run_to_end()
     finally:
         disk.close()
 
