--- a/packages/router/src/linkhaven/router/native.py
+++ b/packages/router/src/linkhaven/router/native.py
@@ -2,6 +2,9 @@
 from linkhaven.runner.pieces import read_place, write_event
 from linkhaven.runtime import read_json
 
+ERROR_EVENT = "trouble"
+"""The event that ends a stream with an error, as it stands on the wire."""
+
 KEY_AT_MOST = 200
 STREAM_HEADERS = {"content-type": "text/event-stream", "cache-control": "no-store"}
 
@@ -60,5 +63,5 @@
         request.call.answer_error(error, {"request-id": request.id})
 
     def break_off(self, request, error):
-        request.call.write(write_event("trouble", error.as_document()))
+        request.call.write(write_event(ERROR_EVENT, error.as_document()))
         request.call.finish()
