--- a/packages/configuration/src/linkhaven/configuration/document.py
+++ b/packages/configuration/src/linkhaven/configuration/document.py
@@ -157,8 +157,10 @@
 
 
 class PlacementSettings(msgspec.Struct, frozen=True):
-    """Placement on prefill and decode runners, after TaiChi ("Prefill-Decode Aggregation or
-    Disaggregation? Unifying Both for Goodput-Optimized LLM Serving", 2025), and role balancing.
+    """Placement on prefill and decode runners, and role balancing.
+
+    After TaiChi ("Prefill-Decode Aggregation or Disaggregation? Unifying Both for
+    Goodput-Optimized LLM Serving", 2025).
     """
 
     prefill_tokens_per_s: int = 8_000
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -1,5 +1,7 @@
-"""The proposer: brings a change of a register through prepare and accept, each at a majority of the
-replicas, under rising ballots (Lamport, Paxos Made Simple, 2.2 and 2.4).
+"""The proposer: brings a change of a register through prepare and accept.
+
+Each phase needs a majority of the replicas, and ballots rise (Lamport, Paxos Made Simple, 2.2 and
+2.4).
 
 | phase | message or event | what it does | next |
 | --- | --- | --- | --- |
@@ -112,8 +114,11 @@
         silent_us: int | None = None,
         own_registers: AcceptedRegisters | None = None,
     ) -> None:
-        """`majority` None: of as many replicas as the deployment has; `silent_us` None: every
-        change waits for its deadline."""
+        """Nothing is proposed yet.
+
+        `majority` None: of as many replicas as the deployment has; `silent_us` None: every change
+        waits for its deadline.
+        """
         self.node = node
         self.directory = directory
         self.own_registers = own_registers or NoReplica()
@@ -306,8 +311,10 @@
         self._end(proposal, outcome, proposal.refusal)
 
     def _on_silence(self, proposal: Proposal) -> None:
-        """No majority answered: the caller is told while it still listens, and may go on to another
-        node."""
+        """No majority answered.
+
+        The caller gets to know while it still listens, and may go on to another node.
+        """
         self.monitor.on_silence()
         proposal.refusal = proposal.refusal or NO_MAJORITY
         self._give_up(proposal)
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -278,8 +278,10 @@
         self.node.ports.log(STARTED_EVENT, seat=replica_id, empty=self.is_empty)
 
     def take_after_loss(self, replica_id: str) -> None:
-        """The whole core lost its disks: this replica is taken without a vote, and announced as
-        one that never voted."""
+        """The whole core lost its disks: this replica is taken without a vote.
+
+        It is announced as one that never voted.
+        """
         self.take(replica_id, is_core_lost=True)
         self.directory.announce_replica(replica_id, 0)
 
@@ -374,8 +376,11 @@
             self.state = ReplicaState.VOTING
 
     def _on_newer_incarnation(self, incarnation: int) -> None:
-        """A newer instance supersedes this one. A core that began anew may only have forgotten: it
-        asks the others, and recovers above if none of them recorded a newer instance."""
+        """A newer instance supersedes this one.
+
+        A core that began anew may only have forgotten: it asks the others, and recovers above if
+        none of them recorded a newer instance.
+        """
         if self.recovery.is_bootstrap:
             return self.recovery.begin(is_disputed=True)
         self.yield_to(incarnation)
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -319,9 +319,12 @@
         if key != CONFIGURATION_KEY:
             return
         value = self.replica.register_state(key).value
-        if self.replica.is_known_chosen(key) and self.snapshot.is_newer(value):
-            if self.blobs.has_document(value):
-                self.snapshot.take(self.blobs.with_document(value))
+        if (
+            self.replica.is_known_chosen(key)
+            and self.snapshot.is_newer(value)
+            and self.blobs.has_document(value)
+        ):
+            self.snapshot.take(self.blobs.with_document(value))
         self.watch_server.answer_waiting()
 
     def on_voting_started(self) -> None:
