--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -120,7 +120,7 @@
                 listener(message.sender)
             handler(message)
         except HANDLER_FAULTS as fault:
-            self.ports.log(1005, say=type(message).__name__, fault=repr(fault))
+            self.ports.log(1005, say=type(message).__struct_config__.tag, fault=repr(fault))
 
     def _dispatch_map(self, message: UntypedMessage) -> None:
         handler = self.map_handlers.get(message.get(KIND, ""))
