--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -17,7 +17,10 @@
 
 def source_of(path):
     """The file of a module of the workspace, of the platform's adapter or of the tests."""
-    found = [*ROOT.glob(f"packages/*/src/linkhaven/{path}"), *ROOT.glob(f"platform/linkhaven/{path}")]
+    found = [
+        *ROOT.glob(f"packages/*/src/linkhaven/{path}"),
+        *ROOT.glob(f"platform/linkhaven/{path}"),
+    ]
     if (ROOT / path).is_file():
         found.append(ROOT / path)
     return found[0] if found else None
@@ -43,7 +46,9 @@
 
 def slots_of(item, prefix):
     """The attributes that an assignment to `__slots__` lists."""
-    if not any(isinstance(target, ast.Name) and target.id == "__slots__" for target in item.targets):
+    if not any(
+        isinstance(target, ast.Name) and target.id == "__slots__" for target in item.targets
+    ):
         return set()
     return {
         prefix + node.value
