--- a/packages/configuration/src/linkhaven/configuration/__init__.py
+++ b/packages/configuration/src/linkhaven/configuration/__init__.py
@@ -8,6 +8,7 @@
 """
 
 from .blob_exchange import BlobExchange
+from .blob_guard import BlobGuard
 from .blobs import BlobStore
 from .commands import ConfigurationCommands
 from .document import (
@@ -31,7 +32,6 @@
 from .snapshot import ConfigurationSnapshot
 from .store import CommitResult, ConfigurationStore
 from .validation import decode_configuration, list_document_faults
-from .vote_guard import VoteGuard
 from .watch_server import WatchServer
 from .watcher import ConfigurationWatcher
 
@@ -52,7 +52,7 @@
     "ConfigurationCommands",
     "CommitResult",
     "PendingBlobs",
-    "VoteGuard",
+    "BlobGuard",
     "WatchServer",
     "ConfigurationWatcher",
     "ConfigurationStore",
--- a/packages/configuration/src/linkhaven/configuration/vote_guard.py
+++ b/packages/configuration/src/linkhaven/configuration/blob_guard.py
@@ -31,7 +31,7 @@
         """Whether it may vote now."""
 
 
-class VoteGuard:
+class BlobGuard:
     """Stands before the replica's handlers; it owns no state."""
 
     __slots__ = ("node", "replica", "blobs", "exchange")
--- a/packages/consensus/src/linkhaven/consensus/acceptor.py
+++ b/packages/consensus/src/linkhaven/consensus/acceptor.py
@@ -18,6 +18,9 @@
 Invariant: a vote whose sync ends under another incarnation, or once the replica votes no more, is
 never sent: who read this replica since then relies on it
 (`test_a_vote_is_never_sent_under_another_incarnation_or_by_one_that_ended_to_vote`).
+
+For the register of the configuration, `BlobGuard` (package configuration) stands before `on_accept`
+and has the documents that the value names written first.
 """
 
 from collections.abc import Callable
--- a/packages/consensus/src/linkhaven/consensus/claims.py
+++ b/packages/consensus/src/linkhaven/consensus/claims.py
@@ -25,7 +25,9 @@
     """Which claims are kept, and since when; owns the clock by which they expire.
 
     The clock counts time that all instances of this replica lived through, so that neither a
-    stopped process nor a clock that leaps lets a claim expire early.
+    stopped process nor a clock that leaps lets a claim expire early. Only
+    `RegisterTable.drop_expired_claims` deletes a claim; a router that gives one back keeps the
+    register and clears its owner.
     """
 
     __slots__ = ("limits", "clock_us", "swept_us", "kept")
--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -5,12 +5,12 @@
 | STAYING | `begin` | | CHOOSING |
 | CHOOSING | a spare is known | offers its place, goes on voting | OFFERING |
 | CHOOSING | no spare is known | compares with the others, goes on voting | REPLICATING |
-| OFFERING | `SuccessorReady` | votes no more, syncs the fence | FENCING |
+| OFFERING | `SuccessorReady` | votes no more, syncs the seal | SEALING |
 | OFFERING | no page asked for in `PATIENCE_US` | goes on without this spare | CHOOSING |
-| FENCING | the fence is synced | seals the hand-over, answers the last pages | FENCED |
-| FENCING | the disk refuses the fence | nothing was said yet, so it votes again | CHOOSING |
-| FENCED | `HandoverOutcome`: taken | an empty spare from now on | GONE |
-| FENCED | `HandoverOutcome`: never taken | votes again after an ordinary recovery | CHOOSING |
+| SEALING | the seal is synced | seals the hand-over, answers the last pages | SEALED |
+| SEALING | the disk refuses the seal | nothing was said yet, so it votes again | CHOOSING |
+| SEALED | `HandoverOutcome`: taken | an empty spare from now on | GONE |
+| SEALED | `HandoverOutcome`: never taken | votes again after an ordinary recovery | CHOOSING |
 | REPLICATING | a majority without it has all | votes no more, compares the rest | PAUSED |
 | REPLICATING | a spare is known, or it votes no more | | CHOOSING |
 | PAUSED | a majority without it has all | | GONE |
@@ -22,9 +22,9 @@
 Invariant: what a successor votes with has everything that the departing replica ever accepted,
 since the pages after the seal are read when it votes no more
 (`test_what_only_the_departing_replica_and_one_other_accepted_is_with_the_successor`).
-Invariant: a fenced replica counts as one that lost its disk, also after a restart, unless its
+Invariant: a sealed replica counts as one that lost its disk, also after a restart, unless its
 successor says that it never took its place
-(`test_a_fenced_replica_that_starts_again_counts_as_one_without_a_disk`).
+(`test_a_sealed_replica_that_starts_again_counts_as_one_without_a_disk`).
 """
 
 from collections.abc import Callable
@@ -42,7 +42,7 @@
 )
 from .recovery import Recovery
 from .replica_instances import ReplicaInstances
-from .replica_records import CONTROLLER_KIND, FenceRecord
+from .replica_records import CONTROLLER_KIND, SealRecord
 from .replica_state import IN_RECOVERY, ReplicaState
 from .replication_check import ReplicationCheck
 
@@ -60,8 +60,8 @@
     STAYING = "staying"
     CHOOSING = "choosing"
     OFFERING = "offering"
-    FENCING = "sealing"
-    FENCED = "sealed"
+    SEALING = "sealing"
+    SEALED = "sealed"
     REPLICATING = "holding"
     PAUSED = "paused"
     GONE = "gone"
@@ -84,16 +84,16 @@
     votes_from_us: int
     is_learned: bool
     are_claims_open: bool
-    fence_record: FenceRecord | None
+    seal_record: SealRecord | None
 
     @property
     def is_voting(self) -> bool:
         """Whether it votes now."""
 
-    def fence(self, record: FenceRecord, done: Callable[[bool], None]) -> None:
+    def seal(self, record: SealRecord, done: Callable[[bool], None]) -> None:
         """Vote no more under this incarnation, also after a restart."""
 
-    def lift_fence(self) -> None:
+    def unseal(self) -> None:
         """Recover with the disk as it is, since no successor votes."""
 
     def pause(self) -> None:
@@ -191,7 +191,7 @@
     def _choose(self, now_us: int) -> None:
         """A recovery in progress is waited for; who gives no votes has nothing to hand over."""
         replica = self.replica
-        if replica.fence_record is None and not replica.is_voting and not self._is_recovering():
+        if replica.seal_record is None and not replica.is_voting and not self._is_recovering():
             return self._go()
         if not replica.is_voting:
             return self._go() if self._is_alone() else None
@@ -241,7 +241,7 @@
         self.sent_us = now_us
         if self.state is DepartureState.OFFERING:
             self._send_offer()
-        elif self.state is DepartureState.FENCED:
+        elif self.state is DepartureState.SEALED:
             self._send_seal()
 
     def _send_offer(self) -> None:
@@ -276,51 +276,51 @@
             self.progress_us = self.node.now_us()
 
     def on_successor_ready(self, ready: SuccessorReady) -> None:
-        """The successor has read every page: fence this replica, so that the rest is final."""
+        """The successor has read every page: seal this replica, so that the rest is final."""
         if self.state is not DepartureState.OFFERING or ready.handover_id != self.handover_id:
             return
         if not self.replica.is_voting:
             self.state = DepartureState.CHOOSING
             return
-        self.state = DepartureState.FENCING
+        self.state = DepartureState.SEALING
         name, address = self.successor
-        record = FenceRecord(
+        record = SealRecord(
             handover_id=self.handover_id,
             successor_name=name,
             successor_address=address,
             incarnation=self.replica.incarnation,
         )
-        self.replica.fence(record, self._on_fence_synced)
+        self.replica.seal(record, self._on_seal_synced)
 
-    def _on_fence_synced(self, is_kept: bool) -> None:
-        if self.state is not DepartureState.FENCING:
+    def _on_seal_synced(self, is_kept: bool) -> None:
+        if self.state is not DepartureState.SEALING:
             return
         if not is_kept:
             return self._reject_successor()
-        self.state = DepartureState.FENCED
+        self.state = DepartureState.SEALED
         self._resend(self.node.now_us())
 
     def query_outcome(self, now_us: int) -> None:
-        """A fenced replica that was started again asks whether its successor took its place."""
-        fence = self.replica.fence_record
-        if fence is None or now_us - self.queried_us < RESEND_US:
+        """A sealed replica that was started again asks whether its successor took its place."""
+        seal = self.replica.seal_record
+        if seal is None or now_us - self.queried_us < RESEND_US:
             return
         self.queried_us = now_us
-        self.node.send(fence.successor_address, HandoverQuery(handover_id=fence.handover_id))
+        self.node.send(seal.successor_address, HandoverQuery(handover_id=seal.handover_id))
 
     def on_handover_outcome(self, outcome: HandoverOutcome) -> None:
         """The successor took this replica's place, or says that it never will."""
-        fence = self.replica.fence_record
-        if fence is None or outcome.handover_id != fence.handover_id:
+        seal = self.replica.seal_record
+        if seal is None or outcome.handover_id != seal.handover_id:
             return
         if outcome.is_taken:
             self.replica.retire()
             return self._go()
-        self.rejected_us[fence.successor_name] = self.node.now_us()
+        self.rejected_us[seal.successor_name] = self.node.now_us()
         # A start that already reads the others goes on as one without a disk.
         if not self.recovery.has_raised_incarnation:
-            self.replica.lift_fence()
-        if self.state is DepartureState.FENCED:
+            self.replica.unseal()
+        if self.state is DepartureState.SEALED:
             self.state = DepartureState.CHOOSING
 
     # without a successor
--- a/packages/consensus/src/linkhaven/consensus/handover_messages.py
+++ b/packages/consensus/src/linkhaven/consensus/handover_messages.py
@@ -35,7 +35,7 @@
 
 
 class HandoverQuery(Message, frozen=True, tag="handover_ask"):
-    """A fenced replica that was started again asks how its hand-over ended."""
+    """A sealed replica that was started again asks how its hand-over ended."""
 
     handover_id: str = msgspec.field(name="id")
 
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -1,7 +1,8 @@
 """The proposer: brings a change of a register through prepare and accept.
 
 Each phase needs a majority of the replicas, and ballots rise (Lamport, Paxos Made Simple, 2.2 and
-2.4).
+2.4). Two concurrent updates of a register are ordered by their ballots: the later one is applied to
+the value that the earlier one left.
 
 | phase | message or event | what it does | next |
 | --- | --- | --- | --- |
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -196,9 +196,9 @@
         self.started_us = self.node.now_us()
 
     def begin_with_state(self, wait_us: int) -> None:
-        """Begin where a hand-over brought the whole state of the fenced predecessor.
+        """Begin where a hand-over brought the whole state of the sealed predecessor.
 
-        The record of its fence at a majority stands in for reading the others.
+        The record of its seal at a majority stands in for reading the others.
         """
         self.begin()
         self.has_met_no_voter = False
@@ -366,12 +366,16 @@
         self.replica.begin_votes(wait_us=self.lease_wait_us)
 
     def on_peer_read(self) -> None:
-        """Once all are read, sync that the state is complete, then vote."""
+        """Once no peer is left to read, sync that the state is complete, then vote.
+
+        This is the one way to the first vote after a restart; the other, after a hand-over, is
+        `on_incarnation_recorded`. From then on `Replica.refusal_of` decides about each vote.
+        """
         replica = self.replica
         if not self.has_raised_incarnation or self.transfer.peers or replica.is_voting:
             return
         replica.are_claims_open = replica.are_claims_open and not self.is_bootstrap
-        record = ReplicaRecord(is_partial=None, fence=None, are_claims_open=replica.are_claims_open)
+        record = ReplicaRecord(is_partial=None, seal=None, are_claims_open=replica.are_claims_open)
         self.node.ports.storage.write(record.as_items(), self._on_complete_synced)
 
     def _on_complete_synced(self, is_kept: bool) -> None:
--- a/packages/consensus/src/linkhaven/consensus/recovery_responder.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery_responder.py
@@ -44,7 +44,7 @@
     known_incarnations: dict[str, int]
     is_empty: bool
     are_claims_open: bool
-    fence_record: Any
+    seal_record: Any
     registers: RegisterTable
 
     @property
@@ -99,7 +99,7 @@
             queried_by=query.replica_id,
             queried_start=query.start,
             is_voting=replica.is_voting,
-            is_empty=replica.is_empty or replica.fence_record is not None,
+            is_empty=replica.is_empty or replica.seal_record is not None,
             incarnation=replica.incarnation,
             known_incarnations=self._incarnations_known_with(query.replica_id),
             start=self.recovery.start,
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -38,9 +38,9 @@
 from .replica_records import (
     HANDOVER_RECORD,
     OWN_RECORDS,
-    FenceRecord,
     HandoverRecord,
     ReplicaRecord,
+    SealRecord,
 )
 from .replica_state import IN_RECOVERY, ReplicaState
 from .replication_check import ReplicationCheck
@@ -86,7 +86,7 @@
         "is_learned",
         "instances",
         "assignment",
-        "fence_record",
+        "seal_record",
         "departure",
         "replication",
         "succession",
@@ -123,9 +123,9 @@
         self.replica_id: str = (stored.replica_id or "") if replica_id is None else replica_id
         self.incarnation: int = stored.incarnation or 0
         self.known_incarnations: dict[str, int] = stored.known_incarnations or {}
-        self.fence_record: FenceRecord | None = stored.fence or None
+        self.seal_record: SealRecord | None = stored.seal or None
         self.is_empty = bool(
-            not self.incarnation or stored.is_partial or self.fence_record is not None
+            not self.incarnation or stored.is_partial or self.seal_record is not None
         )
         self.are_claims_open = stored.are_claims_open is not False
         self.is_failing = False
@@ -241,7 +241,7 @@
     def begin_votes(self, is_first: bool = False, wait_us: int | None = None) -> None:
         """Vote from now on; on leases after `wait_us`, a lease's length unless that is given."""
         self.is_empty = self.is_failing = False
-        self.fence_record = None
+        self.seal_record = None
         self.state = ReplicaState.VOTING
         wait_us = self.node.bounds.lease_us if wait_us is None else wait_us
         self.votes_from_us = 0 if is_first else self.node.now_us() + wait_us
@@ -288,7 +288,7 @@
     def take_over(
         self, seal: HandoverSeal, handover: HandoverRecord, done: Callable[[bool], None]
     ) -> None:
-        """The fenced instance's whole state is here: one write makes this node the next one."""
+        """The sealed instance's whole state is here: one write makes this node the next one."""
         incarnation = seal.incarnation + 1
         instances = {
             replica_id: instance
@@ -316,7 +316,7 @@
         self._write(record, on_synced)
 
     def begin_with_state(self, wait_us: int) -> None:
-        """Its state is that of the fenced instance: the others record it, and nothing is read."""
+        """Its state is that of the sealed instance: the others record it, and nothing is read."""
         self.is_empty = False
         self.node.ports.log(STARTED_EVENT, seat=self.replica_id, empty=False)
         self.recovery.begin_with_state(wait_us)
@@ -329,7 +329,7 @@
             *map(record_key, self.registers.states),
         ]
         self.replica_id, self.state, self.incarnation = "", ReplicaState.SPARE, 0
-        self.known_incarnations, self.fence_record = {}, None
+        self.known_incarnations, self.seal_record = {}, None
         self.registers.clear()
         self.is_empty, self.is_failing, self.are_claims_open = True, False, True
         self.recovery.reset()
@@ -341,38 +341,38 @@
 
     # how it stops to vote
 
-    def fence(self, record: FenceRecord, done: Callable[[bool], None]) -> None:
+    def seal(self, record: SealRecord, done: Callable[[bool], None]) -> None:
         """No vote under this incarnation from here on; the record says so to a later start, too."""
-        self.state = ReplicaState.FENCED
-        self.fence_record = record
+        self.state = ReplicaState.SEALED
+        self.seal_record = record
 
         def on_synced(is_synced: bool) -> None:
             if not is_synced:
-                self.fence_record = None
+                self.seal_record = None
                 self.resume()
             done(is_synced)
 
-        self._write(ReplicaRecord(fence=record), on_synced)
+        self._write(ReplicaRecord(seal=record), on_synced)
 
-    def lift_fence(self) -> None:
+    def unseal(self) -> None:
         """The successor never votes: this disk is whole, and goes on through ordinary recovery."""
 
         def on_synced(is_synced: bool) -> None:
-            if not is_synced or self.fence_record is None or self.recovery.has_raised_incarnation:
+            if not is_synced or self.seal_record is None or self.recovery.has_raised_incarnation:
                 return
-            self.fence_record = None
+            self.seal_record = None
             self.is_empty = False
             self.recovery.begin()
 
-        self._write(ReplicaRecord(fence=None, is_partial=None), on_synced)
+        self._write(ReplicaRecord(seal=None, is_partial=None), on_synced)
 
     def pause(self) -> None:
         """No vote until `resume`, in this process only."""
-        self.state = ReplicaState.FENCED
+        self.state = ReplicaState.SEALED
 
     def resume(self) -> None:
-        """Vote again after `pause`, or after a fence that the disk refused."""
-        if self.state == ReplicaState.FENCED and self.fence_record is None:
+        """Vote again after `pause`, or after a seal that the disk refused."""
+        if self.state == ReplicaState.SEALED and self.seal_record is None:
             self.state = ReplicaState.VOTING
 
     def _on_newer_incarnation(self, incarnation: int) -> None:
@@ -407,7 +407,7 @@
             return self._tick_voting(now_us)
         if self.state == ReplicaState.SPARE:
             return self.assignment.tick(now_us)
-        if self.fence_record is not None and self.state != ReplicaState.FENCED:
+        if self.seal_record is not None and self.state != ReplicaState.SEALED:
             self.departure.query_outcome(now_us)
         if self.state in IN_RECOVERY:
             self.recovery.tick(now_us)
--- a/packages/consensus/src/linkhaven/consensus/replica_instances.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_instances.py
@@ -118,7 +118,7 @@
             return
         self.checked_us = now_us
         for replica_id in self.records:
-            self._is_vacant(replica_id, now_us)
+            self._note_vacancy(replica_id, now_us)
         if self._learn_from_membership():
             record = ReplicaRecord(instances=self.records)
             self.node.ports.storage.write(record.as_items(), lambda is_kept: None)
@@ -141,8 +141,11 @@
                 is_new = True
         return is_new
 
-    def _is_vacant(self, replica_id: str, now_us: int) -> bool:
-        """Nobody runs as this replica: nobody ever did, or who did left or is gone for long."""
+    def _note_vacancy(self, replica_id: str, now_us: int) -> bool:
+        """Note since when nobody runs as this replica; whether it is vacant.
+
+        It is where nobody ever ran as it, or who did left or is gone for `Bounds.vacant_us`.
+        """
         known = self.records.get(replica_id)
         if known is None:
             return True
@@ -162,7 +165,7 @@
             return True
         known = self.records.get(replica_id, UNKNOWN)
         is_other = known.name != name and known.address != address
-        return is_other and not self._is_vacant(replica_id, self.node.now_us())
+        return is_other and not self._note_vacancy(replica_id, self.node.now_us())
 
     def on_instances_query(self, query: InstancesQuery) -> None:
         """Tell a spare who runs as what; only a voting replica knows."""
@@ -175,6 +178,6 @@
         for replica_id in self.replica.replica_ids:
             if replica_id != own_id:
                 known = self.records.get(replica_id, UNKNOWN)
-                is_vacant = self._is_vacant(replica_id, now_us)
+                is_vacant = self._note_vacancy(replica_id, now_us)
                 instances[replica_id] = InstanceStatus(known.name, known.address, is_vacant)
         self.node.send(query.reply_to, InstancesReport(replica_id=own_id, instances=instances))
--- a/packages/consensus/src/linkhaven/consensus/replica_records.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_records.py
@@ -33,7 +33,7 @@
     is_taken: bool
 
 
-class FenceRecord(msgspec.Struct, frozen=True, kw_only=True):
+class SealRecord(msgspec.Struct, frozen=True, kw_only=True):
     """A departing replica gave its vote away under this incarnation."""
 
     handover_id: str = msgspec.field(name="id")
@@ -57,7 +57,7 @@
     is_partial: bool | None | UnsetType = UNSET
     """The registers on this disk are not all that the replica accepted."""
 
-    fence: FenceRecord | None | UnsetType = msgspec.field(default=UNSET, name="sealed")
+    seal: SealRecord | None | UnsetType = msgspec.field(default=UNSET, name="sealed")
     are_claims_open: bool | UnsetType = UNSET
     instances: dict[str, ReplicaInstance] | UnsetType = msgspec.field(
         default=UNSET, name="occupants"
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -26,12 +26,12 @@
 
 from linkhaven.configuration import (
     BlobExchange,
+    BlobGuard,
     BlobStore,
     ConfigurationCommands,
     ConfigurationSnapshot,
     ConfigurationStore,
     PendingBlobs,
-    VoteGuard,
     WatchServer,
 )
 from linkhaven.consensus import Proposer, RegisterTable, Replica, default_claim_limits
@@ -183,7 +183,7 @@
         pending_blobs = PendingBlobs()
         self.blobs = BlobStore(node, replica, pending_blobs)
         self.blob_exchange = BlobExchange(node, membership, self.blobs, pending_blobs)
-        VoteGuard(node, replica, self.blobs, self.blob_exchange)
+        BlobGuard(node, replica, self.blobs, self.blob_exchange)
         self.configuration_store = ConfigurationStore(
             node, self.proposer, self.blobs, self.blob_exchange, self.snapshot
         )
--- a/packages/controller/src/linkhaven/controller/storage.py
+++ b/packages/controller/src/linkhaven/controller/storage.py
@@ -237,6 +237,12 @@
             done(is_kept)
 
     def _keep(self, waiting: list[tuple[dict[str, bytes | None], Done]]) -> bool:
+        """Whether all of this turn's writes are synced.
+
+        False also where the map or the device is full: then nothing of the turn is kept, each
+        writer hears so, and a replica refuses the vote (event 1205) and goes on once writes go
+        through again.
+        """
         try:
             if self.env is None:
                 self.env = self._open()
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -15,6 +15,11 @@
 
 RELEASED is final: the node shuts down, and answers that are still on their way change nothing.
 
+A lease ends at `expires_us`, at a tick that comes too late, with the vote of this node's replica,
+by `release` at shutdown, and by `step_down`, which the controller calls where no router asks any
+more (`RouterContactMonitor`) or the platform's list of runners can't be had. Whoever acts for the
+role asks `is_held` at each action.
+
 Invariants:
 
 - The holder counts its lease from before it asked for it, by its own clock, so it stops no later
--- a/packages/membership/src/linkhaven/membership/failure_detector.py
+++ b/packages/membership/src/linkhaven/membership/failure_detector.py
@@ -145,7 +145,9 @@
     def _decide(self, member: Member) -> None:
         """Take a member for failed where most of its watchers that can be heard from suspect it."""
         watchers = [
-            name for name in self.table.watchers_of(member.name) if self._can_hear(name, member)
+            name
+            for name in self.table.watchers_of(member.name)
+            if self._hears_or_probes(name, member)
         ]
         suspecting = sum(1 for name in watchers if member.suspicions.get(name))
         is_up = suspecting * 2 <= len(watchers)
@@ -162,8 +164,8 @@
             incarnation=member.incarnation,
         )
 
-    def _can_hear(self, name: str, about: Member) -> bool:
-        """Whether a watcher spoke lately, or may still answer the probe that is sent here."""
+    def _hears_or_probes(self, name: str, about: Member) -> bool:
+        """Whether a watcher spoke lately, or may still answer a probe, which is sent here."""
         if name == self.node.name or name in about.suspicions:
             return True
         now_us = self.node.now_us()
--- a/packages/runtime/src/linkhaven/runtime/messages.py
+++ b/packages/runtime/src/linkhaven/runtime/messages.py
@@ -5,8 +5,9 @@
 wire words are bound here and nowhere else.
 
 Old and new versions of a fleet run side by side, so a reader ignores fields and kinds that it
-doesn't know. A field that an older sender doesn't write needs a default here. What doesn't fit its
-type is refused as a whole, with `message_malformed`; the lines behind it are read as before.
+doesn't know. A new field goes at the end of its message, with a default for what an older sender
+doesn't write; a record that stands as a list (`array_like`) takes one at its end only. What doesn't
+fit its type is refused as a whole, with `message_malformed`; later lines are read as before.
 """
 
 from collections.abc import Callable
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -5,12 +5,12 @@
 
 from linkhaven.configuration import (
     BlobExchange,
+    BlobGuard,
     BlobStore,
     ConfigurationCommands,
     ConfigurationSnapshot,
     ConfigurationStore,
     PendingBlobs,
-    VoteGuard,
 )
 from linkhaven.configuration.history import digest_of_update, read_history
 from linkhaven.consensus import Proposer, RegisterTable, Replica
@@ -98,7 +98,7 @@
         pending = PendingBlobs()
         self.blobs = BlobStore(self, self.replica, pending)
         self.blob_exchange = BlobExchange(self, self.membership, self.blobs, pending)
-        VoteGuard(self, self.replica, self.blobs, self.blob_exchange)
+        BlobGuard(self, self.replica, self.blobs, self.blob_exchange)
         self.configuration_store = ConfigurationStore(
             self, self.proposer, self.blobs, self.blob_exchange, self.snapshot
         )
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -4,12 +4,12 @@
 
 import pytest
 
+from linkhaven.configuration.blob_guard import BlobGuard
 from linkhaven.configuration.blobs import KEPT_BLOBS, BlobStore
 from linkhaven.configuration.history import digest_of
 from linkhaven.configuration.messages import BlobDelivery, read_watch_response
 from linkhaven.configuration.packing import BlobMismatchError, open_blob, pack_blob
 from linkhaven.configuration.records import digests_of
-from linkhaven.configuration.vote_guard import VoteGuard
 from linkhaven.consensus import Promise, RegisterState
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Bounds, kind_of
@@ -519,7 +519,7 @@
 
 
 def let_votes_pass(store, say, values_of):
-    """In place of VoteGuard._guard: nothing waits for a blob."""
+    """In place of BlobGuard._guard: nothing waits for a blob."""
 
 
 def write_nothing(store, digests):
@@ -528,7 +528,7 @@
 
 @pytest.mark.parametrize(
     "owner, name, sabotage",
-    [(VoteGuard, "_guard", let_votes_pass), (BlobStore, "write_ahead", write_nothing)],
+    [(BlobGuard, "_guard", let_votes_pass), (BlobStore, "write_ahead", write_nothing)],
 )
 def test_without_its_mechanism_a_vote_for_a_blob_that_isnt_synced_is_found(
     monkeypatch, owner, name, sabotage
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -220,12 +220,12 @@
     """Run to the moment at which the seal is synced and the successor hasn't the rest."""
     node = core.machines[leaver].node
     assert core.world.wait_for(
-        lambda: node.replica.departure.state == DepartureState.FENCED, 3 * SECOND, 100
+        lambda: node.replica.departure.state == DepartureState.SEALED, 3 * SECOND, 100
     )
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_fenced_replica_that_starts_again_counts_as_one_without_a_disk(seed):
+def test_a_sealed_replica_that_starts_again_counts_as_one_without_a_disk(seed):
     core = started(seed, 3, ["core-9"])
     acked(core, 0, 3)
     leave(core, "core-2")
@@ -234,7 +234,7 @@
     core.machines["core-9"].freeze()
     core.machines["core-2"].start()
     replica = core.machines["core-2"].node.replica
-    assert replica.fence_record is not None
+    assert replica.seal_record is not None
     assert replica.is_empty
     core.machines["core-9"].wake()
     run_soundly(core, 6 * SECOND)
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_fenced_disk_is_good_again_once_the_successor_says_that_it_never_took_over(seed):
+def test_a_sealed_disk_is_good_again_once_the_successor_says_that_it_never_took_over(seed):
     """Whole core killed right after the seal, another disk lost: the sealed disk is one of the two
     that are left."""
     core = started(seed, 3, ["core-9"])
@@ -273,7 +273,7 @@
     core.world.heal()
     run_soundly(core, 3 * SECOND)
     last = node.replica.succession.last_handover
-    assert old.fence_record is None or last.handover_id != old.fence_record.handover_id
+    assert old.seal_record is None or last.handover_id != old.seal_record.handover_id
     assert len(core.voting()) == 3, standings(core)
     assert held(core) == 3
 
