--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -88,6 +88,7 @@
         "thaw_ms": 300,
     },
 }
+ROOT = Path(__file__).parents[1]
 RECORDED = json.loads(RECORDINGS.read_text()) if RECORDINGS.exists() else {}
 
 
@@ -245,8 +246,8 @@
     that a module gives the number."""
     trees = [
         ast.parse(path.read_text())
-        for place in linkhaven.__path__
-        for path in sorted(Path(place).rglob("*.py"))
+        for place in [*ROOT.glob("packages/*/src/linkhaven"), ROOT / "platform" / "linkhaven"]
+        for path in sorted(place.rglob("*.py"))
         if not {"stage", "simulator"} & set(path.parts)
     ]
     everywhere, found = {}, {}
