--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -223,12 +223,12 @@
     def refusal_of(self, request: Request) -> str | None:
         """Return why it may not vote on a request, None where it may."""
         if not self.is_voting:
-            return self.state.spelling
+            return self.state.wire_name
         if request.replica_id != self.replica_id:
             return OTHER_REPLICA
         if request.incarnation > self.incarnation:
             self._on_newer_incarnation(request.incarnation)
-            return self.state.spelling
+            return self.state.wire_name
         if request.incarnation < self.incarnation or self._knows_newer(request):
             return OLD_INCARNATION
         if request.key.startswith(LEASE_PREFIX) and self.node.now_us() < self.votes_from_us:
--- a/packages/consensus/src/linkhaven/consensus/replica_state.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_state.py
@@ -25,7 +25,7 @@
 
 
 class ReplicaState(StrEnum):
-    """The values stand in refusals, in `GET /v1/core` and in `GET /v1/standing`, by `spelling`.
+    """The values stand in refusals, in `GET /v1/core` and in `GET /v1/standing`, by `wire_name`.
 
     Their spelling is of earlier versions: what is written as "fenced" there is SUPERSEDED.
     """
@@ -41,7 +41,7 @@
     SUPERSEDED = "fenced"
 
     @property
-    def spelling(self) -> str:
+    def wire_name(self) -> str:
         """The word for it on the wire, where a pause is spelled as a seal."""
         return ReplicaState.SEALED.value if self is ReplicaState.PAUSED else self.value
 
--- a/packages/controller/src/linkhaven/controller/local_status.py
+++ b/packages/controller/src/linkhaven/controller/local_status.py
@@ -68,7 +68,7 @@
         is_draining = self.shutdown.state is not ShutdownState.RUNNING
         return MemberStatus(
             replica=self.replica.replica_id,
-            state=self.replica.state.spelling,
+            state=self.replica.state.wire_name,
             incarnation=self.replica.incarnation,
             address=self.node.address,
             learning=self._learning(),
@@ -88,7 +88,7 @@
         replica = self.replica
         return {
             "seat": replica.replica_id,
-            "standing": replica.state.spelling,
+            "standing": replica.state.wire_name,
             "incarnation": replica.incarnation,
             "claims": len(replica.registers.claims),
             "are_claims_open": replica.are_claims_open,
@@ -124,9 +124,9 @@
         Raises `seat_not_waiting` where it doesn't wait.
         """
         if not self.replica.restore():
-            raise ServiceError("seat_not_waiting", standing=self.replica.state.spelling)
+            raise ServiceError("seat_not_waiting", standing=self.replica.state.wire_name)
         call.answer_json(
-            200, {"seat": self.replica.replica_id, "standing": self.replica.state.spelling}
+            200, {"seat": self.replica.replica_id, "standing": self.replica.state.wire_name}
         )
 
 
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -97,7 +97,7 @@
 
 
 def test_a_pause_is_spelled_as_a_seal_on_the_wire():
-    assert {state.spelling for state in ReplicaState} == {
+    assert {state.wire_name for state in ReplicaState} == {
         *("spare", "beginning", "rejoining", "waiting", "learning", "voting", "sealed", "fenced")
     }
 
