--- a/packages/consensus/src/linkhaven/consensus/acceptor.py
+++ b/packages/consensus/src/linkhaven/consensus/acceptor.py
@@ -3,9 +3,9 @@
 | message | the register | what it does |
 | --- | --- | --- |
 | any | the replica may not vote on it | refuses, with the reason of the replica |
-| `Prepare` | promised this ballot or a higher one | refuses as outbid |
+| `Prepare` | promised this ballot or a higher one | refuses as preempted |
 | `Prepare` | promised lower ones | promises it, and names what it accepted last |
-| `Accept` | promised a higher ballot | refuses as outbid |
+| `Accept` | promised a higher ballot | refuses as preempted |
 | `Accept` | promised this ballot or lower ones | accepts the value |
 | `Chosen` | accepted this very ballot last | notes that its value is chosen |
 | `Chosen` | any other | nothing |
@@ -30,7 +30,7 @@
 
 from .paxos_messages import (
     DISK_REFUSED,
-    OUTBID,
+    PREEMPTED,
     Accept,
     Accepted,
     Ballot,
@@ -97,7 +97,7 @@
             return self._refuse(message, Promise, reason)
         register = self.registers.get_or_create(message.key)
         if message.ballot <= register.promise:
-            return self._refuse(message, Promise, OUTBID, highest=register.promise)
+            return self._refuse(message, Promise, PREEMPTED, highest=register.promise)
         register.promise = message.ballot
         accepted = register.accepted
         value = None if accepted == message.own_accepted else register.value
@@ -110,7 +110,7 @@
             return self._refuse(message, Accepted, reason)
         register = self.registers.get_or_create(message.key)
         if message.ballot < register.promise:
-            return self._refuse(message, Accepted, OUTBID, highest=register.promise)
+            return self._refuse(message, Accepted, PREEMPTED, highest=register.promise)
         register.promise = message.ballot
         register.accepted = message.ballot
         register.value = message.value
--- a/packages/consensus/src/linkhaven/consensus/paxos_messages.py
+++ b/packages/consensus/src/linkhaven/consensus/paxos_messages.py
@@ -17,7 +17,7 @@
 Ballot = list[Any]
 """Number and node name of a proposal; ballots compare element by element."""
 
-OUTBID = "ballot"
+PREEMPTED = "ballot"
 """The reason of a refusal: the acceptor promised a higher ballot, which `highest` names."""
 
 OTHER_REPLICA = "seat"
@@ -80,7 +80,7 @@
     """Why it refuses; a replica that doesn't vote names its state."""
 
     highest: Ballot | UnsetType = UNSET
-    """The ballot that it promised, where it is outbid."""
+    """The ballot that it promised, where the proposal is preempted."""
 
 
 class Promise(Answer, frozen=True, kw_only=True, tag="promise"):
--- a/packages/consensus/src/linkhaven/consensus/proposal.py
+++ b/packages/consensus/src/linkhaven/consensus/proposal.py
@@ -42,7 +42,7 @@
     PREPARE = "prepare"
     ACCEPT = "accept"
     RESTING = "resting"
-    """Outbid, and waits for a random time before its next attempt."""
+    """Preempted, and waits for a random time before its next attempt."""
 
 
 Update = Callable[[Any], tuple[str, Any]]
@@ -129,7 +129,7 @@
         """The last reason of a refusal."""
 
         self.answered: set[str] = set()
-        """Who answered in this round, be it that it was outbid."""
+        """Who answered in this round, be it that it was preempted."""
 
         self.heard_us = heard_us
         """When a majority had last answered."""
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -11,7 +11,7 @@
 | PREPARE | the update stops, and the value is chosen | ends: STOPPED | - |
 | PREPARE | a majority, and no value to write | ends: CHOSEN with None, or STOPPED | - |
 | ACCEPT | `Accepted` of a majority | sends `Chosen`, ends: CHOSEN or STOPPED | - |
-| PREPARE, ACCEPT | outbid | raises its counter, waits a random time | RESTING |
+| PREPARE, ACCEPT | preempted | raises its counter, waits a random time | RESTING |
 | any | the attempt's time is over | sends `Prepare` under a new ballot | PREPARE |
 | any | deadline, or silence | ends: UNKNOWN once accepts were sent, else REFUSED | - |
 
@@ -31,7 +31,7 @@
 from linkhaven.runtime import Node
 
 from .majority_monitor import MajorityMonitor
-from .paxos_messages import OUTBID, Accept, Accepted, Answer, Ballot, Chosen, Prepare, Promise
+from .paxos_messages import PREEMPTED, Accept, Accepted, Answer, Ballot, Chosen, Prepare, Promise
 from .proposal import (
     NOTHING_ACCEPTED,
     AcceptedValue,
@@ -48,7 +48,7 @@
 
 DEADLINE_US = 2_000_000
 BACKOFF_US = 30_000
-"""An outbid proposal rests up to this for each attempt it made, at random."""
+"""A preempted proposal rests up to this for each attempt it made, at random."""
 
 BACKOFF_ATTEMPTS_MAX = 6
 STEP_AT_MOST_US = 250_000
@@ -266,7 +266,7 @@
         """Return the proposal that a vote counts for, or None where it counts for nothing."""
         self.directory.learn_incarnations(message.known_incarnations)
         proposal = self.proposals.get(message.id)
-        is_voting = message.is_yes or message.reason == OUTBID
+        is_voting = message.is_yes or message.reason == PREEMPTED
         if is_voting:
             self.monitor.on_answer(message.replica_id, self.majority)
         if proposal is None or proposal.phase != phase or message.ballot != proposal.ballot:
@@ -288,14 +288,14 @@
 
     def _on_refusal(self, proposal: Proposal, message: Answer) -> None:
         proposal.refusal = message.reason or None
-        if message.reason != OUTBID:
+        if message.reason != PREEMPTED:
             return
         highest: Ballot = message.highest  # type: ignore[assignment]
         self.counter = max(self.counter, highest[0])
         self._rest(proposal)
 
     def _rest(self, proposal: Proposal) -> None:
-        """Wait at random, so that two proposers don't outbid each other for ever."""
+        """Wait at random, so that two proposers don't preempt each other for ever."""
         proposal.phase = Phase.RESTING
         reach_us = BACKOFF_US * min(proposal.num_attempts, BACKOFF_ATTEMPTS_MAX)
         rest_us = self.node.ports.random.randrange(reach_us // 4, reach_us)
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -107,13 +107,13 @@
         on_votes: Callable[[], None] = _ignore,
         on_retired: Callable[[], None] = _ignore,
         contact: str | None = None,
-        on_outbid: Callable[[str], None] = _ignore,
+        on_preempted: Callable[[str], None] = _ignore,
     ) -> None:
         """Read the disk, build the parts; `replica_id` None: the disk says it, or it is learned.
 
         `directory` is the membership. `on_change` is called with the key of a register that was
         voted on or chosen, `on_votes` once the replica votes, `on_retired` once it is a spare that
-        keeps nothing, `on_outbid` with a key that only a higher ballot can replicate.
+        keeps nothing, `on_preempted` with a key that only a higher ballot can replicate.
         """
         self.node = node
         self.is_learned = replica_id is None
@@ -137,7 +137,7 @@
         self.succession = Succession(node, self, stored.handover or None)
         self.assignment = ReplicaAssignment(node, self, self.succession, contact or node.address)
         self.recovery = Recovery(node, self, self.instances, self.succession)
-        self.replication = ReplicationCheck(node, self, on_outbid)
+        self.replication = ReplicationCheck(node, self, on_preempted)
         self.departure = Departure(node, self, self.instances, self.recovery, self.replication)
         self.recovery_responder = RecoveryResponder(
             node, self, self.instances, self.recovery, self.departure
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -64,16 +64,16 @@
         "cursors",
         "began_at_change",
         "sent_us",
-        "on_outbid",
+        "on_preempted",
     )
 
     def __init__(
-        self, node: Node, replica: ComparedReplica, on_outbid: Callable[[str], None]
+        self, node: Node, replica: ComparedReplica, on_preempted: Callable[[str], None]
     ) -> None:
-        """`on_outbid(key)` is called for a value that only a higher ballot can write."""
+        """`on_preempted(key)` is called for a value that only a higher ballot can write."""
         self.node = node
         self.replica = replica
-        self.on_outbid = on_outbid
+        self.on_preempted = on_preempted
         self.round_number = 0
         self.keys: list[str] = []
         self.cursors: dict[str, str | None] = {}
@@ -143,18 +143,18 @@
         if not self._takes_from(page):
             return
         missing: list[str] = []
-        outbid: list[str] = []
+        preempted: list[str] = []
         for key, ballot in page.ballots.items():
             state = self.replica.register_state(key)
             if state.accepted is not None and state.accepted >= ballot:
                 continue
-            (outbid if state.promise > ballot else missing).append(key)
+            (preempted if state.promise > ballot else missing).append(key)
         answer = MissingValues(
             replica_id=self.replica.replica_id,
             round_number=page.round_number,
             after=page.after,
             missing=missing,
-            outbid=outbid,
+            preempted=preempted,
         )
         self.node.send(page.reply_to, answer)
 
@@ -163,11 +163,11 @@
         name, cursor = answer.replica_id, answer.after
         if answer.round_number != self.round_number or self.cursors.get(name) != cursor:
             return
-        for key in answer.outbid:
-            self.on_outbid(key)
+        for key in answer.preempted:
+            self.on_preempted(key)
         if answer.missing:
             return self._send_late_accepts(answer.reply_to, answer.missing)
-        if answer.outbid:
+        if answer.preempted:
             return
         page = self._page(cursor)
         is_last = not page or page[-1] == self.keys[-1]
--- a/packages/consensus/src/linkhaven/consensus/replication_messages.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_messages.py
@@ -31,7 +31,7 @@
     round_number: int = msgspec.field(name="round")
     after: str
     missing: list[str] = msgspec.field(name="lacking")
-    outbid: list[str] = msgspec.field(name="stuck")
+    preempted: list[str] = msgspec.field(name="stuck")
     """Missing, and promised to a higher ballot: a late accept of theirs would be refused."""
 
 
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -177,7 +177,7 @@
             on_votes=self.on_voting_started,
             on_retired=self.on_replica_retired,
             contact=contact,
-            on_outbid=self.on_key_outbid,
+            on_preempted=self.on_key_outbid,
         )
         self.claim_admission = ClaimAdmission(self, self.replica, self.membership, self.snapshot)
 
