--- a/packages/consensus/src/linkhaven/consensus/acceptor.py
+++ b/packages/consensus/src/linkhaven/consensus/acceptor.py
@@ -59,7 +59,7 @@
     def is_voting(self) -> bool:
         """Whether it gives votes at all."""
 
-    def refusal_of(self, request: Request) -> str | None:
+    def refusal_reason(self, request: Request) -> str | None:
         """Return why it may not vote on a request, None where it may."""
 
     def all_incarnations(self) -> dict[str, int]:
@@ -92,7 +92,7 @@
 
     def on_prepare(self, message: Prepare) -> None:
         """Promise a ballot that is higher than all before."""
-        reason = self.voter.refusal_of(message)
+        reason = self.voter.refusal_reason(message)
         if reason is not None:
             return self._refuse(message, Promise, reason)
         register = self.registers.get_or_create(message.key)
@@ -105,7 +105,7 @@
 
     def on_accept(self, message: Accept) -> None:
         """Accept a value, unless a higher ballot was promised."""
-        reason = self.voter.refusal_of(message)
+        reason = self.voter.refusal_reason(message)
         if reason is not None:
             return self._refuse(message, Accepted, reason)
         register = self.registers.get_or_create(message.key)
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -383,7 +383,7 @@
         """Once no peer is left to read, sync that the state is complete, then vote.
 
         This is the one way to the first vote after a restart; the other, after a hand-over, is
-        `on_incarnation_recorded`. From then on `Replica.refusal_of` decides about each vote.
+        `on_incarnation_recorded`. From then on `Replica.refusal_reason` decides about each vote.
         """
         if self.state is not RecoveryState.CATCHING_UP or self.transfer.peers:
             return
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -6,7 +6,7 @@
 
 | state | `Prepare`, `Accept` | `Chosen`, `StateQuery`, `PageRequest` |
 | --- | --- | --- |
-| VOTING | votes, unless `refusal_of` says why not | served |
+| VOTING | votes, unless `refusal_reason` says why not | served |
 | any other | refused, with the state as the reason | served, by a replica (not a spare) |
 
 Invariant: a replica votes under one incarnation at a time, and on disk before it votes under it
@@ -220,7 +220,7 @@
 
     # votes
 
-    def refusal_of(self, request: Request) -> str | None:
+    def refusal_reason(self, request: Request) -> str | None:
         """Return why it may not vote on a request, None where it may."""
         if not self.is_voting:
             return self.state.wire_name
--- a/packages/consensus/src/linkhaven/consensus/replica_state.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_state.py
@@ -180,7 +180,7 @@
 
     @property
     def may_vote(self) -> bool:
-        """Whether votes are given at all; what may be voted on is `Replica.refusal_of`."""
+        """Whether votes are given at all; what may be voted on is `Replica.refusal_reason`."""
         return self.state is ReplicaState.VOTING
 
     @property
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -34,7 +34,7 @@
         self.registers = RegisterTable.load(node)
         self.acceptor = Acceptor(node, self, self.registers, self.changed.append)
 
-    def refusal_of(self, request):
+    def refusal_reason(self, request):
         return self.reason
 
     def all_incarnations(self):
