--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -109,7 +109,7 @@
         """Whether it recovers, or waits for an operator to let it."""
 
     def begin_recovery(self) -> None:
-        """It may not vote until `begin_votes`."""
+        """It may not vote until `begin_voting`."""
 
     def await_operator(self) -> None:
         """More is lost than can be rebuilt."""
@@ -132,7 +132,7 @@
     def merge(self, registers: Mapping[str, RegisterCopy]) -> dict[str, Any]:
         """Take in the highest ballots of another replica; gives the records to write."""
 
-    def begin_votes(self, *, wait_us: int | None = None) -> None:
+    def begin_voting(self, *, wait_us: int | None = None) -> None:
         """Vote from now on; grant no lease for `wait_us`, or a lease's time where None."""
 
     def yield_to(self, incarnation: int) -> None:
@@ -377,7 +377,7 @@
             return
         self.state = RecoveryState.VOTING
         self.transfer.end()
-        self.replica.begin_votes(wait_us=self.lease_wait_us)
+        self.replica.begin_voting(wait_us=self.lease_wait_us)
 
     def on_peer_read(self) -> None:
         """Once no peer is left to read, sync that the state is complete, then vote.
@@ -397,7 +397,7 @@
                 return
             self.is_disputed = False
             self.state = RecoveryState.VOTING
-            self.replica.begin_votes()
+            self.replica.begin_voting()
 
         replica.write_recovered(on_synced)
 
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -81,7 +81,7 @@
         "life_cycle",
         "is_failing",
         "votes_from_us",
-        "on_votes",
+        "on_voting_started",
         "on_retired",
         "recovery",
         "recovery_responder",
@@ -104,16 +104,18 @@
         directory: Any,
         registers: RegisterTable,
         on_change: Callable[[str], None] = _ignore,
-        on_votes: Callable[[], None] = _ignore,
+        on_voting_started: Callable[[], None] = _ignore,
         on_retired: Callable[[], None] = _ignore,
         contact: str | None = None,
         on_preempted: Callable[[str], None] = _ignore,
     ) -> None:
-        """Read the disk, build the parts; `replica_id` None: the disk says it, or it is learned.
+        """Load the stored records and create the parts of the replica.
 
+        `replica_id` is None where the assignment is dynamic: it comes from disk or from the group.
         `directory` is the membership. `on_change` is called with the key of a register that was
-        voted on or chosen, `on_votes` once the replica votes, `on_retired` once it is a spare that
-        keeps nothing, `on_preempted` with a key that only a higher ballot can replicate.
+        voted on or chosen; `on_voting_started` each time the replica starts to vote; `on_retired`
+        once this node is a spare and its records are deleted; `on_preempted` with a key whose value
+        can be replicated only under a higher ballot.
         """
         self.node = node
         self.is_learned = replica_id is None
@@ -121,7 +123,7 @@
         self.majority = len(replica_ids) // 2 + 1
         self.directory = directory
         self.registers = registers
-        self.on_votes = on_votes
+        self.on_voting_started = on_voting_started
         self.on_retired = on_retired
         stored = ReplicaRecord.load(node.ports.storage.load())
         self.replica_id: str = (stored.replica_id or "") if replica_id is None else replica_id
@@ -269,9 +271,9 @@
         claims = len(self.registers.claims)
         self.node.ports.log(CLAIMS_OPEN_EVENT, seat=self.replica_id, claims=claims)
 
-    def begin_votes(self, is_first: bool = False, wait_us: int | None = None) -> None:
+    def begin_voting(self, is_first: bool = False, wait_us: int | None = None) -> None:
         """Vote from now on; on leases after `wait_us`, a lease's length unless that is given."""
-        self.life_cycle.on(ReplicaEvent.BEGIN_VOTES)
+        self.life_cycle.on(ReplicaEvent.BEGIN_VOTING)
         self.is_failing = False
         self.seal_record = None
         wait_us = self.node.bounds.lease_us if wait_us is None else wait_us
@@ -280,8 +282,8 @@
             self.directory.announce_replica(self.replica_id, self.incarnation)
         self.directory.learn_incarnations(self.all_incarnations())
         self.node.ports.log(VOTES_EVENT, seat=self.replica_id, incarnation=self.incarnation)
-        self.on_votes()
-        self.succession.on_votes_begun()
+        self.on_voting_started()
+        self.succession.on_replica_voting()
 
     # how it becomes a replica, and ends to be one
 
@@ -293,7 +295,7 @@
 
         def on_synced(is_synced: bool) -> None:
             if is_synced:
-                return self.begin_votes(is_first=True)
+                return self.begin_voting(is_first=True)
             self.life_cycle.on(ReplicaEvent.BOOTSTRAP_REFUSED)
             self.replica_id, self.incarnation = "", 0
 
--- a/packages/consensus/src/linkhaven/consensus/replica_state.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_state.py
@@ -77,7 +77,7 @@
     TOO_FEW_REPORTED = auto()
     """So few others could be heard that an operator must decide."""
 
-    BEGIN_VOTES = auto()
+    BEGIN_VOTING = auto()
     """All that a vote rests on is synced: a first start, a recovery or a hand-over is complete."""
 
     LEARN = auto()
@@ -132,7 +132,7 @@
     ReplicaEvent.RECOVER: _row(*IN_RECOVERY, ReplicaState.VOTING, to=ReplicaState.RECOVERING),
     ReplicaEvent.TOO_FEW_REPORTED: _row(ReplicaState.RECOVERING, to=ReplicaState.WAITING),
     # Not from SEALED or PAUSED: a seal is opened by its successor's word only.
-    ReplicaEvent.BEGIN_VOTES: _row(
+    ReplicaEvent.BEGIN_VOTING: _row(
         *IN_RECOVERY,
         ReplicaState.BOOTSTRAPPING,
         to=ReplicaState.VOTING,
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -306,7 +306,7 @@
         outcome = HandoverOutcome(handover_id=handover.handover_id, is_taken=handover.is_taken)
         self.node.send(address, outcome)
 
-    def on_votes_begun(self) -> None:
+    def on_replica_voting(self) -> None:
         """The new instance votes: the departing one may go."""
         handover = self.last_handover
         if handover is not None and handover.is_taken and self.seal is not None:
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -174,7 +174,7 @@
             self.membership,
             self.registers,
             on_change=self.on_slot_changed,
-            on_votes=self.on_voting_started,
+            on_voting_started=self.on_voting_started,
             on_retired=self.on_replica_retired,
             contact=contact,
             on_preempted=self.on_key_outbid,
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -91,7 +91,7 @@
             seats,
             self.membership,
             self.registers,
-            on_votes=self._hear_votes,
+            on_voting_started=self._hear_votes,
             on_retired=self._hear_retired,
         )
         self.snapshot = ConfigurationSnapshot()
--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -37,7 +37,7 @@
         weigh(self, now_us)
         if self.transfer.peers:
             self.transfer.end()
-            self.replica.begin_votes()
+            self.replica.begin_voting()
 
     def vote_once(self):
         """Its own recovery ends later, and would begin votes a second time, which is refused."""
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -84,7 +84,7 @@
 def vote_under_the_old_epoch(monkeypatch):
     """A restarted seat votes at once, as if it had never ended."""
     monkeypatch.setattr(
-        Recovery, "tick", lambda self, now_us: self.replica.is_empty or self.replica.begin_votes()
+        Recovery, "tick", lambda self, now_us: self.replica.is_empty or self.replica.begin_voting()
     )
 
 
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -25,22 +25,22 @@
 EMPTY, WHOLE, GIVEN_AWAY = StoredState.EMPTY, StoredState.WHOLE, StoredState.SEALED
 
 LIVES = {
-    "first start": ("BOOTSTRAP BEGIN_VOTES", SPARE, EMPTY, VOTING, WHOLE),
+    "first start": ("BOOTSTRAP BEGIN_VOTING", SPARE, EMPTY, VOTING, WHOLE),
     "first start, disk refuses": ("BOOTSTRAP BOOTSTRAP_REFUSED", SPARE, EMPTY, SPARE, EMPTY),
-    "restart": ("RECOVER BEGIN_VOTES", RECOVERING, WHOLE, VOTING, WHOLE),
-    "restart without a disk": ("RECOVER BEGIN_VOTES", RECOVERING, EMPTY, VOTING, WHOLE),
-    "operator restores": ("TOO_FEW_REPORTED BEGIN_VOTES", RECOVERING, EMPTY, VOTING, WHOLE),
-    "others come after all": ("TOO_FEW_REPORTED RECOVER BEGIN_VOTES",)
+    "restart": ("RECOVER BEGIN_VOTING", RECOVERING, WHOLE, VOTING, WHOLE),
+    "restart without a disk": ("RECOVER BEGIN_VOTING", RECOVERING, EMPTY, VOTING, WHOLE),
+    "operator restores": ("TOO_FEW_REPORTED BEGIN_VOTING", RECOVERING, EMPTY, VOTING, WHOLE),
+    "others come after all": ("TOO_FEW_REPORTED RECOVER BEGIN_VOTING",)
     + (RECOVERING, EMPTY, VOTING, WHOLE),
-    "newcomer": ("TAKE RECOVER BEGIN_VOTES", SPARE, EMPTY, VOTING, WHOLE),
+    "newcomer": ("TAKE RECOVER BEGIN_VOTING", SPARE, EMPTY, VOTING, WHOLE),
     "newcomer that was second": ("TAKE RECOVER RETIRE", SPARE, EMPTY, SPARE, EMPTY),
-    "successor": ("LEARN TAKE_OVER RECOVER BEGIN_VOTES", SPARE, EMPTY, VOTING, WHOLE),
+    "successor": ("LEARN TAKE_OVER RECOVER BEGIN_VOTING", SPARE, EMPTY, VOTING, WHOLE),
     "successor that gave up": ("LEARN RETIRE", SPARE, EMPTY, SPARE, EMPTY),
     "departed": ("SEAL RETIRE", VOTING, WHOLE, SPARE, EMPTY),
     "seal refused": ("SEAL SEAL_REFUSED", VOTING, WHOLE, VOTING, WHOLE),
     "sealed": ("SEAL", VOTING, WHOLE, SEALED, GIVEN_AWAY),
-    "sealed, successor gave up": ("SEAL UNSEAL RECOVER BEGIN_VOTES", VOTING, WHOLE, VOTING, WHOLE),
-    "sealed, restarted": ("RECOVER BEGIN_VOTES", RECOVERING, GIVEN_AWAY, VOTING, WHOLE),
+    "sealed, successor gave up": ("SEAL UNSEAL RECOVER BEGIN_VOTING", VOTING, WHOLE, VOTING, WHOLE),
+    "sealed, restarted": ("RECOVER BEGIN_VOTING", RECOVERING, GIVEN_AWAY, VOTING, WHOLE),
     "sealed, restarted, given back": ("UNSEAL RECOVER", RECOVERING, GIVEN_AWAY, RECOVERING, WHOLE),
     "sealed, restarted, departed": ("RETIRE", RECOVERING, GIVEN_AWAY, SPARE, EMPTY),
     "departs without a successor": ("PAUSE", VOTING, WHOLE, PAUSED, WHOLE),
@@ -88,9 +88,9 @@
         if target is VOTING
     }
     assert ways == {
-        ("BEGIN_VOTES", BOOTSTRAPPING),
-        ("BEGIN_VOTES", RECOVERING),
-        ("BEGIN_VOTES", WAITING),
+        ("BEGIN_VOTING", BOOTSTRAPPING),
+        ("BEGIN_VOTING", RECOVERING),
+        ("BEGIN_VOTING", WAITING),
         ("RESUME", PAUSED),
         ("SEAL_REFUSED", SEALED),
     }
