--- a/packages/consensus/src/linkhaven/consensus/claims.py
+++ b/packages/consensus/src/linkhaven/consensus/claims.py
@@ -13,11 +13,11 @@
 CLAIM_PREFIX = "claim/"
 """Registers of claims have keys that begin so."""
 
-SWEEP_US = 10_000_000
+SWEEP_INTERVAL_US = 10_000_000
 """How often expired claims are looked for, and the clock is recorded."""
 
-SWEPT_AT_ONCE = 2_000
-STEP_AT_MOST_US = 250_000
+SWEEP_BATCH_SIZE = 2_000
+MAX_TICK_STEP_US = 250_000
 """The longest step between two ticks that counts as time lived through."""
 
 
@@ -63,11 +63,11 @@
 
     def advance(self, passed_us: int) -> None:
         """Count the time since the last tick, as far as it was lived through."""
-        self.clock_us += max(0, min(passed_us, STEP_AT_MOST_US))
+        self.clock_us += max(0, min(passed_us, MAX_TICK_STEP_US))
 
     def is_sweep_due(self, now_us: int) -> bool:
         """Whether to look for expired claims now; a sweep that is due counts as done."""
-        if now_us - self.swept_us < SWEEP_US:
+        if now_us - self.swept_us < SWEEP_INTERVAL_US:
             return False
         self.swept_us = now_us
         return True
@@ -76,6 +76,6 @@
         """Take out the claims whose retention is over: the oldest, as many as one write takes."""
         expired: list[str] = []
         expired_us = self.clock_us - self.limits().retention_us
-        while self.kept and self.kept[0][0] < expired_us and len(expired) < SWEPT_AT_ONCE - 1:
+        while self.kept and self.kept[0][0] < expired_us and len(expired) < SWEEP_BATCH_SIZE - 1:
             expired.append(self.kept.popleft()[1])
         return expired
--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -6,16 +6,16 @@
 | CHOOSING | a spare is known | offers its place, goes on voting | OFFERING |
 | CHOOSING | no spare is known | compares with the others, goes on voting | REPLICATING |
 | OFFERING | `SuccessorReady` | votes no more, syncs the seal | SEALING |
-| OFFERING | no page asked for in `PATIENCE_US` | goes on without this spare | CHOOSING |
+| OFFERING | no page asked for in `SILENCE_TIMEOUT_US` | goes on without this spare | CHOOSING |
 | SEALING | the seal is synced | seals the hand-over, answers the last pages | SEALED |
 | SEALING | the disk refuses the seal | nothing was said yet, so it votes again | CHOOSING |
-| SEALED | `HandoverOutcome`: taken | an empty spare from now on | GONE |
+| SEALED | `HandoverOutcome`: taken | an empty spare from now on | DEPARTED |
 | SEALED | `HandoverOutcome`: never taken | votes again after an ordinary recovery | CHOOSING |
 | REPLICATING | a majority without it has all | votes no more, compares the rest | PAUSED |
 | REPLICATING | a spare is known, or it votes no more | | CHOOSING |
-| PAUSED | a majority without it has all | | GONE |
-| PAUSED | a replica falls silent for `PATIENCE_US` | votes again | REPLICATING |
-| any | `Bounds.drain_us` have passed | | GONE |
+| PAUSED | a majority without it has all | | DEPARTED |
+| PAUSED | a replica falls silent for `SILENCE_TIMEOUT_US` | votes again | REPLICATING |
+| any | `Bounds.drain_us` have passed | | DEPARTED |
 
 What stands in no row of its state is ignored.
 
@@ -45,9 +45,9 @@
 from .replica_records import CONTROLLER_KIND, SealRecord
 from .replication_check import ReplicationCheck
 
-RESEND_US = 100_000
-PATIENCE_US = 1_500_000
-RETRY_US = 2_000_000
+RESEND_INTERVAL_US = 100_000
+SILENCE_TIMEOUT_US = 1_500_000
+REJECTED_SPARE_RETRY_US = 2_000_000
 """A spare that gave up is offered the place again after this."""
 
 OFFERED_EVENT = 1210
@@ -63,7 +63,7 @@
     SEALED = "sealed"
     REPLICATING = "holding"
     PAUSED = "paused"
-    GONE = "gone"
+    DEPARTED = "gone"
 
 
 class DepartingReplica(Protocol):
@@ -125,7 +125,7 @@
         "progress_us",
         "sent_us",
         "queried_us",
-        "on_gone",
+        "on_departed",
     )
 
     def __init__(
@@ -147,32 +147,32 @@
         self.successor = ("", "")
         self.rejected_us: dict[str, int] = {}
         self.began_us = self.progress_us = self.sent_us = self.queried_us = 0
-        self.on_gone: Callable[[], None] | None = None
+        self.on_departed: Callable[[], None] | None = None
         node.register_handler(SuccessorReady, self.on_successor_ready)
         node.register_handler(HandoverOutcome, self.on_handover_outcome)
 
-    def begin(self, on_gone: Callable[[], None]) -> None:
-        """Depart; `on_gone` is called once, when the process may end."""
-        self.on_gone = on_gone
+    def begin(self, on_departed: Callable[[], None]) -> None:
+        """Depart; `on_departed` is called once, when the process may end."""
+        self.on_departed = on_departed
         self.began_us = self.node.now_us()
         self.state = DepartureState.CHOOSING
         self.node.ports.clock.call_in(self.node.bounds.drain_us, self.on_drain_timeout)
         self._choose(self.began_us)
 
     def _is_under_way(self) -> bool:
-        return self.state not in (DepartureState.STAYING, DepartureState.GONE)
+        return self.state not in (DepartureState.STAYING, DepartureState.DEPARTED)
 
     def on_drain_timeout(self) -> None:
         """Go, by a timer of its own: a tick after the bound would be late by up to a tick."""
         is_due = self.node.now_us() - self.began_us >= self.node.bounds.drain_us
         if self._is_under_way() and is_due:
-            self._go()
+            self._finish()
 
-    def _go(self) -> None:
-        self.state = DepartureState.GONE
-        on_gone, self.on_gone = self.on_gone, None
-        if on_gone is not None:
-            on_gone()
+    def _finish(self) -> None:
+        self.state = DepartureState.DEPARTED
+        on_departed, self.on_departed = self.on_departed, None
+        if on_departed is not None:
+            on_departed()
 
     def tick(self, now_us: int) -> None:
         """Choose again, give up who is silent, or send again what was not answered."""
@@ -180,12 +180,12 @@
             return
         if self.state is DepartureState.CHOOSING:
             return self._choose(now_us)
-        is_silent = now_us - self.progress_us >= PATIENCE_US
+        is_silent = now_us - self.progress_us >= SILENCE_TIMEOUT_US
         if self.state is DepartureState.OFFERING and is_silent:
             return self._reject_successor()
         if self.state in (DepartureState.REPLICATING, DepartureState.PAUSED):
             return self._check_replication(now_us)
-        if now_us - self.sent_us >= RESEND_US:
+        if now_us - self.sent_us >= RESEND_INTERVAL_US:
             self._resend(now_us)
 
     # choosing
@@ -195,9 +195,9 @@
         replica = self.replica
         is_sealed = replica.seal_record is not None
         if not is_sealed and not replica.is_voting and not replica.is_recovering:
-            return self._go()
+            return self._finish()
         if not replica.is_voting:
-            return self._go() if self._is_alone() else None
+            return self._finish() if self._is_alone() else None
         spares = self._spares()
         if spares:
             return self._offer(spares[0], now_us)
@@ -216,7 +216,9 @@
     def _was_rejected(self, name: str) -> bool:
         """A spare that gave up, or fell silent, may be well again later."""
         rejected_us = self.rejected_us.get(name)
-        return rejected_us is not None and self.node.now_us() - rejected_us < RETRY_US
+        return (
+            rejected_us is not None and self.node.now_us() - rejected_us < REJECTED_SPARE_RETRY_US
+        )
 
     def _is_alone(self) -> bool:
         """So many others left in order that no majority remains without this replica.
@@ -303,7 +305,7 @@
     def query_outcome(self, now_us: int) -> None:
         """A sealed replica that was started again asks whether its successor took its place."""
         seal = self.replica.seal_record
-        if seal is None or now_us - self.queried_us < RESEND_US:
+        if seal is None or now_us - self.queried_us < RESEND_INTERVAL_US:
             return
         self.queried_us = now_us
         self.node.send(seal.successor_address, HandoverQuery(handover_id=seal.handover_id))
@@ -315,7 +317,7 @@
             return
         if outcome.is_taken:
             self.replica.retire()
-            return self._go()
+            return self._finish()
         self.rejected_us[seal.successor_name] = self.node.now_us()
         # A start that already reads the others goes on as one without a disk.
         if not self.recovery.is_rebuilding:
@@ -332,14 +334,14 @@
 
     def _check_replication(self, now_us: int) -> None:
         if self._is_alone():
-            return self._go()
+            return self._finish()
         is_replicating = self.state is DepartureState.REPLICATING
         if is_replicating and (not self.replica.is_voting or self._spares()):
             self.state = DepartureState.CHOOSING
             return
         if self.replication.is_replicated():
             return self._end_round(now_us)
-        is_silent = now_us - self.progress_us >= PATIENCE_US
+        is_silent = now_us - self.progress_us >= SILENCE_TIMEOUT_US
         if self.state is DepartureState.PAUSED and is_silent:
             self.replica.resume()
             return self._begin_replication(now_us)
@@ -348,7 +350,7 @@
     def _end_round(self, now_us: int) -> None:
         """Pause before the last round: what is accepted while it runs would be missed."""
         if self.state is DepartureState.PAUSED:
-            return self._go()
+            return self._finish()
         self.state = DepartureState.PAUSED
         self.progress_us = now_us
         self.replica.pause()
--- a/packages/consensus/src/linkhaven/consensus/majority_monitor.py
+++ b/packages/consensus/src/linkhaven/consensus/majority_monitor.py
@@ -1,6 +1,6 @@
 """Whether this node can reach a majority of the replicas, judged by who answers its proposals."""
 
-CUT_OFF_SHARE = 3
+CUT_OFF_DIVISOR = 3
 """The part of its wait that a proposal has left once the node is known to be cut off."""
 
 
@@ -24,7 +24,7 @@
         """How long a proposal that begins now waits for a majority that says nothing."""
         if self.silent_us is None or not self.is_cut_off:
             return self.silent_us
-        return self.silent_us // CUT_OFF_SHARE
+        return self.silent_us // CUT_OFF_DIVISOR
 
     def on_answer(self, replica_id: str, majority: int) -> None:
         """Note an answer; late ones count, too: they show that a majority can be reached."""
--- a/packages/consensus/src/linkhaven/consensus/proposal.py
+++ b/packages/consensus/src/linkhaven/consensus/proposal.py
@@ -41,7 +41,7 @@
 
     PREPARE = "prepare"
     ACCEPT = "accept"
-    RESTING = "resting"
+    BACKING_OFF = "resting"
     """Preempted, and waits for a random time before its next attempt."""
 
 
@@ -84,7 +84,7 @@
         "has_sent_accept",
         "refusal",
         "answered",
-        "heard_us",
+        "last_majority_us",
         "silence_bound_us",
     )
 
@@ -95,7 +95,7 @@
         update: Update,
         on_result: OnResult,
         deadline_us: int,
-        heard_us: int,
+        last_majority_us: int,
         silence_bound_us: int | None,
     ) -> None:
         """Nothing was sent yet."""
@@ -104,7 +104,7 @@
         self.update = update
         self.on_result = on_result
         self.deadline_us = deadline_us
-        self.phase = Phase.RESTING
+        self.phase = Phase.BACKING_OFF
         self.ballot: Ballot = [0, ""]
         self.votes: set[Any] = set()
         """Who voted yes in this round; promises with the incarnation that gave them."""
@@ -131,7 +131,7 @@
         self.answered: set[str] = set()
         """Who answered in this round, be it that it was preempted."""
 
-        self.heard_us = heard_us
+        self.last_majority_us = last_majority_us
         """When a majority had last answered."""
 
         self.silence_bound_us = silence_bound_us
@@ -163,4 +163,4 @@
         """Whether no majority answered for as long as it may wait for one."""
         if self.silence_bound_us is None:
             return False
-        return now_us - self.heard_us >= self.silence_bound_us
+        return now_us - self.last_majority_us >= self.silence_bound_us
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -11,7 +11,7 @@
 | PREPARE | the update stops, and the value is chosen | ends: STOPPED | - |
 | PREPARE | a majority, and no value to write | ends: CHOSEN with None, or STOPPED | - |
 | ACCEPT | `Accepted` of a majority | sends `Chosen`, ends: CHOSEN or STOPPED | - |
-| PREPARE, ACCEPT | preempted | raises its counter, waits a random time | RESTING |
+| PREPARE, ACCEPT | preempted | raises its counter, waits a random time | BACKING_OFF |
 | any | the attempt's time is over | sends `Prepare` under a new ballot | PREPARE |
 | any | deadline, or silence | ends: UNKNOWN once accepts were sent, else REFUSED | - |
 
@@ -51,7 +51,7 @@
 """A preempted proposal rests up to this for each attempt it made, at random."""
 
 BACKOFF_ATTEMPTS_MAX = 6
-STEP_AT_MOST_US = 250_000
+MAX_TICK_STEP_US = 250_000
 """The longest step between two ticks in which the others may have answered unread."""
 
 NO_MAJORITY = "no_majority"
@@ -160,7 +160,7 @@
             update,
             on_result,
             deadline_us=now_us + deadline_us,
-            heard_us=now_us,
+            last_majority_us=now_us,
             silence_bound_us=None if is_patient else self.monitor.silence_bound_us(),
         )
         self._prepare(proposal, now_us)
@@ -284,7 +284,7 @@
     def _note_answer(self, proposal: Proposal, replica_id: str) -> None:
         proposal.answered.add(replica_id)
         if len(proposal.answered) >= self.majority:
-            proposal.heard_us = self.node.now_us()
+            proposal.last_majority_us = self.node.now_us()
 
     def _on_refusal(self, proposal: Proposal, message: Answer) -> None:
         proposal.refusal = message.reason or None
@@ -292,11 +292,11 @@
             return
         highest: Ballot = message.highest  # type: ignore[assignment]
         self.counter = max(self.counter, highest[0])
-        self._rest(proposal)
+        self._back_off(proposal)
 
-    def _rest(self, proposal: Proposal) -> None:
+    def _back_off(self, proposal: Proposal) -> None:
         """Wait at random, so that two proposers don't preempt each other for ever."""
-        proposal.phase = Phase.RESTING
+        proposal.phase = Phase.BACKING_OFF
         reach_us = BACKOFF_US * min(proposal.num_attempts, BACKOFF_ATTEMPTS_MAX)
         rest_us = self.node.ports.random.randrange(reach_us // 4, reach_us)
         proposal.attempt_until_us = self.node.now_us() + rest_us
@@ -325,10 +325,10 @@
 
         Time that this node slept through is no silence of others: their answers may wait unread.
         """
-        slept_us = max(0, now_us - self.ticked_us - STEP_AT_MOST_US)
+        slept_us = max(0, now_us - self.ticked_us - MAX_TICK_STEP_US)
         self.ticked_us = now_us
         for proposal in list(self.proposals.values()):
-            proposal.heard_us += slept_us
+            proposal.last_majority_us += slept_us
             if now_us >= proposal.deadline_us:
                 self._give_up(proposal)
             elif proposal.is_silent(now_us):
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -15,12 +15,12 @@
 | CATCHING_UP | one more replica is read | goes on, see `state_transfer.py` | CATCHING_UP |
 | CATCHING_UP | the last replica is read | syncs that its state is complete | VOTING |
 | CATCHING_UP | a replica started anew | what was read is void | COLLECTING |
-| CATCHING_UP | no progress for `STUCK_US` | another instance may have been first | COLLECTING |
+| CATCHING_UP | no progress (`NO_PROGRESS_TIMEOUT_US`) | starts over | COLLECTING |
 | CATCHING_UP | the disk refuses a write | what isn't synced counts for nothing | COLLECTING |
 | COLLECTING, CATCHING_UP | no progress, and it never voted | a spare again | IDLE |
 | IDLE | `begin_with_state`, at the end of a hand-over | announces its incarnation | RECORDING |
 | RECORDING | a majority recorded it | it has the whole state and reads nothing | VOTING |
-| RECORDING | no progress for `STUCK_US` | goes on as a restart with its disk | COLLECTING |
+| RECORDING | no progress (`NO_PROGRESS_TIMEOUT_US`) | recovers from its disk | COLLECTING |
 | VOTING | `begin`: a bootstrap may have forgotten a newer incarnation | queries | COLLECTING |
 | any | `reset`, once it is a spare | | IDLE |
 
@@ -48,21 +48,21 @@
 from .state_transfer import Directory, StateTransfer
 from .succession import Succession
 
-QUERY_US = 200_000
+QUERY_INTERVAL_US = 200_000
 """Unanswered messages are sent again after this."""
 
-FIRST_QUERY_US = 50_000
-FIRST_QUERIES_US = 1_500_000
-"""So long after its begin a replica asks each `FIRST_QUERY_US`, for a quick restart of all."""
+STARTUP_QUERY_INTERVAL_US = 50_000
+STARTUP_QUERY_PERIOD_US = 1_500_000
+"""Queries are sent more often for this long after the start, so that a full restart is quick."""
 
-STUCK_US = 1_000_000
+NO_PROGRESS_TIMEOUT_US = 1_000_000
 """Without progress for this long, it begins again from the first query."""
 
 WAITING_EVENT = 1203
 STORAGE_REFUSED_EVENT = 1205
 RESTORED_EVENT = 1206
 
-LOG_KEY = "rejoin"
+STORAGE_REFUSED_KEY = "rejoin"
 """What `STORAGE_REFUSED_EVENT` names in place of a register's key."""
 
 
@@ -165,7 +165,7 @@
         "is_core_lost",
         "has_met_no_voter",
         "wait_reason",
-        "queried_back",
+        "queried_back_start",
         "lease_wait_us",
     )
 
@@ -190,7 +190,7 @@
         self.is_bootstrap = self.is_disputed = self.is_core_lost = False
         self.has_met_no_voter = False
         self.wait_reason: str | None = None
-        self.queried_back: str | None = None
+        self.queried_back_start: str | None = None
         self.lease_wait_us = 0
         node.register_handler(ReplicaStateReport, self.on_replica_state_report)
 
@@ -270,9 +270,9 @@
             return
         report = self.reports.get(query.replica_id)
         is_known = report is not None and report.start == query.start
-        if is_known or self.queried_back == query.start:
+        if is_known or self.queried_back_start == query.start:
             return
-        self.queried_back = query.start
+        self.queried_back_start = query.start
         self._send_state_query(query.reply_to)
 
     def _send_state_query(self, address: str) -> None:
@@ -303,7 +303,7 @@
 
     def _weigh_reports(self, now_us: int) -> None:
         replica, reports = self.replica, list(self.reports.values())
-        accounted_for = {*self.reports, *self.instances.emptied()} - {replica.replica_id}
+        accounted_for = {*self.reports, *self.instances.replicas_now_spare()} - {replica.replica_id}
         has_waited = now_us - self.started_us >= self.node.bounds.alone_us
         basis = rebuild_basis(
             reports,
@@ -363,7 +363,7 @@
         is_recovering = self.replica.is_recovering
         self.state = RecoveryState.COLLECTING if is_recovering else RecoveryState.IDLE
         self.transfer.end()
-        self.node.ports.log(STORAGE_REFUSED_EVENT, key=LOG_KEY)
+        self.node.ports.log(STORAGE_REFUSED_EVENT, key=STORAGE_REFUSED_KEY)
 
     # what the transfer tells, and the first vote
 
@@ -403,11 +403,13 @@
 
     def tick(self, now_us: int) -> None:
         """Send again what was not answered, and begin again where nothing moves."""
-        is_first = now_us - self.started_us < FIRST_QUERIES_US
-        if now_us - self.queried_us < (FIRST_QUERY_US if is_first else QUERY_US):
+        is_first = now_us - self.started_us < STARTUP_QUERY_PERIOD_US
+        if now_us - self.queried_us < (
+            STARTUP_QUERY_INTERVAL_US if is_first else QUERY_INTERVAL_US
+        ):
             return
         self.queried_us = now_us
-        is_stuck = now_us - self.transfer.progress_us > STUCK_US
+        is_stuck = now_us - self.transfer.progress_us > NO_PROGRESS_TIMEOUT_US
         if is_stuck and (self.is_rebuilding or self._is_candidate()):
             return self._begin_again()
         if self.is_rebuilding:
--- a/packages/consensus/src/linkhaven/consensus/recovery_responder.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery_responder.py
@@ -105,7 +105,7 @@
             incarnation=replica.incarnation,
             known_incarnations=self._incarnations_known_with(query.replica_id),
             start=self.recovery.start,
-            recorded_name=self.instances.name_of(query.replica_id),
+            recorded_name=self.instances.recorded_name(query.replica_id),
             is_taken=is_taken,
         )
         self.node.send(query.reply_to, report)
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -21,7 +21,7 @@
 from linkhaven.runtime import Node
 
 from .acceptor import Acceptor
-from .claims import CLAIM_PREFIX, STEP_AT_MOST_US
+from .claims import CLAIM_PREFIX, MAX_TICK_STEP_US
 from .departure import Departure
 from .handover_messages import HandoverSeal
 from .paxos_messages import (
@@ -291,7 +291,7 @@
         """The first start of the whole system: nothing was ever chosen, so it votes at once."""
         self.life_cycle.on(ReplicaEvent.BOOTSTRAP)
         self.replica_id, self.incarnation = replica_id, 1
-        self.instances.expect(contacts)
+        self.instances.record_contacts(contacts)
 
         def on_synced(is_synced: bool) -> None:
             if is_synced:
@@ -304,7 +304,7 @@
         )
         self._write(record, on_synced)
 
-    def take(self, replica_id: str, is_core_lost: bool = False) -> None:
+    def recover_as(self, replica_id: str, is_core_lost: bool = False) -> None:
         """A spare tries to become this replica: what it needs to vote comes by recovery."""
         self.life_cycle.on(ReplicaEvent.TAKE)
         self.replica_id = replica_id
@@ -344,12 +344,12 @@
         """Read a departing replica, and take no other replica meanwhile."""
         self.life_cycle.on(ReplicaEvent.LEARN)
 
-    def take_after_loss(self, replica_id: str) -> None:
+    def recover_after_group_loss(self, replica_id: str) -> None:
         """The whole core lost its disks: this replica is taken without a vote.
 
         It is announced as one that never voted.
         """
-        self.take(replica_id, is_core_lost=True)
+        self.recover_as(replica_id, is_core_lost=True)
         self.directory.announce_replica(replica_id, 0)
 
     def take_over(
@@ -468,8 +468,8 @@
         passed_us = now_us - self.ticked_us
         self.ticked_us = now_us
         self.registers.claims.advance(passed_us)
-        if passed_us > STEP_AT_MOST_US and self.votes_from_us:
-            self.votes_from_us += passed_us - STEP_AT_MOST_US
+        if passed_us > MAX_TICK_STEP_US and self.votes_from_us:
+            self.votes_from_us += passed_us - MAX_TICK_STEP_US
         self.departure.tick(now_us)
         self.succession.tick(now_us)
         if self.is_voting:
--- a/packages/consensus/src/linkhaven/consensus/replica_assignment.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_assignment.py
@@ -16,11 +16,11 @@
 from .replica_records import CONTROLLER_KIND, ROUTER_KIND
 from .succession import Succession
 
-QUERY_US = 200_000
-FRESH_US = 700_000
+QUERY_INTERVAL_US = 200_000
+REPORT_MAX_AGE_US = 700_000
 """An answer older than this no longer counts."""
 
-LOST_VACANCIES, NAMED_VACANCIES = 4, 2
+GROUP_LOST_PERIODS, GROUP_LOST_PERIODS_WITH_PEER = 4, 2
 """For how many `vacant_us` the whole group must look lost before it begins anew; the lower bound
 holds where another spare has taken a replica without a vote, and so has waited already."""
 
@@ -49,10 +49,10 @@
     def is_empty(self) -> bool:
         """Whether its disk counts as lost."""
 
-    def take(self, replica_id: str) -> None:
+    def recover_as(self, replica_id: str) -> None:
         """Recover as this replica."""
 
-    def take_after_loss(self, replica_id: str) -> None:
+    def recover_after_group_loss(self, replica_id: str) -> None:
         """Begin as this replica where the whole group lost its disks."""
 
 
@@ -84,12 +84,12 @@
 
     def tick(self, now_us: int) -> None:
         """Ask all replicas again, and see whether the whole group is lost."""
-        if now_us - self.queried_us < QUERY_US:
+        if now_us - self.queried_us < QUERY_INTERVAL_US:
             return
         self.queried_us = now_us
         for address, _ in self.replica.directory.replicas().values():
             self.node.send(address, InstancesQuery())
-        self._begin_anew_if_lost(now_us)
+        self._bootstrap_if_group_lost(now_us)
 
     def on_instances_report(self, report: InstancesReport) -> None:
         """Choose once enough replicas answered; a successor to be takes no other replica."""
@@ -103,14 +103,14 @@
         now_us, replica = self.node.now_us(), self.replica
         fresh = [
             instances
-            for instances, heard_us in self.reports.values()
-            if now_us - heard_us < FRESH_US
+            for instances, received_us in self.reports.values()
+            if now_us - received_us < REPORT_MAX_AGE_US
         ]
         if len(fresh) < len(replica.replica_ids) - replica.majority + 1:
             return
         for replica_id in replica.replica_ids:
             if all(self._is_own(instances[replica_id]) for instances in fresh):
-                return self._take(replica_id)
+                return self._recover_as(replica_id)
         vacant = [
             replica_id
             for replica_id in replica.replica_ids
@@ -123,17 +123,17 @@
         ]
         rank = sorted([self.node.name, *spares]).index(self.node.name)
         if rank < len(vacant):
-            self._take(vacant[rank])
+            self._recover_as(vacant[rank])
 
     def _is_own(self, instance: InstanceStatus) -> bool:
         is_here = instance.address in (self.node.address, self.contact)
         return is_here or instance.name == self.node.name
 
-    def _take(self, replica_id: str) -> None:
+    def _recover_as(self, replica_id: str) -> None:
         self.reports = {}
-        self.replica.take(replica_id)
+        self.replica.recover_as(replica_id)
 
-    def _begin_anew_if_lost(self, now_us: int) -> None:
+    def _bootstrap_if_group_lost(self, now_us: int) -> None:
         """Every disk of the group is lost: the spares take the replicas in order of their names.
 
         Then they begin as a first start does, and a router's configuration is taken over.
@@ -145,8 +145,8 @@
         if self.lost_since_us is None:
             self.lost_since_us = now_us
         has_other_begun = any(member.replica_id for member in directory.peers.values())
-        vacancies = NAMED_VACANCIES if has_other_begun else LOST_VACANCIES
-        if now_us - self.lost_since_us < self.node.bounds.vacant_us * vacancies:
+        num_periods = GROUP_LOST_PERIODS_WITH_PEER if has_other_begun else GROUP_LOST_PERIODS
+        if now_us - self.lost_since_us < self.node.bounds.vacant_us * num_periods:
             return
         self.lost_since_us = None
         names = sorted(
@@ -154,7 +154,7 @@
         )
         rank = names.index(self.node.name)
         if rank < len(self.replica.replica_ids):
-            self.replica.take_after_loss(self.replica.replica_ids[rank])
+            self.replica.recover_after_group_loss(self.replica.replica_ids[rank])
 
     def _is_group_lost(self) -> bool:
         """As many spares as replicas, and a router, and nobody knows of one that ever voted."""
--- a/packages/consensus/src/linkhaven/consensus/replica_instances.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_instances.py
@@ -20,8 +20,8 @@
 from .recovery_messages import EpochAnnouncement
 from .replica_records import ReplicaInstance, ReplicaRecord
 
-CHECK_US = 500_000
-UNKNOWN = ReplicaInstance(0, "", "", "")
+CHECK_INTERVAL_US = 500_000
+UNKNOWN_INSTANCE = ReplicaInstance(0, "", "", "")
 
 
 class InstanceDirectory(Protocol):
@@ -48,7 +48,7 @@
 class ReplicaInstances:
     """Owns the record of each replica's last instance, and since when that one is gone."""
 
-    __slots__ = ("node", "replica", "records", "gone_since_us", "checked_us")
+    __slots__ = ("node", "replica", "records", "absent_since_us", "checked_us")
 
     def __init__(
         self, node: Node, replica: RecordingReplica, records: dict[str, ReplicaInstance]
@@ -57,7 +57,7 @@
         self.node = node
         self.replica = replica
         self.records = records
-        self.gone_since_us: dict[str, int] = {}
+        self.absent_since_us: dict[str, int] = {}
         self.checked_us = 0
         node.register_handler(InstancesQuery, self.on_instances_query)
 
@@ -65,7 +65,7 @@
         """Where the recorded instances were last."""
         return [instance.address for instance in self.records.values()]
 
-    def emptied(self) -> set[str]:
+    def replicas_now_spare(self) -> set[str]:
         """Replicas whose last node runs as a spare: its disk is lost, no more comes from it."""
         return {
             replica_id
@@ -82,11 +82,11 @@
             and not member.replica_id
         )
 
-    def name_of(self, replica_id: str) -> str:
+    def recorded_name(self, replica_id: str) -> str:
         """The node that ran last as a replica; "" where none is known by name."""
-        return self.records.get(replica_id, UNKNOWN).name
+        return self.records.get(replica_id, UNKNOWN_INSTANCE).name
 
-    def expect(self, contacts: Iterable[str]) -> None:
+    def record_contacts(self, contacts: Iterable[str]) -> None:
         """Record a first start, in which the contacts become the first replicas in their order."""
         for replica_id, contact in zip(self.replica.replica_ids, contacts, strict=False):
             if replica_id != self.replica.replica_id:
@@ -101,7 +101,7 @@
         self.records[replica_id] = ReplicaInstance(
             incarnation, announcement.start, announcement.sender, announcement.reply_to
         )
-        self.gone_since_us.pop(replica_id, None)
+        self.absent_since_us.pop(replica_id, None)
         return True
 
     def _may_replace(self, known: ReplicaInstance, announcement: EpochAnnouncement) -> bool:
@@ -114,11 +114,11 @@
 
     def tick(self, now_us: int) -> None:
         """Look who is gone, so that its absence is counted from now on, and who is new."""
-        if now_us - self.checked_us < CHECK_US:
+        if now_us - self.checked_us < CHECK_INTERVAL_US:
             return
         self.checked_us = now_us
         for replica_id in self.records:
-            self._note_vacancy(replica_id, now_us)
+            self._update_vacancy(replica_id, now_us)
         if self._learn_from_membership():
             record = ReplicaRecord(instances=self.records)
             self.node.ports.storage.write(record.as_items(), lambda is_kept: None)
@@ -127,7 +127,7 @@
         """Take in what members say of themselves; whether anything was new."""
         is_new = False
         for replica_id, member in self.replica.directory.replica_members().items():
-            known = self.records.get(replica_id, UNKNOWN)
+            known = self.records.get(replica_id, UNKNOWN_INSTANCE)
             if replica_id == self.replica.replica_id or (
                 member.replica_incarnation < known.incarnation
             ):
@@ -141,7 +141,7 @@
                 is_new = True
         return is_new
 
-    def _note_vacancy(self, replica_id: str, now_us: int) -> bool:
+    def _update_vacancy(self, replica_id: str, now_us: int) -> bool:
         """Note since when nobody runs as this replica; whether it is vacant.
 
         It is where nobody ever ran as it, or who did left or is gone for `Bounds.vacant_us`.
@@ -154,18 +154,18 @@
             if member.has_left:
                 return True
             if member.is_up:
-                self.gone_since_us.pop(replica_id, None)
+                self.absent_since_us.pop(replica_id, None)
                 return False
-        gone_us = now_us - self.gone_since_us.setdefault(replica_id, now_us)
-        return gone_us >= self.node.bounds.vacant_us
+        absent_us = now_us - self.absent_since_us.setdefault(replica_id, now_us)
+        return absent_us >= self.node.bounds.vacant_us
 
     def is_taken(self, replica_id: str, name: str, address: str) -> bool:
         """Whether another node than this one runs as the replica."""
         if replica_id == self.replica.replica_id:
             return True
-        known = self.records.get(replica_id, UNKNOWN)
+        known = self.records.get(replica_id, UNKNOWN_INSTANCE)
         is_other = known.name != name and known.address != address
-        return is_other and not self._note_vacancy(replica_id, self.node.now_us())
+        return is_other and not self._update_vacancy(replica_id, self.node.now_us())
 
     def on_instances_query(self, query: InstancesQuery) -> None:
         """Tell a spare who runs as what; only a voting replica knows."""
@@ -177,7 +177,7 @@
         instances = {own_id: InstanceStatus(self.node.name, self.node.address, False)}
         for replica_id in self.replica.replica_ids:
             if replica_id != own_id:
-                known = self.records.get(replica_id, UNKNOWN)
-                is_vacant = self._note_vacancy(replica_id, now_us)
+                known = self.records.get(replica_id, UNKNOWN_INSTANCE)
+                is_vacant = self._update_vacancy(replica_id, now_us)
                 instances[replica_id] = InstanceStatus(known.name, known.address, is_vacant)
         self.node.send(query.reply_to, InstancesReport(replica_id=own_id, instances=instances))
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -28,8 +28,8 @@
 from .replication_messages import BallotPage, LateAccepts, MissingValues
 
 PAGE_KEYS = 500
-RESEND_US = 100_000
-NEVER = -1
+RESEND_INTERVAL_US = 100_000
+NO_ROUND = -1
 
 
 class ComparedReplica(Protocol):
@@ -77,7 +77,7 @@
         self.round_number = 0
         self.keys: list[str] = []
         self.cursors: dict[str, str | None] = {}
-        self.began_at_change = NEVER
+        self.began_at_change = NO_ROUND
         self.sent_us = 0
         node.register_handler(BallotPage, self.on_ballot_page)
         node.register_handler(MissingValues, self.on_missing_values)
@@ -86,7 +86,7 @@
     def begin_round(self, is_final: bool) -> None:
         """The final round looks only at what changed since the round before it began."""
         replica = self.replica
-        since = self.began_at_change if is_final else NEVER
+        since = self.began_at_change if is_final else NO_ROUND
         self.began_at_change = replica.registers.change_count
         self.round_number += 1
         self.keys = sorted(
@@ -100,12 +100,12 @@
 
     def is_replicated(self) -> bool:
         """A majority of all replicas, this one not among them, has all of this round."""
-        num_ended = sum(cursor is None for cursor in self.cursors.values())
-        return num_ended >= self.replica.majority
+        num_complete = sum(cursor is None for cursor in self.cursors.values())
+        return num_complete >= self.replica.majority
 
     def tick(self, now_us: int) -> None:
         """Send the open pages again: messages and their answers may be lost."""
-        if now_us - self.sent_us >= RESEND_US:
+        if now_us - self.sent_us >= RESEND_INTERVAL_US:
             self._send_all()
 
     def _send_all(self) -> None:
@@ -133,14 +133,14 @@
         )
         self.node.send(found[0], page)
 
-    def _takes_from(self, message: BallotPage | LateAccepts) -> bool:
+    def _accepts_from(self, message: BallotPage | LateAccepts) -> bool:
         """A replica that doesn't vote counts for nothing; an older instance is fenced."""
         newest = self.replica.known_incarnations.get(message.replica_id, 0)
         return self.replica.is_voting and message.incarnation >= newest
 
     def on_ballot_page(self, page: BallotPage) -> None:
         """Say which values this replica misses."""
-        if not self._takes_from(page):
+        if not self._accepts_from(page):
             return
         missing: list[str] = []
         preempted: list[str] = []
@@ -191,7 +191,7 @@
 
         The next page asks again what is missing, so a write that fails needs no answer.
         """
-        if not self._takes_from(accepts):
+        if not self._accepts_from(accepts):
             return
         registers = {
             key: (ballot, ballot, value)
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -36,8 +36,8 @@
 from .recovery_messages import PageRequest, RegisterCopy, StatePage
 from .replica_records import HandoverRecord, ReplicaRecord
 
-RESEND_US = 100_000
-PATIENCE_US = 2_000_000
+RESEND_INTERVAL_US = 100_000
+SILENCE_TIMEOUT_US = 2_000_000
 
 READING_EVENT = 1211
 
@@ -323,9 +323,9 @@
         """Send again what was not answered; give up a departing replica that fell silent."""
         if self.state in (SuccessionState.IDLE, SuccessionState.SYNCING):
             return
-        if now_us - self.progress_us >= PATIENCE_US:
+        if now_us - self.progress_us >= SILENCE_TIMEOUT_US:
             return self._give_up()
-        if now_us - self.sent_us < RESEND_US:
+        if now_us - self.sent_us < RESEND_INTERVAL_US:
             return
         if self.state is SuccessionState.PROBING:
             return self._send_probes()
--- a/tests/test_control_replacement.py
+++ b/tests/test_control_replacement.py
@@ -73,7 +73,7 @@
 def leave_without_successor(monkeypatch):
     """A leaving member looks for no successor, and compares nothing with the others."""
     monkeypatch.setattr(Departure, "_spares", lambda self: [])
-    monkeypatch.setattr(Departure, "_begin_replication", lambda self, now_us: self._go())
+    monkeypatch.setattr(Departure, "_begin_replication", lambda self, now_us: self._finish())
 
 
 @pytest.mark.parametrize("sabotage", [leave_at_once, leave_without_successor])
