--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -6,7 +6,7 @@
 
 | state | `Prepare`, `Accept` | `Chosen`, `StateQuery`, `PageRequest` |
 | --- | --- | --- |
-| VOTING | votes, unless `refusal_of` says why not | served |
+| VOTING | votes, unless `refusal_reason` says why not | served |
 | any other | refused, with the state as the reason | served, by a replica (not a spare) |
 
 Invariant: a replica votes under one incarnation at a time, and on disk before it votes under it
@@ -21,7 +21,7 @@
 from linkhaven.runtime import Node
 
 from .acceptor import Acceptor
-from .claims import CLAIM_PREFIX, STEP_AT_MOST_US
+from .claims import CLAIM_PREFIX, MAX_TICK_STEP_US
 from .departure import Departure
 from .handover_messages import HandoverSeal
 from .paxos_messages import (
@@ -81,7 +81,7 @@
         "life_cycle",
         "is_failing",
         "votes_from_us",
-        "on_votes",
+        "on_voting_started",
         "on_retired",
         "recovery",
         "recovery_responder",
@@ -104,16 +104,18 @@
         directory: Any,
         registers: RegisterTable,
         on_change: Callable[[str], None] = _ignore,
-        on_votes: Callable[[], None] = _ignore,
+        on_voting_started: Callable[[], None] = _ignore,
         on_retired: Callable[[], None] = _ignore,
         contact: str | None = None,
-        on_outbid: Callable[[str], None] = _ignore,
+        on_preempted: Callable[[str], None] = _ignore,
     ) -> None:
-        """Read the disk, build the parts; `replica_id` None: the disk says it, or it is learned.
+        """Load the stored records and create the parts of the replica.
 
+        `replica_id` is None where the assignment is dynamic: it comes from disk or from the group.
         `directory` is the membership. `on_change` is called with the key of a register that was
-        voted on or chosen, `on_votes` once the replica votes, `on_retired` once it is a spare that
-        keeps nothing, `on_outbid` with a key that only a higher ballot can replicate.
+        voted on or chosen; `on_voting_started` each time the replica starts to vote; `on_retired`
+        once this node is a spare and its records are deleted; `on_preempted` with a key whose value
+        can be replicated only under a higher ballot.
         """
         self.node = node
         self.is_learned = replica_id is None
@@ -121,7 +123,7 @@
         self.majority = len(replica_ids) // 2 + 1
         self.directory = directory
         self.registers = registers
-        self.on_votes = on_votes
+        self.on_voting_started = on_voting_started
         self.on_retired = on_retired
         stored = ReplicaRecord.load(node.ports.storage.load())
         self.replica_id: str = (stored.replica_id or "") if replica_id is None else replica_id
@@ -137,7 +139,7 @@
         self.succession = Succession(node, self, stored.handover or None)
         self.assignment = ReplicaAssignment(node, self, self.succession, contact or node.address)
         self.recovery = Recovery(node, self, self.instances, self.succession)
-        self.replication = ReplicationCheck(node, self, on_outbid)
+        self.replication = ReplicationCheck(node, self, on_preempted)
         self.departure = Departure(node, self, self.instances, self.recovery, self.replication)
         self.recovery_responder = RecoveryResponder(
             node, self, self.instances, self.recovery, self.departure
@@ -220,15 +222,15 @@
 
     # votes
 
-    def refusal_of(self, request: Request) -> str | None:
+    def refusal_reason(self, request: Request) -> str | None:
         """Return why it may not vote on a request, None where it may."""
         if not self.is_voting:
-            return self.state.spelling
+            return self.state.wire_name
         if request.replica_id != self.replica_id:
             return OTHER_REPLICA
         if request.incarnation > self.incarnation:
             self._on_newer_incarnation(request.incarnation)
-            return self.state.spelling
+            return self.state.wire_name
         if request.incarnation < self.incarnation or self._knows_newer(request):
             return OLD_INCARNATION
         if request.key.startswith(LEASE_PREFIX) and self.node.now_us() < self.votes_from_us:
@@ -269,9 +271,9 @@
         claims = len(self.registers.claims)
         self.node.ports.log(CLAIMS_OPEN_EVENT, seat=self.replica_id, claims=claims)
 
-    def begin_votes(self, is_first: bool = False, wait_us: int | None = None) -> None:
+    def begin_voting(self, is_first: bool = False, wait_us: int | None = None) -> None:
         """Vote from now on; on leases after `wait_us`, a lease's length unless that is given."""
-        self.life_cycle.on(ReplicaEvent.BEGIN_VOTES)
+        self.life_cycle.on(ReplicaEvent.BEGIN_VOTING)
         self.is_failing = False
         self.seal_record = None
         wait_us = self.node.bounds.lease_us if wait_us is None else wait_us
@@ -280,8 +282,8 @@
             self.directory.announce_replica(self.replica_id, self.incarnation)
         self.directory.learn_incarnations(self.all_incarnations())
         self.node.ports.log(VOTES_EVENT, seat=self.replica_id, incarnation=self.incarnation)
-        self.on_votes()
-        self.succession.on_votes_begun()
+        self.on_voting_started()
+        self.succession.on_replica_voting()
 
     # how it becomes a replica, and ends to be one
 
@@ -289,11 +291,11 @@
         """The first start of the whole system: nothing was ever chosen, so it votes at once."""
         self.life_cycle.on(ReplicaEvent.BOOTSTRAP)
         self.replica_id, self.incarnation = replica_id, 1
-        self.instances.expect(contacts)
+        self.instances.record_contacts(contacts)
 
         def on_synced(is_synced: bool) -> None:
             if is_synced:
-                return self.begin_votes(is_first=True)
+                return self.begin_voting(is_first=True)
             self.life_cycle.on(ReplicaEvent.BOOTSTRAP_REFUSED)
             self.replica_id, self.incarnation = "", 0
 
@@ -302,7 +304,7 @@
         )
         self._write(record, on_synced)
 
-    def take(self, replica_id: str, is_core_lost: bool = False) -> None:
+    def recover_as(self, replica_id: str, is_core_lost: bool = False) -> None:
         """A spare tries to become this replica: what it needs to vote comes by recovery."""
         self.life_cycle.on(ReplicaEvent.TAKE)
         self.replica_id = replica_id
@@ -342,12 +344,12 @@
         """Read a departing replica, and take no other replica meanwhile."""
         self.life_cycle.on(ReplicaEvent.LEARN)
 
-    def take_after_loss(self, replica_id: str) -> None:
+    def recover_after_group_loss(self, replica_id: str) -> None:
         """The whole core lost its disks: this replica is taken without a vote.
 
         It is announced as one that never voted.
         """
-        self.take(replica_id, is_core_lost=True)
+        self.recover_as(replica_id, is_core_lost=True)
         self.directory.announce_replica(replica_id, 0)
 
     def take_over(
@@ -466,8 +468,8 @@
         passed_us = now_us - self.ticked_us
         self.ticked_us = now_us
         self.registers.claims.advance(passed_us)
-        if passed_us > STEP_AT_MOST_US and self.votes_from_us:
-            self.votes_from_us += passed_us - STEP_AT_MOST_US
+        if passed_us > MAX_TICK_STEP_US and self.votes_from_us:
+            self.votes_from_us += passed_us - MAX_TICK_STEP_US
         self.departure.tick(now_us)
         self.succession.tick(now_us)
         if self.is_voting:
--- a/packages/consensus/src/linkhaven/consensus/replica_state.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_state.py
@@ -25,7 +25,7 @@
 
 
 class ReplicaState(StrEnum):
-    """The values stand in refusals, in `GET /v1/core` and in `GET /v1/standing`, by `spelling`.
+    """The values stand in refusals, in `GET /v1/core` and in `GET /v1/standing`, by `wire_name`.
 
     Their spelling is of earlier versions: what is written as "fenced" there is SUPERSEDED.
     """
@@ -41,7 +41,7 @@
     SUPERSEDED = "fenced"
 
     @property
-    def spelling(self) -> str:
+    def wire_name(self) -> str:
         """The word for it on the wire, where a pause is spelled as a seal."""
         return ReplicaState.SEALED.value if self is ReplicaState.PAUSED else self.value
 
@@ -77,7 +77,7 @@
     TOO_FEW_REPORTED = auto()
     """So few others could be heard that an operator must decide."""
 
-    BEGIN_VOTES = auto()
+    BEGIN_VOTING = auto()
     """All that a vote rests on is synced: a first start, a recovery or a hand-over is complete."""
 
     LEARN = auto()
@@ -132,7 +132,7 @@
     ReplicaEvent.RECOVER: _row(*IN_RECOVERY, ReplicaState.VOTING, to=ReplicaState.RECOVERING),
     ReplicaEvent.TOO_FEW_REPORTED: _row(ReplicaState.RECOVERING, to=ReplicaState.WAITING),
     # Not from SEALED or PAUSED: a seal is opened by its successor's word only.
-    ReplicaEvent.BEGIN_VOTES: _row(
+    ReplicaEvent.BEGIN_VOTING: _row(
         *IN_RECOVERY,
         ReplicaState.BOOTSTRAPPING,
         to=ReplicaState.VOTING,
@@ -180,7 +180,7 @@
 
     @property
     def may_vote(self) -> bool:
-        """Whether votes are given at all; what may be voted on is `Replica.refusal_of`."""
+        """Whether votes are given at all; what may be voted on is `Replica.refusal_reason`."""
         return self.state is ReplicaState.VOTING
 
     @property
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -36,8 +36,8 @@
 from .recovery_messages import PageRequest, RegisterCopy, StatePage
 from .replica_records import HandoverRecord, ReplicaRecord
 
-RESEND_US = 100_000
-PATIENCE_US = 2_000_000
+RESEND_INTERVAL_US = 100_000
+SILENCE_TIMEOUT_US = 2_000_000
 
 READING_EVENT = 1211
 
@@ -306,7 +306,7 @@
         outcome = HandoverOutcome(handover_id=handover.handover_id, is_taken=handover.is_taken)
         self.node.send(address, outcome)
 
-    def on_votes_begun(self) -> None:
+    def on_replica_voting(self) -> None:
         """The new instance votes: the departing one may go."""
         handover = self.last_handover
         if handover is not None and handover.is_taken and self.seal is not None:
@@ -323,9 +323,9 @@
         """Send again what was not answered; give up a departing replica that fell silent."""
         if self.state in (SuccessionState.IDLE, SuccessionState.SYNCING):
             return
-        if now_us - self.progress_us >= PATIENCE_US:
+        if now_us - self.progress_us >= SILENCE_TIMEOUT_US:
             return self._give_up()
-        if now_us - self.sent_us < RESEND_US:
+        if now_us - self.sent_us < RESEND_INTERVAL_US:
             return
         if self.state is SuccessionState.PROBING:
             return self._send_probes()
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -174,10 +174,10 @@
             self.membership,
             self.registers,
             on_change=self.on_slot_changed,
-            on_votes=self.on_voting_started,
+            on_voting_started=self.on_voting_started,
             on_retired=self.on_replica_retired,
             contact=contact,
-            on_outbid=self.on_key_outbid,
+            on_preempted=self.on_key_outbid,
         )
         self.claim_admission = ClaimAdmission(self, self.replica, self.membership, self.snapshot)
 
