--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -125,13 +125,13 @@
         bounds: Bounds | None = None,
         contacts: Sequence[str] = (),
         contact: str | None = None,
-        desk_of: Callable[[Node], Any] = RunnerDesk,
+        make_runner_client: Callable[[Node], Any] = RunnerDesk,
     ) -> None:
         """Build the parts of the node `name`, reached at `address`.
 
         `replica_id`: its replica; None where the disk says it, a first start's `contacts`
         say it, or it is learned from a running core. `contact`: its address among `contacts`.
-        `platform`: where the platform's list of runners is. `desk_of`: makes the client that calls
+        `platform`: where the platform's list of runners is. `make_runner_client`: makes the client that calls
         platform and runners.
         """
         super().__init__(name, address, ports, bounds)
@@ -140,7 +140,7 @@
         self.outbid_keys: set[str] = set()
         self._build_register(zone, seeds, replica_id, contact or address)
         self._build_configuration()
-        self._build_singleton_roles(platform, desk_of)
+        self._build_singleton_roles(platform, make_runner_client)
         self._build_reporting()
         self._subscribe()
         self._route()
--- a/packages/controller/src/linkhaven/controller/role_balancer.py
+++ b/packages/controller/src/linkhaven/controller/role_balancer.py
@@ -213,10 +213,14 @@
         if roles.unreported or any(roles.arriving.values()):
             return
         pool.observed = roles.counts()
-        if not settings.is_balancing_enabled or not roles.sound[DECODE] or roles.members() == 1:
+        if (
+            not settings.is_balancing_enabled
+            or not roles.sound[DECODE]
+            or roles.healthy_count() == 1
+        ):
             return
-        all_members = sum(other.now.members() for other in self.pools.values())
-        demand = self.demand.of_share(roles.members() / all_members, now_us)
+        all_members = sum(other.now.healthy_count() for other in self.pools.values())
+        demand = self.demand.of_share(roles.healthy_count() / all_members, now_us)
         wanted = pool.wanted_prefill(*demand, settings, now_us)
         missing = wanted - len(roles.sound[PREFILL])
         if missing:
@@ -224,8 +228,8 @@
 
     def _plan_changes(self, pool: RunnerPool, role: str, wanted: int, now_us: int) -> None:
         """Begin some of the changes that are wanted."""
-        count = changes_at_once(wanted, pool.now.members())
-        members = pool.now.members() - count + 1
+        count = changes_at_once(wanted, pool.now.healthy_count())
+        members = pool.now.healthy_count() - count + 1
         for runner in least_busy(pool.now, role, count):
             change = RoleChange(runner, role, now_us, NOTICE_US, members)
             if still_stands(change, runner, self.pools.get(change.pool), self._is_balanced()):
@@ -235,7 +239,7 @@
         """Begin a planned change of this runner, whatever the ratio search says."""
         self._survey(now_us)
         pool = self.pools[runner.pool]
-        self.orders.begin(RoleChange(runner, role, now_us, NOTICE_US, pool.now.members()))
+        self.orders.begin(RoleChange(runner, role, now_us, NOTICE_US, pool.now.healthy_count()))
 
     # one change
 
--- a/packages/controller/src/linkhaven/controller/role_decisions.py
+++ b/packages/controller/src/linkhaven/controller/role_decisions.py
@@ -79,7 +79,7 @@
         return False
     if change.fills_vacancy() and change.role == DECODE:
         return True
-    if change.members is not None and pool.now.members() < change.members:
+    if change.members is not None and pool.now.healthy_count() < change.members:
         return False
     return not pool.needs(runner.phase, is_balanced) or pool.now.may_spare(runner)
 
--- a/packages/controller/src/linkhaven/controller/role_pools.py
+++ b/packages/controller/src/linkhaven/controller/role_pools.py
@@ -62,7 +62,7 @@
         else:
             self.sound[role].append(runner)
 
-    def members(self) -> int:
+    def healthy_count(self) -> int:
         """How many sound runners there are."""
         return sum(len(runners) for runners in self.sound.values())
 
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -162,4 +162,4 @@
     core, runner_discovery = plain_core()
     sides = PoolRoles()
     sides.add(runner_discovery.runners["i-1"], runner_discovery.health, None)
-    assert sides.members() == 0 and not sides.unreported
+    assert sides.healthy_count() == 0 and not sides.unreported
