--- a/packages/credit/src/linkhaven/credit/quota_slices.py
+++ b/packages/credit/src/linkhaven/credit/quota_slices.py
@@ -27,23 +27,23 @@
 
     arrived_us: int
     quota_slice: Any
-    """The `Slice` that its token came from, None before and where it has none."""
+    """The `QuotaSlice` that its token came from, None before and where it has none."""
 
 
-class Slice:
-    """Tokens of one tenant that this router may spend until `ends_us`, by its own clock."""
+class QuotaSlice:
+    """Tokens of one tenant that this router may spend until `expires_us`, by its own clock."""
 
-    __slots__ = ("count", "spent", "ends_us")
+    __slots__ = ("count", "spent", "expires_us")
 
-    def __init__(self, count: int, ends_us: int) -> None:
+    def __init__(self, count: int, expires_us: int) -> None:
         """None is spent yet."""
         self.count = count
         self.spent = 0
-        self.ends_us = ends_us
+        self.expires_us = expires_us
 
     def may_spend(self, now_us: int) -> bool:
         """Whether a token is left, and the slice has not ended."""
-        return self.spent < self.count and now_us < self.ends_us
+        return self.spent < self.count and now_us < self.expires_us
 
 
 class RecentRate:
@@ -98,7 +98,7 @@
     def __init__(self, name: str, now_us: int) -> None:
         """Nothing is held and nothing waits."""
         self.name = name
-        self.slices: deque[Slice] = deque()
+        self.slices: deque[QuotaSlice] = deque()
         self.waiting: OrderedDict[str, MeteredRequest] = OrderedDict()
         self.rate = RecentRate(now_us)
         self.asked_number: int | None = None
@@ -109,27 +109,27 @@
         self.paused_until_us = 0
         self.is_serving = False
 
-    def live_slice(self, now_us: int) -> Slice | None:
+    def live_slice(self, now_us: int) -> QuotaSlice | None:
         """The slice that ends first of those that may be spent now; ended ones are dropped."""
         while self.slices and not self.slices[0].may_spend(now_us):
             self.slices.popleft()
         return self.slices[0] if self.slices else None
 
-    def add_slice(self, count: int, ends_us: int) -> None:
+    def add_slice(self, count: int, expires_us: int) -> None:
         """Take a granted slice; answers may come in another order than their ends."""
-        self.slices.append(Slice(count, ends_us))
-        if len(self.slices) > 1 and self.slices[-2].ends_us > ends_us:
-            self.slices = deque(sorted(self.slices, key=lambda each: each.ends_us))
+        self.slices.append(QuotaSlice(count, expires_us))
+        if len(self.slices) > 1 and self.slices[-2].expires_us > expires_us:
+            self.slices = deque(sorted(self.slices, key=lambda each: each.expires_us))
 
-    def give_back(self, spent: Slice, now_us: int) -> None:
+    def give_back(self, spent: QuotaSlice, now_us: int) -> None:
         """A token was spent for a request that never was sent: it may be spent again."""
         spent.spent -= 1
         if spent not in self.slices and spent.may_spend(now_us):
             self.add_back(spent)
 
-    def add_back(self, slice_: Slice) -> None:
+    def add_back(self, slice_: QuotaSlice) -> None:
         """Put a slice among the others again, in the order of their ends."""
-        self.slices = deque(sorted([*self.slices, slice_], key=lambda each: each.ends_us))
+        self.slices = deque(sorted([*self.slices, slice_], key=lambda each: each.expires_us))
 
     def extra_tokens(self, life_us: int, now_us: int) -> int:
         """How many tokens to ask for ahead: none where few requests come."""
--- a/packages/credit/src/linkhaven/credit/tenant_quota.py
+++ b/packages/credit/src/linkhaven/credit/tenant_quota.py
@@ -31,7 +31,7 @@
 
 from .quota_messages import QuotaRequest, QuotaResponse, TokenGrant, TokenWant
 from .quota_relay import QuotaRelay
-from .quota_slices import MeteredRequest, Slice, TenantMeter
+from .quota_slices import MeteredRequest, QuotaSlice, TenantMeter
 from .tenant_bucket import capacity_of, slice_life_us
 from .units import MICROSECONDS
 
@@ -251,7 +251,7 @@
         self.counts.spent += 1
         return True
 
-    def _check_spend(self, meter: TenantMeter, live: Slice) -> None:
+    def _check_spend(self, meter: TenantMeter, live: QuotaSlice) -> None:
         """The invariant of slices, by the clock as it is now."""
         now_us = self.node.now_us()
         if live.may_spend(now_us):
@@ -261,7 +261,7 @@
             1903,
             tenant=meter.name,
             left=live.count - live.spent,
-            late_us=now_us - live.ends_us,
+            late_us=now_us - live.expires_us,
         )
 
     def _is_crowded(self, meter: TenantMeter, tenant: Tenant, request: MeteredRequest) -> bool:
@@ -482,9 +482,9 @@
             meter.asked_number = None
             meter.tried.clear()
         now_us = self.node.now_us()
-        ends_us = sent.sent_us + grant.life_us
-        if grant.granted and now_us < ends_us:
-            meter.add_slice(grant.granted, ends_us)
+        expires_us = sent.sent_us + grant.life_us
+        if grant.granted and now_us < expires_us:
+            meter.add_slice(grant.granted, expires_us)
         self._serve(meter)
         if not meter.waiting or not is_newest:
             return
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -13,7 +13,7 @@
     worst_excess,
 )
 
-from linkhaven.credit.quota_slices import Slice, TenantMeter
+from linkhaven.credit.quota_slices import QuotaSlice, TenantMeter
 from linkhaven.credit.tenant_bucket import TenantBucket, capacity_of, slice_life_us
 from linkhaven.credit.tenant_quota import TenantQuotas
 from linkhaven.runtime import Bounds
@@ -433,7 +433,7 @@
 
 def test_slices_that_are_spent_after_their_end_break_the_bound(monkeypatch):
     assert late_responses() <= 0
-    monkeypatch.setattr(Slice, "may_spend", lambda self, now_us: self.spent < self.count)
+    monkeypatch.setattr(QuotaSlice, "may_spend", lambda self, now_us: self.spent < self.count)
     monkeypatch.setattr(TenantQuotas, "_drop_old", lambda self, now_us: None)
 
     def take_late(self, message):
