--- a/packages/credit/src/linkhaven/credit/tenant_quota.py
+++ b/packages/credit/src/linkhaven/credit/tenant_quota.py
@@ -119,14 +119,14 @@
         "node",
         "directory",
         "num_shards",
-        "go_on",
+        "resume",
         "refuse",
         "tenants",
         "meters",
         "owners",
         "sent",
         "number",
-        "silent",
+        "unresponsive",
         "probed_us",
         "probe_place",
         "relay_place",
@@ -143,26 +143,26 @@
         directory: ControllerDirectory,
         num_shards: int,
         first_number: int,
-        go_on: Callable[[MeteredRequest], object],
+        resume: Callable[[MeteredRequest], object],
         refuse: Callable[[MeteredRequest, ServiceError], object],
     ) -> None:
         """No tenant is limited yet.
 
         `first_number` must be above all numbers of earlier starts of this router, so that no late
-        response to one of those counts here. `go_on` gets a held request that has its token now,
+        response to one of those counts here. `resume` gets a held request that has its token now,
         `refuse` one that gets none.
         """
         self.node = node
         self.directory = directory
         self.num_shards = num_shards
-        self.go_on = go_on
+        self.resume = resume
         self.refuse = refuse
         self.tenants: dict[str, Tenant] = {}
         self.meters: dict[str, TenantMeter] = {}
         self.owners: dict[int, str] = {}
         self.sent: OrderedDict[int, SentRequest] = OrderedDict()
         self.number = first_number
-        self.silent: set[str] = set()
+        self.unresponsive: set[str] = set()
         self.probed_us = 0
         self.probe_place = 0
         self.relay_place = 0
@@ -196,12 +196,12 @@
     def _release_all(self, meter: TenantMeter) -> None:
         waiting, meter.waiting = meter.waiting, OrderedDict()
         for request in waiting.values():
-            self.go_on(request)
+            self.resume(request)
 
     # requests
 
     def admit(self, request: MeteredRequest) -> bool:
-        """Spend a token for a request; False where it is held, and `go_on` or `refuse` gets it.
+        """Spend a token for a request; False where it is held, and `resume` or `refuse` gets it.
 
         Raises `quota_spent` where the tenant is beyond its limit.
         """
@@ -219,7 +219,7 @@
         self._hold(meter, request, now_us)
         return False
 
-    def forget(self, request: MeteredRequest) -> None:
+    def cancel(self, request: MeteredRequest) -> None:
         """A request ended while it was held."""
         meter = self.meters.get(request.tenant or "")
         if meter is not None:
@@ -344,7 +344,7 @@
     # other routers
 
     def _is_cut_off(self) -> bool:
-        return len(self.silent) >= SILENT_CONTROLLERS
+        return len(self.unresponsive) >= SILENT_CONTROLLERS
 
     def _must_relay(self) -> bool:
         """Whether to ask through another router now: cut off, and no probe is due."""
@@ -438,7 +438,7 @@
     def _note_silent(self, address: str) -> None:
         if not self._is_cut_off():
             self.probed_us = self.node.now_us()
-        self.silent.add(address)
+        self.unresponsive.add(address)
 
     def _ask_elsewhere(self, meter: TenantMeter, address: str) -> None:
         meter.asked_number = None
@@ -454,12 +454,12 @@
     def on_quota_response(self, message: QuotaResponse) -> None:
         """Take what was granted, once for each tenant and request."""
         if self.relay.send_back(message):
-            return self.silent.clear()
+            return self.unresponsive.clear()
         sent = self.sent.get(message.number)
         if sent is None:
             return
         if not sent.is_relayed:
-            self.silent.clear()
+            self.unresponsive.clear()
         elif message.unowned:
             self.relay_place += 1
         for grant in message.grants:
@@ -514,7 +514,7 @@
             if not self._spend(meter, request, self.node.now_us()):
                 return
             del meter.waiting[request.id]
-            self.go_on(request)
+            self.resume(request)
 
     def _deny(self, meter: TenantMeter, wait_us: int) -> None:
         """The owner says that the tenant is at its limit: all that wait are beyond it."""
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -494,7 +494,7 @@
         if request.state == states.QUEUED:
             self.credit.remove(request.group, request)
         if request.state == states.AWAITING_QUOTA:
-            self.tenant_quotas.forget(request)
+            self.tenant_quotas.cancel(request)
         request.state = states.ENDED
         request.parked = None
         request.outcome = outcome
--- a/tests/test_review_issue49.py
+++ b/tests/test_review_issue49.py
@@ -30,7 +30,7 @@
         turned_away.append(request)
         quotas.give_back(request)
 
-    quotas.go_on = turn_away
+    quotas.resume = turn_away
     router.do(lambda: [router.node.serve_tenant(TENANT) for _ in range(400)])
     fleet.world.run_for(SECOND)
     assert len(turned_away) == 400
@@ -153,7 +153,7 @@
     router.do(lambda: router.node.serve_tenant(TENANT))
     fleet.world.run_for(600_000)
     fleet.world.heal()
-    quotas.silent.clear()
+    quotas.unresponsive.clear()
     noted = []
     monkeypatch.setattr(TenantQuotas, "_note_silent", lambda _, address: noted.append(address))
     router.do(lambda: router.node.serve_tenant(OTHER))
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -153,7 +153,7 @@
     one.world.run_for(30 * SECOND)
     quotas = one.routers[0].node.quotas
     held = []
-    quotas.go_on = held.append
+    quotas.resume = held.append
     one.send_one(HOT, one.routers[:1])
     one.world.run_for(SECOND // 10)
     assert len(held) == 1
@@ -168,7 +168,7 @@
     one.world.run_for(3 * SECOND)
     router = one.routers[0].node
     went_on = []
-    router.quotas.go_on = lambda request: went_on.append(request.id)
+    router.quotas.resume = lambda request: went_on.append(request.id)
     for _ in range(6):
         one.send_one(HOT, one.routers[:1])
     one.world.run_for(SECOND // 10)
@@ -300,7 +300,7 @@
     one.world.run_for(2 * SECOND)
     relayed = sum(host.node.quotas.relay.relayed.__len__() for host in one.routers)
     one.world.run_for(2 * SECOND)
-    assert relayed > 0 and not any(host.node.quotas.silent for host in cut)
+    assert relayed > 0 and not any(host.node.quotas.unresponsive for host in cut)
     assert not one.faults() and not one.violations()
 
 
