--- a/packages/credit/src/linkhaven/credit/quota_owner.py
+++ b/packages/credit/src/linkhaven/credit/quota_owner.py
@@ -142,7 +142,7 @@
         bucket = self._bucket_of(want.tenant, tenant, shard, now_us)
         bucket.denied.add(want.denied, now_us)
         granted = bucket.take(want.needed, want.extra, now_us)
-        wait_us = 0 if granted >= want.needed else bucket.place_us(now_us)
+        wait_us = 0 if granted >= want.needed else bucket.retry_wait_us(now_us)
         return TokenGrant(
             want.tenant,
             granted,
--- a/packages/credit/src/linkhaven/credit/tenant_bucket.py
+++ b/packages/credit/src/linkhaven/credit/tenant_bucket.py
@@ -41,7 +41,7 @@
 LEAST_RATE_SHARE = 0.1
 """A bucket gains at least this part of the rate, where the bound has no room for one request."""
 
-LONGEST_PLACE_US = 250_000
+MAX_RETRY_WAIT_US = 250_000
 """Routers that are denied are told to come back one after the other, within this time."""
 
 ROUNDING = 1e-9
@@ -113,7 +113,7 @@
 class TenantBucket:
     """The token bucket of one limited tenant, for one term of its shard's owner.
 
-    `epoch` is the term: a bucket of another one must not be used again. `full_start` is the bucket
+    `epoch` is the term: a bucket of another one must not be used again. `full_bucket` is the bucket
     as it would be had it begun full, which the tenant may have left to the owner before: as long as
     that one still holds tokens, a denial doesn't tell that the tenant is beyond its limit.
     """
@@ -121,9 +121,9 @@
     __slots__ = (
         "epoch",
         "bucket",
-        "full_start",
+        "full_bucket",
         "is_settling",
-        "next_place_us",
+        "next_retry_us",
         "last_grant_us",
         "granted",
         "denied",
@@ -138,9 +138,9 @@
         rate = grant_rate(tenant, bounds)
         self.bucket = TokenBucket(rate, capacity, won_us, level=0.0)
         self.bucket.refill(now_us)
-        self.full_start = TokenBucket(rate, capacity, won_us)
+        self.full_bucket = TokenBucket(rate, capacity, won_us)
         self.is_settling = True
-        self.next_place_us = 0
+        self.next_retry_us = 0
         self.last_grant_us: int | None = None
         self.granted = RecentCount(bounds.quota_window_us, now_us)
         self.denied = RecentCount(bounds.quota_window_us, now_us)
@@ -151,8 +151,8 @@
         if self.bucket.rate == rate and self.bucket.capacity == capacity:
             return
         self.bucket.resize(rate, capacity, now_us)
-        self.full_start.resize(rate, capacity, now_us)
-        self.next_place_us = 0
+        self.full_bucket.resize(rate, capacity, now_us)
+        self.next_retry_us = 0
 
     def take(self, needed: int, extra: int, now_us: int) -> int:
         """Grant up to `needed` tokens that requests wait for, and `extra` ones from a high level.
@@ -165,14 +165,14 @@
             spare = level - count - self.bucket.capacity * PREFETCH_FLOOR_SHARE
             count += max(0, min(extra, int(spare)))
         self.bucket.level -= count
-        self._follow_full_start(needed, count, now_us)
+        self._update_full_bucket(needed, count, now_us)
         self.granted.add(count, now_us)
         self.denied.add(max(0, needed - count), now_us)
         if count:
             self.last_grant_us = now_us
         return count
 
-    def place_us(self, now_us: int) -> int:
+    def retry_wait_us(self, now_us: int) -> int:
         """When a router that was denied may come back, in microseconds from now.
 
         That is when the next token is due that no router before it was sent to, so that the routers
@@ -180,12 +180,12 @@
         """
         due_us = now_us + self.bucket.wait_us(1, now_us)
         interval_us = int(MICROSECONDS / self.bucket.rate)
-        place_us = min(self.next_place_us + interval_us, now_us + LONGEST_PLACE_US)
-        self.next_place_us = max(due_us, place_us)
-        return self.next_place_us - now_us
+        retry_wait_us = min(self.next_retry_us + interval_us, now_us + MAX_RETRY_WAIT_US)
+        self.next_retry_us = max(due_us, retry_wait_us)
+        return self.next_retry_us - now_us
 
-    def _follow_full_start(self, needed: int, granted: int, now_us: int) -> None:
+    def _update_full_bucket(self, needed: int, granted: int, now_us: int) -> None:
         """Have a bucket that began full serve all that was wanted of this one."""
-        level = self.full_start.refill(now_us) + ROUNDING
+        level = self.full_bucket.refill(now_us) + ROUNDING
         self.is_settling = level >= granted + 1
-        self.full_start.level = max(0.0, level - max(needed, granted))
+        self.full_bucket.level = max(0.0, level - max(needed, granted))
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -45,7 +45,7 @@
     assert bucket.take(4, 2, 0) == 0
     assert bucket.take(4, 2, 350_000) == 3
     assert bucket.is_settling
-    assert bucket.place_us(350_000) == pytest.approx(50_000, abs=2)
+    assert bucket.retry_wait_us(350_000) == pytest.approx(50_000, abs=2)
 
 
 def test_a_new_owner_calls_a_tenant_over_only_once_a_full_bucket_would_be_spent_too():
@@ -92,9 +92,9 @@
 
 def test_routers_that_are_denied_are_sent_to_different_tokens():
     bucket = TenantBucket(1, limit(20, 0), BOUNDS, won_us=0, now_us=0)
-    places = [bucket.place_us(0) for _ in range(3)]
+    places = [bucket.retry_wait_us(0) for _ in range(3)]
     assert places == sorted(set(places))
-    assert [bucket.place_us(0) for _ in range(10)][-1] <= 250_000
+    assert [bucket.retry_wait_us(0) for _ in range(10)][-1] <= 250_000
 
 
 def test_a_token_that_is_given_back_after_its_slice_ended_is_not_spent_again():
