--- a/packages/credit/src/linkhaven/credit/tenant_bucket.py
+++ b/packages/credit/src/linkhaven/credit/tenant_bucket.py
@@ -180,8 +180,8 @@
         """
         due_us = now_us + self.bucket.wait_us(1, now_us)
         interval_us = int(MICROSECONDS / self.bucket.rate)
-        retry_wait_us = min(self.next_retry_us + interval_us, now_us + MAX_RETRY_WAIT_US)
-        self.next_retry_us = max(due_us, retry_wait_us)
+        slot_us = min(self.next_retry_us + interval_us, now_us + MAX_RETRY_WAIT_US)
+        self.next_retry_us = max(due_us, slot_us)
         return self.next_retry_us - now_us
 
     def _update_full_bucket(self, needed: int, granted: int, now_us: int) -> None:
