--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -301,7 +301,7 @@
             *(relay.on_watch_request for relay in self.relays),
             self.runner_discovery.on_evidence,
             self.role_balancer.demand.on_watch_request,
-            self.quota_allocator.on_ask,
+            self.quota_allocator.on_watch_request,
             self.configuration_recovery.on_watch_request,
             FencingTokenObserver(self.leases).on_watch_request,
             self.group_usage.on_watch_request,
--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -82,7 +82,7 @@
 
     # what routers report
 
-    def on_ask(self, ask):
+    def on_watch_request(self, ask):
         """Take the demand reports of a router's question."""
         if self.elected_us is None:
             return
