--- a/packages/credit/src/linkhaven/credit/retry_budget.py
+++ b/packages/credit/src/linkhaven/credit/retry_budget.py
@@ -106,7 +106,7 @@
         bucket = self._bucket_of(pool)
         bucket.level = min(bucket.capacity, bucket.level + self.attempts_per_request)
 
-    def has(self, cost, pool=None):
+    def covers(self, cost, pool=None):
         """Whether a pool's budget covers `cost` attempts."""
         return self._bucket_of(pool).level >= cost
 
@@ -132,7 +132,7 @@
         """Return the attempts that moves of running requests must leave for retries."""
         return max(0.0, (self.default_bucket.capacity - 1) / 2)
 
-    def was_refused_lately(self):
+    def was_refused_recently(self):
         """Whether an attempt was wanted lately that the budget didn't cover."""
         return self._is_recent(self.refused_us, self.node.now_us())
 
--- a/packages/credit/src/linkhaven/credit/tenant_quota.py
+++ b/packages/credit/src/linkhaven/credit/tenant_quota.py
@@ -425,7 +425,7 @@
         if sent.is_relayed:
             self.relay_place += 1
         else:
-            self._note_silent(sent.address)
+            self._note_unresponsive(sent.address)
         self._ask_others(sent)
 
     def _ask_others(self, sent: SentRequest) -> None:
@@ -435,7 +435,7 @@
             if meter is not None and meter.asked_number == sent.number:
                 self._ask_elsewhere(meter, sent.address)
 
-    def _note_silent(self, address: str) -> None:
+    def _note_unresponsive(self, address: str) -> None:
         if not self._is_cut_off():
             self.probed_us = self.node.now_us()
         self.unresponsive.add(address)
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -386,7 +386,7 @@
     def try_elsewhere(self, request, runner, status):
         """The runner answered that it failed; answers whether another attempt was begun."""
         others = [other for other in self.pairing.open_runners(request.pool) if other is not runner]
-        if not others or not self.extra.has(1, request.pool) or not self._has_attempts(request, 1):
+        if not others or not self.extra.covers(1, request.pool) or not self._has_attempts(request, 1):
             return False
         self.fail(request, runner, ServiceError("runner_lost", why=f"status {status}"), True)
         return True
@@ -444,7 +444,7 @@
         cost = 2 if self.is_read_again(request) else 1
         if (
             not self.node.may_start()
-            or not self.extra.has(cost, request.pool)
+            or not self.extra.covers(cost, request.pool)
             or not self._has_attempts(request, cost)
         ):
             return False
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -246,7 +246,7 @@
 
     def is_short_of_shares(self):
         """Whether this router waits for a larger share than it has."""
-        return self.extra.was_refused_lately() or self.credit.is_waiting()
+        return self.extra.was_refused_recently() or self.credit.is_waiting()
 
     def add_watch_facts(self, facts, seat):
         """What a seat is told: its duties' holders hear what only these need."""
--- a/tests/test_late_work.py
+++ b/tests/test_late_work.py
@@ -169,7 +169,7 @@
     asked = one.ask("digest", routers=[host.address], tokens=12_000)
     one.world.run_for(200_000)
     (request,) = [each for each in host.node.requests.rows() if each.state == states.DECODING]
-    assert host.node.extra.has(1, POOL)
+    assert host.node.extra.covers(1, POOL)
     attempts, runner = request.attempts, request.runner
     request.deadline_us = one.world.now_us + 5_000
     host.node.attempts.fail(request, runner, ServiceError("runner_full", done="no"), True)
