--- a/packages/leases/src/linkhaven/leases/__init__.py
+++ b/packages/leases/src/linkhaven/leases/__init__.py
@@ -5,9 +5,9 @@
 lock service" (OSDI 2006), section 2.4, for sequencers, here called fencing tokens.
 """
 
-from .interfaces import LeaseListener, ShardListener, ShardOwnership, SilentListener
+from .interfaces import LeaseListener, NullLeaseListener, ShardListener, ShardOwnership
 from .lease import Lease, LeaseState
-from .quorum_lease import ShardLeases, SilentShardListener
+from .quorum_lease import NullShardListener, ShardLeases
 from .records import LeaseRecord
 from .shards import shard_of
 
@@ -16,10 +16,10 @@
     "LeaseListener",
     "LeaseRecord",
     "LeaseState",
+    "NullLeaseListener",
+    "NullShardListener",
     "ShardLeases",
     "ShardListener",
     "ShardOwnership",
-    "SilentListener",
-    "SilentShardListener",
     "shard_of",
 ]
--- a/packages/leases/src/linkhaven/leases/interfaces.py
+++ b/packages/leases/src/linkhaven/leases/interfaces.py
@@ -16,7 +16,7 @@
         """This node no longer holds the lease: nothing more may be done under its token."""
 
 
-class SilentListener:
+class NullLeaseListener:
     """Listens to no event of a lease."""
 
     __slots__ = ()
--- a/packages/leases/src/linkhaven/leases/quorum_lease.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease.py
@@ -45,7 +45,7 @@
     """How often this node has won it since its start."""
 
 
-class SilentShardListener:
+class NullShardListener:
     """Listens to no event of a shard."""
 
     __slots__ = ()
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -386,7 +386,11 @@
     def try_elsewhere(self, request, runner, status):
         """The runner answered that it failed; answers whether another attempt was begun."""
         others = [other for other in self.pairing.open_runners(request.pool) if other is not runner]
-        if not others or not self.extra.covers(1, request.pool) or not self._has_attempts(request, 1):
+        if (
+            not others
+            or not self.extra.covers(1, request.pool)
+            or not self._has_attempts(request, 1)
+        ):
             return False
         self.fail(request, runner, ServiceError("runner_lost", why=f"status {status}"), True)
         return True
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -15,7 +15,7 @@
 from linkhaven.configuration.history import digest_of_update, read_history
 from linkhaven.consensus import Proposer, RegisterTable, Replica
 from linkhaven.controller import ControllerNode
-from linkhaven.leases import Lease, SilentListener
+from linkhaven.leases import Lease, NullLeaseListener
 from linkhaven.membership import Membership
 from linkhaven.membership.messages import MemberList
 from linkhaven.runtime import Bounds, Node
@@ -105,7 +105,7 @@
         ConfigurationCommands(self, self.configuration_store)
         self.lease = None
         if has_duty:
-            listener = SilentListener()
+            listener = NullLeaseListener()
             self.lease = Lease(self, DUTY, self.proposer, self.replica, self.membership, listener)
         if contacts and self.replica.is_empty and not self.replica.replica_id:
             self.replica.begin_first(seats[contacts.index(address)], contacts)
--- a/tests/test_review_issue49.py
+++ b/tests/test_review_issue49.py
@@ -155,7 +155,9 @@
     fleet.world.heal()
     quotas.unresponsive.clear()
     noted = []
-    monkeypatch.setattr(TenantQuotas, "_note_unresponsive", lambda _, address: noted.append(address))
+    monkeypatch.setattr(
+        TenantQuotas, "_note_unresponsive", lambda _, address: noted.append(address)
+    )
     router.do(lambda: router.node.serve_tenant(OTHER))
     fleet.world.run_for(10_000)
     assert noted == [] and fleet.served(OTHER) == 1
