--- a/packages/leases/src/linkhaven/leases/observer.py
+++ b/packages/leases/src/linkhaven/leases/observer.py
@@ -19,7 +19,7 @@
 RANK_US = 120_000
 """How much later each next rank asks for a vacant lease."""
 
-STEP_AT_MOST_US = 250_000
+MAX_STEP_US = 250_000
 """The longest step between two ticks that counts as time lived through."""
 
 
@@ -72,7 +72,7 @@
 
         The holder renews while this process is paused, and nobody tells.
         """
-        elapsed_us = max(0, min(now_us - self.ticked_us, STEP_AT_MOST_US))
+        elapsed_us = max(0, min(now_us - self.ticked_us, MAX_STEP_US))
         self.unchanged_us += elapsed_us
         self.others_idle_us += elapsed_us
         self.ticked_us = now_us
--- a/packages/leases/src/linkhaven/leases/quorum_lease_times.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_times.py
@@ -17,7 +17,7 @@
 DRIFT_SHARE = (1, 20)
 """The part of a lease that a voter adds for clocks that run at different speeds."""
 
-STEP_AT_MOST_US = 60_000
+MAX_STEP_US = 60_000
 """The longest step between two looks at the clock that counts as time lived through, and what a
 voter adds to a promise for one leap of its clock; ticks are 20 ms apart, and 50 ms in tests."""
 
@@ -29,24 +29,24 @@
 a round trip: votes on earlier rounds count as well."""
 
 
-def promise_us(lease_us: int) -> int:
+def promise_duration_us(lease_us: int) -> int:
     """How long a voter holds to a promise, in time that it lives through after the request."""
-    return lease_us + lease_us * DRIFT_SHARE[0] // DRIFT_SHARE[1] + STEP_AT_MOST_US
+    return lease_us + lease_us * DRIFT_SHARE[0] // DRIFT_SHARE[1] + MAX_STEP_US
 
 
-class LivedTime:
+class ElapsedTime:
     """The time that a process lived through, counted from look to look at its clock."""
 
-    __slots__ = ("lived_us", "observed_us")
+    __slots__ = ("elapsed_us", "observed_us")
 
     def __init__(self, now_us: int) -> None:
         """Nothing was lived through yet."""
-        self.lived_us = 0
+        self.elapsed_us = 0
         self.observed_us = now_us
 
     def count_elapsed(self, now_us: int) -> None:
-        """Count the time since the last look, a long step for `STEP_AT_MOST_US` only."""
-        self.lived_us += max(0, min(now_us - self.observed_us, STEP_AT_MOST_US))
+        """Count the time since the last look, a long step for `MAX_STEP_US` only."""
+        self.elapsed_us += max(0, min(now_us - self.observed_us, MAX_STEP_US))
         self.observed_us = now_us
 
 
@@ -66,4 +66,4 @@
         self.renew_us = self.lease_us * RENEW_SHARE[0] // RENEW_SHARE[1]
         self.rank_us = self.lease_us * RANK_SHARE[0] // RANK_SHARE[1]
         self.retry_us = self.lease_us * RETRY_SHARE[0] // RETRY_SHARE[1]
-        self.abstention_us = promise_us(LEASE_US)
+        self.abstention_us = promise_duration_us(LEASE_US)
--- a/packages/leases/src/linkhaven/leases/quorum_lease_voter.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_voter.py
@@ -29,7 +29,7 @@
     ShardLeaseRequest,
     ShardLeaseVote,
 )
-from .quorum_lease_times import LEASE_US, LivedTime, promise_us
+from .quorum_lease_times import LEASE_US, ElapsedTime, promise_duration_us
 
 
 class ReplicaInstance(NamedTuple):
@@ -75,7 +75,7 @@
 
     def __init__(self, num_shards: int, abstention_us: int, now_us: int) -> None:
         """Nothing is promised, and no replica votes here yet."""
-        self.time = LivedTime(now_us)
+        self.time = ElapsedTime(now_us)
         self.num_shards = num_shards
         self.abstention_us = abstention_us
         self.instance: ReplicaInstance | None = None
@@ -94,11 +94,11 @@
         if instance is None or instance == self.instance:
             return
         self.instance = instance
-        self.votes_from_us = self.time.lived_us + self.abstention_us
+        self.votes_from_us = self.time.elapsed_us + self.abstention_us
 
     def may_vote(self) -> bool:
         """Whether it votes, and has abstained for long enough."""
-        return self.is_voting and self.time.lived_us >= self.votes_from_us
+        return self.is_voting and self.time.elapsed_us >= self.votes_from_us
 
     def vote(self, request: ShardLeaseRequest, known: Mapping[str, int]) -> ShardLeaseVote | None:
         """Promise what is free; None where it may not vote at all."""
@@ -119,12 +119,12 @@
     def _promise(self, shard: int, request: ShardLeaseRequest) -> bool:
         if self._is_released(shard, request):
             return False
-        expires_us = self.time.lived_us + promise_us(request.lease_us)
+        expires_us = self.time.elapsed_us + promise_duration_us(request.lease_us)
         promise = self.promises.get(shard)
         if promise is not None and promise.start == request.start:
             promise.renew(request, expires_us)
             return True
-        if promise is not None and self.time.lived_us < promise.expires_us:
+        if promise is not None and self.time.elapsed_us < promise.expires_us:
             return False
         self.promises[shard] = ShardPromise(request, expires_us)
         return True
@@ -148,12 +148,12 @@
             if promise is None or promise.start != release.start:
                 continue
             if promise.round <= release.round:
-                promise.expires_us = min(promise.expires_us, self.time.lived_us)
+                promise.expires_us = min(promise.expires_us, self.time.elapsed_us)
 
     def holder_of(self, shard: int) -> ShardPromise | None:
         """The promise on a shard that runs now."""
         promise = self.promises.get(shard)
-        if promise is None or self.time.lived_us >= promise.expires_us:
+        if promise is None or self.time.elapsed_us >= promise.expires_us:
             return None
         return promise
 
@@ -161,7 +161,7 @@
         """For how long no promise on the shard runs and this node may vote; below 0 until then."""
         promise = self.promises.get(shard)
         expires_us = promise.expires_us if promise is not None else 0
-        return self.time.lived_us - max(self.votes_from_us, expires_us)
+        return self.time.elapsed_us - max(self.votes_from_us, expires_us)
 
     def last_promise(self, shard: int) -> ShardPromise | None:
         """The last promise on a shard, be it over; None where none was given."""
--- a/tests/test_quorum_lease.py
+++ b/tests/test_quorum_lease.py
@@ -7,7 +7,7 @@
 
 from linkhaven.leases import ShardOwnership, shard_of
 from linkhaven.leases.quorum_lease_messages import ShardLeaseRequest, ShardLeaseVote
-from linkhaven.leases.quorum_lease_times import LEASE_US, LeaseTimes, promise_us
+from linkhaven.leases.quorum_lease_times import LEASE_US, LeaseTimes, promise_duration_us
 from linkhaven.leases.quorum_lease_voter import ReplicaInstance, ShardVoter
 from linkhaven.leases.shards import preference_order
 from linkhaven.runtime import Bounds
@@ -103,7 +103,7 @@
     assert LeaseTimes(Bounds()).lease_us == LEASE_US
     short = LeaseTimes(Bounds(lease_us=300_000))
     assert (short.lease_us, short.renew_us) == (300_000, 90_000)
-    assert short.abstention_us == promise_us(LEASE_US)
+    assert short.abstention_us == promise_duration_us(LEASE_US)
 
 
 # voters
@@ -129,7 +129,7 @@
 
 
 def voter_from(now_us):
-    voter = ShardVoter(5, promise_us(LEASE_US), now_us - promise_us(LEASE_US))
+    voter = ShardVoter(5, promise_duration_us(LEASE_US), now_us - promise_duration_us(LEASE_US))
     voter.observe_instance(ReplicaInstance("v", 1))
     live_until(voter, now_us)
     return voter
@@ -146,10 +146,10 @@
 
 
 def test_a_voter_abstains_for_a_whole_promise_and_longer_for_a_new_incarnation():
-    voter = ShardVoter(5, promise_us(LEASE_US), 0)
+    voter = ShardVoter(5, promise_duration_us(LEASE_US), 0)
     voter.observe_instance(ReplicaInstance("v", 1))
-    assert granted(voter, request_of("x"), promise_us(LEASE_US) - 1) is None
-    assert granted(voter, request_of("x"), promise_us(LEASE_US)) == [0]
+    assert granted(voter, request_of("x"), promise_duration_us(LEASE_US) - 1) is None
+    assert granted(voter, request_of("x"), promise_duration_us(LEASE_US)) == [0]
     later_us = 10 * SECOND_US
     live_until(voter, later_us)
     voter.observe_instance(None)
@@ -157,16 +157,16 @@
     voter.observe_instance(ReplicaInstance("v", 1))
     assert granted(voter, request_of("x", 2), later_us) == [0]
     voter.observe_instance(ReplicaInstance("v", 2))
-    assert granted(voter, request_of("x", 3), later_us + promise_us(LEASE_US) - 1) is None
+    assert granted(voter, request_of("x", 3), later_us + promise_duration_us(LEASE_US) - 1) is None
 
 
 def test_a_voter_refuses_while_a_promise_runs_and_names_its_holder():
     voter = voter_from(0)
     assert granted(voter, request_of("x"), 0) == [0]
-    vote = vote_at(voter, request_of("y", shards=(0, 1)), promise_us(LEASE_US) - 1)
+    vote = vote_at(voter, request_of("y", shards=(0, 1)), promise_duration_us(LEASE_US) - 1)
     assert vote.granted == [1]
     assert [(one.shard, one.name, one.address) for one in vote.holders] == [(0, "x", "x:1")]
-    assert granted(voter, request_of("y"), promise_us(LEASE_US)) == [0]
+    assert granted(voter, request_of("y"), promise_duration_us(LEASE_US)) == [0]
 
 
 def test_a_leap_of_the_clock_ends_no_promise_before_the_lease_that_rests_on_it():
@@ -175,7 +175,7 @@
     leap_us = 40 * SECOND_US
     voter.count_elapsed(leap_us)
     assert granted(voter, request_of("y"), leap_us + LEASE_US) == []
-    assert granted(voter, request_of("y"), leap_us + promise_us(LEASE_US)) == [0]
+    assert granted(voter, request_of("y"), leap_us + promise_duration_us(LEASE_US)) == [0]
 
 
 def test_another_start_of_the_same_node_is_another_holder():
@@ -188,7 +188,7 @@
     voter = voter_from(0)
     granted(voter, request_of("x", 2), 1_000)
     granted(voter, request_of("x", 1, lease_us=1_000), 2_000)
-    live_until(voter, 1_000 + promise_us(LEASE_US) - 1)
+    live_until(voter, 1_000 + promise_duration_us(LEASE_US) - 1)
     assert voter.holder_of(0) is not None
 
 
--- a/tests/test_quorum_lease_safety.py
+++ b/tests/test_quorum_lease_safety.py
@@ -5,7 +5,7 @@
 from linkhaven.leases import quorum_lease_voter
 from linkhaven.leases.quorum_lease_candidate import ShardCandidate, ShardLease
 from linkhaven.leases.quorum_lease_rounds import LeaseRound
-from linkhaven.leases.quorum_lease_times import LivedTime
+from linkhaven.leases.quorum_lease_times import ElapsedTime
 from linkhaven.leases.quorum_lease_voter import ShardVoter
 from linkhaven.stage.shard_leases import TwoOwnersError, Walk
 
@@ -28,22 +28,24 @@
 
 def negative_drift_margin(monkeypatch):
     """A promise ends sooner than the lease that rests on it."""
-    monkeypatch.setattr(quorum_lease_voter, "promise_us", lambda lease_us: lease_us * 9 // 10)
+    monkeypatch.setattr(
+        quorum_lease_voter, "promise_duration_us", lambda lease_us: lease_us * 9 // 10
+    )
 
 
 def no_drift_margin(monkeypatch):
     """A promise is as long as the lease, by clocks that differ."""
-    monkeypatch.setattr(quorum_lease_voter, "promise_us", lambda lease_us: lease_us)
+    monkeypatch.setattr(quorum_lease_voter, "promise_duration_us", lambda lease_us: lease_us)
 
 
 def leaps_counted(monkeypatch):
     """A voter counts by its clock, whatever that leaps."""
 
     def by_clock(self, now_us):
-        self.lived_us += now_us - self.observed_us
+        self.elapsed_us += now_us - self.observed_us
         self.observed_us = now_us
 
-    monkeypatch.setattr(LivedTime, "count_elapsed", by_clock)
+    monkeypatch.setattr(ElapsedTime, "count_elapsed", by_clock)
 
 
 def counted_from_the_answer(monkeypatch):
@@ -99,7 +101,7 @@
         for shard in release.shards:
             promise = self.promises.get(shard)
             if promise is not None and promise.start == release.start:
-                promise.expires_us = min(promise.expires_us, self.time.lived_us)
+                promise.expires_us = min(promise.expires_us, self.time.elapsed_us)
 
     monkeypatch.setattr(ShardVoter, "on_release", blind)
 
