--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -13,7 +13,7 @@
     worst_excess,
 )
 
-from linkhaven.credit.quota_slices import Slice, TenantMeter
+from linkhaven.credit.quota_slices import QuotaSlice, TenantMeter
 from linkhaven.credit.tenant_bucket import TenantBucket, capacity_of, slice_life_us
 from linkhaven.credit.tenant_quota import TenantQuotas
 from linkhaven.runtime import Bounds
@@ -45,7 +45,7 @@
     assert bucket.take(4, 2, 0) == 0
     assert bucket.take(4, 2, 350_000) == 3
     assert bucket.is_settling
-    assert bucket.place_us(350_000) == pytest.approx(50_000, abs=2)
+    assert bucket.retry_wait_us(350_000) == pytest.approx(50_000, abs=2)
 
 
 def test_a_new_owner_calls_a_tenant_over_only_once_a_full_bucket_would_be_spent_too():
@@ -92,9 +92,9 @@
 
 def test_routers_that_are_denied_are_sent_to_different_tokens():
     bucket = TenantBucket(1, limit(20, 0), BOUNDS, won_us=0, now_us=0)
-    places = [bucket.place_us(0) for _ in range(3)]
+    places = [bucket.retry_wait_us(0) for _ in range(3)]
     assert places == sorted(set(places))
-    assert [bucket.place_us(0) for _ in range(10)][-1] <= 250_000
+    assert [bucket.retry_wait_us(0) for _ in range(10)][-1] <= 250_000
 
 
 def test_a_token_that_is_given_back_after_its_slice_ended_is_not_spent_again():
@@ -153,7 +153,7 @@
     one.world.run_for(30 * SECOND)
     quotas = one.routers[0].node.quotas
     held = []
-    quotas.go_on = held.append
+    quotas.resume = held.append
     one.send_one(HOT, one.routers[:1])
     one.world.run_for(SECOND // 10)
     assert len(held) == 1
@@ -168,7 +168,7 @@
     one.world.run_for(3 * SECOND)
     router = one.routers[0].node
     went_on = []
-    router.quotas.go_on = lambda request: went_on.append(request.id)
+    router.quotas.resume = lambda request: went_on.append(request.id)
     for _ in range(6):
         one.send_one(HOT, one.routers[:1])
     one.world.run_for(SECOND // 10)
@@ -300,7 +300,7 @@
     one.world.run_for(2 * SECOND)
     relayed = sum(host.node.quotas.relay.relayed.__len__() for host in one.routers)
     one.world.run_for(2 * SECOND)
-    assert relayed > 0 and not any(host.node.quotas.silent for host in cut)
+    assert relayed > 0 and not any(host.node.quotas.unresponsive for host in cut)
     assert not one.faults() and not one.violations()
 
 
@@ -433,7 +433,7 @@
 
 def test_slices_that_are_spent_after_their_end_break_the_bound(monkeypatch):
     assert late_responses() <= 0
-    monkeypatch.setattr(Slice, "may_spend", lambda self, now_us: self.spent < self.count)
+    monkeypatch.setattr(QuotaSlice, "may_spend", lambda self, now_us: self.spent < self.count)
     monkeypatch.setattr(TenantQuotas, "_drop_old", lambda self, now_us: None)
 
     def take_late(self, message):
