--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -40,7 +40,7 @@
 from linkhaven.credit import QuotaAllocator, QuotaOwner
 from linkhaven.leases import Lease, ShardLeases
 from linkhaven.membership import Member, Membership
-from linkhaven.runner import RunnerDesk
+from linkhaven.runner import RunnerClient
 from linkhaven.runtime import Bounds, Node
 
 from .bootstrap import begin_first_start
@@ -125,7 +125,7 @@
         bounds: Bounds | None = None,
         contacts: Sequence[str] = (),
         contact: str | None = None,
-        desk_of: Callable[[Node], Any] = RunnerDesk,
+        desk_of: Callable[[Node], Any] = RunnerClient,
     ) -> None:
         """Build the parts of the node `name`, reached at `address`.
 
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -9,7 +9,7 @@
 from linkhaven.credit import GRANT_NUMBERS_PER_FENCE, AdmissionQueues, RetryBudget, TenantQuotas
 from linkhaven.membership import Membership
 from linkhaven.pairing import NO_BOUND_US, Flow, PlacementPolicy
-from linkhaven.runner import Roster, RunnerDesk
+from linkhaven.runner import Roster, RunnerClient
 from linkhaven.runtime import Node, Table
 
 from . import request as states
@@ -108,7 +108,7 @@
         requests_at_most=2_000,
         bounds=None,
         callers=None,
-        desk_of=RunnerDesk,
+        desk_of=RunnerClient,
     ):
         super().__init__(name, address, ports, bounds)
         majority = self.bounds.seats // 2 + 1
--- a/packages/runner/src/linkhaven/runner/__init__.py
+++ b/packages/runner/src/linkhaven/runner/__init__.py
@@ -1,6 +1,6 @@
 """Runners: the adapter that calls them, the stream of their answers, and the list of them."""
 
-from .adapter import RunnerDesk
+from .adapter import RunnerClient
 from .pieces import Piece, PieceReader, write_event
 from .roster import PLAIN, Roster, Runner, Starts
 
@@ -10,7 +10,7 @@
     "PieceReader",
     "Roster",
     "Runner",
-    "RunnerDesk",
+    "RunnerClient",
     "Starts",
     "write_event",
 ]
--- a/packages/runner/src/linkhaven/runner/adapter.py
+++ b/packages/runner/src/linkhaven/runner/adapter.py
@@ -159,7 +159,7 @@
             self.outing.close()
 
 
-class RunnerDesk:
+class RunnerClient:
     """The client of runners that speak our own protocol, which the OpenAPI file describes.
 
     Another protocol has a class with the same methods. `reads_are_runs`: a prompt that was read
--- a/packages/stage/src/linkhaven/stage/soak/sabotage.py
+++ b/packages/stage/src/linkhaven/stage/soak/sabotage.py
@@ -83,23 +83,23 @@
 def pass_the_key_on() -> None:
     """A router shows the runner the last API key that it read."""
     read_key = native.take_api_key
-    headers_of = adapter.RunnerDesk._headers_of
+    headers_of = adapter.RunnerClient._headers_of
     shown: dict[str, str | None] = {}
 
     def remember(headers: dict[str, str]) -> str | None:
         shown["key"] = key = read_key(headers)
         return key
 
-    def add_key(self: adapter.RunnerDesk, request: Any) -> dict[str, str]:
+    def add_key(self: adapter.RunnerClient, request: Any) -> dict[str, str]:
         return {**headers_of(self, request), "x-debug": str(shown.get("key"))}
 
     native.take_api_key = remember
-    adapter.RunnerDesk._headers_of = add_key
+    adapter.RunnerClient._headers_of = add_key
 
 
 def name_no_tenant() -> None:
     """A router tells the runner no tenant."""
-    adapter.RunnerDesk._headers_of = lambda self, request: adapter.HEADERS
+    adapter.RunnerClient._headers_of = lambda self, request: adapter.HEADERS
 
 
 def let_any_key_in() -> None:
--- a/tests/test_native_api_keys.py
+++ b/tests/test_native_api_keys.py
@@ -10,7 +10,7 @@
 from linkhaven.configuration import digest_api_key
 from linkhaven.consensus import Outcome, UpdateAction
 from linkhaven.router.native import take_api_key
-from linkhaven.runner import RunnerDesk
+from linkhaven.runner import RunnerClient
 
 KEY = "key-of-one"
 KIND = {
@@ -148,8 +148,8 @@
         tenant=tenant,
     )
     runner = SimpleNamespace(address="10.0.0.1:1", incarnation=1)
-    RunnerDesk(node).prefill(runner, request, None)
-    RunnerDesk(node).decode(runner, request, ("h", runner), None)
+    RunnerClient(node).prefill(runner, request, None)
+    RunnerClient(node).decode(runner, request, ("h", runner), None)
     assert [path for path, _ in sent] == ["/v1/prefill", "/v1/decode"]
     for _, headers in sent:
         assert headers.get("x-tenant") == tenant
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -20,7 +20,7 @@
 from linkhaven.router.keys import Keys
 from linkhaven.router.relay import Relay
 from linkhaven.router.request import Request
-from linkhaven.runner import Roster, RunnerDesk
+from linkhaven.runner import Roster, RunnerClient
 from linkhaven.stage.fleet import LICENSING, SimFleet
 from linkhaven.stage.scenario import Scenario
 from linkhaven.stage.standins import StandInRunner
@@ -247,7 +247,7 @@
 
 
 def use_any_memory(monkeypatch):
-    monkeypatch.setattr(RunnerDesk, "is_answer_to", lambda self, request, runner, document: True)
+    monkeypatch.setattr(RunnerClient, "is_answer_to", lambda self, request, runner, document: True)
 
 
 def mix_up_handles_of(how):
--- a/tests/test_tenants_in_fleet.py
+++ b/tests/test_tenants_in_fleet.py
@@ -44,20 +44,20 @@
     def add_key(self, request):
         return {**headers_of(self, request), "x-debug": str(shown.get("key"))}
 
-    headers_of = adapter.RunnerDesk._headers_of
+    headers_of = adapter.RunnerClient._headers_of
     monkeypatch.setattr(native, "take_api_key", remember)
-    monkeypatch.setattr(adapter.RunnerDesk, "_headers_of", add_key)
+    monkeypatch.setattr(adapter.RunnerClient, "_headers_of", add_key)
 
 
 def name_no_tenant(monkeypatch):
     monkeypatch.setattr(
-        adapter.RunnerDesk, "_headers_of", lambda self, request: dict(adapter.HEADERS)
+        adapter.RunnerClient, "_headers_of", lambda self, request: dict(adapter.HEADERS)
     )
 
 
 def name_what_the_client_says(monkeypatch):
     monkeypatch.setattr(
-        adapter.RunnerDesk,
+        adapter.RunnerClient,
         "_headers_of",
         lambda self, request: {
             **adapter.HEADERS,
