--- a/packages/pairing/src/linkhaven/pairing/candidate.py
+++ b/packages/pairing/src/linkhaven/pairing/candidate.py
@@ -18,7 +18,7 @@
     __slots__ = (
         "runner",
         "queued_tokens",
-        "unread",
+        "uncached_tokens",
         "q_us",
         "e_us",
         "t_us",
@@ -33,7 +33,7 @@
         self,
         runner: Runner,
         queued_tokens: float,
-        unread: int,
+        uncached_tokens: int,
         q_us: int,
         e_us: int,
         t_us: int,
@@ -50,7 +50,7 @@
         """
         self.runner = runner
         self.start_us = start_us
-        self.unread = unread
+        self.uncached_tokens = uncached_tokens
         self.queued_tokens = queued_tokens
         self.q_us = q_us
         self.e_us = e_us
@@ -64,7 +64,7 @@
     @property
     def ahead_tokens(self) -> float:
         """What this runner has to read until this prompt is read."""
-        return self.queued_tokens + self.unread
+        return self.queued_tokens + self.uncached_tokens
 
     @property
     def total_us(self) -> int:
@@ -77,7 +77,7 @@
             "runner": self.runner.name,
             "phase": self.runner.phase,
             "queued_tokens": int(self.queued_tokens),
-            "unread": self.unread,
+            "unread": self.uncached_tokens,
             "q_us": self.q_us,
             "e_us": self.e_us,
             "t_us": self.t_us,
--- a/packages/pairing/src/linkhaven/pairing/estimator.py
+++ b/packages/pairing/src/linkhaven/pairing/estimator.py
@@ -79,7 +79,7 @@
             return int(1_000_000 / max(LEAST_TOKEN_US, line[1]))
         return self.rate(phase) if self.settings.prefill_tokens_per_s else 0
 
-    def read_us(self, tokens, runner):
+    def prefill_us(self, tokens, runner):
         if tokens <= 0:
             return 0
         return int(self._plain_us(tokens, runner.phase) * self._factor(runner.name, runner.phase))
@@ -167,7 +167,7 @@
         """
         return self._wait_of(phase).with_others(self.others_wait.get(phase, ()), self.now_us())
 
-    def seen_rate(self):
+    def learned_prefill_rate(self):
         """Tokens a second that reading runners were seen to read, 0 before enough was seen."""
         line = self._line(PREFILL)
         return int(1_000_000 / line[1]) if line is not None else 0
@@ -201,7 +201,7 @@
     def note_prompt(self, tokens):
         self.prompt_mean += SMOOTHING * (tokens - self.prompt_mean)
 
-    def note_read(self, runner_name, phase, tokens, seen_us):
+    def note_prefill(self, runner_name, phase, tokens, seen_us):
         """A read of so many tokens that met no known queue took so long.
 
         Where queues are not known in time, one above the line may have met one, and counts less.
--- a/packages/pairing/src/linkhaven/pairing/kept.py
+++ b/packages/pairing/src/linkhaven/pairing/kept.py
@@ -33,7 +33,7 @@
         self.is_long = is_long
 
 
-class Kept:
+class PrefixCacheView:
     """Which parts of prompts each runner was given lately, as far as this router knows. A runner need not read a part
     again while it keeps it and every part before it; those longest unused give way."""
 
@@ -54,7 +54,7 @@
         while len(held) > PARTS_AT_MOST or room and total > room:
             total -= held.popitem(last=False)[1]
 
-    def home(self, shares, work):
+    def affinity_runner(self, shares, work):
         """The runner to which the last shared part belongs by its name, None where none is shared.
 
         Routers that don't hear of each other's reads send it there, and so find it kept, with the
@@ -73,16 +73,16 @@
 
         return max(shares, key=score)
 
-    def unread(self, runner, work, is_home=False):
+    def uncached_tokens(self, runner, work, has_affinity=False):
         """What of a prompt a runner would read, as far as is known.
 
         At the home of its last shared part all shared ones count as kept: most likely another
         router had them read there.
         """
         held = self.runners.get(runner.name, ())
-        if not work.parts or not (held or is_home):
+        if not work.parts or not (held or has_affinity):
             return work.tokens
-        assumed = len(work.parts) - 1 if is_home else 0
+        assumed = len(work.parts) - 1 if has_affinity else 0
         left = work.tokens
         for place, (id, tokens) in enumerate(work.parts):
             if id not in held and place >= assumed:
--- a/packages/pairing/src/linkhaven/pairing/load_view.py
+++ b/packages/pairing/src/linkhaven/pairing/load_view.py
@@ -16,7 +16,7 @@
 from linkhaven.runtime import Node
 
 from .estimator import Estimator
-from .kept import Kept
+from .kept import PrefixCacheView
 from .messages import QueueView, QueueViews
 from .outstanding_work import OutstandingWork, WorkFigures
 
@@ -58,7 +58,7 @@
         roster: Roster,
         peers: Callable[[], Sequence[Any]],
         estimator: Estimator,
-        prefix_caches: Kept,
+        prefix_caches: PrefixCacheView,
     ) -> None:
         """`peers`: the other routers that run; nothing is outstanding yet."""
         self.node = node
@@ -132,16 +132,16 @@
         )
         return tokens + max(0, unknown - read_since)
 
-    def read_wait_us(self, runner: Runner) -> int:
+    def prefill_wait_us(self, runner: Runner) -> int:
         """How long the runner reads what is known to wait there."""
-        return self.estimator.read_us(self.queued_tokens(runner), runner)
+        return self.estimator.prefill_us(self.queued_tokens(runner), runner)
 
     def queue_us(self, runner: Runner, queued_tokens: float, now_us: int) -> int:
         """The queue's reading time, less what the read at its head has had."""
         work = self.work_at(runner)
-        longest_us = self.estimator.read_us(work.longest_read(), runner)
+        longest_us = self.estimator.prefill_us(work.longest_prefill(), runner)
         head_us = min(now_us - work.moved_us, longest_us)
-        return max(0, self.estimator.read_us(queued_tokens, runner) - head_us)
+        return max(0, self.estimator.prefill_us(queued_tokens, runner) - head_us)
 
     def kv_share(self, runner: Runner) -> float:
         """The part of a runner's KV cache that is taken: as reported, and what changed since."""
--- a/packages/pairing/src/linkhaven/pairing/outstanding_work.py
+++ b/packages/pairing/src/linkhaven/pairing/outstanding_work.py
@@ -50,7 +50,7 @@
 class OutstandingWork:
     """Owns what this router has at one runner, and what the others reported of theirs.
 
-    `reads`: prompt tokens of each attempt that is to be prefilled; `decodes`: tokens of KV cache of
+    `prefills`: prompt tokens of each attempt that is to be prefilled; `decodes`: tokens of KV cache of
     each stream; `starts`: attempts whose first token is awaited; `predictions`: of each read, how
     many tokens it takes alone (0 where others were before it), and when it was sent. `moved_us`:
     when the read at the head of the queue came there, about. `others`: the sum of all that is
@@ -58,7 +58,7 @@
     """
 
     __slots__ = (
-        "reads",
+        "prefills",
         "decodes",
         "starts",
         "predictions",
@@ -73,7 +73,7 @@
 
     def __init__(self) -> None:
         """Nothing is outstanding."""
-        self.reads: dict[str, int] = {}
+        self.prefills: dict[str, int] = {}
         self.decodes: dict[str, int] = {}
         self.starts: set[str] = set()
         self.predictions: dict[str, tuple[int, int]] = {}
@@ -87,13 +87,13 @@
 
     def has_own(self) -> bool:
         """Whether this router has anything there."""
-        return bool(self.reads or self.starts or self.decodes)
+        return bool(self.prefills or self.starts or self.decodes)
 
     def own(self) -> WorkFigures:
         """What this router has there."""
         return WorkFigures(
-            len(self.reads) + len(self.starts),
-            sum(self.reads.values()),
+            len(self.prefills) + len(self.starts),
+            sum(self.prefills.values()),
             sum(self.decodes.values()),
             len(self.decodes),
         )
@@ -130,14 +130,14 @@
         while self.history and now_us - self.history[0][0] > HISTORY_US:
             self.history.popleft()
 
-    def longest_read(self) -> int:
+    def longest_prefill(self) -> int:
         """The longest prompt that waits there, as far as it can be known, in tokens."""
         means = (
             figures.tokens // figures.count
             for figures, _ in self.reported.values()
             if figures.count
         )
-        return max(max(self.reads.values(), default=0), max(means, default=0))
+        return max(max(self.prefills.values(), default=0), max(means, default=0))
 
     def would_overtake(self, tokens: int, now_us: int) -> bool:
         """Whether a long read, sent right behind a short one, may reach the runner before it."""
--- a/packages/pairing/src/linkhaven/pairing/placement.py
+++ b/packages/pairing/src/linkhaven/pairing/placement.py
@@ -12,7 +12,7 @@
 | admission of what is late | `choose_anyway` | whether it may join a queue, or waits on |
 | decode | `choose_decode` | the least used of the decode runners that are near |
 
-State is owned by `LoadView`, `RunnerBackoff`, `Kept` (prefix caches), `Estimator` and
+State is owned by `LoadView`, `RunnerBackoff`, `PrefixCacheView` (prefix caches), `Estimator` and
 `PlainScheduler`.
 """
 
@@ -22,7 +22,7 @@
 from .candidate import Candidate, Decision
 from .decoders import DecoderSplit, split_decoders
 from .estimator import Estimator
-from .kept import Kept, Work
+from .kept import PrefixCacheView, Work
 from .load_view import LoadView
 from .messages import LinkSample, QueueViews, RunnerShunned
 from .plain import PlainScheduler
@@ -56,7 +56,7 @@
         "load",
         "backoff",
         "exceptions",
-        "kept",
+        "prefix_caches",
         "in_place_us",
         "plain",
         "plain_pools",
@@ -68,8 +68,8 @@
         self.roster = roster
         self.fellows = fellows
         self.estimator = Estimator(node.now_us, self.is_large)
-        self.kept = Kept()
-        self.load = LoadView(node, roster, fellows, self.estimator, self.kept)
+        self.prefix_caches = PrefixCacheView()
+        self.load = LoadView(node, roster, fellows, self.estimator, self.prefix_caches)
         self.backoff = RunnerBackoff(node, fellows)
         self.plain = PlainScheduler(
             node.now_us, node.ports.random, lambda runner: self.load.work_at(runner).total().streams
@@ -104,7 +104,7 @@
         """Whether the runners of a pool have no engine, so that no prompt is read for it."""
         return pool in self.plain_pools
 
-    def reading_pace(self):
+    def prefill_rate(self):
         """Tokens a second that all open runners could read."""
         if self.estimator.settings is None:
             return 0
@@ -129,10 +129,10 @@
         for phase in (PREFILL, DECODE):
             those = [runner for runner in runners if runner.phase == phase]
             few += those if len(those) <= FEW else self.node.ports.random.sample(those, FEW)
-        home = self._home(runners, work, snapshot)
-        return few if home is None or home in few else [*few, home]
+        affine = self._affinity_runner(runners, work, snapshot)
+        return few if affine is None or affine in few else [*few, affine]
 
-    def _home(self, runners, work, snapshot):
+    def _affinity_runner(self, runners, work, snapshot):
         """Where the last shared part is read by all routers that know of no better place."""
         if work is None or not self.is_large():
             return None
@@ -143,7 +143,7 @@
                 shares[runner] = 1.0
             elif split is not None and runner.name in split.reading and not work.is_long:
                 shares[runner] = self.estimator.settings.decode_prefill_share
-        return self.kept.home(shares, work)
+        return self.prefix_caches.affinity_runner(shares, work)
 
     def tick(self, now_us):
         """Drop what lapsed; each second renew what others know, and forget runners that are gone."""
@@ -153,7 +153,7 @@
         names = set(self.roster.runners)
         self.load.forget_gone(names)
         self.backoff.forget_gone(names, now_us)
-        self.kept.forget(names)
+        self.prefix_caches.forget(names)
         self.plain.forget(names)
         self.estimator.forget(names)
         self.load.renew()
@@ -166,7 +166,7 @@
         )
         fit = [runner for runner in fit if not self.backoff.is_ejected(runner)] or fit
         split = self._split(fit, work.pool, snapshot)
-        home = self._home(fit, work, snapshot)
+        affine = self._affinity_runner(fit, work, snapshot)
         for runner in fit:
             queued = self.load.queued_tokens(runner)
             q_us = (
@@ -174,18 +174,22 @@
                 if runner.phase == PREFILL or work.pool is None
                 else snapshot.start_us(runner)
             )
-            unread = self.kept.unread(runner, work, is_home=runner is home)
-            e_us = self.estimator.read_us(unread, runner)
+            uncached_tokens = self.prefix_caches.uncached_tokens(
+                runner, work, has_affinity=runner is affine
+            )
+            e_us = self.estimator.prefill_us(uncached_tokens, runner)
             t_us, start_us = (
                 self._hand_over_us(runner, work, without, snapshot)
                 if runner.phase == PREFILL
                 else (0, 0)
             )
-            typical_us = self.estimator.read_us(max(work.typical_tokens, unread), runner)
+            typical_us = self.estimator.prefill_us(
+                max(work.typical_tokens, uncached_tokens), runner
+            )
             candidate = Candidate(
                 runner,
                 queued,
-                unread,
+                uncached_tokens,
                 q_us,
                 e_us,
                 t_us,
@@ -199,7 +203,7 @@
                 candidate.reads_for_others = runner.name in split.reading
                 if not self._may_read_in_place(candidate, work, split):
                     candidate.is_eligible = False
-            if self.load.work_at(runner).would_overtake(unread, now_us):
+            if self.load.work_at(runner).would_overtake(uncached_tokens, now_us):
                 candidate.is_eligible = False
             candidates.append(candidate)
         return candidates
@@ -321,7 +325,7 @@
         """What a runner has to read until this prompt is read: in tokens, or, in a pool whose parts read at paces of
         their own, as time; a read in place costs each stream of its runner that time, too."""
         if work.pool is None:
-            return candidate.queued_tokens + candidate.unread
+            return candidate.queued_tokens + candidate.uncached_tokens
         return candidate.total_us + self._unseen_us(candidate) + self._harm_us(candidate)
 
     def _unseen_us(self, candidate):
@@ -336,13 +340,16 @@
             return 0
         return self.load.work_at(candidate.runner).total().streams * candidate.e_us
 
-    def least_unread(self, work):
+    def least_uncached_tokens(self, work):
         """What of a prompt no runner of its pool keeps, about."""
         if not work.parts:
             return work.prompt_tokens
         asked = Work(work.prompt_tokens, work.parts, work.pool)
         return min(
-            (self.kept.unread(runner, asked) for runner in self.open_runners(work.pool)),
+            (
+                self.prefix_caches.uncached_tokens(runner, asked)
+                for runner in self.open_runners(work.pool)
+            ),
             default=work.prompt_tokens,
         )
 
@@ -425,26 +432,26 @@
         """Learn how slow a link is from a hand-over of another router."""
         self.estimator.links.learn(message.pair, message.zones, message.factor)
 
-    def begin_read(self, runner, attempt, work):
+    def begin_prefill(self, runner, attempt, work):
         now_us = self.node.now_us()
-        tokens = self.kept.unread(runner, work)
+        tokens = self.prefix_caches.uncached_tokens(runner, work)
         is_queued = self.load.queued_tokens(runner) > tokens // 4
         work_there = self.load.work_at(runner)
-        work_there.reads[attempt] = tokens
+        work_there.prefills[attempt] = tokens
         work_there.sent_us, work_there.sent_tokens = now_us, tokens
         work_there.predictions[attempt] = (0 if is_queued else tokens, now_us)
         self.load.on_changed(runner, work_there, work.parts[:-1])
-        self.kept.note(runner, work.parts)
+        self.prefix_caches.note(runner, work.parts)
         self.estimator.note_prompt(tokens)
 
-    def end_read(self, runner, attempt, is_seen=False):
+    def end_prefill(self, runner, attempt, is_seen=False):
         work_there = self.load.work_at(runner)
-        if work_there.reads.pop(attempt, None) is None:
+        if work_there.prefills.pop(attempt, None) is None:
             return
         alone_tokens, begun_us = work_there.predictions.pop(attempt)
         self.load.on_changed(runner, work_there)
         if is_seen and not self.load.is_deaf():
-            self.estimator.note_read(
+            self.estimator.note_prefill(
                 runner.name,
                 runner.phase,
                 alone_tokens,
@@ -453,7 +460,7 @@
 
     def begin_decode(self, runner, attempt, tokens):
         work_there = self.load.work_at(runner)
-        if runner.pool is not None and attempt not in work_there.reads:
+        if runner.pool is not None and attempt not in work_there.prefills:
             work_there.starts.add(attempt)
         work_there.decodes[attempt] = tokens
         self.load.on_changed(runner, work_there)
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -193,10 +193,10 @@
         request.runner = runner
         request.progress_us = now_us
         request.had_begun = request.has_begun
-        request.has_begun = request.has_begun or self.desk.reads_are_runs
+        request.has_begun = request.has_begun or self.desk.prefill_counts_as_begun
         request.handle = None
         if request.prompt_tokens:
-            self.pairing.begin_read(runner, request.attempt, self.work_of(request))
+            self.pairing.begin_prefill(runner, request.attempt, self.work_of(request))
         request.note(
             now_us, "attempt", runner=runner.name, phase=runner.phase, number=request.attempts
         )
@@ -214,7 +214,7 @@
                 if handle is not None:
                     self.desk.free(runner, handle)
                 return
-            self.pairing.end_read(runner, attempt, is_seen=error is None)
+            self.pairing.end_prefill(runner, attempt, is_seen=error is None)
             request.part = None
             if error is not None:
                 return self.fail(request, runner, error, has_begun)
@@ -258,7 +258,7 @@
     def leave_runner(self, request):
         if request.runner is not None and request.attempt is not None:
             for runner in [request.runner, *([request.handle[1]] if request.handle else [])]:
-                self.pairing.end_read(runner, request.attempt)
+                self.pairing.end_prefill(runner, request.attempt)
                 self.pairing.end_decode(runner, request.attempt)
         if request.part is not None:
             request.part.abandon()
@@ -308,7 +308,7 @@
             self.roster.note_alive(runner)
         if code in GONE:
             self.roster.note_leaving(runner)
-        if code == "phase_wrong" and not self.desk.reads_are_runs:
+        if code == "phase_wrong" and not self.desk.prefill_counts_as_begun:
             runner.is_switching = True
         if code in FULL:
             self.pairing.backoff.note_turned_away(runner)
@@ -323,7 +323,7 @@
     def _take_back_begun(self, request):
         """This attempt did not run; whether an earlier one may have is kept."""
         had_read = any(step["step"] == "hand-over" for step in request.steps)
-        if not request.written and not (had_read and self.desk.reads_are_runs):
+        if not request.written and not (had_read and self.desk.prefill_counts_as_begun):
             request.has_begun = request.had_begun
 
     def _unknown(self, error):
@@ -350,7 +350,7 @@
             without=request.failed, pool=request.pool
         ) or self.pairing.choose_decode(pool=request.pool)
         if runner is None or not self._has_time_for(
-            request, self.pairing.load.read_wait_us(runner)
+            request, self.pairing.load.prefill_wait_us(runner)
         ):
             return self.node.end_with_error(request, self._spent(request, error))
         if not self._may_try_again(request, 1):
@@ -369,7 +369,7 @@
         is_second_read = (
             decision.winner.runner.phase == PREFILL
             and request.reads > 0
-            and not self.desk.reads_are_runs
+            and not self.desk.prefill_counts_as_begun
         )
         if not self._may_try_again(request, 2 if is_second_read else 1):
             return self.node.end_with_error(request, self._spent(request, error))
@@ -464,5 +464,5 @@
             request.prompt_tokens
             and not request.written
             and request.reads > 0
-            and not self.desk.reads_are_runs
+            and not self.desk.prefill_counts_as_begun
         )
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -231,7 +231,7 @@
 
     def _pace_at_first(self):
         """This router's even part of what all runners read, until its own queue has shown its pace."""
-        return self.pairing.reading_pace() // (1 + len(self.membership.live_members("router")))
+        return self.pairing.prefill_rate() // (1 + len(self.membership.live_members("router")))
 
     def _failed_routers(self):
         """Name and address of each other router that is held for failed."""
@@ -258,7 +258,7 @@
         facts["usage"] = self.credit.usage_reports()
         is_keeping = is_roster or pace.is_sender(seat, "steward", now_us)
         facts["evidence"] = self.roster.tell_evidence(is_keeping)
-        facts["rates"] = [*self.rates, self.pairing.estimator.seen_rate()]
+        facts["rates"] = [*self.rates, self.pairing.estimator.learned_prefill_rate()]
         facts["roster"] = self.roster.place
         facts["steward"] = self.steward_place
         if is_roster and self.pairing.is_large():
@@ -369,7 +369,7 @@
     def enqueue(self, request):
         self.credit.enqueue(request.group, request)
         request.state = states.QUEUED
-        unread = self.pairing.least_unread(request)
+        unread = self.pairing.least_uncached_tokens(request)
         self.arrived += unread
         typical = self.typical_tokens.get(request.kind_name, unread)
         self.typical_tokens[request.kind_name] = typical + TYPICAL_GAIN * (unread - typical)
--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -56,7 +56,7 @@
         now_us = node.now_us()
         request.progress_us = now_us
         self.attempts.roster.note_alive(self.runner)
-        self.attempts.pairing.end_read(
+        self.attempts.pairing.end_prefill(
             self.runner, self.attempt, is_seen=self.runner.phase == DECODE and not self.is_handed
         )
         tokens = piece.document.get("tokens", 1)
--- a/packages/runner/src/linkhaven/runner/adapter.py
+++ b/packages/runner/src/linkhaven/runner/adapter.py
@@ -162,13 +162,14 @@
 class RunnerClient:
     """The client of runners that speak our own protocol, which the OpenAPI file describes.
 
-    Another protocol has a class with the same methods. `reads_are_runs`: a prompt that was read
-    counts as begun work. `joins_runs`: a new run may continue after the last piece of another.
+    Another protocol has a class with the same methods. `prefill_counts_as_begun`: a prompt that was
+    prefilled counts as begun work. `joins_runs`: a new run may continue after the last piece of
+    another.
     """
 
     __slots__ = ("node",)
 
-    reads_are_runs = True
+    prefill_counts_as_begun = True
     joins_runs = False
 
     def __init__(self, node):
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -70,11 +70,11 @@
             raise AttributeError("choosing")
         return SimpleNamespace(name="runner-1", phase="decode")
 
-    begin_read = begin_decode = silent
+    begin_prefill = begin_decode = silent
 
 
 class Sender:
-    reads_are_runs = False
+    prefill_counts_as_begun = False
 
     def __init__(self, bad):
         self.bad = bad
@@ -166,21 +166,25 @@
 class Fleet:
     """Attempts of one router at two decode runners and one reader; what failed is noted in place of tried again."""
 
-    def __init__(self, read_us=0):
+    def __init__(self, prefill_us=0):
         self.node = Router()
         self.roster = Roster(self.node)
         listed(self.roster, 1, record("d-1"), record("d-2"), record("p-1", "prefill"))
         self.extra = SimpleNamespace(has=lambda cost, pool=None: cost <= self.budget)
         self.budget = 2
         pairing = SimpleNamespace(
-            estimator=SimpleNamespace(read_us=lambda tokens, runner: read_us),
+            estimator=SimpleNamespace(prefill_us=lambda tokens, runner: prefill_us),
             load=SimpleNamespace(
-                queued_tokens=lambda runner: 0, read_wait_us=lambda runner: read_us
+                queued_tokens=lambda runner: 0, prefill_wait_us=lambda runner: prefill_us
             ),
             open_runners=lambda pool=None: self.roster.open_runners(),
         )
         self.tries = Failing(
-            self.node, pairing, SimpleNamespace(reads_are_runs=False), self.roster, self.extra
+            self.node,
+            pairing,
+            SimpleNamespace(prefill_counts_as_begun=False),
+            self.roster,
+            self.extra,
         )
         self.failed = self.tries.failed = []
 
@@ -217,7 +221,7 @@
 
 
 def test_the_reads_that_wait_there_have_their_time():
-    fleet = Fleet(read_us=1_000_000)
+    fleet = Fleet(prefill_us=1_000_000)
     fleet.sent("r-1", "p-1", READING)
     listed(fleet.roster, 2, record("d-1"), record("p-1", "prefill"), record("p-2", "prefill"))
     fleet.run_for(1_600_000)
--- a/tests/test_gone_runner.py
+++ b/tests/test_gone_runner.py
@@ -20,7 +20,7 @@
         ports=SimpleNamespace(log=lambda *told, **facts: None),
     )
     pairing = SimpleNamespace(
-        end_read=lambda *told: None,
+        end_prefill=lambda *told: None,
         end_decode=lambda *told: None,
         backoff=SimpleNamespace(note_turned_away=lambda runner: heard.append("turned away")),
     )
@@ -32,7 +32,7 @@
     request.kind = RequestKind("g", SECOND, SECOND, SECOND, is_idempotent=False)
     request.state, request.attempt = READING, "r-1/1"
     request.runner = runner = SimpleNamespace(name="runner-1", is_plain=lambda: False)
-    attempts = Attempts(node, pairing, SimpleNamespace(reads_are_runs=False), roster, None)
+    attempts = Attempts(node, pairing, SimpleNamespace(prefill_counts_as_begun=False), roster, None)
     attempts.fail(request, runner, error, True)
     return heard, request
 
@@ -61,7 +61,7 @@
         ports=SimpleNamespace(log=lambda *told, **facts: None),
     )
     pairing = SimpleNamespace(
-        end_read=lambda *told: None,
+        end_prefill=lambda *told: None,
         end_decode=lambda *told: None,
         backoff=SimpleNamespace(eject=lambda runner: None, note_turned_away=lambda runner: None),
     )
@@ -72,7 +72,7 @@
     request.kind = RequestKind("g", SECOND, SECOND, SECOND, is_idempotent=True)
     request.state, request.attempt = READING, "r-1/1"
     request.runner = runner = SimpleNamespace(name="runner-1", is_plain=lambda: False)
-    Attempts(node, pairing, SimpleNamespace(reads_are_runs=False), roster, None).fail(
+    Attempts(node, pairing, SimpleNamespace(prefill_counts_as_begun=False), roster, None).fail(
         request, runner, ServiceError(code, done="no"), True
     )
     assert closed == ([runner] if is_closed else [])
--- a/tests/test_late_work.py
+++ b/tests/test_late_work.py
@@ -52,7 +52,7 @@
     one.world.run_for(5 * SECOND)
     true_us = read_in_place_us(12_000)
     taken_us = {
-        name: host.node.pairing.estimator.read_us(12_000, host.node.roster.runners[LAST])
+        name: host.node.pairing.estimator.prefill_us(12_000, host.node.roster.runners[LAST])
         for name, host in one.routers.items()
     }
     assert max(taken_us.values()) < 1.5 * true_us, (true_us, taken_us)
@@ -96,7 +96,7 @@
     host = one.routers["edge-1"]
     runner = host.node.roster.runners[LAST]
     for name in ("a", "b"):
-        host.node.pairing.begin_read(runner, name, Work(3_000, (), POOL))
+        host.node.pairing.begin_prefill(runner, name, Work(3_000, (), POOL))
     one.world.run_for(SECOND)
     ended = {}
     for tokens in (16_500, 20_000):
@@ -220,6 +220,6 @@
         one.world.run_for(120_000)
     one.settle()
     pairing, runner = deaf.node.pairing, deaf.node.roster.runners[LAST]
-    taken_us = {tokens: pairing.estimator.read_us(tokens, runner) for tokens in (600, 12_000)}
+    taken_us = {tokens: pairing.estimator.prefill_us(tokens, runner) for tokens in (600, 12_000)}
     for tokens, each_us in taken_us.items():
         assert each_us < 3 * read_in_place_us(tokens), taken_us
--- a/tests/test_plain_requests.py
+++ b/tests/test_plain_requests.py
@@ -25,12 +25,12 @@
 
     def __init__(self):
         self.reads = []
-        self.load = SimpleNamespace(read_wait_us=lambda runner: 0)
+        self.load = SimpleNamespace(prefill_wait_us=lambda runner: 0)
 
     def choose_decode(self, without=(), source=None, tokens=0, pool=None):
         return SimpleNamespace(name="decode-1", phase="decode")
 
-    def begin_read(self, runner, attempt, work):
+    def begin_prefill(self, runner, attempt, work):
         self.reads.append(runner.name)
 
     def begin_decode(self, runner, attempt, tokens):
@@ -38,7 +38,7 @@
 
 
 class Desk:
-    reads_are_runs = False
+    prefill_counts_as_begun = False
 
     def __init__(self):
         self.sent = []
--- a/tests/test_shared_lines.py
+++ b/tests/test_shared_lines.py
@@ -11,7 +11,7 @@
 from linkhaven.pairing.decoders import UNDISTURBED_LEAST, split_decoders
 from linkhaven.pairing.estimator import Estimator
 from linkhaven.pairing.fit import LineFit
-from linkhaven.pairing.kept import Kept
+from linkhaven.pairing.kept import PrefixCacheView
 from linkhaven.pairing.recent import RecentMean
 from linkhaven.runner.roster import DECODE, PREFILL, Runner
 
@@ -51,21 +51,21 @@
 
 def test_before_any_read_nothing_is_known_and_nothing_read_in_place():
     estimator = Fleet(1).estimators[0]
-    assert estimator.read_us(9_000, runner("r")) == 0 and estimator.pace(PREFILL) == 0
+    assert estimator.prefill_us(9_000, runner("r")) == 0 and estimator.pace(PREFILL) == 0
     assert not estimator.knows_pace(DECODE)
-    estimator.note_read("r", PREFILL, 9_000, 30_000)
-    assert estimator.read_us(9_000, runner("r")) == 30_000 and estimator.knows_pace(DECODE)
-    assert estimator.read_us(9_000, runner("d", DECODE)) == 60_000
+    estimator.note_prefill("r", PREFILL, 9_000, 30_000)
+    assert estimator.prefill_us(9_000, runner("r")) == 30_000 and estimator.knows_pace(DECODE)
+    assert estimator.prefill_us(9_000, runner("d", DECODE)) == 60_000
 
 
 def test_in_a_small_fleet_a_pace_is_guessed_before_a_line_is_seen():
     estimator = Fleet(1, is_blind=False).estimators[0]
-    guessed_us = estimator.read_us(9_000, runner("r"))
+    guessed_us = estimator.prefill_us(9_000, runner("r"))
     assert guessed_us > 400_000
-    estimator.note_read("r", PREFILL, 9_000, 30_000)
-    assert estimator.read_us(9_000, runner("r")) > 0.8 * guessed_us
-    estimator.note_read("r", PREFILL, 200, 19_000)
-    assert estimator.read_us(9_000, runner("r")) < 60_000
+    estimator.note_prefill("r", PREFILL, 9_000, 30_000)
+    assert estimator.prefill_us(9_000, runner("r")) > 0.8 * guessed_us
+    estimator.note_prefill("r", PREFILL, 200, 19_000)
+    assert estimator.prefill_us(9_000, runner("r")) < 60_000
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -74,10 +74,10 @@
     for estimator in fleet.estimators[1:]:
         for _ in range(3):
             tokens = dice.choice((200, 2_000, 9_000))
-            estimator.note_read("r", PREFILL, tokens, true_us(tokens))
+            estimator.note_prefill("r", PREFILL, tokens, true_us(tokens))
     fleet.tell()
     for tokens in (200, 5_000, 12_000):
-        seen_us = fleet.estimators[0].read_us(tokens, runner("other"))
+        seen_us = fleet.estimators[0].prefill_us(tokens, runner("other"))
         assert abs(seen_us - true_us(tokens)) < 0.1 * true_us(tokens)
     fleet.now += 60 * SECOND
     fleet.tell()
@@ -92,8 +92,8 @@
         fleet.now += 20_000
         tokens = dice.choice((200, 2_000, 9_000))
         queue_us = 0 if dice.random() < 0.4 else dice.randrange(300_000)
-        estimator.note_read("r", PREFILL, tokens, true_us(tokens) + queue_us)
-    assert estimator.read_us(9_000, runner("r")) < 2.5 * true_us(9_000)
+        estimator.note_prefill("r", PREFILL, tokens, true_us(tokens) + queue_us)
+    assert estimator.prefill_us(9_000, runner("r")) < 2.5 * true_us(9_000)
     assert 30_000 < estimator.wait_us(PREFILL) < 200_000
     fleet.now += 30 * SECOND
     assert estimator.wait_us(PREFILL) == 0
@@ -159,9 +159,9 @@
 
 
 def test_homes_follow_the_shares_and_few_move_when_a_runner_goes():
-    kept = Kept()
+    kept = PrefixCacheView()
     shares = {runner(f"i-{place}"): 1.0 if place < 8 else 0.5 for place in range(16)}
-    homes = {place: kept.home(shares, work(place)).name for place in range(4_000)}
+    homes = {place: kept.affinity_runner(shares, work(place)).name for place in range(4_000)}
     counts = {one.name: list(homes.values()).count(one.name) for one in shares}
     for one, share in shares.items():
         assert 0.8 * 4_000 * share / 12 < counts[one.name] < 1.2 * 4_000 * share / 12
@@ -169,14 +169,17 @@
     rest = {one: share for one, share in shares.items() if one is not lost}
     for place, name in homes.items():
         if name != lost.name:
-            assert kept.home(rest, work(place)).name == name
-    assert kept.home({}, work(1)) is None and kept.home(shares, Work(5, (("own", 5),))) is None
+            assert kept.affinity_runner(rest, work(place)).name == name
+    assert (
+        kept.affinity_runner({}, work(1)) is None
+        and kept.affinity_runner(shares, Work(5, (("own", 5),))) is None
+    )
 
 
 def test_at_home_the_shared_parts_count_as_kept_and_elsewhere_only_what_was_read():
-    kept, there, other = Kept(), runner("a"), runner("b")
-    assert kept.unread(there, work(1)) == 9_000
-    assert kept.unread(there, work(1), is_home=True) == 2_700
+    kept, there, other = PrefixCacheView(), runner("a"), runner("b")
+    assert kept.uncached_tokens(there, work(1)) == 9_000
+    assert kept.uncached_tokens(there, work(1), has_affinity=True) == 2_700
     kept.note(other, work(5).parts[:1])
-    assert kept.unread(other, work(1)) == 6_500
-    assert kept.unread(other, work(2)) == 9_000
+    assert kept.uncached_tokens(other, work(1)) == 6_500
+    assert kept.uncached_tokens(other, work(2)) == 9_000
--- a/tests/test_spread_streams.py
+++ b/tests/test_spread_streams.py
@@ -34,9 +34,9 @@
 def let_reads_wait(policy, wait_us):
     """Readers are seen to read some sizes, and then to take longer by a wait."""
     for tokens in (500, 2_000, 8_000) * 5:
-        policy.estimator.note_read("runner-0", PREFILL, tokens, READ_US + tokens * 20)
+        policy.estimator.note_prefill("runner-0", PREFILL, tokens, READ_US + tokens * 20)
     for _ in range(40):
-        policy.estimator.note_read("runner-0", PREFILL, 2_000, READ_US + 40_000 + wait_us)
+        policy.estimator.note_prefill("runner-0", PREFILL, 2_000, READ_US + 40_000 + wait_us)
 
 
 def test_streams_take_all_decode_runners_while_readers_keep_up():
