--- a/packages/pairing/src/linkhaven/pairing/__init__.py
+++ b/packages/pairing/src/linkhaven/pairing/__init__.py
@@ -1,7 +1,7 @@
 from .candidate import Candidate, Decision
 from .estimator import Estimator
-from .flow import Flow
-from .kept import Work
+from .flow import StreamMigrator
+from .kept import PrefillWork
 from .load_view import LoadView
 from .outstanding_work import OutstandingWork
 from .placement import NO_BOUND_US, PlacementPolicy
@@ -13,11 +13,11 @@
     "Candidate",
     "Decision",
     "Estimator",
-    "Flow",
+    "StreamMigrator",
     "LoadView",
     "OutstandingWork",
     "PlacementPolicy",
     "RatioSearch",
     "RunnerBackoff",
-    "Work",
+    "PrefillWork",
 ]
--- a/packages/pairing/src/linkhaven/pairing/candidate.py
+++ b/packages/pairing/src/linkhaven/pairing/candidate.py
@@ -11,17 +11,18 @@
 class Candidate:
     """A runner for one prompt, with the times that it was weighed by.
 
-    After TaiChi, Algorithm 2: `q_us` is the queue's time, `e_us` that of the prompt itself, `t_us`
-    that of the KV cache's transfer; `start_us` how long the decode then waits for its place.
+    After TaiChi, Algorithm 2, in microseconds: `queue_wait_us` (Q) until the prefill starts,
+    `execution_us` (E) of the prefill itself, `transfer_us` (T) of the KV cache, and `start_us`
+    that the decode then waits for a free slot.
     """
 
     __slots__ = (
         "runner",
         "queued_tokens",
         "uncached_tokens",
-        "q_us",
-        "e_us",
-        "t_us",
+        "queue_wait_us",
+        "execution_us",
+        "transfer_us",
         "start_us",
         "is_eligible",
         "has_memory",
@@ -34,9 +35,9 @@
         runner: Runner,
         queued_tokens: float,
         uncached_tokens: int,
-        q_us: int,
-        e_us: int,
-        t_us: int,
+        queue_wait_us: int,
+        execution_us: int,
+        transfer_us: int,
         start_us: int,
         ttft_us: int,
         room_us: int,
@@ -52,13 +53,18 @@
         self.start_us = start_us
         self.uncached_tokens = uncached_tokens
         self.queued_tokens = queued_tokens
-        self.q_us = q_us
-        self.e_us = e_us
+        self.queue_wait_us = queue_wait_us
+        self.execution_us = execution_us
         self.has_memory = True
         self.reads_for_others = False
-        self.t_us = t_us
-        self.has_room = q_us == 0 or q_us < room_us // OVERDUE_PART
-        leaves_room = q_us == 0 or q_us + typical_us < room_us or is_overdue and self.has_room
+        self.transfer_us = transfer_us
+        self.has_room = queue_wait_us == 0 or queue_wait_us < room_us // OVERDUE_PART
+        leaves_room = (
+            queue_wait_us == 0
+            or queue_wait_us + typical_us < room_us
+            or is_overdue
+            and self.has_room
+        )
         self.is_eligible = self.total_us < ttft_us and leaves_room
 
     @property
@@ -69,7 +75,7 @@
     @property
     def total_us(self) -> int:
         """How long the first token takes."""
-        return self.q_us + self.e_us + self.t_us + self.start_us
+        return self.queue_wait_us + self.execution_us + self.transfer_us + self.start_us
 
     def as_record(self) -> dict[str, Any]:
         """As `explain` shows it."""
@@ -78,9 +84,9 @@
             "phase": self.runner.phase,
             "queued_tokens": int(self.queued_tokens),
             "unread": self.uncached_tokens,
-            "q_us": self.q_us,
-            "e_us": self.e_us,
-            "t_us": self.t_us,
+            "q_us": self.queue_wait_us,
+            "e_us": self.execution_us,
+            "t_us": self.transfer_us,
             "start_us": self.start_us,
             "is_eligible": self.is_eligible,
         }
--- a/packages/pairing/src/linkhaven/pairing/estimator.py
+++ b/packages/pairing/src/linkhaven/pairing/estimator.py
@@ -2,7 +2,7 @@
 from linkhaven.runner.roster import DECODE, PREFILL
 
 from .fit import PARTS, LineFit
-from .links import Links
+from .links import LinkSlowdowns
 from .recent import RecentMean
 
 SMOOTHING = 0.1
@@ -53,7 +53,7 @@
         self.now_us = now_us
         self.is_blind = is_blind
         self.noted_us = {}
-        self.links = Links(now_us)
+        self.links = LinkSlowdowns(now_us)
         self.settings: PlacementSettings | None = None
         self.factors = {}
         self.fits = {}
--- a/packages/pairing/src/linkhaven/pairing/flow.py
+++ b/packages/pairing/src/linkhaven/pairing/flow.py
@@ -5,7 +5,7 @@
 PACE_TOKENS = 16
 
 
-class Flow:
+class StreamMigrator:
     """Moves running streams between decode runners: the longest are shed above the watermark,
     and a moved one that nears its pace target goes back. Each move is an extra shot."""
 
--- a/packages/pairing/src/linkhaven/pairing/kept.py
+++ b/packages/pairing/src/linkhaven/pairing/kept.py
@@ -13,24 +13,24 @@
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=HASH_BYTES).digest())
 
 
-class Work:
+class PrefillWork:
     """What a request asks of a reader.
 
     Its prompt tokens, the shared parts they are made of in order as (id, tokens), and the pool
     whose runners may have it (None for any). `typical_tokens` is what a prompt of its kind leaves
-    to read on the average, 0 where that isn't known. `is_long`: its answer is expected to outlast
-    the longest pause that is in time, so that reads beside it can make it late.
+    to read on the average, 0 where that isn't known. `has_long_answer`: its answer is expected to
+    outlast the longest pause that is in time, so that reads beside it can make it late.
     """
 
-    __slots__ = ("tokens", "parts", "pool", "typical_tokens", "is_long")
+    __slots__ = ("tokens", "parts", "pool", "typical_tokens", "has_long_answer")
 
-    def __init__(self, tokens, parts=(), pool=None, typical_tokens=0, is_long=True):
+    def __init__(self, tokens, parts=(), pool=None, typical_tokens=0, has_long_answer=True):
         """See above."""
         self.tokens = tokens
         self.parts = parts
         self.pool = pool
         self.typical_tokens = typical_tokens
-        self.is_long = is_long
+        self.has_long_answer = has_long_answer
 
 
 class PrefixCacheView:
--- a/packages/pairing/src/linkhaven/pairing/links.py
+++ b/packages/pairing/src/linkhaven/pairing/links.py
@@ -6,7 +6,7 @@
 FACTOR_AT_MOST = 1_000.0
 
 
-class Links:
+class LinkSlowdowns:
     """How much slower than the plan says the links between runners are, by pair where there are samples, else by pair
     of zones; without samples it goes back to what the plan says."""
 
--- a/packages/pairing/src/linkhaven/pairing/placement.py
+++ b/packages/pairing/src/linkhaven/pairing/placement.py
@@ -6,7 +6,7 @@
 | step | method | what it decides |
 | --- | --- | --- |
 | filter | `open_runners`, `_sample` | who may be asked at all; in large fleets a few drawn at random |
-| estimate | `weigh` | queue, read, transfer and start times of each, see `estimator.py` |
+| estimate | `evaluate_candidates` | queue, read, transfer and start times of each, see `estimator.py` |
 | eligibility | `Candidate`, `_may_read_in_place`, `_keep_to_memory` | who answers in time, with room |
 | selection | `choose`, `_ahead_us` | the least queued of them; ties at random |
 | admission of what is late | `choose_anyway` | whether it may join a queue, or waits on |
@@ -22,7 +22,7 @@
 from .candidate import Candidate, Decision
 from .decoders import DecoderSplit, split_decoders
 from .estimator import Estimator
-from .kept import PrefixCacheView, Work
+from .kept import PrefillWork, PrefixCacheView
 from .load_view import LoadView
 from .messages import LinkSample, QueueViews, RunnerShunned
 from .plain import PlainScheduler
@@ -141,7 +141,7 @@
         for runner in runners:
             if runner.phase == PREFILL:
                 shares[runner] = 1.0
-            elif split is not None and runner.name in split.reading and not work.is_long:
+            elif split is not None and runner.name in split.reading and not work.has_long_answer:
                 shares[runner] = self.estimator.settings.decode_prefill_share
         return self.prefix_caches.affinity_runner(shares, work)
 
@@ -158,7 +158,7 @@
         self.estimator.forget(names)
         self.load.renew()
 
-    def weigh(self, work, ttft_us, without=(), room_us=NO_BOUND_US, is_overdue=False):
+    def evaluate_candidates(self, work, ttft_us, without=(), room_us=NO_BOUND_US, is_overdue=False):
         candidates, now_us = [], self.node.now_us()
         snapshot = self._snapshot(work.pool)
         fit = self._sample(
@@ -169,7 +169,7 @@
         affine = self._affinity_runner(fit, work, snapshot)
         for runner in fit:
             queued = self.load.queued_tokens(runner)
-            q_us = (
+            queue_wait_us = (
                 self.load.queue_us(runner, queued, now_us)
                 if runner.phase == PREFILL or work.pool is None
                 else snapshot.start_us(runner)
@@ -177,8 +177,8 @@
             uncached_tokens = self.prefix_caches.uncached_tokens(
                 runner, work, has_affinity=runner is affine
             )
-            e_us = self.estimator.prefill_us(uncached_tokens, runner)
-            t_us, start_us = (
+            execution_us = self.estimator.prefill_us(uncached_tokens, runner)
+            transfer_us, start_us = (
                 self._hand_over_us(runner, work, without, snapshot)
                 if runner.phase == PREFILL
                 else (0, 0)
@@ -190,9 +190,9 @@
                 runner,
                 queued,
                 uncached_tokens,
-                q_us,
-                e_us,
-                t_us,
+                queue_wait_us,
+                execution_us,
+                transfer_us,
                 start_us,
                 ttft_us,
                 room_us,
@@ -247,11 +247,11 @@
         as long as queue and read are only a part of the tightest target.
         """
         if candidate.reads_for_others:
-            return not work.is_long
+            return not work.has_long_answer
         if self.is_large() and not self.estimator.knows_pace(DECODE):
             return False
-        is_brief = candidate.q_us + candidate.e_us <= self.in_place_us
-        return is_brief and (work.is_long or not split.reading)
+        is_brief = candidate.queue_wait_us + candidate.execution_us <= self.in_place_us
+        return is_brief and (work.has_long_answer or not split.reading)
 
     def _least(self, candidates, worth):
         worths = [worth(candidate) for candidate in candidates]
@@ -280,7 +280,7 @@
             candidate.is_eligible = candidate.is_eligible and has_memory
 
     def choose(self, work, ttft_us, without=(), room_us=NO_BOUND_US, is_overdue=False):
-        candidates = self.weigh(work, ttft_us, without, room_us, is_overdue)
+        candidates = self.evaluate_candidates(work, ttft_us, without, room_us, is_overdue)
         self._keep_to_memory(candidates, work, without)
         if not self.has_decode(without, work.pool):
             candidates = [candidate for candidate in candidates if candidate.runner.phase == DECODE]
@@ -332,19 +332,19 @@
         """How long the reads that no view tells of in time are likely to take there."""
         if not self.is_large():
             return 0
-        return max(0, self.estimator.wait_us(candidate.runner.phase) - candidate.q_us)
+        return max(0, self.estimator.wait_us(candidate.runner.phase) - candidate.queue_wait_us)
 
     def _harm_us(self, candidate):
         """What a read in place costs the streams of its runner; none where it is there to read."""
         if candidate.runner.phase != DECODE or candidate.reads_for_others:
             return 0
-        return self.load.work_at(candidate.runner).total().streams * candidate.e_us
+        return self.load.work_at(candidate.runner).total().streams * candidate.execution_us
 
     def least_uncached_tokens(self, work):
         """What of a prompt no runner of its pool keeps, about."""
         if not work.parts:
             return work.prompt_tokens
-        asked = Work(work.prompt_tokens, work.parts, work.pool)
+        asked = PrefillWork(work.prompt_tokens, work.parts, work.pool)
         return min(
             (
                 self.prefix_caches.uncached_tokens(runner, asked)
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -1,7 +1,7 @@
 """Attempts of requests at runners, and what follows when one fails."""
 
 from linkhaven.api import ServiceError
-from linkhaven.pairing import NO_BOUND_US, Decision, Work
+from linkhaven.pairing import NO_BOUND_US, Decision, PrefillWork
 from linkhaven.runner.roster import PREFILL
 
 from . import request as states
@@ -119,7 +119,7 @@
     def work_of(self, request):
         typical = self.node.typical_tokens.get(request.kind_name, 0)
         is_long = self.is_long(request)
-        return Work(request.prompt_tokens, request.parts, request.pool, typical, is_long)
+        return PrefillWork(request.prompt_tokens, request.parts, request.pool, typical, is_long)
 
     def is_long(self, request):
         """Whether the answer is expected to outlast the longest pause that is in time."""
@@ -152,7 +152,10 @@
         if not decision.candidates:
             return NO_OPEN_RUNNER if has_waited else None
         ttft_us = request.kind.ttft_us
-        if min(candidate.e_us + candidate.t_us for candidate in decision.candidates) >= ttft_us:
+        if (
+            min(candidate.execution_us + candidate.transfer_us for candidate in decision.candidates)
+            >= ttft_us
+        ):
             return BEYOND_TARGET
         if self.node.bounds.hold_share is not None:
             return "held_its_share" if has_waited else None
--- a/packages/router/src/linkhaven/router/invariants.py
+++ b/packages/router/src/linkhaven/router/invariants.py
@@ -52,7 +52,10 @@
         winner = decision.winner
         if decision.exception is not None and not winner.has_room:
             self._violate(
-                "late_work_beyond_room", request=request.id, wait_us=winner.q_us, room_us=room_us
+                "late_work_beyond_room",
+                request=request.id,
+                wait_us=winner.queue_wait_us,
+                room_us=room_us,
             )
 
     def check_hold(self, request):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -8,7 +8,7 @@
 from linkhaven.consensus import Proposer
 from linkhaven.credit import GRANT_NUMBERS_PER_FENCE, AdmissionQueues, RetryBudget, TenantQuotas
 from linkhaven.membership import Membership
-from linkhaven.pairing import NO_BOUND_US, Flow, PlacementPolicy
+from linkhaven.pairing import NO_BOUND_US, PlacementPolicy, StreamMigrator
 from linkhaven.runner import Roster, RunnerClient
 from linkhaven.runtime import Node, Table
 
@@ -148,7 +148,9 @@
         )
         self.requests = Table()
         self.attempts = Attempts(self, self.pairing, self.desk, self.roster, self.extra)
-        self.flow = Flow(self, self.pairing, self.roster, self.requests.rows, self.attempts.move)
+        self.flow = StreamMigrator(
+            self, self.pairing, self.roster, self.requests.rows, self.attempts.move
+        )
         self.chain = Filters(self).chain(self.end_with_error)
         self.explainer = Explainer(self, self.membership, self.requests)
         self.readmission = Readmission(self)
--- a/packages/router/src/linkhaven/router/request.py
+++ b/packages/router/src/linkhaven/router/request.py
@@ -161,9 +161,9 @@
                 seen.update(
                     phase=winner.runner.phase,
                     unread=winner.unread,
-                    q=winner.q_us,
-                    e=winner.e_us,
-                    t=winner.t_us,
+                    q=winner.queue_wait_us,
+                    e=winner.execution_us,
+                    t=winner.transfer_us,
                     start=winner.start_us,
                 )
         return seen
--- a/packages/stage/src/linkhaven/stage/measure.py
+++ b/packages/stage/src/linkhaven/stage/measure.py
@@ -16,7 +16,7 @@
     __slots__ = ()
 
     def choose(self, work, ttft_us, without=(), room_us=NO_BOUND_US, is_overdue=False):
-        candidates = self.weigh(work, ttft_us, without, room_us, is_overdue)
+        candidates = self.evaluate_candidates(work, ttft_us, without, room_us, is_overdue)
         if not candidates or not self.has_decode(without, work.pool):
             return Decision(candidates, None)
         return Decision(candidates, candidates[self.node.ports.random.randrange(len(candidates))])
@@ -35,8 +35,8 @@
 
     __slots__ = ()
 
-    def weigh(self, work, ttft_us, without=(), room_us=NO_BOUND_US, is_overdue=False):
-        candidates = super().weigh(work, ttft_us, without, room_us, is_overdue)
+    def evaluate_candidates(self, work, ttft_us, without=(), room_us=NO_BOUND_US, is_overdue=False):
+        candidates = super().evaluate_candidates(work, ttft_us, without, room_us, is_overdue)
         return [
             candidate for candidate in candidates if candidate.runner.phase == PREFILL
         ] or candidates
--- a/tests/test_late_work.py
+++ b/tests/test_late_work.py
@@ -10,7 +10,7 @@
 from pooled_fleet import LAST, POOL, POOLED, SPEEDS, PooledFleet, fleet, served_by_kind
 
 from linkhaven.api import ServiceError
-from linkhaven.pairing import Work
+from linkhaven.pairing import PrefillWork
 from linkhaven.router import request as states
 from linkhaven.stage.fleet import SECOND, Deployment
 
@@ -74,7 +74,7 @@
 
 
 def test_what_readers_that_are_shunned_would_read_may_go_to_an_idle_decode_runner():
-    """`weigh` leaves shunned readers out, but `has_prefill` counts them."""
+    """`evaluate_candidates` leaves shunned readers out, but `has_prefill` counts them."""
     one = calm_fleet(1)
     node = one.routers["edge-1"].node
     pairing, now_us = node.pairing, one.world.now_us
@@ -82,7 +82,7 @@
     assert readers
     for runner in readers:
         pairing.backoff.ejected[(runner.name, runner.incarnation)] = (now_us + 5 * SECOND, SECOND)
-    decision = pairing.choose(Work(12_000, (), POOL), 800_000, room_us=800_000)
+    decision = pairing.choose(PrefillWork(12_000, (), POOL), 800_000, room_us=800_000)
     assert {each.runner.phase for each in decision.candidates} == {"decode"}
     assert decision.winner is not None, decision.as_record()
 
@@ -96,7 +96,7 @@
     host = one.routers["edge-1"]
     runner = host.node.roster.runners[LAST]
     for name in ("a", "b"):
-        host.node.pairing.begin_prefill(runner, name, Work(3_000, (), POOL))
+        host.node.pairing.begin_prefill(runner, name, PrefillWork(3_000, (), POOL))
     one.world.run_for(SECOND)
     ended = {}
     for tokens in (16_500, 20_000):
--- a/tests/test_placement_cost.py
+++ b/tests/test_placement_cost.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from linkhaven.configuration import PlacementSettings
-from linkhaven.pairing import OutstandingWork, PlacementPolicy, Work
+from linkhaven.pairing import OutstandingWork, PlacementPolicy, PrefillWork
 from linkhaven.pairing.outstanding_work import WorkFigures
 from linkhaven.runner import Runner
 from linkhaven.runner.roster import DECODE, PREFILL
@@ -102,7 +102,7 @@
 
     Four times the runners are less than six times the calls; looked at by pair they are ten times.
     """
-    work = Work(8_000, (), POOL)
+    work = PrefillWork(8_000, (), POOL)
     few, many = policy_over(4, 6), policy_over(16, 24)
     costs = [count_calls(lambda one=one: one.choose(work, 800_000)) for one in (few, many)]
     assert costs[1] < 6 * costs[0]
--- a/tests/test_placement_invariants.py
+++ b/tests/test_placement_invariants.py
@@ -27,8 +27,8 @@
     def weigh_by_room(self, work, ttft_us, without=(), room_us=0, is_overdue=False):
         return plain_weigh(self, work, ttft_us, without, self.node.rooms["digests"], is_overdue)
 
-    plain_weigh = PlacementPolicy.weigh
-    monkeypatch.setattr(PlacementPolicy, "weigh", weigh_by_room)
+    plain_weigh = PlacementPolicy.evaluate_candidates
+    monkeypatch.setattr(PlacementPolicy, "evaluate_candidates", weigh_by_room)
     monkeypatch.setattr(PlacementPolicy, "choose_anyway", choose_any)
     assert run(seed)["late_work_beyond_room"] > 0
 
--- a/tests/test_shared_lines.py
+++ b/tests/test_shared_lines.py
@@ -7,7 +7,7 @@
 
 from linkhaven.configuration import PlacementSettings
 from linkhaven.controller.figure_relay import FigureRelay
-from linkhaven.pairing import Work
+from linkhaven.pairing import PrefillWork
 from linkhaven.pairing.decoders import UNDISTURBED_LEAST, split_decoders
 from linkhaven.pairing.estimator import Estimator
 from linkhaven.pairing.fit import LineFit
@@ -155,7 +155,9 @@
 
 
 def work(place):
-    return Work(9_000, ((f"top-{place % 4}", 2_500), (f"mid-{place}", 3_800), ("own", 2_700)))
+    return PrefillWork(
+        9_000, ((f"top-{place % 4}", 2_500), (f"mid-{place}", 3_800), ("own", 2_700))
+    )
 
 
 def test_homes_follow_the_shares_and_few_move_when_a_runner_goes():
@@ -172,7 +174,7 @@
             assert kept.affinity_runner(rest, work(place)).name == name
     assert (
         kept.affinity_runner({}, work(1)) is None
-        and kept.affinity_runner(shares, Work(5, (("own", 5),))) is None
+        and kept.affinity_runner(shares, PrefillWork(5, (("own", 5),))) is None
     )
 
 
--- a/tests/test_spread_streams.py
+++ b/tests/test_spread_streams.py
@@ -6,7 +6,7 @@
 
 from test_placement_cost import POOL, policy_over
 
-from linkhaven.pairing import Work
+from linkhaven.pairing import PrefillWork
 from linkhaven.runner.roster import PREFILL
 
 READERS, DECODERS, STREAMS = 10, 19, 90
@@ -49,5 +49,7 @@
     policy = large_policy()
     let_reads_wait(policy, 900_000)
     assert decode_runners_of(policy, STREAMS) < DECODERS
-    candidates = policy.weigh(Work(500, (), POOL, is_long=False), 800_000)
+    candidates = policy.evaluate_candidates(
+        PrefillWork(500, (), POOL, has_long_answer=False), 800_000
+    )
     assert any(candidate.reads_for_others for candidate in candidates)
