--- a/packages/router/src/linkhaven/router/request.py
+++ b/packages/router/src/linkhaven/router/request.py
@@ -160,7 +160,7 @@
             if winner is not None:
                 seen.update(
                     phase=winner.runner.phase,
-                    unread=winner.unread,
+                    unread=winner.uncached_tokens,
                     q=winner.queue_wait_us,
                     e=winner.execution_us,
                     t=winner.transfer_us,
