--- a/packages/pairing/src/linkhaven/pairing/candidate.py
+++ b/packages/pairing/src/linkhaven/pairing/candidate.py
@@ -11,17 +11,18 @@
 class Candidate:
     """A runner for one prompt, with the times that it was weighed by.
 
-    After TaiChi, Algorithm 2: `q_us` is the queue's time, `e_us` that of the prompt itself, `t_us`
-    that of the KV cache's transfer; `start_us` how long the decode then waits for its place.
+    After TaiChi, Algorithm 2, in microseconds: `queue_wait_us` (Q) until the prefill starts,
+    `execution_us` (E) of the prefill itself, `transfer_us` (T) of the KV cache, and `start_us`
+    that the decode then waits for a free slot.
     """
 
     __slots__ = (
         "runner",
         "queued_tokens",
-        "unread",
-        "q_us",
-        "e_us",
-        "t_us",
+        "uncached_tokens",
+        "queue_wait_us",
+        "execution_us",
+        "transfer_us",
         "start_us",
         "is_eligible",
         "has_memory",
@@ -33,10 +34,10 @@
         self,
         runner: Runner,
         queued_tokens: float,
-        unread: int,
-        q_us: int,
-        e_us: int,
-        t_us: int,
+        uncached_tokens: int,
+        queue_wait_us: int,
+        execution_us: int,
+        transfer_us: int,
         start_us: int,
         ttft_us: int,
         room_us: int,
@@ -50,26 +51,31 @@
         """
         self.runner = runner
         self.start_us = start_us
-        self.unread = unread
+        self.uncached_tokens = uncached_tokens
         self.queued_tokens = queued_tokens
-        self.q_us = q_us
-        self.e_us = e_us
+        self.queue_wait_us = queue_wait_us
+        self.execution_us = execution_us
         self.has_memory = True
         self.reads_for_others = False
-        self.t_us = t_us
-        self.has_room = q_us == 0 or q_us < room_us // OVERDUE_PART
-        leaves_room = q_us == 0 or q_us + typical_us < room_us or is_overdue and self.has_room
+        self.transfer_us = transfer_us
+        self.has_room = queue_wait_us == 0 or queue_wait_us < room_us // OVERDUE_PART
+        leaves_room = (
+            queue_wait_us == 0
+            or queue_wait_us + typical_us < room_us
+            or is_overdue
+            and self.has_room
+        )
         self.is_eligible = self.total_us < ttft_us and leaves_room
 
     @property
     def ahead_tokens(self) -> float:
         """What this runner has to read until this prompt is read."""
-        return self.queued_tokens + self.unread
+        return self.queued_tokens + self.uncached_tokens
 
     @property
     def total_us(self) -> int:
         """How long the first token takes."""
-        return self.q_us + self.e_us + self.t_us + self.start_us
+        return self.queue_wait_us + self.execution_us + self.transfer_us + self.start_us
 
     def as_record(self) -> dict[str, Any]:
         """As `explain` shows it."""
@@ -77,10 +83,10 @@
             "runner": self.runner.name,
             "phase": self.runner.phase,
             "queued_tokens": int(self.queued_tokens),
-            "unread": self.unread,
-            "q_us": self.q_us,
-            "e_us": self.e_us,
-            "t_us": self.t_us,
+            "unread": self.uncached_tokens,
+            "q_us": self.queue_wait_us,
+            "e_us": self.execution_us,
+            "t_us": self.transfer_us,
             "start_us": self.start_us,
             "is_eligible": self.is_eligible,
         }
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -8,8 +8,8 @@
 from linkhaven.consensus import Proposer
 from linkhaven.credit import GRANT_NUMBERS_PER_FENCE, AdmissionQueues, RetryBudget, TenantQuotas
 from linkhaven.membership import Membership
-from linkhaven.pairing import NO_BOUND_US, Flow, PlacementPolicy
-from linkhaven.runner import Roster, RunnerDesk
+from linkhaven.pairing import NO_BOUND_US, PlacementPolicy, StreamMigrator
+from linkhaven.runner import Roster, RunnerClient
 from linkhaven.runtime import Node, Table
 
 from . import request as states
@@ -108,7 +108,7 @@
         requests_at_most=2_000,
         bounds=None,
         callers=None,
-        desk_of=RunnerDesk,
+        desk_of=RunnerClient,
     ):
         super().__init__(name, address, ports, bounds)
         majority = self.bounds.seats // 2 + 1
@@ -148,7 +148,9 @@
         )
         self.requests = Table()
         self.attempts = Attempts(self, self.pairing, self.desk, self.roster, self.extra)
-        self.flow = Flow(self, self.pairing, self.roster, self.requests.rows, self.attempts.move)
+        self.flow = StreamMigrator(
+            self, self.pairing, self.roster, self.requests.rows, self.attempts.move
+        )
         self.chain = Filters(self).chain(self.end_with_error)
         self.explainer = Explainer(self, self.membership, self.requests)
         self.readmission = Readmission(self)
@@ -231,7 +233,7 @@
 
     def _pace_at_first(self):
         """This router's even part of what all runners read, until its own queue has shown its pace."""
-        return self.pairing.reading_pace() // (1 + len(self.membership.live_members("router")))
+        return self.pairing.prefill_rate() // (1 + len(self.membership.live_members("router")))
 
     def _failed_routers(self):
         """Name and address of each other router that is held for failed."""
@@ -258,7 +260,7 @@
         facts["usage"] = self.credit.usage_reports()
         is_keeping = is_roster or pace.is_sender(seat, "steward", now_us)
         facts["evidence"] = self.roster.tell_evidence(is_keeping)
-        facts["rates"] = [*self.rates, self.pairing.estimator.seen_rate()]
+        facts["rates"] = [*self.rates, self.pairing.estimator.learned_prefill_rate()]
         facts["roster"] = self.roster.place
         facts["steward"] = self.steward_place
         if is_roster and self.pairing.is_large():
@@ -369,7 +371,7 @@
     def enqueue(self, request):
         self.credit.enqueue(request.group, request)
         request.state = states.QUEUED
-        unread = self.pairing.least_unread(request)
+        unread = self.pairing.least_uncached_tokens(request)
         self.arrived += unread
         typical = self.typical_tokens.get(request.kind_name, unread)
         self.typical_tokens[request.kind_name] = typical + TYPICAL_GAIN * (unread - typical)
--- a/tests/test_late_work.py
+++ b/tests/test_late_work.py
@@ -10,7 +10,7 @@
 from pooled_fleet import LAST, POOL, POOLED, SPEEDS, PooledFleet, fleet, served_by_kind
 
 from linkhaven.api import ServiceError
-from linkhaven.pairing import Work
+from linkhaven.pairing import PrefillWork
 from linkhaven.router import request as states
 from linkhaven.stage.fleet import SECOND, Deployment
 
@@ -52,7 +52,7 @@
     one.world.run_for(5 * SECOND)
     true_us = read_in_place_us(12_000)
     taken_us = {
-        name: host.node.pairing.estimator.read_us(12_000, host.node.roster.runners[LAST])
+        name: host.node.pairing.estimator.prefill_us(12_000, host.node.roster.runners[LAST])
         for name, host in one.routers.items()
     }
     assert max(taken_us.values()) < 1.5 * true_us, (true_us, taken_us)
@@ -74,7 +74,7 @@
 
 
 def test_what_readers_that_are_shunned_would_read_may_go_to_an_idle_decode_runner():
-    """`weigh` leaves shunned readers out, but `has_prefill` counts them."""
+    """`evaluate_candidates` leaves shunned readers out, but `has_prefill` counts them."""
     one = calm_fleet(1)
     node = one.routers["edge-1"].node
     pairing, now_us = node.pairing, one.world.now_us
@@ -82,7 +82,7 @@
     assert readers
     for runner in readers:
         pairing.backoff.ejected[(runner.name, runner.incarnation)] = (now_us + 5 * SECOND, SECOND)
-    decision = pairing.choose(Work(12_000, (), POOL), 800_000, room_us=800_000)
+    decision = pairing.choose(PrefillWork(12_000, (), POOL), 800_000, room_us=800_000)
     assert {each.runner.phase for each in decision.candidates} == {"decode"}
     assert decision.winner is not None, decision.as_record()
 
@@ -96,7 +96,7 @@
     host = one.routers["edge-1"]
     runner = host.node.roster.runners[LAST]
     for name in ("a", "b"):
-        host.node.pairing.begin_read(runner, name, Work(3_000, (), POOL))
+        host.node.pairing.begin_prefill(runner, name, PrefillWork(3_000, (), POOL))
     one.world.run_for(SECOND)
     ended = {}
     for tokens in (16_500, 20_000):
@@ -220,6 +220,6 @@
         one.world.run_for(120_000)
     one.settle()
     pairing, runner = deaf.node.pairing, deaf.node.roster.runners[LAST]
-    taken_us = {tokens: pairing.estimator.read_us(tokens, runner) for tokens in (600, 12_000)}
+    taken_us = {tokens: pairing.estimator.prefill_us(tokens, runner) for tokens in (600, 12_000)}
     for tokens, each_us in taken_us.items():
         assert each_us < 3 * read_in_place_us(tokens), taken_us
--- a/tests/test_spread_streams.py
+++ b/tests/test_spread_streams.py
@@ -6,7 +6,7 @@
 
 from test_placement_cost import POOL, policy_over
 
-from linkhaven.pairing import Work
+from linkhaven.pairing import PrefillWork
 from linkhaven.runner.roster import PREFILL
 
 READERS, DECODERS, STREAMS = 10, 19, 90
@@ -34,9 +34,9 @@
 def let_reads_wait(policy, wait_us):
     """Readers are seen to read some sizes, and then to take longer by a wait."""
     for tokens in (500, 2_000, 8_000) * 5:
-        policy.estimator.note_read("runner-0", PREFILL, tokens, READ_US + tokens * 20)
+        policy.estimator.note_prefill("runner-0", PREFILL, tokens, READ_US + tokens * 20)
     for _ in range(40):
-        policy.estimator.note_read("runner-0", PREFILL, 2_000, READ_US + 40_000 + wait_us)
+        policy.estimator.note_prefill("runner-0", PREFILL, 2_000, READ_US + 40_000 + wait_us)
 
 
 def test_streams_take_all_decode_runners_while_readers_keep_up():
@@ -49,5 +49,7 @@
     policy = large_policy()
     let_reads_wait(policy, 900_000)
     assert decode_runners_of(policy, STREAMS) < DECODERS
-    candidates = policy.weigh(Work(500, (), POOL, is_long=False), 800_000)
+    candidates = policy.evaluate_candidates(
+        PrefillWork(500, (), POOL, has_long_answer=False), 800_000
+    )
     assert any(candidate.reads_for_others for candidate in candidates)
