--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -131,8 +131,8 @@
 
         `replica_id`: its replica; None where the disk says it, a first start's `contacts`
         say it, or it is learned from a running core. `contact`: its address among `contacts`.
-        `platform`: where the platform's list of runners is. `make_runner_client`: makes the client that calls
-        platform and runners.
+        `platform`: where the platform's list of runners is. `make_runner_client`: makes the client
+        that calls platform and runners.
         """
         super().__init__(name, address, ports, bounds)
         self.incarnation = incarnation
