--- a/tests/test_control_races.py
+++ b/tests/test_control_races.py
@@ -1,4 +1,4 @@
-"""Point 2 of docs/control.md: operators race under one number, and answers get lost."""
+"""Tests of point 2 of docs/control.md: concurrent orders under one revision, and lost answers."""
 
 import pytest
 from msgspec.structs import replace
@@ -16,36 +16,43 @@
 
 
 @pytest.mark.parametrize("seats, racers, seed", CASES)
-def test_of_orders_under_one_number_one_is_taken_however_often_they_are_sent(seats, racers, seed):
+def test_only_one_of_several_orders_under_one_revision_is_taken_however_often_sent(
+    seats, racers, seed
+):
     course = RaceCourse(seed, seats, racers).run(2)
-    late = course.send_late()
+    late_results = course.send_late()
     assert judge_race(course) == {}
-    assert {told.outcome for told in late if course.is_winner(told.order)} <= {TAKEN, UNCLEAR}
+    assert {result.outcome for result in late_results if course.is_winner(result.order)} <= {
+        TAKEN,
+        UNCLEAR,
+    }
     assert set(course.winners) == {0, 3}
-    clear = History(course.operators.calls).orders()
-    assert any(told.outcome == REFUSED for told in clear)
+    results = History(course.operators.calls).orders()
+    assert any(result.outcome == REFUSED for result in results)
 
 
-def choose_alone(monkeypatch):
+def use_a_majority_of_one(monkeypatch):
     init = Proposer.__init__
 
-    def lone(self, node, directory, majority=None, silent_us=None, own_registers=None):
+    def init_with_majority_of_one(
+        self, node, directory, majority=None, silent_us=None, own_registers=None
+    ):
         init(self, node, directory, 1, silent_us, own_registers)
 
-    monkeypatch.setattr(Proposer, "__init__", lone)
+    monkeypatch.setattr(Proposer, "__init__", init_with_majority_of_one)
 
 
-def overlook_what_was_accepted(monkeypatch):
-    hear = Proposer.on_promise
+def ignore_accepted_values(monkeypatch):
+    on_promise = Proposer.on_promise
     monkeypatch.setattr(
         Proposer,
         "on_promise",
-        lambda self, message: hear(self, replace(message, accepted=None, value=None)),
+        lambda self, message: on_promise(self, replace(message, accepted=None, value=None)),
     )
 
 
-@pytest.mark.parametrize("sabotage", [choose_alone, overlook_what_was_accepted])
-def test_without_ballots_at_a_majority_two_are_confirmed(monkeypatch, sabotage):
+@pytest.mark.parametrize("sabotage", [use_a_majority_of_one, ignore_accepted_values])
+def test_without_a_majority_of_ballots_two_orders_are_confirmed(monkeypatch, sabotage):
     sabotage(monkeypatch)
     core = SimCore(1).bootstrap()
     core.world.run_for(3 * SECOND)
@@ -65,24 +72,26 @@
 
 
 def leave_an_order_at_a_minority(seed):
-    """Two of five hold an order whose sender's member then dies; answers the core and its
-    operators."""
+    """Have two of five replicas accept an order, then kill its proposer.
+
+    Returns the core and its operators.
+    """
     core = SimCore(seed, seats=5).bootstrap(3, 2)
     assert core.wait_voting(5)
     core.world.run_for(2 * SECOND)
     operators = Operators(core, core.world.dice)
     first = core.machines["core-1"]
-    hear = first.node.handlers[Promise]
+    handle_promise = first.node.handlers[Promise]
 
     def cut_before_the_accept(message):
         core.world.cut(["core-1"], ["core-3", "core-4", "core-5"])
-        hear(message)
+        handle_promise(message)
 
     def cut_at_the_third_promise(message):
         change = first.node.proposer.proposals.get(message.id)
         if change is not None and change.key == "plan" and len(change.votes) == 2:
             return cut_before_the_accept(message)
-        hear(message)
+        handle_promise(message)
 
     first.node.handlers[Promise] = cut_at_the_third_promise
     operators.put("core-1", Order(0, 5, "left behind", PLAN))
@@ -98,9 +107,8 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_who_is_refused_for_a_version_finds_it_in_force(seed):
-    """Else an order that builds on the newest version would be refused for one that nobody ever
-    reads."""
+def test_an_order_is_refused_only_for_a_version_that_is_in_force_afterwards(seed):
+    """Otherwise an order based on the newest version could be refused for one that nobody reads."""
     core, operators = leave_an_order_at_a_minority(seed)
     core.world.cut(["core-3"], ["core-4"])
     refused = operators.put("core-3", Order(0, 7, "later", PLAN))
