--- a/packages/leases/src/linkhaven/leases/compare_and_set.py
+++ b/packages/leases/src/linkhaven/leases/compare_and_set.py
@@ -1,4 +1,4 @@
-"""The two changes of a lease's register, each conditional on the record that stands there."""
+"""The two updates of a lease's register, each conditional on its current record."""
 
 from typing import Any
 
@@ -7,21 +7,21 @@
 from .records import LeaseRecord, Version, read_record, write_record
 
 Step = tuple[UpdateAction, Any]
-"""What a proposal does with a value: an `UpdateAction`, and the new value or the one found."""
+"""The result of an update: an `UpdateAction`, and the new value or the conflicting one."""
 
 
 class Acquisition:
-    """Sets a holder's record, new or renewed, in place of the record of the expected version."""
+    """Replaces the record of the expected version by a new or renewed one."""
 
     __slots__ = ("wanted", "expected")
 
     def __init__(self, wanted: LeaseRecord, expected: Version | None) -> None:
-        """`expected` is None where the register was never written."""
+        """`expected` is None if the register was never written."""
         self.wanted = wanted
         self.expected = expected
 
     def step(self, value: Any) -> Step:
-        """Apply it; a record that an earlier try of the same proposal set is kept."""
+        """Apply the update; a record set by an earlier attempt of this proposal is kept."""
         record = read_record(value)
         if record == self.wanted:
             return UpdateAction.KEEP, None
@@ -30,22 +30,22 @@
         return UpdateAction.SET, write_record(self.wanted)
 
     def is_committed(self, outcome: Outcome, value: Any) -> bool:
-        """Whether the answer of a proposal says that the wanted record was committed."""
+        """Whether a proposal's outcome means that the wanted record was committed."""
         return outcome == Outcome.CHOSEN and read_record(value) == self.wanted
 
 
-class Vacation:
-    """Clears the holder, if the lease is still held by that node under that fencing token."""
+class Release:
+    """Clears the holder if that node still holds the lease under that fencing token."""
 
     __slots__ = ("holder", "fencing_token")
 
     def __init__(self, holder: str, fencing_token: int) -> None:
-        """Release what `holder` holds under `fencing_token`."""
+        """Release the lease that `holder` holds under `fencing_token`."""
         self.holder = holder
         self.fencing_token = fencing_token
 
     def step(self, value: Any) -> Step:
-        """Apply it; another holder's record stays."""
+        """Apply the update; another holder's record is left unchanged."""
         record = read_record(value)
         if (
             record is None
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -1,32 +1,33 @@
 """The lease on one singleton role at one node: election, renewal, expiry and release.
 
-A lease is a register of the core that holds a `LeaseRecord`. Every change of it is a
-compare-and-set on the record's version, committed by a majority. What each event does, by state:
+A lease is a register in the consensus store that holds a `LeaseRecord`. Every change is a
+compare-and-set on the record's version, committed by a majority. State transitions:
 
 | event | FOLLOWER | CANDIDATE | HOLDER | RENEWING |
 | --- | --- | --- | --- | --- |
-| tick, the wait is over | asks, CANDIDATE | | | |
-| tick, renewal or action due | | | asks, RENEWING | |
-| expiry, late tick, lost vote, `step_down` | | | lapses, FOLLOWER | lapses, CANDIDATE |
-| committed within the lease | | wins, HOLDER | | renews, HOLDER |
-| committed after the lease's end | | FOLLOWER | | HOLDER till its expiry |
+| tick, election wait is over | requests, CANDIDATE | | | |
+| tick, renewal or announcement due | | | requests, RENEWING | |
+| expiry, late tick, vote lost, `step_down` | | | lapses, FOLLOWER | lapses, CANDIDATE |
+| committed before the lease's end | | wins, HOLDER | | renews, HOLDER |
+| committed after the lease's end | | FOLLOWER | | HOLDER until its expiry |
 | stopped or not committed | | backs off, FOLLOWER | | backs off, HOLDER |
 | `release` | RELEASED | RELEASED | lapses, RELEASED | lapses, RELEASED |
 
-RELEASED is final: the node shuts down, and answers that are still on their way change nothing.
+RELEASED is final: the node is shutting down, and responses still in flight have no effect.
 
-A lease ends at `expires_us`, at a tick that comes too late, with the vote of this node's replica,
-by `release` at shutdown, and by `step_down`, which the controller calls where no router asks any
-more (`RouterContactMonitor`) or the platform's list of runners can't be had. Whoever acts for the
-role asks `is_held` at each action.
+A lease ends at `expires_us`, at a tick that comes too late, when this node's replica stops voting,
+by `release` at shutdown, and by `step_down`, which the controller calls when no router contacts it
+any more (`RouterContactMonitor`) or the platform's list of runners can't be fetched. Code that acts
+for the role checks `is_held` before each action.
 
 Invariants:
 
-- The holder counts its lease from before it asked for it, by its own clock, so it stops no later
-  than any other node may begin (`test_a_lease_ends_a_lease_time_after_it_was_asked_for`).
-- Another node asks only after a whole lease and a margin: see `LeaseObserver`.
-- A holder acts only once a quorum has recorded that it will: see `ActionAnnouncement`.
-- Each new holder has a higher fencing token than all before, also after the core lost what it knew
+- The holder measures its lease by its own clock from before it sent the request, so it stops no
+  later than any other node may start (`test_a_lease_ends_a_lease_time_after_it_was_asked_for`).
+- Another node requests the lease only after a full lease and a margin: see `LeaseObserver`.
+- A holder acts only after a quorum recorded its intention: see `ActionAnnouncement`.
+- Each new holder has a higher fencing token than all earlier ones, even after the consensus store
+  lost its data
   (`test_a_new_holder_has_a_fencing_token_above_any_that_was_observed`).
 """
 
@@ -38,50 +39,49 @@
 from linkhaven.runtime import Node
 
 from .announcement import ActionAnnouncement
-from .compare_and_set import Acquisition, Vacation
+from .compare_and_set import Acquisition, Release
 from .interfaces import LeaseListener, LiveIncarnations, Proposer, Replica
 from .observer import LeaseObserver
 from .records import LeaseRecord, Version, lease_key, read_record
 
-RENEWALS_A_LEASE = 3
-"""How often a holder renews within the time of one lease."""
+RENEWALS_PER_LEASE = 3
+"""Renewals that a holder makes within the duration of one lease."""
 
 SUSPECT_AFTER_SHARE = (8, 15)
-"""The part of a lease without a renewal after which its holder is suspected."""
-
+"""The fraction of a lease without a renewal after which its holder is suspected."""
 
 LEASE_WON, LEASE_LAPSED = 1401, 1402
-"""Numbers of log events, as docs/events.md lists them."""
+"""Numbers of log events, listed in docs/events.md."""
 
 
 class LeaseState(Enum):
-    """What this node is to the lease."""
+    """State of the lease at this node."""
 
     FOLLOWER = "follower"
-    """Without the lease, and no request for it is in flight."""
+    """Doesn't hold the lease; no request is in flight."""
 
     CANDIDATE = "candidate"
-    """Without the lease; a request for it is in flight."""
+    """Doesn't hold the lease; a request for it is in flight."""
 
     HOLDER = "holder"
-    """With the lease, and no request is in flight."""
+    """Holds the lease; no request is in flight."""
 
     RENEWING = "renewing"
-    """With the lease; its renewal is in flight."""
+    """Holds the lease; a renewal is in flight."""
 
     RELEASED = "released"
-    """Shutting down: it never asks again."""
+    """Shutting down: the lease is never requested again."""
 
 
 REQUESTING = (LeaseState.CANDIDATE, LeaseState.RENEWING)
 
 
 class Lease:
-    """The lease on a singleton role at one node, which holds it or contends for it.
+    """One node's view of the lease on a singleton role, as its holder or a contender.
 
-    It belongs to that node's thread. `fencing_token` is None unless the lease is held, `expires_us`
-    its end on the node's clock; `is_succession` tells whether it followed a released lease, and
-    `lease_us` how long one lasts.
+    Not thread-safe: used only on the node's thread. `fencing_token` is None unless the lease is
+    held. `expires_us` is its end on the node's clock, `lease_us` its duration. `is_succession`
+    tells whether the lease followed a released one.
     """
 
     __slots__ = (
@@ -115,10 +115,10 @@
         listener: LeaseListener,
         rank: int = 0,
     ) -> None:
-        """Follow the lease of `role`; nodes of a lower rank ask for it first.
+        """Follow the lease of `role`; nodes of a lower rank request it first.
 
-        A holder that `incarnations` says is down, or runs another start, is suspected at once, but
-        its lease is waited for all the same.
+        A holder that `incarnations` reports as down or restarted is suspected at once, but its
+        lease must still run out before an election.
         """
         self.node = node
         self.role = role
@@ -128,7 +128,7 @@
         self.listener = listener
         self.observer = LeaseObserver(node, incarnations, rank)
         self.lease_us: int = node.bounds.lease_us
-        self.renew_us = self.lease_us // RENEWALS_A_LEASE
+        self.renew_us = self.lease_us // RENEWALS_PER_LEASE
         self.suspect_us = self.lease_us * SUSPECT_AFTER_SHARE[0] // SUSPECT_AFTER_SHARE[1]
         self.announcement = ActionAnnouncement(self.renew_us)
         self.state = LeaseState.FOLLOWER
@@ -141,16 +141,16 @@
         node.systems.append(self.tick)
         node.on_late.append(self.on_late_tick)
 
-    # what the role's work asks of it
+    # interface for the code that acts for the role
 
     def is_held(self) -> bool:
         """Whether this node holds the lease now."""
         return self.fencing_token is not None and self.node.now_us() < self.expires_us
 
     def announce_action(self, on_announced: Callable[[], None] | None = None) -> None:
-        """Have a quorum record that this holder acts next, then call `on_announced`.
+        """Have a quorum record that this holder is about to act, then call `on_announced`.
 
-        Nothing is called where the lease is lost meanwhile; `may_act` tells whether it may act.
+        `on_announced` isn't called if the lease is lost first. Check `may_act` before acting.
         """
         if self.fencing_token is None:
             return
@@ -159,54 +159,57 @@
             self._request(self.node.now_us(), self.fencing_token, self.renewal + 1)
 
     def may_act(self) -> bool:
-        """Whether one action was announced and may still be taken."""
+        """Whether an announced action may still be taken."""
         return self.is_held() and self.announcement.is_valid(self.node.now_us())
 
     def consume_action(self) -> None:
-        """The announced action is taken: the next one is announced anew."""
+        """Mark the announced action as taken; the next one needs its own announcement."""
         self.announcement.consume()
 
     def are_others_idle(self) -> bool:
         """Whether no other holder can have acted within the last lease.
 
-        A predecessor of a version that announces nothing is never taken for idle.
+        A predecessor whose software version doesn't announce actions never counts as idle.
         """
         if self.observer.last_actions is None:
             return False
         return self.observer.others_idle_us >= self.lease_us + self.renew_us
 
     def step_down(self) -> None:
-        """The holder can't play its role: it lets the lease lapse and lets another have it."""
+        """Let the lease lapse so that another node takes it, when this one can't fill the role."""
         if self.fencing_token is None:
             return
         self._lapse()
         self.observer.restart_wait(self.node.now_us() + self.lease_us)
 
     def release(self, done: Callable[[], None]) -> None:
-        """The node shuts down: a successor needn't wait for its lease; `done` is called at last."""
+        """Release the lease at shutdown so that a successor needn't wait, then call `done`."""
         token = self.fencing_token
         if token is not None:
             self._lapse()
         self.state = LeaseState.RELEASED
         if token is None:
             return done()
-        vacation = Vacation(self.node.name, token)
-        self.proposer.propose(self.key, vacation.step, lambda outcome, value: done())
+        release = Release(self.node.name, token)
+        self.proposer.propose(self.key, release.step, lambda outcome, value: done())
 
-    # what the node around it knows
+    # state of the cluster
 
     def set_rank(self, rank: int) -> None:
-        """Say how many other nodes ask first for this lease."""
+        """Set how many other nodes may request this lease first."""
         self.observer.set_rank(rank)
 
     def record(self) -> LeaseRecord | None:
-        """Return the record as this node's replica has it, None where it was never written."""
+        """Return the record at this node's replica, or None if it was never written.
+
+        Raises `msgspec.ValidationError` if the register holds no lease record.
+        """
         return read_record(self.replica.register_state(self.key).value)
 
     def is_holder_suspected(self) -> bool:
-        """Whether nobody renewed for a while, or the holder is gone.
+        """Whether the lease wasn't renewed for a while, or its holder is down or restarted.
 
-        A node that may soon hold the lease can make ready then.
+        Lets a node that may soon hold the lease prepare for it.
         """
         if not self.replica.is_voting or self.state is LeaseState.RELEASED:
             return False
@@ -221,27 +224,30 @@
         return self.observer.is_holder_gone(record)
 
     def allow_election_now(self) -> None:
-        """Nobody can have held the lease: it may be asked for at once."""
-        self.observer.end_wait()
+        """Skip the election wait, because no node can hold the lease."""
+        self.observer.skip_wait()
 
     def assume_vacant(self) -> None:
-        """No living holder is known, though its lease may not have run out."""
+        """Treat the lease as vacant: no live holder is known, but its lease may still run."""
         self.observer.observe(self.record(), self.node.now_us())
         self.observer.is_vacant = True
 
     def observe_fencing_token(self, token: float) -> None:
-        """Somebody knows a token: the next one is above it, whatever the core forgot."""
+        """Note a token that another node knows, so that the next one is above it.
+
+        This keeps tokens rising even if the consensus store lost its data.
+        """
         self.observer.observe_token(token)
 
-    # what time does to it
+    # clock events
 
     def on_late_tick(self, now_us: int) -> None:
-        """After a pause of this process nothing is known of the lease."""
+        """Let the lease lapse after a pause of this process: it may have ended meanwhile."""
         if self.fencing_token is not None:
             self._lapse()
 
     def tick(self, now_us: int) -> None:
-        """Observe the record, then renew the lease, let it lapse, or ask for it."""
+        """Observe the record, then renew the lease, let it lapse, or request it."""
         self.observer.count_elapsed(now_us)
         if not self.replica.is_voting:
             return self._follow_without_vote(now_us)
@@ -251,19 +257,19 @@
         if self.state is LeaseState.HOLDER and self.fencing_token is not None:
             self._renew_if_due(now_us, self.fencing_token)
         elif self.state is LeaseState.FOLLOWER:
-            self._stand_if_due(now_us)
+            self._start_election_if_due(now_us)
 
     def _follow_without_vote(self, now_us: int) -> None:
         if self.fencing_token is not None:
             self._lapse()
         self.observer.restart_without_vote(now_us)
 
-    def _stand_if_due(self, now_us: int) -> None:
+    def _start_election_if_due(self, now_us: int) -> None:
         if self.observer.may_start_election(now_us, self.replica.votes_from_us):
             self._request(now_us, self.observer.next_token(), 0)
 
     def _renew_if_due(self, now_us: int, token: int) -> None:
-        """Renew in time; where somebody knows a higher token, this one would be refused."""
+        """Renew in time, or take a new token if a higher one is known and would void this one."""
         if self.observer.observed_token > token:
             self._request(now_us, self.observer.observed_token + 1, 0)
         elif self.announcement.is_requested or now_us - self.requested_us >= self.renew_us:
@@ -277,10 +283,10 @@
         self.announcement.cancel()
         self.listener.on_lease_lapsed(self.role)
 
-    # the request for the lease, or for its renewal
+    # requests for the lease and for its renewal
 
     def _request(self, now_us: int, token: int, renewal: int) -> None:
-        """Ask the register for the lease from now on, if its record is still the one known here."""
+        """Propose to take or renew the lease from now on, if the record is still as expected."""
         is_holder = self.fencing_token is not None
         self.state = LeaseState.RENEWING if is_holder else LeaseState.CANDIDATE
         self.requested_us = now_us
@@ -311,7 +317,7 @@
         return self.observer.last_version
 
     def _hold(self, record: LeaseRecord, expires_us: int, is_succession: bool) -> None:
-        """Hold a lease that the register granted; an answer after its end grants none."""
+        """Start or extend holding the lease; a response after its end is ignored."""
         if self.node.now_us() >= expires_us:
             return
         is_new = self.fencing_token != record.fencing_token
--- a/packages/leases/src/linkhaven/leases/observer.py
+++ b/packages/leases/src/linkhaven/leases/observer.py
@@ -1,4 +1,4 @@
-"""The contender's side of a lease: what this node saw of its record, and when it may ask for it."""
+"""The contender's side of a lease: which records this node saw, and when it may request it."""
 
 import math
 
@@ -8,26 +8,29 @@
 from .records import NEVER_HELD, LeaseRecord, Version
 
 MARGIN_US = 200_000
-"""What a contender waits beyond the lease, for clocks that run at different speeds."""
+"""How long a contender waits beyond the lease, to allow for clock drift."""
 
 ELECTION_SPREAD_US = 100_000
-"""Contenders spread their requests at random over this time, so that one is alone."""
+"""Contenders delay their requests by a random part of this, to avoid split elections."""
 
-RETRY_LEAST_US = 50_000
-"""After a lost election a contender backs off for this and a random part of the spread."""
+MIN_RETRY_US = 50_000
+"""After a lost election a contender waits for this plus a random part of the spread."""
 
 RANK_US = 120_000
-"""How much later each next rank asks for a vacant lease."""
+"""How much later each next rank requests a vacant lease."""
 
 MAX_STEP_US = 250_000
-"""The longest step between two ticks that counts as time lived through."""
+"""The most that one step between two ticks adds to the counted time."""
 
 
 class LeaseObserver:
-    """What one node saw of a lease's record, with the time that it lived through since.
+    """The records of a lease that one node saw, and the time that it ran since the last one.
 
-    Invariant: an election starts only after the same record was seen for a whole lease and a
-    margin, counted in time lived through (`test_a_leap_of_the_clock_is_no_wait_for_a_holder`).
+    Time is counted in steps of at most `MAX_STEP_US`, so that a pause of the process or a clock
+    jump doesn't count as waiting.
+
+    Invariant: an election starts only after the same record was seen for a full lease and a
+    margin of counted time (`test_a_leap_of_the_clock_is_no_wait_for_a_holder`).
     """
 
     __slots__ = (
@@ -42,19 +45,19 @@
         "is_vacant",
         "unchanged_us",
         "others_idle_us",
-        "ticked_us",
+        "last_tick_us",
         "election_from_us",
         "observed_token",
     )
 
     def __init__(self, node: Node, incarnations: LiveIncarnations, rank: int) -> None:
-        """Nothing was seen yet: the first election needs no wait."""
+        """Start without a record; the first election needs no wait."""
         self.node = node
         self.incarnations = incarnations
         self.lease_us: int = node.bounds.lease_us
         self.rank_us = rank * RANK_US
         self.last_version: Version | None = None
-        self.last_changed_us = self.ticked_us = node.now_us()
+        self.last_changed_us = self.last_tick_us = node.now_us()
         self.last_actions: int | None = None
         self.holder_incarnation: int | None = None
         self.is_vacant = False
@@ -64,21 +67,21 @@
         self.observed_token = 0
 
     def set_rank(self, rank: int) -> None:
-        """Say how many other nodes ask first."""
+        """Set how many other nodes may request the lease first."""
         self.rank_us = rank * RANK_US
 
     def count_elapsed(self, now_us: int) -> None:
-        """Count the time since the last tick; time that this process slept through counts little.
+        """Count the time since the last tick, at most `MAX_STEP_US` of it.
 
-        The holder renews while this process is paused, and nobody tells.
+        While this process is paused the holder may renew without this node seeing it.
         """
-        elapsed_us = max(0, min(now_us - self.ticked_us, MAX_STEP_US))
+        elapsed_us = max(0, min(now_us - self.last_tick_us, MAX_STEP_US))
         self.unchanged_us += elapsed_us
         self.others_idle_us += elapsed_us
-        self.ticked_us = now_us
+        self.last_tick_us = now_us
 
     def observe(self, record: LeaseRecord | None, now_us: int) -> None:
-        """Take in the replica's record; one newer than the last starts the wait anew."""
+        """Process the replica's record; a newer one than the last restarts the wait."""
         if record is None or record.version <= (self.last_version or NEVER_HELD):
             return
         self.last_version = record.version
@@ -95,45 +98,45 @@
         self.holder_incarnation = self.incarnations.live_incarnation(record.holder)
 
     def restart_wait(self, now_us: int) -> None:
-        """Wait for a whole lease and a margin from `now_us` before the next election."""
+        """Wait for a full lease and a margin from `now_us` before the next election."""
         self.unchanged_us = 0
         spread_us = self.node.ports.random.randrange(ELECTION_SPREAD_US)
         self.election_from_us = now_us + self.lease_us + MARGIN_US + self.rank_us + spread_us
 
     def restart_without_vote(self, now_us: int) -> None:
-        """A replica without a vote may miss records: it waits for a whole lease once it votes."""
+        """Restart the wait while the replica doesn't vote, since it may miss records."""
         self.last_changed_us = now_us
         self.is_vacant = False
         self.restart_wait(now_us)
 
     def observe_token(self, token: float) -> None:
-        """Somebody knows a fencing token; a deputy's lies between two whole ones."""
+        """Note a fencing token known elsewhere; a stand-in holder's is between two integers."""
         self.observed_token = max(self.observed_token, math.ceil(token))
 
     def next_token(self) -> int:
-        """Return a token above all that were seen."""
+        """Return a token above all that were observed."""
         seen_token, _ = self.last_version or NEVER_HELD
         return max(seen_token, self.observed_token) + 1
 
     def back_off(self) -> None:
-        """Let the contender that won an election go on."""
+        """Delay the next request after a lost election, to let the winner proceed."""
         spread_us = self.node.ports.random.randrange(ELECTION_SPREAD_US)
-        backed_off_us = self.node.now_us() + RETRY_LEAST_US + spread_us
+        backed_off_us = self.node.now_us() + MIN_RETRY_US + spread_us
         self.election_from_us = max(self.election_from_us, backed_off_us)
 
-    def end_wait(self) -> None:
-        """Nobody can have held the lease: it may be asked for at once."""
+    def skip_wait(self) -> None:
+        """Allow an election at once, because no node can hold the lease."""
         self.unchanged_us = self.lease_us + MARGIN_US
         self.election_from_us = 0
 
     def may_start_election(self, now_us: int, votes_from_us: int) -> bool:
-        """Whether the last holder's lease has ended, and it is this rank's turn."""
+        """Whether the last holder's lease has ended and this rank's delay has passed."""
         if now_us < self.election_from_us or now_us < votes_from_us + self.rank_us:
             return False
         return self.unchanged_us >= self.lease_us + MARGIN_US
 
     def is_holder_gone(self, record: LeaseRecord | None) -> bool:
-        """Whether another node that holds the lease is down, or runs another start since."""
+        """Whether the record's holder is down, or has restarted since the record was seen."""
         if record is None or record.holder is None:
             return False
         incarnation = self.incarnations.live_incarnation(record.holder)
