--- a/packages/leases/src/linkhaven/leases/__init__.py
+++ b/packages/leases/src/linkhaven/leases/__init__.py
@@ -1,8 +1,8 @@
-"""Leases on the singleton roles of the core: who plays one, until when, with which fencing token.
+"""Leases on the singleton roles of the control plane, and quorum leases on shards of tenants.
 
 Sources: Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file
-cache consistency" (SOSP 1989), for leases that end by the holder's own clock; Burrows, "The Chubby
-lock service" (OSDI 2006), section 2.4, for sequencers, here called fencing tokens.
+cache consistency" (SOSP 1989), for leases that expire by the holder's own clock; Burrows, "The
+Chubby lock service" (OSDI 2006), section 2.4, for sequencers, here called fencing tokens.
 """
 
 from .interfaces import LeaseListener, NullLeaseListener, ShardListener, ShardOwnership
--- a/packages/leases/src/linkhaven/leases/interfaces.py
+++ b/packages/leases/src/linkhaven/leases/interfaces.py
@@ -1,4 +1,4 @@
-"""What a lease needs of the node around it, and whom it tells of its events."""
+"""Interfaces of the leases: their dependencies on the node, and listeners to their events."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
@@ -7,17 +7,17 @@
 
 
 class LeaseListener(Protocol):
-    """Hears when this node begins and ends to play a role."""
+    """Receives the start and end of this node's lease on a role."""
 
     def on_lease_won(self, role: str) -> None:
-        """This node holds the lease under a new fencing token."""
+        """Called when this node holds the lease under a new fencing token."""
 
     def on_lease_lapsed(self, role: str) -> None:
-        """This node no longer holds the lease: nothing more may be done under its token."""
+        """Called when this node no longer holds the lease and must not act under its token."""
 
 
 class NullLeaseListener:
-    """Listens to no event of a lease."""
+    """A `LeaseListener` that ignores all events."""
 
     __slots__ = ()
 
@@ -29,14 +29,14 @@
 
 
 class LiveIncarnations(Protocol):
-    """Knows which start of each node runs; the membership does."""
+    """Provides the running incarnation of each node; implemented by the membership."""
 
     def live_incarnation(self, name: str) -> int | None:
-        """Return the node's running incarnation, 0 where it is down, None where it is unknown."""
+        """Return the node's running incarnation, 0 if it is down, None if it is unknown."""
 
 
 class Proposer(Protocol):
-    """Changes a register by a read-modify-write that a majority of the replicas commits."""
+    """Updates a register by a read-modify-write that a majority of the replicas commits."""
 
     def propose(
         self,
@@ -46,11 +46,11 @@
         *,
         is_patient: bool = ...,
     ) -> None:
-        """Apply `step` to the register's value, then call `done` with the outcome and the value."""
+        """Apply `step` to the register's value, then call `done` with the outcome and value."""
 
 
 class Register(Protocol):
-    """What one replica holds for a key."""
+    """The state of one key at one replica."""
 
     value: Any
 
@@ -62,42 +62,42 @@
     votes_from_us: int
 
     def register_state(self, key: str) -> Register:
-        """Return the register of a key; its value is None where it was never written."""
+        """Return the register of a key; its value is None if it was never written."""
 
 
 class ShardOwnership(Protocol):
-    """Tells which shards of tenants this node counts for.
+    """Tells which shards of tenants this node owns, and so grants quotas for.
 
-    Invariant: `is_owned` is true at no two nodes at the same time for one shard
-    (`tests/test_quorum_lease_safety.py`), as long as each asks it with its own time of now.
+    Invariant: `is_owned` is never true at two nodes at the same time for one shard
+    (`tests/test_quorum_lease_safety.py`), as long as each passes its own current time.
     """
 
     @property
     def num_shards(self) -> int:
-        """Into how many shards the tenants are divided: see `shard_of`."""
+        """The number of shards that the tenants are divided into; see `shard_of`."""
 
     def is_owned(self, shard: int, now_us: int) -> bool:
-        """Whether this node may count for the shard now; ask at each use."""
+        """Whether this node owns the shard at `now_us`; must be checked at each use."""
 
     def epoch_of(self, shard: int) -> int:
-        """How often this node has won the shard: what was counted in an earlier epoch is void."""
+        """Return how often this node has won the shard; state of an earlier epoch is void."""
 
     def owner_address(self, shard: int) -> str | None:
-        """Who holds the shard as far as this node knows, None where it knows of nobody."""
+        """Return the address of the shard's owner, None if this node knows of none."""
 
 
 class ShardListener(Protocol):
-    """Hears which shards this node begins and ends to count for."""
+    """Receives the start and end of this node's ownership of shards."""
 
     def on_shard_won(self, shard: int) -> None:
-        """This node owns the shard, in a new epoch."""
+        """Called when this node owns the shard, in a new epoch."""
 
     def on_shard_lost(self, shard: int) -> None:
-        """This node no longer owns the shard."""
+        """Called when this node no longer owns the shard."""
 
 
 class ShardVotingReplica(Protocol):
-    """This node's replica, as the leases on shards see it."""
+    """The interface of this node's replica that the leases on shards use."""
 
     replica_id: str
     replica_ids: tuple[str, ...]
@@ -106,17 +106,17 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether it gives votes."""
+        """Whether the replica votes."""
 
     def all_incarnations(self) -> dict[str, int]:
-        """The newest incarnation of each replica that it knows, with its own."""
+        """Return the newest known incarnation of each replica, including this one."""
 
 
 class ShardReplicaDirectory(Protocol):
-    """Which members are the replicas, and which of them are up; the membership."""
+    """Provides which members are replicas and which are up; implemented by the membership."""
 
     def replicas(self) -> Mapping[str, tuple[str, int]]:
-        """The address and the newest incarnation of each replica."""
+        """Return the address and the newest incarnation of each replica."""
 
     def replica_members(self) -> Mapping[str, Any]:
-        """The newest member that is known to be each replica, be it down."""
+        """Return the newest member known as each replica, even if it is down."""
--- a/packages/leases/src/linkhaven/leases/quorum_lease.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease.py
@@ -1,20 +1,20 @@
-"""Quorum leases on shards of tenants: which controller counts for which tenants.
+"""Quorum leases on shards of tenants: which controller grants the quotas of which tenants.
 
-A node owns a shard for a short time by the promises of a majority of the replicas, held in memory
-without a disk (PaxosLease: Trencseni, Gazso and Reinhardt, "PaxosLease: Diskless Paxos for
-Leases", 2012). Unlike the leases on singleton roles (`lease.py`) no fencing token comes out of it,
-and another node takes over within a second.
+A node owns a shard for a short time by the promises of a majority of the replicas, which are kept
+in memory only (PaxosLease: Trencseni, Gazso and Reinhardt, "PaxosLease: Diskless Paxos for
+Leases", 2012). Unlike the leases on singleton roles (`lease.py`) they provide no fencing token, and
+another node takes over within a second.
 
 | message | from | to | handled by |
 | --- | --- | --- | --- |
-| `ShardLeaseRequest` | who asks or renews | all other replicas | `ShardVoter.vote` |
-| `ShardLeaseVote` | a voting replica | who asked | `ShardCandidate.on_vote` |
-| `ShardLeaseRelease` | who gives shards up | all other replicas | `ShardVoter.on_release` |
-
-Invariant: no two nodes own a shard at the same time, whatever messages are lost, late or doubled,
-and whichever nodes are frozen, cut off, restarted or replaced (`tests/test_quorum_lease_safety.py`,
-with a sabotage of each mechanism; why replacement holds too: docs/quotas.md). It rests on clocks
-that measure spans alike, within `DRIFT_SHARE`.
+| `ShardLeaseRequest` | a candidate or owner | all other replicas | `ShardVoter.vote` |
+| `ShardLeaseVote` | a voting replica | the requester | `ShardCandidate.on_vote` |
+| `ShardLeaseRelease` | a node that gives shards up | all other replicas | `ShardVoter.on_release` |
+
+Invariant: no two nodes own a shard at the same time, whatever messages are lost, late or duplicate,
+and whichever nodes are frozen, partitioned, restarted or replaced
+(`tests/test_quorum_lease_safety.py`, which also disables each mechanism in turn; docs/quotas.md
+shows it for replacement). It assumes that clocks drift apart by less than `DRIFT_SHARE`.
 """
 
 from collections.abc import Callable
@@ -32,21 +32,21 @@
 
 
 class ShardStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One shard as an operator sees it at one node."""
+    """One shard as one node reports it to operators."""
 
     shard: int
     owner: str | None
-    """The address of the node that counts for it, None where this node knows of none."""
+    """The address of the node that owns the shard, None if this node knows of none."""
 
     is_owned: bool = msgspec.field(name="held")
-    """Whether this node counts for it."""
+    """Whether this node owns the shard."""
 
     epoch: int
-    """How often this node has won it since its start."""
+    """How often this node has won the shard since its start."""
 
 
 class NullShardListener:
-    """Listens to no event of a shard."""
+    """A `ShardListener` that ignores all events."""
 
     __slots__ = ()
 
@@ -58,10 +58,10 @@
 
 
 class ShardLeases:
-    """This node as a voter on the leases of all shards, and as a candidate for them.
+    """This node as a voter on the leases of all shards and as a candidate for them.
 
-    It implements `ShardOwnership`. It asks for shards only while this node's replica votes and
-    `is_needed` says that there is something to count; it votes for others all the same.
+    Implements `ShardOwnership`. It requests shards only while this node's replica votes and
+    `is_needed` returns True, that is, while a tenant has a limit; it votes in any case.
     """
 
     __slots__ = ("node", "electorate", "voter", "candidate", "is_needed", "is_stopped")
@@ -75,7 +75,7 @@
         is_needed: Callable[[], bool],
         listener: ShardListener,
     ) -> None:
-        """There are as many shards as replicas; `start` names this start of the process."""
+        """Create as many shards as replicas; `start` identifies this start of the process."""
         times = LeaseTimes(node.bounds)
         self.node = node
         self.electorate = Electorate(replica, directory)
@@ -88,30 +88,30 @@
         node.register_handler(ShardLeaseRelease, self.on_shard_lease_release)
         node.systems.append(self.tick)
 
-    # what counting asks
+    # ownership
 
     @property
     def num_shards(self) -> int:
-        """Into how many shards the tenants are divided."""
+        """The number of shards that the tenants are divided into."""
         return self.voter.num_shards
 
     def is_owned(self, shard: int, now_us: int) -> bool:
-        """Whether this node may count for the shard now."""
+        """Whether this node owns the shard at `now_us`."""
         return self.candidate.leases[shard].is_owned(now_us)
 
     def epoch_of(self, shard: int) -> int:
-        """How often this node has won the shard."""
+        """Return how often this node has won the shard."""
         return self.candidate.leases[shard].epoch
 
     def owner_address(self, shard: int) -> str | None:
-        """To whom this node's voter has promised the shard: most often its owner."""
+        """Return the address to which this node's voter promised the shard, usually its owner."""
         if self.is_owned(shard, self.node.now_us()):
             return self.node.address
         promise = self.voter.holder_of(shard)
         return promise.address if promise is not None else None
 
     def status(self) -> list[ShardStatus]:
-        """Who owns each shard, as far as this node knows."""
+        """Return the state of each shard as far as this node knows."""
         now_us = self.node.now_us()
         return [
             ShardStatus(
@@ -123,10 +123,10 @@
             for shard in range(self.num_shards)
         ]
 
-    # what happens to it
+    # events
 
     def tick(self, now_us: int) -> None:
-        """Ask and renew, or give up what this node has no use for."""
+        """Request and renew leases, or release all that this node doesn't need."""
         self._observe(now_us)
         if self.is_stopped or not self.voter.is_voting or not self.is_needed():
             return self.candidate.release_all(now_us)
@@ -137,24 +137,24 @@
         self.voter.observe_instance(self.electorate.own_instance())
 
     def on_shard_lease_request(self, request: ShardLeaseRequest) -> None:
-        """Answer with this node's vote, where it has one."""
+        """Answer with this node's vote, if it may vote."""
         self._observe(self.node.now_us())
         vote = self.voter.vote(request, self.electorate.newest_incarnations())
         if vote is not None:
             self.node.send(request.reply_to, vote)
 
     def on_shard_lease_vote(self, vote: ShardLeaseVote) -> None:
-        """Count it."""
+        """Count a vote."""
         if not self.is_stopped:
             self.candidate.on_vote(vote, self.node.now_us())
 
     def on_shard_lease_release(self, release: ShardLeaseRelease) -> None:
-        """Free the shards, and ask for those that are released to this replica."""
+        """End the sender's promises, and request shards that are released to this replica."""
         now_us = self.node.now_us()
         self._observe(now_us)
         self.voter.on_release(release)
         if self._is_successor(release):
-            self.candidate.ask_now(release.shards, now_us)
+            self.candidate.request_now(release.shards, now_us)
 
     def _is_successor(self, release: ShardLeaseRelease) -> bool:
         if self.is_stopped or not self.voter.is_voting or not self.is_needed():
@@ -162,9 +162,10 @@
         return release.successor == self.electorate.replica.replica_id
 
     def release(self, done: Callable[[], None]) -> None:
-        """The node shuts down: its shards are free at once, and it asks for none any more.
+        """Release all shards at shutdown and request none any more, then call `done`.
 
-        Nothing need be waited for: a release that is lost costs a successor the rest of the lease.
+        Doesn't wait for acknowledgements: if a release is lost, a successor waits for the rest of
+        the lease.
         """
         self.is_stopped = True
         self.candidate.release_all(self.node.now_us())
--- a/packages/leases/src/linkhaven/leases/quorum_lease_candidate.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_candidate.py
@@ -1,27 +1,26 @@
-"""The candidate's side of the quorum leases on shards: it asks for free ones and renews its own.
+"""The candidate's side of the quorum leases on shards: requests free shards and renews its own.
 
-What each event does to one shard, by its state here:
+State transitions of one shard at this node:
 
 | event | FOLLOWER | CANDIDATE | OWNER |
 | --- | --- | --- | --- |
-| tick, the shard is free and it is this replica's turn | asks, CANDIDATE | | |
-| tick, no majority in time | | asks again, or releases and backs off for a rival | |
-| tick, renewal due | | | asks |
+| tick, shard is free and this replica's delay is over | requests, CANDIDATE | | |
+| tick, no majority in time | | requests again; if blocked by a rival: releases, backs off | |
+| tick, renewal due | | | requests |
 | a majority granted one round | wins, OWNER | wins, OWNER | extends |
 | too many voted for rivals | | releases, backs off, FOLLOWER | |
 | expiry | | | lapses and releases, FOLLOWER |
 | `release_all`: shutdown, no vote, not needed | | releases, FOLLOWER | releases, FOLLOWER |
-| a preferred replica has been back for a while | | | releases to it, FOLLOWER |
-| `ask_now`: released to this replica | asks, CANDIDATE | | |
+| the preferred replica is stable again | | | releases to it, FOLLOWER |
+| `request_now`: released to this replica | requests, CANDIDATE | | |
 
-A FOLLOWER wins by votes on an earlier round that come late; never by those of a round that it has
-released.
+A FOLLOWER wins by late votes on an earlier round, but never on a round that it has released.
 
 Invariants:
 
-- A lease is counted from before its round was sent, whenever the votes come, and by this node's
-  clock at each use (`counted_from_the_answer` in `tests/test_quorum_lease_safety.py`).
-- Each time that a shard was not owned in between, its epoch is another one
+- A lease is measured from before its round was sent, whenever the votes arrive, and checked against
+  this node's clock at each use (`counted_from_the_answer` in `tests/test_quorum_lease_safety.py`).
+- A shard that is won again after it was not owned gets another epoch
   (`test_a_shard_that_was_lost_in_between_is_won_in_another_epoch`).
 """
 
@@ -38,18 +37,19 @@
 from .quorum_lease_voter import ShardVoter
 from .rebalance import Rebalance
 
-BACKOFF_LEAST_US = 20_000
+MIN_BACKOFF_US = 20_000
 BACKOFF_SPREAD_US = 60_000
-"""After a lost vote a candidate waits for a random time, twice as long at most after each next."""
+"""After a lost vote a candidate waits for `MIN_BACKOFF_US` plus a random part of the spread, which
+doubles with each further loss, up to `BACKOFF_DOUBLINGS` times."""
 
 BACKOFF_DOUBLINGS = 4
 
 SHARD_WON, SHARD_RELEASED, SHARD_LAPSED = 1403, 1404, 1405
-"""Numbers of log events, as docs/events.md lists them."""
+"""Numbers of log events, listed in docs/events.md."""
 
 
 class ShardState(Enum):
-    """What this node is to a shard."""
+    """State of a shard's lease at this node."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -57,41 +57,41 @@
 
 
 class ShardLease:
-    """This node's side of the lease on one shard."""
+    """This node's state of the lease on one shard."""
 
     __slots__ = (
         "shard",
         "state",
         "epoch",
         "expires_us",
-        "asked_us",
-        "asked_round",
+        "requested_us",
+        "requested_round",
         "last_holder",
         "released_round",
-        "ask_from_us",
+        "request_from_us",
         "failures",
     )
 
     def __init__(self, shard: int) -> None:
-        """Never asked for."""
+        """Start as a follower that hasn't requested the shard."""
         self.shard = shard
         self.state = ShardState.FOLLOWER
         self.epoch = 0
         self.expires_us = 0
-        self.asked_us = 0
-        self.asked_round = 0
+        self.requested_us = 0
+        self.requested_round = 0
         self.last_holder = ""
         self.released_round = 0
-        self.ask_from_us = 0
+        self.request_from_us = 0
         self.failures = 0
 
     def is_owned(self, now_us: int) -> bool:
-        """Whether it is owned at this moment."""
+        """Whether this node owns the shard at `now_us`."""
         return self.state is ShardState.OWNER and now_us < self.expires_us
 
 
 class ShardCandidate:
-    """Owns this node's leases on shards and the rounds that may still bring votes for them."""
+    """This node's leases on shards, and the rounds on which votes may still arrive."""
 
     __slots__ = (
         "node",
@@ -116,7 +116,7 @@
         voter: ShardVoter,
         listener: ShardListener,
     ) -> None:
-        """`start` names this process start; `voter` is this node's own."""
+        """`start` identifies this start of the process; `voter` is this node's own."""
         self.node = node
         self.start = start
         self.times = times
@@ -130,43 +130,43 @@
         self.rebalance = Rebalance(electorate, 3 * times.renew_us)
 
     def tick(self, now_us: int) -> None:
-        """Let expire, give up, renew and ask, as is due."""
+        """Expire, give up, renew and request leases, as is due."""
         self._lapse_expired(now_us)
-        self._give_up_held_up(now_us)
-        due = [*self._renewals(now_us), *self._shards_to_ask_for(now_us)]
+        self._give_up_blocked(now_us)
+        due = [*self._renewals(now_us), *self._shards_to_request(now_us)]
         if due:
-            self._ask(due, now_us)
-        self._hand_one_back(now_us)
+            self._request(due, now_us)
+        self._hand_over_one(now_us)
 
-    # asking
+    # requests
 
     def _renewals(self, now_us: int) -> list[int]:
-        """All shards that are owned, once a renewal is due."""
+        """Return all owned shards if a renewal is due, else none."""
         if now_us - self.renewed_us < self.times.renew_us:
             return []
         self.renewed_us = now_us
         return self._shards_where(lambda lease: lease.state is ShardState.OWNER)
 
-    def _shards_to_ask_for(self, now_us: int) -> list[int]:
+    def _shards_to_request(self, now_us: int) -> list[int]:
         if not self.voter.may_vote():
             return []
-        return self._shards_where(lambda lease: self._is_turn(lease, now_us))
+        return self._shards_where(lambda lease: self._is_request_due(lease, now_us))
 
-    def _is_turn(self, lease: ShardLease, now_us: int) -> bool:
-        """Whether the shard is free, and those that rank before this replica had their time."""
+    def _is_request_due(self, lease: ShardLease, now_us: int) -> bool:
+        """Whether the shard is free and this replica's delay by rank is over, or a retry is due."""
         if lease.state is ShardState.CANDIDATE:
-            return now_us - lease.asked_us >= self.times.retry_us
-        if lease.state is ShardState.OWNER or now_us < lease.ask_from_us:
+            return now_us - lease.requested_us >= self.times.retry_us
+        if lease.state is ShardState.OWNER or now_us < lease.request_from_us:
             return False
-        free_for_us = self.voter.free_for_us(lease.shard)
-        if free_for_us < 0:
+        free_duration_us = self.voter.free_duration_us(lease.shard)
+        if free_duration_us < 0:
             return False
         last = self.voter.last_promise(lease.shard)
         rank = self.electorate.rank_of(lease.shard, last.replica_id if last is not None else "")
-        return free_for_us >= rank * self.times.rank_us
+        return free_duration_us >= rank * self.times.rank_us
 
-    def ask_now(self, shards: Container[int], now_us: int) -> None:
-        """The owner has released these shards to this replica."""
+    def request_now(self, shards: Container[int], now_us: int) -> None:
+        """Request shards that their owner has released to this replica."""
         free = self._shards_where(
             lambda lease: (
                 lease.shard in shards
@@ -175,10 +175,10 @@
             )
         )
         if free and self.voter.may_vote():
-            self._ask(free, now_us)
+            self._request(free, now_us)
 
-    def _ask(self, shards: list[int], now_us: int) -> None:
-        """Send one round to all other replicas, and count this node's own vote."""
+    def _request(self, shards: list[int], now_us: int) -> None:
+        """Send one round to all other replicas and count this node's own vote."""
         instance = self.electorate.own_instance()
         if instance is None:
             return
@@ -187,8 +187,8 @@
         self.rounds[self.round_number] = LeaseRound(self.round_number, now_us, shards)
         for shard in shards:
             lease = self.leases[shard]
-            lease.asked_us = now_us
-            lease.asked_round = self.round_number
+            lease.requested_us = now_us
+            lease.requested_round = self.round_number
             if lease.state is ShardState.FOLLOWER:
                 last = self.voter.last_promise(shard)
                 lease.last_holder = last.name if last is not None else ""
@@ -209,7 +209,7 @@
             self.on_vote(own_vote, now_us)
 
     def _drop_old_rounds(self, now_us: int) -> None:
-        """Votes on a round that was sent a lease ago give nothing."""
+        """Drop rounds that were sent a lease ago: votes on them can't win anything."""
         self.rounds = {
             number: lease_round
             for number, lease_round in self.rounds.items()
@@ -220,13 +220,13 @@
         for address in self.electorate.other_addresses():
             self.node.send(address, message)
 
-    def _shards_where(self, is_meant: Callable[[ShardLease], bool]) -> list[int]:
-        return [lease.shard for lease in self.leases if is_meant(lease)]
+    def _shards_where(self, predicate: Callable[[ShardLease], bool]) -> list[int]:
+        return [lease.shard for lease in self.leases if predicate(lease)]
 
     # votes
 
     def on_vote(self, vote: ShardLeaseVote, now_us: int) -> None:
-        """Count a vote for the round that it answers, be that an older one."""
+        """Count a vote for the round that it answers, which may be an older one."""
         lease_round = self.rounds.get(vote.round)
         if vote.start != self.start or lease_round is None:
             return
@@ -243,7 +243,7 @@
                 self._give_up_if_lost(lease, lease_round, now_us)
 
     def _hold(self, lease: ShardLease, expires_us: int, now_us: int) -> None:
-        """Own the shard until then; where that is past, the votes came too late."""
+        """Own the shard until `expires_us`; votes that arrive after that are ignored."""
         if lease.state is ShardState.OWNER and now_us >= lease.expires_us:
             self._lapse(lease)
         if now_us >= expires_us:
@@ -259,8 +259,8 @@
         self.listener.on_shard_won(lease.shard)
 
     def _give_up_if_lost(self, lease: ShardLease, lease_round: LeaseRound, now_us: int) -> None:
-        """Give a vote up that rivals have won, or hold up for too long."""
-        if not self._is_standing_in(lease, lease_round):
+        """Give up a request that rivals have won or have blocked for too long."""
+        if not self._is_current_round(lease, lease_round):
             return
         num_lost = lease_round.num_for_rivals(lease.shard, lease.last_holder)
         is_over = now_us - lease_round.sent_us >= self.times.retry_us
@@ -269,27 +269,27 @@
         self._back_off(lease, now_us)
         self._release([lease.shard], now_us)
 
-    def _give_up_held_up(self, now_us: int) -> None:
-        """Candidates that a rival holds up back off; others ask again."""
+    def _give_up_blocked(self, now_us: int) -> None:
+        """Let candidates that a rival blocks back off; the others request again."""
         for lease_round in self.rounds.values():
             for shard in lease_round.shards:
                 self._give_up_if_lost(self.leases[shard], lease_round, now_us)
 
-    def _is_standing_in(self, lease: ShardLease, lease_round: LeaseRound) -> bool:
-        """Whether this is the round by which the candidate asked for the shard last."""
-        is_last = lease.asked_round == lease_round.number
-        return is_last and lease.state is ShardState.CANDIDATE
+    def _is_current_round(self, lease: ShardLease, lease_round: LeaseRound) -> bool:
+        """Whether this is the newest round in which the candidate requested the shard."""
+        is_newest_round = lease.requested_round == lease_round.number
+        return is_newest_round and lease.state is ShardState.CANDIDATE
 
     def _back_off(self, lease: ShardLease, now_us: int) -> None:
         spread_us = BACKOFF_SPREAD_US << min(lease.failures, BACKOFF_DOUBLINGS)
         lease.failures += 1
         random_us = self.node.ports.random.randrange(spread_us)
-        lease.ask_from_us = now_us + BACKOFF_LEAST_US + random_us
+        lease.request_from_us = now_us + MIN_BACKOFF_US + random_us
 
-    # the end of a lease
+    # expiry and release
 
     def _lapse_expired(self, now_us: int) -> None:
-        """Voters may hold their promises for longer: they are told that nobody counts on them."""
+        """End expired leases, and release them at voters, whose promises may run longer."""
         expired = self._shards_where(
             lambda lease: lease.state is ShardState.OWNER and now_us >= lease.expires_us
         )
@@ -305,13 +305,13 @@
         self.listener.on_shard_lost(lease.shard)
 
     def release_all(self, now_us: int) -> None:
-        """Give up what is owned or asked for, so that others needn't wait for it to run out."""
+        """Release all owned and requested shards, so that others needn't wait for expiry."""
         held = self._shards_where(lambda lease: lease.state is not ShardState.FOLLOWER)
         if held:
             self._release(held, now_us)
 
     def _release(self, shards: list[int], now_us: int, successor: str = "") -> None:
-        """From here on no vote of a round that was sent counts for these shards."""
+        """Release shards; votes on rounds sent so far no longer count for them."""
         for shard in shards:
             lease = self.leases[shard]
             lease.released_round = self.round_number
@@ -328,8 +328,8 @@
         self.voter.on_release(release)
         self._send_to_others(release)
 
-    def _hand_one_back(self, now_us: int) -> None:
-        """Release one shard to the replica that is preferred for it, if one is due."""
+    def _hand_over_one(self, now_us: int) -> None:
+        """Release one shard to its preferred replica, if a handover is due."""
         owned = self._shards_where(lambda lease: lease.is_owned(now_us))
         handover = self.rebalance.next_handover(owned, now_us)
         if handover is not None:
--- a/packages/leases/src/linkhaven/leases/quorum_lease_messages.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the quorum leases on shards, one of each kind for all shards of its sender."""
+"""Messages of the quorum leases on shards; each covers several shards of its sender."""
 
 import msgspec
 
@@ -6,28 +6,28 @@
 
 
 class ShardLeaseRequest(Message, frozen=True, kw_only=True, tag="shard_request"):
-    """Asks a voter for its promise on shards, or to renew it."""
+    """Requests a voter's promise of shards, or its renewal."""
 
     replica_id: str = msgspec.field(name="seat")
-    """The replica that the candidate is."""
+    """The candidate's replica."""
 
     incarnation: int
     """The incarnation of that replica."""
 
     start: str
-    """Names the start of the candidate's process: another start is another holder."""
+    """Identifies the start of the candidate's process; a restarted process is another holder."""
 
     round: int
-    """Rises with each request of this start."""
+    """Increases with each request of this start."""
 
     lease_us: int
-    """How long the candidate counts its lease, from before it sent this."""
+    """Duration of the candidate's lease, measured from before it sent this."""
 
     shards: list[int]
 
 
 class ShardHolder(msgspec.Struct, frozen=True, array_like=True):
-    """To whom a voter has promised a shard; a list on the wire."""
+    """The node to which a voter has promised a shard; a list on the wire."""
 
     shard: int
     name: str
@@ -35,29 +35,29 @@
 
 
 class ShardLeaseVote(Message, frozen=True, kw_only=True, tag="shard_vote"):
-    """A voter's answer to one request."""
+    """A voter's answer to one `ShardLeaseRequest`."""
 
     replica_id: str = msgspec.field(name="seat")
     """The replica that voted."""
 
     incarnation: int
     known_incarnations: dict[str, int] = msgspec.field(name="known")
-    """The newest incarnation of each replica that the voter knows: votes of older ones are void."""
+    """The newest incarnation of each replica that the voter knows; votes of older ones are void."""
 
     start: str
-    """The start that asked; a vote for another start is none for this one."""
+    """The `start` of the request; a vote for another start doesn't count."""
 
     round: int
     granted: list[int]
     holders: list[ShardHolder]
-    """Who holds each shard that was refused."""
+    """The holder of each shard that was refused."""
 
 
 class ShardLeaseRelease(Message, frozen=True, kw_only=True, tag="shard_release"):
-    """The sender gives shards up, and counts no vote of this round or an earlier one any more."""
+    """Gives up shards; the sender no longer counts votes of this round or an earlier one."""
 
     start: str
     round: int
     shards: list[int]
     successor: str = ""
-    """The replica that is to ask at once, in a planned rebalance."""
+    """The replica that should request the shards at once, in a planned rebalance; else empty."""
--- a/packages/leases/src/linkhaven/leases/quorum_lease_rounds.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_rounds.py
@@ -1,11 +1,11 @@
-"""The votes of one round of requests, counted by replica.
+"""Vote counting for one round of requests, by replica.
 
 Invariants:
 
-- One vote a replica, however often it arrives (`votes_counted_twice` in
+- Each replica has one vote, however often it arrives (`votes_counted_twice` in
   `tests/test_quorum_lease_safety.py`).
-- A vote counts only from the newest incarnation of its replica that anybody concerned knows: this
-  node, or a voter of the round (`incarnation_not_checked` there).
+- A vote counts only if it is from the newest incarnation of its replica that this node or a voter
+  of the round knows (`incarnation_not_checked` there).
 """
 
 from collections.abc import Mapping
@@ -14,12 +14,12 @@
 
 
 class LeaseRound:
-    """One request for shards, when it was sent, and what each replica answered."""
+    """One request for shards: when it was sent, and each replica's answer."""
 
     __slots__ = ("number", "sent_us", "shards", "granted", "holders", "known_incarnations")
 
     def __init__(self, number: int, sent_us: int, shards: list[int]) -> None:
-        """It is about to be sent: `sent_us` is before the first voter can have it."""
+        """Start a round that is about to be sent; `sent_us` is before any voter receives it."""
         self.number = number
         self.sent_us = sent_us
         self.shards = shards
@@ -28,7 +28,7 @@
         self.known_incarnations: dict[str, int] = {}
 
     def add(self, vote: ShardLeaseVote) -> None:
-        """Note what a replica answered, under which incarnation."""
+        """Record a replica's answer with its incarnation."""
         for replica_id, incarnation in vote.known_incarnations.items():
             known = self.known_incarnations.get(replica_id, 0)
             self.known_incarnations[replica_id] = max(known, incarnation)
@@ -40,7 +40,7 @@
             self.holders.get(holder.shard, {})[vote.replica_id] = holder.name
 
     def num_granted(self, shard: int, newest: Mapping[str, int]) -> int:
-        """How many replicas granted a shard; `newest` is what this node knows of each."""
+        """Return how many replicas granted a shard; `newest` has this node's known incarnations."""
         return sum(
             incarnation >= self._newest_of(replica_id, newest)
             for replica_id, incarnation in self.granted[shard].items()
@@ -48,10 +48,10 @@
         )
 
     def num_for_rivals(self, shard: int, last_holder: str) -> int:
-        """How many replicas refused a shard for another candidate than its last holder.
+        """Return how many replicas refused a shard for a candidate other than its last holder.
 
-        Where it is the last holder, whose promise runs out everywhere about now, the shard is only
-        not free yet.
+        A refusal for the last holder only means that the shard isn't free yet: promises to
+        it expire at all replicas at about this time.
         """
         return sum(name != last_holder for name in self.holders[shard].values())
 
--- a/packages/leases/src/linkhaven/leases/quorum_lease_voter.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_voter.py
@@ -1,23 +1,23 @@
-"""The voter's side of the quorum leases on shards: one promise a shard, in memory only.
+"""The voter's side of the quorum leases on shards: one promise per shard, in memory only.
 
 | message | VOTING | ABSTAINING, or no voting replica |
 | --- | --- | --- |
-| `ShardLeaseRequest` | promises what is free or the sender's, else names the holder | no answer |
+| `ShardLeaseRequest` | promises free shards and the sender's own, names other holders | no answer |
 | `ShardLeaseRelease` | ends the sender's promises of that round and earlier ones | the same |
 
-Times are those that this process lived through, as `count_elapsed` is told of them.
+Time is the elapsed time of this process as `ElapsedTime` counts it, not the clock's.
 
-A replica is VOTING a whole abstention after this process first saw it vote under its incarnation.
-Until then promises that an earlier process, or an earlier instance of the replica, has given may
-still run; nothing of them is on disk (PaxosLease: Trencseni, Gazso and Reinhardt, 2012, section 4).
+A replica is VOTING a full abstention after this process first saw it vote under its incarnation.
+Until then promises of an earlier process, or of an earlier instance of the replica, may still be in
+force; none are on disk (PaxosLease: Trencseni, Gazso and Reinhardt, 2012, section 4).
 
 Invariants:
 
 - A promise ends no sooner than the lease that rests on it (`negative_drift_margin` in
   `tests/test_quorum_lease_safety.py`).
-- A clock that leaps ends no promise (`leaps_counted` there).
-- No vote within an abstention of the start (`no_abstention` there).
-- A release ends only promises of rounds that its sender counts no more (`release_without_round`).
+- A clock jump ends no promise early (`leaps_counted` there).
+- No vote is given within an abstention of the start (`no_abstention` there).
+- A release ends only promises of rounds that its sender no longer counts (`release_without_round`).
 """
 
 from collections.abc import Iterable, Mapping
@@ -33,19 +33,19 @@
 
 
 class ReplicaInstance(NamedTuple):
-    """A replica and its incarnation."""
+    """A replica ID and its incarnation."""
 
     replica_id: str
     incarnation: int
 
 
 class ShardPromise:
-    """One voter's promise on one shard: to whom, for which round at most, until when."""
+    """One voter's promise of one shard: its holder, highest round and expiry."""
 
     __slots__ = ("name", "address", "replica_id", "start", "round", "expires_us")
 
     def __init__(self, request: ShardLeaseRequest, expires_us: int) -> None:
-        """Promise what the request asks for."""
+        """Promise the shard to the request's sender."""
         self.name = request.sender
         self.address = request.reply_to
         self.replica_id = request.replica_id
@@ -54,13 +54,13 @@
         self.expires_us = expires_us
 
     def renew(self, request: ShardLeaseRequest, expires_us: int) -> None:
-        """Extend it; a request that comes late or twice shortens nothing."""
+        """Extend the promise; a late or duplicate request never shortens it."""
         self.round = max(self.round, request.round)
         self.expires_us = max(self.expires_us, expires_us)
 
 
 class ShardVoter:
-    """Owns the promises of this node as a voting replica."""
+    """The promises of this node as a voting replica."""
 
     __slots__ = (
         "time",
@@ -74,7 +74,7 @@
     )
 
     def __init__(self, num_shards: int, abstention_us: int, now_us: int) -> None:
-        """Nothing is promised, and no replica votes here yet."""
+        """Start without promises and without a voting replica."""
         self.time = ElapsedTime(now_us)
         self.num_shards = num_shards
         self.abstention_us = abstention_us
@@ -85,11 +85,11 @@
         self.releases: dict[int, tuple[str, int]] = {}
 
     def count_elapsed(self, now_us: int) -> None:
-        """Take in the time: at each tick, and before each message."""
+        """Count the elapsed time; called at each tick and before each message."""
         self.time.count_elapsed(now_us)
 
     def observe_instance(self, instance: ReplicaInstance | None) -> None:
-        """Take in which replica this node votes as now, None where it doesn't vote."""
+        """Note the replica that this node votes as, None if it doesn't vote."""
         self.is_voting = instance is not None
         if instance is None or instance == self.instance:
             return
@@ -97,11 +97,11 @@
         self.votes_from_us = self.time.elapsed_us + self.abstention_us
 
     def may_vote(self) -> bool:
-        """Whether it votes, and has abstained for long enough."""
+        """Whether this node votes and its abstention is over."""
         return self.is_voting and self.time.elapsed_us >= self.votes_from_us
 
     def vote(self, request: ShardLeaseRequest, known: Mapping[str, int]) -> ShardLeaseVote | None:
-        """Promise what is free; None where it may not vote at all."""
+        """Promise the requested shards that are free; None if this node may not vote at all."""
         if self.instance is None or not self.may_vote() or request.lease_us > LEASE_US:
             return None
         asked = [shard for shard in request.shards if 0 <= shard < self.num_shards]
@@ -130,7 +130,7 @@
         return True
 
     def _is_released(self, shard: int, request: ShardLeaseRequest) -> bool:
-        """Whether the sender has given this round up: its request was slower than its release."""
+        """Whether the sender has released this round: the release overtook the request."""
         start, round_number = self.releases.get(shard, ("", 0))
         return start == request.start and request.round <= round_number
 
@@ -141,7 +141,7 @@
                 yield ShardHolder(shard, promise.name, promise.address)
 
     def on_release(self, release: ShardLeaseRelease) -> None:
-        """End the sender's promises, but none of a round that it sent after this release."""
+        """End the sender's promises, except those of rounds sent after this release."""
         for shard in release.shards:
             self.releases[shard] = (release.start, release.round)
             promise = self.promises.get(shard)
@@ -151,18 +151,18 @@
                 promise.expires_us = min(promise.expires_us, self.time.elapsed_us)
 
     def holder_of(self, shard: int) -> ShardPromise | None:
-        """The promise on a shard that runs now."""
+        """Return the promise of a shard that is in force, or None."""
         promise = self.promises.get(shard)
         if promise is None or self.time.elapsed_us >= promise.expires_us:
             return None
         return promise
 
-    def free_for_us(self, shard: int) -> int:
-        """For how long no promise on the shard runs and this node may vote; below 0 until then."""
+    def free_duration_us(self, shard: int) -> int:
+        """Return for how long the shard was free and this node could vote; negative until then."""
         promise = self.promises.get(shard)
         expires_us = promise.expires_us if promise is not None else 0
         return self.time.elapsed_us - max(self.votes_from_us, expires_us)
 
     def last_promise(self, shard: int) -> ShardPromise | None:
-        """The last promise on a shard, be it over; None where none was given."""
+        """Return the last promise of a shard, even if it is over; None if none was given."""
         return self.promises.get(shard)
--- a/packages/leases/src/linkhaven/leases/shards.py
+++ b/packages/leases/src/linkhaven/leases/shards.py
@@ -1,4 +1,4 @@
-"""Shards of tenants: which shard a tenant is in, and which replica is preferred for a shard."""
+"""Shards of tenants: the shard of a tenant, and the preferred replicas of a shard."""
 
 import hashlib
 from collections.abc import Iterable
@@ -7,15 +7,16 @@
 
 
 def shard_of(tenant: str, num_shards: int) -> int:
-    """The shard of a tenant; the same on every node and in every version."""
+    """Return the shard of a tenant; the same on every node and in every software version."""
     return _score(tenant) % num_shards
 
 
 def preference_order(shard: int, replica_ids: Iterable[str]) -> list[str]:
-    """The replicas by rendezvous hashing, the preferred one first.
+    """Return the replicas ordered by rendezvous hashing, the preferred one first.
 
-    Where one comes or goes the others keep their order (Thaler and Ravishankar, "Using name-based
-    mappings to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998).
+    When a replica is added or removed, the others keep their order (Thaler and Ravishankar,
+    "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking 6(1),
+    1998).
     """
     return sorted(replica_ids, key=lambda replica_id: _score(f"{shard}/{replica_id}"))
 
