--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -190,8 +190,8 @@
         self.state = LeaseState.RELEASED
         if token is None:
             return done()
-        release = Release(self.node.name, token)
-        self.proposer.propose(self.key, release.step, lambda outcome, value: done())
+        update = Release(self.node.name, token)
+        self.proposer.propose(self.key, update.step, lambda outcome, value: done())
 
     # state of the cluster
 
