--- a/packages/credit/src/linkhaven/credit/__init__.py
+++ b/packages/credit/src/linkhaven/credit/__init__.py
@@ -1,4 +1,4 @@
-"""Quotas of groups and of tenants: token buckets, fair queueing, their division over routers."""
+"""Quotas of groups and tenants: token buckets, fair queueing, and their division over routers."""
 
 from .admission_queues import AdmissionQueues
 from .quota_allocator import GRANT_NUMBERS_PER_FENCE, QuotaAllocator
--- a/packages/credit/src/linkhaven/credit/admission_queues.py
+++ b/packages/credit/src/linkhaven/credit/admission_queues.py
@@ -1,7 +1,7 @@
-"""Admission control: each group's bounded queue at a router, and who is served next.
+"""Admission control: bounded queues of the groups at a router, and fair queueing between them.
 
-A request is refused as soon as it is known that it can't be served in time; else it waits in its
-group's queue until the group has credit and its turn comes (`scheduler.py`).
+A request is refused as soon as it is known that it can't be served in time. Otherwise it waits in
+its group's queue until the group has credit and is scheduled (`scheduler.py`).
 """
 
 from linkhaven.api import ServiceError
@@ -13,28 +13,28 @@
 from .scheduler import DeficitRoundRobin
 
 MEASURE_INTERVAL_US = 500_000
-"""How often demand and service rates are measured, and hopeless requests refused."""
+"""How often demand and service rates are measured, and requests that will be late refused."""
 
 DEADLINE_SHARE = 0.5
-"""The part of the time to its deadline that a request may spend in the queue by the estimate."""
+"""The fraction of the time to its deadline that a request may be expected to queue."""
 
 CREDIT_BOUND_RATIO = 0.5
-"""A group lacks credit if it waits for it longer than for this part of its queue's wait."""
+"""A group is bound by credit if its wait for credit exceeds this fraction of its queue's wait."""
 
 GRANT_GROWTH = 2
-"""How many times the present rate a group may be granted before a request's deadline."""
+"""The factor by which a group's granted rate may grow before a request's deadline."""
 
 REALLOCATION_US = 2_000_000
-"""Grants follow the demand within this; a queued request is not refused for credit sooner."""
+"""Grants follow demand within this time; queued requests aren't refused for credit sooner."""
 
-RETRY_LEAST_US = 1_000_000
-"""The shortest time after which a refused caller is told to try again."""
+MIN_RETRY_US = 1_000_000
+"""The shortest retry delay for refused callers."""
 
 
 class AdmissionQueues:
     """The group accounts of one router, with admission and fair queueing.
 
-    Errors are raised as `ServiceError`: `credit_spent` where the group lacks credit, else
+    Errors are raised as `ServiceError`: `credit_spent` if the group lacks credit, else
     `queue_full`.
     """
 
@@ -46,19 +46,19 @@
         "used",
         "scheduler",
         "estimate_initial_rate",
-        "on_hopeless",
+        "refuse_queued",
         "measured_us",
     )
 
-    def __init__(self, node, estimate_initial_rate, on_hopeless):
+    def __init__(self, node, estimate_initial_rate, refuse_queued):
         """Start without groups.
 
-        `estimate_initial_rate()` gives the service rate (tokens a second) of a queue that hasn't
-        been measured; `on_hopeless(request, error)` refuses a queued request.
+        `estimate_initial_rate()` returns the service rate (tokens per second) of a queue that
+        hasn't been measured; `refuse_queued(request, error)` refuses a queued request.
         """
         self.node = node
         self.estimate_initial_rate = estimate_initial_rate
-        self.on_hopeless = on_hopeless
+        self.refuse_queued = refuse_queued
         self.accounts = Table()
         self.limited = []
         self.active = {}
@@ -67,10 +67,10 @@
         self.measured_us = node.now_us()
         node.systems.append(self.tick)
 
-    # what the configuration and the allocator say
+    # configuration, grants and reports
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Follow a configuration; a group that it no longer names goes once its queue is empty."""
+        """Apply a configuration; a removed group is dropped once its queue is empty."""
         now_us = self.node.now_us()
         for name, group in configuration.groups.items():
             account = self.accounts.get(name)
@@ -88,37 +88,37 @@
         self.scheduler.refresh_order()
 
     def apply_grant(self, group, rate, number, expires_us):
-        """Take a grant of `rate` tokens a second, unless a later one of the group is held."""
+        """Apply a grant of `rate` tokens per second, unless a later one of the group is held."""
         account = self.accounts.get(group)
         if account is None or number <= account.grant_number or not account.is_limited:
             return
         account.apply_grant(rate, number, expires_us, self.node.now_us())
 
     def newest_grant(self):
-        """Return the highest number of all grants received, 0 if there was none."""
+        """Return the highest number of all received grants, 0 if there was none."""
         return max((account.grant_number for account in self.limited), default=0)
 
     def demand_reports(self):
-        """Return a demand report, as fields of the wire, for each group with an allowance."""
+        """Return a demand report, as wire fields, for each group with an allowance."""
         now_us = self.node.now_us()
         return {
             account.name: write_fields(account.demand_report(now_us)) for account in self.limited
         }
 
     def usage_reports(self):
-        """Return the usage, as fields of the wire, of each group that did anything here."""
+        """Return the usage, as wire fields, of each group with any usage here."""
         usages = {account.name: account.usage() for account in self.used.values()}
         return {name: write_fields(usage) for name, usage in usages.items() if usage is not None}
 
-    # what requests do
+    # requests
 
     def enqueue(self, group, request):
-        """Queue a request, or raise `credit_spent` or `queue_full`."""
+        """Queue a request, or raise `ServiceError` `credit_spent` or `queue_full`."""
         account, now_us = self.accounts[group], self.node.now_us()
         self._check_admission(account, request, now_us)
         account.append(request, now_us)
         self.active[group] = self.used[group] = account
-        self.scheduler.note_backlog(group)
+        self.scheduler.mark_backlogged(group)
 
     def _check_admission(self, account, request, now_us):
         credit_wait_us = account.credit_wait_us(
@@ -134,7 +134,7 @@
         if account.is_full_for(request.prompt_tokens) or queue_wait_us > longest_wait_us:
             refusal = self._credit_spent if is_credit_bound else self._queue_full
             wait_us = max(credit_wait_us, queue_wait_us)
-            raise refusal(account, wait_us, max(RETRY_LEAST_US, wait_us))
+            raise refusal(account, wait_us, max(MIN_RETRY_US, wait_us))
 
     def _credit_spent(self, account, wait_us, retry_us):
         return ServiceError("credit_spent", retry_us=retry_us, group=account.name, wait_us=wait_us)
@@ -143,44 +143,44 @@
         return ServiceError("queue_full", retry_us=retry_us, group=account.name, wait_us=wait_us)
 
     def remove(self, group, request):
-        """Take a request out of its group's queue, if it is queued."""
+        """Remove a request from its group's queue, if it is queued."""
         account = self.accounts.get(group)
         if account is not None:
             account.remove(request)
 
     def charge(self, group, tokens):
-        """Spend tokens of a group's credit; those of a group that is gone don't count."""
+        """Spend tokens of a group's credit; tokens of a removed group don't count."""
         account = self.accounts.get(group)
         if account is not None:
             account.charge(tokens)
             self.used[group] = account
 
     def count_refusal(self, group):
-        """Count a request that was refused before it began."""
+        """Count a request of a group that was refused before it began."""
         account = self.accounts.get(group)
         if account is not None:
             account.refused_requests += 1
             self.used[group] = account
 
     def serve(self, start):
-        """Start queued requests in turn; see `DeficitRoundRobin.run` for `start`."""
+        """Start queued requests in fair order; see `DeficitRoundRobin.run` for `start`."""
         self.scheduler.run(start, self.node.now_us)
 
-    # what others ask of it
+    # state of the queues
 
     def is_waiting(self):
         """Whether any group's queue holds a request."""
         return bool(self.scheduler.waiting_groups())
 
     def lacks_credit(self, group):
-        """Whether a group's first queued request waits for credit."""
+        """Whether a group's first queued request is waiting for credit."""
         account = self.accounts.get(group)
         if account is None or not account.queue:
             return False
         return not account.has_credit_for(account.queue[0], self.node.now_us())
 
     def wait_us(self, group):
-        """Estimate how long a request that joins the group's queue now would wait."""
+        """Estimate the wait in microseconds of a request that joins the group's queue now."""
         account = self.accounts.get(group)
         if account is None:
             return 0
@@ -189,17 +189,17 @@
             account.queue_wait_us(self.estimate_initial_rate()),
         )
 
-    # what time does to it
+    # periodic work
 
     def tick(self, now_us):
-        """Let grants expire; measure, and refuse hopeless requests, at each interval."""
+        """Expire grants; at each interval, measure rates and refuse requests that will be late."""
         for account in self.limited:
             account.update_bucket_rate(now_us)
         elapsed_us = now_us - self.measured_us
         if elapsed_us < MEASURE_INTERVAL_US:
             return
         self.measured_us = now_us
-        self._refuse_hopeless(now_us)
+        self._refuse_unservable(now_us)
         initial_rate = self.estimate_initial_rate()
         for account in list(self.active.values()):
             account.measure_demand(elapsed_us)
@@ -207,18 +207,18 @@
             if account.is_idle():
                 del self.active[account.name]
 
-    def _refuse_hopeless(self, now_us):
+    def _refuse_unservable(self, now_us):
         for name in list(self.scheduler.waiting_groups()):
             account, tokens_ahead = self.accounts[name], 0
             for request in list(account.queue):
                 wait_us = account.credit_wait_us(tokens_ahead, request.prompt_tokens, now_us)
-                if self._is_hopeless(request, wait_us, now_us):
-                    self.on_hopeless(request, self._credit_spent(account, wait_us, wait_us))
+                if self._misses_deadline(request, wait_us, now_us):
+                    self.refuse_queued(request, self._credit_spent(account, wait_us, wait_us))
                 else:
                     tokens_ahead += request.prompt_tokens
 
-    def _is_hopeless(self, request, credit_wait_us, now_us):
-        """Whether credit comes after the deadline, by the grants that followed the demand."""
+    def _misses_deadline(self, request, credit_wait_us, now_us):
+        """Whether credit comes after the deadline, once grants have had time to follow demand."""
         if not credit_wait_us or now_us - request.queued_us < REALLOCATION_US:
             return False
         return now_us + credit_wait_us > request.deadline_us
--- a/packages/credit/src/linkhaven/credit/grants.py
+++ b/packages/credit/src/linkhaven/credit/grants.py
@@ -1,18 +1,18 @@
-"""The grants of one allowance that may be held, with a sum that is kept up to date."""
+"""The outstanding grants of one allowance, with an incrementally updated sum."""
 
 from collections import deque
 
 RECOUNT_INTERVAL_US = 500_000
-"""How often the sum is counted anew, so that rounding errors don't add up."""
+"""How often the sum is recounted, so that rounding errors don't accumulate."""
 
 
 class Grant:
-    """A part of an allowance at one router, until it expires or a later one replaces it."""
+    """A share of an allowance at one router, until it expires or a later one replaces it."""
 
     __slots__ = ("router", "number", "amount", "expires_us")
 
     def __init__(self, router, number, amount, expires_us):
-        """`number` rises with each grant; `expires_us` is by the clock of the allocator."""
+        """`number` increases with each grant; `expires_us` is by the allocator's clock."""
         self.router = router
         self.number = number
         self.amount = amount
@@ -20,10 +20,10 @@
 
 
 class OutstandingGrants:
-    """The grants of one allowance by router, and the most that they can sum up to.
+    """The grants of one allowance by router, and the most that routers can hold in total.
 
-    Invariant: the sum counts each router with the largest of its grants, since the router may hold
-    any of them until it reports a later one
+    Invariant: the sum counts each router's largest grant, since the router may hold any of its
+    grants until it reports a later one
     (`test_the_kept_sum_is_what_counting_all_grants_gives`).
     """
 
@@ -38,13 +38,13 @@
         self.recounted_us = now_us
 
     def __len__(self):
-        """Return how many routers may hold a grant."""
+        """Return the number of routers that may hold a grant."""
         return len(self.by_router)
 
     def confirm(self, router, number, amount, expires_us, now_us):
-        """Take a router's report of the grant that it holds: those before it are over.
+        """Process a router's report of the grant that it holds, which ends its earlier ones.
 
-        A grant that isn't known here was given by an earlier holder of the lease.
+        A grant that isn't known here was given by an earlier holder of the lease and is added.
         """
         self._expire(now_us)
         grants = self.by_router.get(router, ())
@@ -55,14 +55,14 @@
             self.add(router, number, amount, expires_us)
 
     def add(self, router, number, amount, expires_us):
-        """Count a grant that is sent to a router."""
+        """Add a grant that is sent to a router."""
         grant = Grant(router, number, amount, expires_us)
         self.by_router.setdefault(router, []).append(grant)
         self.expiring.append(grant)
         self._update_router(router)
 
     def amount_of_others(self, router, now_us):
-        """Return the most that all routers but this one can hold now."""
+        """Return the most that all routers other than this one can hold now."""
         self._expire(now_us)
         return self.total - self.largest.get(router, 0.0)
 
--- a/packages/credit/src/linkhaven/credit/group_account.py
+++ b/packages/credit/src/linkhaven/credit/group_account.py
@@ -1,13 +1,13 @@
-"""One group at one router: its queue, its token bucket, and what was measured of both."""
+"""One group at one router: its queue, its token bucket, and measured rates."""
 
 from collections import deque
 
 from .messages import DemandReport, GroupUsage
 from .token_bucket import TokenBucket
-from .units import MICROSECONDS
+from .units import US_PER_SECOND
 
-FIRST_FILL_US = 1_000_000
-"""How much of its rate a bucket holds when the first grant arrives."""
+INITIAL_FILL_US = 1_000_000
+"""The bucket's level at the first grant, as time at the granted rate."""
 
 DEMAND_WINDOW_US = 2_000_000
 """The averaging window of the demand."""
@@ -15,26 +15,25 @@
 SERVICE_WINDOW_US = 4_000_000
 """The averaging window of the service rate."""
 
-LEAST_SERVICE_RATE = 1.0
-"""Tokens a second; a measured rate below this counts as this."""
+MIN_SERVICE_RATE = 1.0
+"""Tokens per second; the minimum of a measured service rate."""
 
-FADED_RATE = 0.01
-"""Tokens a second; a demand below this counts as none."""
+NEGLIGIBLE_RATE = 0.01
+"""Tokens per second; a demand of at most this counts as 0."""
 
-QUEUED_PER_SECOND = 2
-"""Queued tokens add to the wanted rate as if they were to be served within so many seconds."""
+QUEUE_DRAIN_S = 2
+"""Queued tokens add to the wanted rate as if they were to be served within this many seconds."""
 
-
-OVERTAKEN_SHARE = 0.25
-"""The part of the time to its deadline in which a queued request may be overtaken by others of a
-higher rank, so that a busy tenant of a high rank starves nobody."""
+OVERTAKEABLE_SHARE = 0.25
+"""The fraction of the time to its deadline during which requests of a higher rank may overtake a
+queued request. It prevents a busy tenant of a high rank from starving others."""
 
 
 class GroupAccount:
     """A group's queue, credit and measurements at one router.
 
-    Without a granted rate nothing is added to the bucket, and what it holds stays. So the rates of
-    all routers never sum above the group's allowance.
+    Without a granted rate the bucket keeps its level but isn't refilled, so that the rates of all
+    routers never sum above the group's allowance.
     """
 
     __slots__ = (
@@ -79,13 +78,13 @@
 
     @property
     def is_limited(self):
-        """Whether the group has an allowance that it must keep to."""
+        """Whether the group has an allowance."""
         return self.settings.allowance is not None
 
     def apply_grant(self, rate, number, expires_us, now_us):
-        """Take a grant of `rate` tokens a second, valid until `expires_us`."""
+        """Apply a grant of `rate` tokens per second, valid until `expires_us`."""
         if self.granted_rate is None:
-            self.bucket.level = rate * FIRST_FILL_US / MICROSECONDS
+            self.bucket.level = rate * INITIAL_FILL_US / US_PER_SECOND
             self.bucket.capacity = self.bucket.level
         self.granted_rate = rate
         self.grant_number = number
@@ -93,11 +92,11 @@
         self.update_bucket_rate(now_us)
 
     def has_grant(self, now_us):
-        """Whether a grant was received that has not expired."""
+        """Whether the group has a grant that hasn't expired."""
         return self.granted_rate is not None and now_us < self.grant_expires_us
 
     def update_bucket_rate(self, now_us):
-        """Set the bucket to the granted rate, or to none if the grant expired."""
+        """Set the bucket's rate to the granted rate, or to 0 if the grant has expired."""
         if not self.is_limited:
             return
         if not self.has_grant(now_us):
@@ -110,7 +109,7 @@
             self.bucket.resize(rate, rate * allowance.period_s, now_us)
 
     def has_credit_for(self, request, now_us):
-        """Whether the bucket covers the request's prompt, or is full and the prompt is larger."""
+        """Whether the bucket covers the request's prompt, or is full if the prompt is larger."""
         if not self.is_limited:
             return True
         level = self.bucket.refill(now_us)
@@ -124,9 +123,9 @@
         self.spent_tokens += tokens
 
     def credit_wait_us(self, tokens_ahead, tokens, now_us):
-        """Estimate the time until there is credit for a request and for what is queued before it.
+        """Estimate the microseconds until there is credit for a request and those before it.
 
-        The estimate assumes the rate that this router has now.
+        The estimate assumes this router's current rate.
         """
         if not self.is_limited:
             return 0
@@ -135,12 +134,12 @@
             return allowance.period_us
         return self.bucket.wait_us(tokens_ahead + min(tokens, self.bucket.capacity), now_us)
 
-    # the queue
+    # queue
 
     def append(self, request, now_us):
-        """Queue a request, and count it as demand: its prompt and half of its longest answer.
+        """Queue a request, and count its prompt and half of its longest answer as demand.
 
-        It goes before requests of a lower rank, and behind all of its own.
+        It goes before requests of a lower rank and behind all of its own rank.
         """
         request.queued_us = now_us
         place = len(self.queue)
@@ -151,21 +150,21 @@
         self.arrived_tokens += request.prompt_tokens + request.answer_tokens // 2
 
     def _may_overtake(self, request, queued, now_us):
-        """Whether a request goes before a queued one, which may still be served in time."""
+        """Whether a request may go before a queued one that still has time to its deadline."""
         if request.rank >= queued.rank:
             return False
-        longest_us = (queued.deadline_us - queued.queued_us) * OVERTAKEN_SHARE
+        longest_us = (queued.deadline_us - queued.queued_us) * OVERTAKEABLE_SHARE
         return now_us - queued.queued_us < longest_us
 
     def remove(self, request):
-        """Take a request out of the queue, if it is queued."""
+        """Remove a request from the queue, if it is queued."""
         if request not in self.queue:
             return
         self.queue.remove(request)
         self.queued_tokens -= request.prompt_tokens
 
     def pop_served(self):
-        """Take the first request, which was started, out of the queue, and charge its prompt."""
+        """Remove the first request, which was started, from the queue and charge its prompt."""
         tokens = self.queue.popleft().prompt_tokens
         self.served_tokens += tokens
         self.queued_tokens -= tokens
@@ -173,37 +172,37 @@
         self.charge(tokens)
 
     def is_full_for(self, tokens):
-        """Whether a prompt of so many tokens exceeds the bounds; an empty queue takes any."""
+        """Whether a prompt of `tokens` exceeds the queue's bounds; an empty queue takes any."""
         bounds = self.settings.queue
         if len(self.queue) >= bounds.requests:
             return True
         return bool(self.queue) and self.queued_tokens + tokens > bounds.tokens
 
     def queue_wait_us(self, initial_rate):
-        """Estimate how long the queue takes at the measured service rate.
+        """Estimate the time in microseconds to serve the queue at the measured service rate.
 
-        `initial_rate` (tokens a second) stands in until a rate was measured; 0 gives no wait.
+        `initial_rate` (tokens per second) is used until a rate was measured; 0 gives no wait.
         """
         rate = initial_rate
         if self.service_rate is not None:
-            rate = max(self.service_rate, LEAST_SERVICE_RATE)
-        return int(self.queued_tokens / rate * MICROSECONDS) if rate else 0
+            rate = max(self.service_rate, MIN_SERVICE_RATE)
+        return int(self.queued_tokens / rate * US_PER_SECOND) if rate else 0
 
     # measurements
 
     def measure_demand(self, elapsed_us):
-        """Average the rate at which tokens arrived, over `elapsed_us` since the last call."""
+        """Update the average arrival rate of tokens; `elapsed_us` is since the last call."""
         weight = min(1.0, elapsed_us / DEMAND_WINDOW_US)
-        arrival_rate = self.arrived_tokens * MICROSECONDS / elapsed_us
+        arrival_rate = self.arrived_tokens * US_PER_SECOND / elapsed_us
         self.demand_rate += weight * (arrival_rate - self.demand_rate)
         self.arrived_tokens = 0
 
     def measure_service(self, elapsed_us, initial_rate):
-        """Average the rate at which tokens were served while the queue was never empty."""
+        """Update the average service rate of tokens, while the queue was never empty."""
         if not self.queue:
             self.service_rate = None
         elif self.was_backlogged:
-            measured_rate = self.served_tokens * MICROSECONDS / elapsed_us
+            measured_rate = self.served_tokens * US_PER_SECOND / elapsed_us
             previous_rate = initial_rate if self.service_rate is None else self.service_rate
             weight = min(1.0, elapsed_us / SERVICE_WINDOW_US)
             self.service_rate = previous_rate + weight * (measured_rate - previous_rate)
@@ -211,8 +210,8 @@
         self.served_tokens = 0
 
     def is_idle(self):
-        """Whether there is nothing left to measure: no queue, and a demand that has faded out."""
-        if self.queue or self.was_backlogged or self.demand_rate > FADED_RATE:
+        """Whether there is nothing left to measure: an empty queue and a negligible demand."""
+        if self.queue or self.was_backlogged or self.demand_rate > NEGLIGIBLE_RATE:
             return False
         self.demand_rate = 0.0
         return True
@@ -220,15 +219,15 @@
     # reports
 
     def demand_report(self, now_us):
-        """Return what this router wants of the group's allowance, and which grant it holds."""
+        """Return this router's demand for the group's allowance, and the grant that it holds."""
         return DemandReport(
-            wanted=self.demand_rate + self.queued_tokens / QUEUED_PER_SECOND,
+            wanted=self.demand_rate + self.queued_tokens / QUEUE_DRAIN_S,
             rate=self.granted_rate if self.has_grant(now_us) else 0.0,
             grant=self.grant_number,
         )
 
     def usage(self):
-        """Return what the group did here, or None if it did nothing."""
+        """Return the group's usage at this router, or None if there is none."""
         usage = GroupUsage(
             spent=self.spent_tokens,
             refused=self.refused_requests,
--- a/packages/credit/src/linkhaven/credit/messages.py
+++ b/packages/credit/src/linkhaven/credit/messages.py
@@ -1,9 +1,9 @@
-"""What routers and the quota allocator tell each other, as it stands in the news between them.
+"""Messages between routers and the quota allocator, as sections of watch requests and responses.
 
-A router's question carries `credit`, a map of groups to `DemandReport`, `extra`, the
-`DemandReport` of its retry budget, and `usage`, a map of groups to `GroupUsage`. The allocator's
-answer carries `shares`, an `AllocatedShares`. The field names are those of the wire: members of
-different versions run side by side.
+A router's request carries `credit`, a map of groups to `DemandReport`, `extra`, the `DemandReport`
+of its retry budget, and `usage`, a map of groups to `GroupUsage`. The allocator's response carries
+`shares`, an `AllocatedShares`. The field names are those on the wire and must stay, because members
+of different software versions run side by side.
 """
 
 import msgspec
@@ -11,26 +11,26 @@
 
 
 class DemandReport(msgspec.Struct, frozen=True):
-    """What a router wants of one allowance, and which grant of it the router holds."""
+    """A router's demand for one allowance, and the grant of it that the router holds."""
 
     wanted: int | float
-    """Tokens a second for a group, whole attempts for the retry budget."""
+    """Tokens per second for a group, whole attempts for the retry budget."""
 
     rate: int | float
-    """The amount of the grant that is held, in the same unit; 0 once the grant has expired."""
+    """The amount of the held grant, in the same unit; 0 after the grant has expired."""
 
     grant: int
-    """The number of the newest grant that was received, 0 before the first."""
+    """The number of the newest received grant, 0 before the first."""
 
 
 class GroupUsage(msgspec.Struct, frozen=True):
-    """What one group did at one router since the router's start, and what it has queued now."""
+    """Usage of one group at one router since the router's start, and its current queue."""
 
     spent: int | float
-    """Tokens of prompts that were started and of answers that were relayed."""
+    """Tokens of started prompts and of relayed answers."""
 
     refused: int
-    """Requests that were refused before they began."""
+    """Requests refused before they began."""
 
     waiting: int
     """Requests in the queue."""
@@ -40,36 +40,36 @@
 
 
 class AllocatedGrant(msgspec.Struct, frozen=True, array_like=True):
-    """A part of one allowance, granted to one router: `[amount, number]` on the wire."""
+    """A share of one allowance, granted to one router; `[amount, number]` on the wire."""
 
     amount: int | float
-    """Tokens a second for a group, whole attempts for the retry budget."""
+    """Tokens per second for a group, whole attempts for the retry budget."""
 
     number: int
-    """Rises with each grant, also from one holder of the allocator's lease to the next."""
+    """Increases with each grant, also across holders of the allocator's lease."""
 
 
 class AllocatedShares(msgspec.Struct, frozen=True):
-    """All grants that one answer gives to one router."""
+    """All grants to one router in one response."""
 
     fence: int
-    """The fencing token of the lease under which the allocator acts."""
+    """The fencing token of the allocator's lease."""
 
     rates: dict[str, AllocatedGrant]
-    """Grants by group; a group without a rate is left out."""
+    """Grants by group; groups without a rate are left out."""
 
     extra: AllocatedGrant | UnsetType = UNSET
-    """The grant of the retry budget, where the router reported on it."""
+    """The grant of the retry budget, if the router reported demand for it."""
 
 
 def read_demand(fields):
-    """Read a `DemandReport` as it came, without a change of its numbers' types.
+    """Read a `DemandReport` from its fields, keeping the types of its numbers.
 
-    Raises `KeyError` where a field is missing.
+    Raises `KeyError` if a field is missing.
     """
     return DemandReport(fields["wanted"], fields["rate"], fields["grant"])
 
 
 def write_fields(message):
-    """Return the message as maps and lists, for news that have no type yet."""
+    """Return the message as dicts and lists, for messages without a typed schema."""
     return msgspec.to_builtins(message)
--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -1,41 +1,41 @@
-"""The quota allocator: divides each allowance over the routers while its lease is held.
+"""The quota allocator: divides each allowance over the routers while it holds its lease.
 
-The lease is on the duty `bursar` of the register. Routers report what they want and hold
-(`DemandReport`); each answer grants rates and a part of the retry budget (`AllocatedShares`).
+The lease is on the role `bursar`. Routers report their demand and the grants that they hold
+(`DemandReport`); each response grants rates and a share of the retry budget (`AllocatedShares`).
 """
 
 from .demand import RouterDemands
 from .grants import OutstandingGrants
 from .messages import AllocatedGrant, AllocatedShares, read_demand, write_fields
-from .units import MICROSECONDS
+from .units import US_PER_SECOND
 
 DEMAND_TIMEOUT_US = 5_000_000
-"""A router that wasn't heard for this long wants nothing."""
+"""The demand of a router that didn't report for this long counts as 0."""
 
 GRANT_NUMBERS_PER_FENCE = 1_000_000_000
-"""A grant's number is its lease's fence times this, plus a serial."""
+"""A grant's number is the fencing token of its lease times this, plus a serial number."""
 
 RETRY_BUDGET = "retry budget"
-"""Where the retry budget stands among the groups; no group's name has a space."""
+"""Key of the retry budget among the groups; no name of a group contains a space."""
 
 UNCLAIMED_INTERVAL_US = 250_000
-"""How often the attempts that no router wants are counted anew."""
+"""How often the attempts that no router wants are recounted."""
 
 ROUNDING_RATIO = 1e-9
-"""This part of an allowance is kept back, so that sums of floats never exceed it."""
+"""The fraction of an allowance that is never granted, so that float rounding can't exceed it."""
 
 EVEN_SHARE = 0.2
-"""The part of an allowance that is divided evenly over the routers."""
+"""The fraction of an allowance that is divided evenly over the routers."""
 
 DEMAND_SHARE = 0.8
-"""The part of an allowance that is divided in proportion to demand."""
+"""The fraction of an allowance that is divided in proportion to demand."""
 
 
 class QuotaAllocator:
     """Divides each group's allowance, and the margin of the retry budget, over the routers.
 
-    Invariant: the grants that may be held never sum above the allowance. A grant counts until it
-    expires or its router reports a later one
+    Invariant: the grants that routers may hold never sum above the allowance. A grant counts until
+    it expires or its router reports a later one
     (`test_shares_granted_from_what_is_left_never_sum_above_the_whole`).
     """
 
@@ -52,7 +52,7 @@
     )
 
     def __init__(self, node, lease, snapshot):
-        """Allocate under `lease`, by the configuration of which `image` holds a copy."""
+        """Allocate while `lease` is held, by the configuration in `snapshot`."""
         self.node = node
         self.lease = lease
         self.snapshot = snapshot
@@ -66,24 +66,24 @@
     # the lease
 
     def on_lease_won(self, role):
-        """Start anew: routers report the grants of earlier holders, or these expire."""
+        """Start without grants: routers report those of earlier holders, or they expire."""
         self.elected_us = self.node.now_us()
         self.grants = {}
         self.demands = {}
         self.unclaimed_counted_us = None
 
     def on_lease_lapsed(self, role):
-        """Grant nothing more."""
+        """Stop granting."""
         self.elected_us = None
 
     def _is_settling(self, now_us):
-        """Whether a router may still hold a grant of an earlier holder that it didn't report."""
+        """Whether a router may still hold an unreported grant of an earlier lease holder."""
         return self.lease.fencing_token > 1 and now_us - self.elected_us < self.node.bounds.lease_us
 
-    # what routers report
+    # demand reports
 
     def on_watch_request(self, ask):
-        """Take the demand reports of a router's question."""
+        """Record the demand reports of a router's watch request."""
         if self.elected_us is None:
             return
         now_us = self.node.now_us()
@@ -111,10 +111,10 @@
             grants = self.grants[name] = OutstandingGrants(now_us)
         return grants
 
-    # what routers are granted
+    # grants
 
     def add_shares(self, ask, answer):
-        """Add the grants to the answer to a router's question, if the lease is held."""
+        """Add the grants to the response to a router's watch request, if the lease is held."""
         if (
             self.elected_us is None
             or not self.lease.is_held()
@@ -130,7 +130,7 @@
         answer["shares"] = write_fields(shares)
 
     def _grant_rates(self, ask, now_us):
-        """Return the grants, by group, for the groups on which the router reported."""
+        """Return the grants of the groups that the router reported demand for."""
         router, groups = ask["name"], self.snapshot.configuration.groups
         rates = {}
         for name, fields in ask.get("credit", {}).items():
@@ -159,10 +159,10 @@
         self._grants_of(name, now_us).add(router, number, amount, expires_us)
         return AllocatedGrant(amount, number)
 
-    # rates of groups, in tokens a second
+    # rates of groups, in tokens per second
 
     def _rate_for(self, group, router, allowance, now_us):
-        """Return a router's rate: by demand, within the least share and what is left."""
+        """Return a router's rate by demand, at least the minimum share, at most what is left."""
         demands = self._demands_for(group)
         demands.expire(now_us)
         demand = demands.amount_of(router)
@@ -171,22 +171,22 @@
         share = even_share = 1 / len(demands.by_router)
         if demands.total > 0:
             share = EVEN_SHARE * even_share + DEMAND_SHARE * demand / demands.total
-        total_rate = allowance.tokens * MICROSECONDS / allowance.period_us
+        total_rate = allowance.tokens * US_PER_SECOND / allowance.period_us
         rate = total_rate * max(share, self.snapshot.configuration.min_allowance_share)
         return max(0.0, min(rate, self._unallocated(group, router, total_rate, now_us)))
 
     def _unallocated(self, group, router, total_rate, now_us):
-        """Return what no other router can hold."""
+        """Return the rate that no other router can hold."""
         held_by_others = self._grants_of(group, now_us).amount_of_others(router, now_us)
         return total_rate - held_by_others - total_rate * ROUNDING_RATIO
 
-    # the retry budget, in whole attempts, since a part of one can't be spent
+    # retry budget, in whole attempts, because fractions can't be spent
 
     def _attempts_for(self, router, margin, now_us):
         """Return a router's attempts of the margin.
 
-        One at least for a router with requests, more where retries are wanted, and one for an idle
-        router as long as no other router wants it.
+        At least one for a router with requests, more if it wants retries, and one for an idle
+        router if no other router wants it.
         """
         demands = self._demands_for(RETRY_BUDGET)
         demands.expire(now_us)
@@ -203,9 +203,9 @@
         return max(1, int(margin * demand / total_demand))
 
     def _unclaimed_attempts(self, demands, margin, now_us):
-        """Return the attempts that no router wants, counted anew at each interval.
+        """Return the attempts that no router wants, recounted at each interval.
 
-        The grants that may be held bound what is granted of them in between.
+        Between recounts the outstanding grants limit what is granted of them.
         """
         counted_us = self.unclaimed_counted_us
         if counted_us is None or now_us - counted_us >= UNCLAIMED_INTERVAL_US:
--- a/packages/credit/src/linkhaven/credit/quota_messages.py
+++ b/packages/credit/src/linkhaven/credit/quota_messages.py
@@ -1,4 +1,4 @@
-"""What routers and the owners of tenants' shards tell each other, as it stands on the wire."""
+"""Messages between routers and the owners of tenants' shards, as encoded on the wire."""
 
 import msgspec
 
@@ -6,52 +6,52 @@
 
 
 class TokenWant(msgspec.Struct, frozen=True, array_like=True):
-    """What a router wants of one tenant's limit; a list on the wire, newer fields at its end."""
+    """Tokens that a router wants for one tenant; a list on the wire, new fields go last."""
 
     tenant: str
     needed: int
-    """Requests that wait for a token."""
+    """Held requests that wait for a token."""
 
     extra: int
-    """Tokens that soon will be spent, if the tenant is far from its limit."""
+    """Tokens wanted in advance, granted only if the tenant is well below its limit."""
 
     denied: int = 0
-    """Requests that the router denied since it last asked, without asking for them."""
+    """Requests that the router denied locally since its last request for tokens."""
 
 
 class QuotaRequest(Message, tag="quota_ask", frozen=True):
-    """A router asks for tokens of tenants, of one or several shards."""
+    """A router's request for tokens of tenants, of one or more shards."""
 
     number: int
-    """Rises with each request of a router, also from one of its starts to the next."""
+    """Increases with each request of a router, also across its restarts."""
 
     router_address: str = msgspec.field(name="router")
-    """Where the response goes, also of a request that a controller passed on."""
+    """Where to send the response, also if a controller forwarded the request."""
 
     wants: list[TokenWant]
     is_forwarded: bool = msgspec.field(default=False, name="passed_on")
-    """Whether a controller passed it on: it goes no further."""
+    """Whether a controller forwarded it; it isn't forwarded again."""
 
 
 class TokenGrant(msgspec.Struct, frozen=True, array_like=True):
-    """What one tenant's owner grants; a list on the wire, newer fields at its end."""
+    """Tokens granted for one tenant; a list on the wire, new fields go last."""
 
     tenant: str
     granted: int
     life_us: int
-    """How long after the request was sent the tokens may be spent, by the router's clock."""
+    """How long the tokens may be spent after the request was sent, by the router's clock."""
 
     wait_us: int
-    """0 where all that was needed is granted, else when to come back."""
+    """0 if all needed tokens are granted, else after how long to retry."""
 
     is_settling: bool = False
-    """Whether the owner is so new that a denial doesn't tell that the tenant is at its limit."""
+    """Whether the owner is so new that a denial doesn't mean that the tenant is at its limit."""
 
 
 class QuotaResponse(Message, tag="quota_told", frozen=True):
-    """Tokens for a router, in response to a part of a `QuotaRequest`; the sender is the owner."""
+    """Tokens for a router, in response to all or part of a `QuotaRequest`; sent by the owner."""
 
     number: int
     grants: list[TokenGrant]
     unowned: list[str] = msgspec.field(default_factory=list)
-    """Tenants whose shard has no owner that the sender knows of."""
+    """Tenants whose shard has no owner known to the sender."""
--- a/packages/credit/src/linkhaven/credit/quota_owner.py
+++ b/packages/credit/src/linkhaven/credit/quota_owner.py
@@ -1,14 +1,14 @@
-"""The owner of shards of tenants: grants slices of their limits to routers, while its lease holds.
+"""The owner of shards of tenants: grants slices of their limits to routers under its lease.
 
-| message | shard owned here | another owner is known | none is known, or passed on before |
+| message | shard owned here | another owner is known | none is known, or forwarded before |
 | --- | --- | --- | --- |
-| `QuotaRequest` | `QuotaResponse` with a grant | passed on to it | `QuotaResponse`, unowned |
+| `QuotaRequest` | `QuotaResponse` with a grant | forwarded to it | `QuotaResponse`, unowned |
 
-Each request gets a `QuotaResponse`, an empty one where all of it was passed on: so a router tells
-an owner that is gone from a core that it can't reach.
+Each request gets a `QuotaResponse`, which is empty if all of it was forwarded. This lets a router
+distinguish a failed owner from being cut off from all controllers.
 
-Invariant: tokens are granted only while `ShardOwnership.is_owned` says so at that moment, and a
-bucket serves one epoch of its shard only (`test_two_owners_of_a_shard_break_the_bound`).
+Invariant: tokens are granted only if `ShardOwnership.is_owned` is True at that moment, and a bucket
+serves only one epoch of its shard (`test_two_owners_of_a_shard_break_the_bound`).
 """
 
 from typing import Any
@@ -23,22 +23,22 @@
 from .tenant_bucket import TenantBucket, slice_life_us
 
 UNKNOWN_TENANT_WAIT_US = 50_000
-"""When to come back for a tenant that isn't in force here yet: its version is on its way."""
+"""The retry delay for a tenant that this node's configuration doesn't have yet."""
 
 
 class TenantUse(msgspec.Struct, frozen=True):
-    """What an operator sees of one tenant: its limit, and its use where it is granted here."""
+    """One tenant as reported to operators: its limit, and its use if it is granted here."""
 
     rate: int | float
     burst: int | float
     owner: str | None
-    """The address of the node that grants it, None where none is known."""
+    """The address of the node that grants its tokens, None if none is known."""
 
     granted: int | None = None
-    """Requests granted in the last window; None where another node grants them."""
+    """Requests granted in the last window; None if another node grants them."""
 
     denied: int | None = None
-    """Requests denied in the last window; None where another node grants them."""
+    """Requests denied in the last window; None if another node grants them."""
 
 
 class QuotaOwner:
@@ -49,7 +49,7 @@
     def __init__(
         self, node: Node, ownership: ShardOwnership, snapshot: ConfigurationSnapshot
     ) -> None:
-        """No shard was won yet."""
+        """Start without shards."""
         self.node = node
         self.ownership = ownership
         self.snapshot = snapshot
@@ -62,12 +62,12 @@
     # shards
 
     def on_shard_won(self, shard: int) -> None:
-        """Begin a term of a shard: its buckets are empty now."""
+        """Begin a term of a shard with empty buckets."""
         self._drop_buckets(shard)
         self.won_us[shard] = self.node.now_us()
 
     def on_shard_lost(self, shard: int) -> None:
-        """End a term of a shard."""
+        """End a term of a shard and drop its buckets."""
         self._drop_buckets(shard)
         self.won_us.pop(shard, None)
 
@@ -81,16 +81,16 @@
     # limits
 
     def apply_configuration(self) -> None:
-        """Follow changed limits; a bucket without a limit stays until its last grants are over."""
+        """Apply changed limits; a bucket without a limit is kept until its grants have expired."""
         now_us = self.node.now_us()
         for name, bucket in list(self.buckets.items()):
             tenant = self._tenant(name)
             if tenant is not None and tenant.is_limited:
                 bucket.apply_limit(tenant, self.node.bounds, now_us)
-            elif self._is_over(bucket, now_us):
+            elif self._is_expired(bucket, now_us):
                 del self.buckets[name]
 
-    def _is_over(self, bucket: TenantBucket, now_us: int) -> bool:
+    def _is_expired(self, bucket: TenantBucket, now_us: int) -> bool:
         if bucket.last_grant_us is None:
             return True
         return now_us - bucket.last_grant_us > self.node.bounds.quota_window_us + self.life_us
@@ -104,11 +104,11 @@
     # requests
 
     def on_quota_request(self, message: QuotaRequest) -> None:
-        """Grant what is owned here, and pass the rest on to its owners."""
+        """Grant tokens of shards owned here, and forward the rest to their owners."""
         now_us = self.node.now_us()
         grants: list[TokenGrant] = []
         unowned: list[str] = []
-        elsewhere: dict[str, list[TokenWant]] = {}
+        wants_by_owner: dict[str, list[TokenWant]] = {}
         for want in message.wants:
             shard = self._shard_of(want.tenant)
             if self.ownership.is_owned(shard, now_us):
@@ -118,13 +118,13 @@
             if owner is None or owner == self.node.address:
                 unowned.append(want.tenant)
             else:
-                elsewhere.setdefault(owner, []).append(want)
-        for address, wants in elsewhere.items():
-            self._send_forward(address, message, wants)
+                wants_by_owner.setdefault(owner, []).append(want)
+        for address, wants in wants_by_owner.items():
+            self._forward(address, message, wants)
         response = QuotaResponse(number=message.number, grants=grants, unowned=unowned)
         self.node.send(message.router_address, response)
 
-    def _send_forward(self, address: str, message: QuotaRequest, wants: list[TokenWant]) -> None:
+    def _forward(self, address: str, message: QuotaRequest, wants: list[TokenWant]) -> None:
         request = QuotaRequest(
             number=message.number,
             router_address=message.router_address,
@@ -161,10 +161,10 @@
         self.buckets[name] = bucket
         return bucket
 
-    # the operator's view
+    # status
 
     def serve(self, call: Any) -> None:
-        """Answer GET /v1/tenants: each tenant's limit and owner, and its use where granted here."""
+        """Answer GET /v1/tenants: each tenant's limit and owner, and its use if granted here."""
         configuration = self.snapshot.configuration
         tenants = (configuration.tenants if configuration is not None else None) or {}
         uses = {name: self._use_of(name, tenant) for name, tenant in tenants.items()}
--- a/packages/credit/src/linkhaven/credit/quota_relay.py
+++ b/packages/credit/src/linkhaven/credit/quota_relay.py
@@ -1,12 +1,12 @@
-"""Requests for tokens that a router passes on for another one, which can't reach the controllers.
+"""Relaying of requests for tokens for another router that can't reach the controllers.
 
-The response comes back the same way. A slice still lives from when the router that spends it asked,
-so the way makes it shorter and never longer.
+The response is relayed back. The lifetime of a slice still starts when the router that spends it
+sent its request, so relaying only shortens the usable time.
 
-| message | from | what the relay does |
+| message | from | effect |
 | --- | --- | --- |
-| `QuotaRequest` | a router | asks a controller in its own name; if it is cut off too: unowned |
-| `QuotaResponse` to such a one | a controller | sends it on to the router |
+| `QuotaRequest` | a router | sent to a controller in its own name; unowned if cut off too |
+| `QuotaResponse` to a relayed request | a controller | forwarded to the router |
 """
 
 from collections import OrderedDict
@@ -18,19 +18,19 @@
 
 
 class RelayedRequest:
-    """Whose request was passed on, under which number of its own, and when."""
+    """The origin of a relayed request: its router, its original number, and when it was sent."""
 
     __slots__ = ("address", "number", "sent_us")
 
     def __init__(self, address: str, number: int, sent_us: int) -> None:
-        """The response goes to `address`, with `number`."""
+        """The response goes to `address` with `number`."""
         self.address = address
         self.number = number
         self.sent_us = sent_us
 
 
 class QuotaRelay:
-    """The requests of other routers that this one has passed on."""
+    """The requests of other routers that this one relays."""
 
     __slots__ = ("node", "next_number", "address_of", "life_us", "relayed")
 
@@ -41,7 +41,7 @@
         address_of: Callable[[str], str | None],
         life_us: int,
     ) -> None:
-        """`address_of` gives the controller to ask for a tenant, None where none is reached."""
+        """`address_of` returns the controller for a tenant, None if none can be reached."""
         self.node = node
         self.next_number = next_number
         self.address_of = address_of
@@ -50,7 +50,7 @@
         node.register_handler(QuotaRequest, self.on_quota_request)
 
     def on_quota_request(self, message: QuotaRequest) -> None:
-        """Pass on what another router wants."""
+        """Relay a request of another router to the controllers."""
         by_address: dict[str | None, list[TokenWant]] = {}
         for want in message.wants:
             by_address.setdefault(self.address_of(want.tenant), []).append(want)
@@ -58,14 +58,14 @@
             if address is None:
                 self._send_unowned(message, wants)
             else:
-                self._send_on(address, message, wants)
+                self._forward(address, message, wants)
 
     def _send_unowned(self, message: QuotaRequest, wants: list[TokenWant]) -> None:
         unowned = [want.tenant for want in wants]
         response = QuotaResponse(number=message.number, grants=[], unowned=unowned)
         self.node.send(message.router_address, response)
 
-    def _send_on(self, address: str, message: QuotaRequest, wants: list[TokenWant]) -> None:
+    def _forward(self, address: str, message: QuotaRequest, wants: list[TokenWant]) -> None:
         now_us, number = self.node.now_us(), self.next_number()
         while self.relayed:
             oldest = next(iter(self.relayed))
@@ -76,8 +76,8 @@
         request = QuotaRequest(number=number, router_address=self.node.address, wants=wants)
         self.node.send(address, request)
 
-    def send_back(self, message: QuotaResponse) -> bool:
-        """Pass a response on to the router that asked; False where none did."""
+    def forward_response(self, message: QuotaResponse) -> bool:
+        """Forward a response to the router that it is for; False if it wasn't relayed."""
         relayed = self.relayed.get(message.number)
         if relayed is None:
             return False
--- a/packages/credit/src/linkhaven/credit/retry_budget.py
+++ b/packages/credit/src/linkhaven/credit/retry_budget.py
@@ -1,9 +1,9 @@
 """The retry budget of one router: how many attempts beyond the first its requests may make.
 
-Each request earns a part of an attempt. Earnings are capped at the attempts that the quota
-allocator granted this router of the fleet's margin, and without a grant nothing is saved. Requests
-and attempts of each pool of runners are counted apart. So over any span the fleet spends on a pool
-at most `attempts_per_request` x its requests + `margin_attempts`, however many routers run
+Each request earns a fraction of an attempt. Earnings are capped at the attempts that the quota
+allocator granted this router of the fleet's margin; without a grant nothing is kept. Each pool of
+runners has its own budget. So over any time span the fleet spends on a pool at most
+`attempts_per_request` x its requests + `margin_attempts`, however many routers run
 (`test_more_routers_than_the_plan_counts_breach_neither_budget_nor_allowance`).
 """
 
@@ -13,16 +13,16 @@
 from .token_bucket import TokenBucket
 
 RECENT_US = 3_000_000
-"""Requests and wanted retries count for the demand for this long."""
+"""How long requests and wanted retries count as demand."""
 
-WANTED_RETRIES_MOST = 4
+MAX_WANTED_RETRIES = 4
 """The most attempts that recently wanted retries add to the demand."""
 
 
 class RetryBudget:
     """Token buckets of attempts, one for each pool of runners.
 
-    What one pool's requests earn is not spent on another
+    Attempts earned by one pool's requests aren't spent on another
     (`test_what_requests_of_one_pool_earn_is_not_spent_on_another`).
     """
 
@@ -55,17 +55,17 @@
         self.refused_us = None
         node.systems.append(self.tick)
 
-    # what the configuration and the allocator say
+    # configuration, grants and reports
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Follow a configuration."""
+        """Apply a configuration; buckets of removed pools are dropped."""
         self.attempts_per_request = configuration.retry_budget.attempts_per_request
         pools = configuration.pools
         for pool in [pool for pool in self.buckets if pool is not None and pool not in pools]:
             del self.buckets[pool]
 
     def apply_grant(self, attempts, number, expires_us):
-        """Take a grant of whole attempts, unless a later one is held."""
+        """Apply a grant of whole attempts, unless a later one is held."""
         if number <= self.grant_number:
             return
         self.grant_number = number
@@ -73,7 +73,7 @@
         self._resize(attempts, self.node.now_us())
 
     def tick(self, now_us):
-        """Let the grant expire, and with it what was earned under it."""
+        """Expire the grant, and with it the attempts earned under it."""
         if now_us >= self.grant_expires_us and self.default_bucket.capacity:
             self._resize(0.0, now_us)
 
@@ -82,25 +82,25 @@
             bucket.resize(0.0, attempts, now_us)
 
     def demand_report(self):
-        """Return, as fields of the wire, what this router wants of the margin.
+        """Return, as wire fields, this router's demand for the margin.
 
-        One attempt where there are requests, and one more for each retry that was wanted lately.
+        One attempt if there are recent requests, and one more for each recently wanted retry.
         """
         now_us = self.node.now_us()
         self.wanted_us = [at_us for at_us in self.wanted_us if now_us - at_us < RECENT_US]
         has_requests = self._is_recent(self.earned_us, now_us)
         is_granted = now_us < self.grant_expires_us
         report = DemandReport(
-            wanted=has_requests + min(WANTED_RETRIES_MOST, len(self.wanted_us)),
+            wanted=has_requests + min(MAX_WANTED_RETRIES, len(self.wanted_us)),
             rate=self.default_bucket.capacity if is_granted else 0,
             grant=self.grant_number,
         )
         return write_fields(report)
 
-    # what requests do
+    # requests
 
     def earn(self, pool=None):
-        """Count a request of a pool: it earns its part of an attempt."""
+        """Count a request of a pool, which earns a fraction of an attempt."""
         self.earned_us = self.node.now_us()
         self.tick(self.earned_us)
         bucket = self._bucket_of(pool)
@@ -111,9 +111,9 @@
         return self._bucket_of(pool).level >= cost
 
     def spend(self, reason, reserve=0.0, cost=1, pool=None):
-        """Spend `cost` attempts, if `reserve` attempts are left over; return whether it did.
+        """Spend `cost` attempts if at least `reserve` remain; return whether they were spent.
 
-        Spending without a reserve is counted as demand.
+        Spending without a reserve counts as demand.
         """
         now_us = self.node.now_us()
         self.tick(now_us)
@@ -129,11 +129,11 @@
         return True
 
     def reserve_for_retries(self):
-        """Return the attempts that moves of running requests must leave for retries."""
+        """Return the attempts that moves of running requests must leave over for retries."""
         return max(0.0, (self.default_bucket.capacity - 1) / 2)
 
     def was_refused_recently(self):
-        """Whether an attempt was wanted lately that the budget didn't cover."""
+        """Whether an attempt was refused recently because the budget didn't cover it."""
         return self._is_recent(self.refused_us, self.node.now_us())
 
     def _is_recent(self, at_us, now_us):
--- a/packages/credit/src/linkhaven/credit/scheduler.py
+++ b/packages/credit/src/linkhaven/credit/scheduler.py
@@ -1,12 +1,12 @@
 """Deficit round robin over the groups that have queued requests and credit.
 
 Each round gives a group a quantum of prompt tokens by its weight. A group serves requests from the
-head of its queue while its deficit counter covers them; what is left over is kept while the queue
-isn't empty (Shreedhar and Varghese, "Efficient fair queueing using deficit round robin", 1995).
+head of its queue while its deficit counter covers them; the remainder is kept while the queue isn't
+empty (Shreedhar and Varghese, "Efficient fair queueing using deficit round robin", 1995).
 """
 
 QUANTUM_TOKENS = 2_000
-"""The prompt tokens that a round adds to a group of weight 1."""
+"""The prompt tokens that a round adds to the deficit counter of a group of weight 1."""
 
 
 class DeficitRoundRobin:
@@ -17,27 +17,34 @@
     `test_a_group_that_floods_delays_neither_of_the_others`).
     """
 
-    __slots__ = ("accounts", "places", "backlogged", "first", "is_running", "is_run_requested")
+    __slots__ = (
+        "accounts",
+        "positions",
+        "backlogged",
+        "first_position",
+        "is_running",
+        "is_run_requested",
+    )
 
     def __init__(self, accounts):
         """Schedule over `accounts`, a table by name whose rows may come and go.
 
-        Only `backlogged` groups are looked at, so that groups without requests cost nothing.
+        Only `backlogged` groups are visited, so that groups without requests cost nothing.
         """
         self.accounts = accounts
-        self.places = {}
+        self.positions = {}
         self.backlogged = set()
-        self.first = 0
+        self.first_position = 0
         self.is_running = False
         self.is_run_requested = False
 
     def refresh_order(self):
-        """Follow the accounts as they are now."""
-        self.places = {name: place for place, name in enumerate(self.accounts)}
+        """Recompute the order and the backlogged groups after the accounts changed."""
+        self.positions = {name: position for position, name in enumerate(self.accounts)}
         self.backlogged = {account.name for account in self.accounts.values() if account.queue}
 
-    def note_backlog(self, name):
-        """Note that a group's queue holds a request."""
+    def mark_backlogged(self, name):
+        """Mark a group whose queue holds a request."""
         self.backlogged.add(name)
 
     def waiting_groups(self):
@@ -48,8 +55,8 @@
     def run(self, start, now_us_of):
         """Start queued requests until none is ready.
 
-        `start(request)` returns whether the request was started; one that wasn't stays at the head.
-        It may call `run` again, which then only asks for another pass.
+        `start(request)` returns whether the request was started; if not, it stays at the head of
+        its queue. It may call `run` again, which then only schedules another pass.
         """
         self.is_run_requested = True
         if self.is_running:
@@ -71,7 +78,7 @@
             for name in self._rotate(ready):
                 if not self._run_turn(self.accounts[name], start, now_us):
                     blocked.add(name)
-            self.first += 1
+            self.first_position += 1
 
     def _ready_groups(self, blocked, now_us):
         return {
@@ -84,13 +91,13 @@
         return account.has_credit_for(account.queue[0], now_us)
 
     def _rotate(self, ready):
-        """Return the ready groups, beginning one place further with each round."""
-        count = len(self.places)
-        self.first %= count
-        return sorted(ready, key=lambda name: (self.places[name] - self.first) % count)
+        """Return the ready groups in order, starting one position further in each round."""
+        count = len(self.positions)
+        self.first_position %= count
+        return sorted(ready, key=lambda name: (self.positions[name] - self.first_position) % count)
 
     def _run_turn(self, account, start, now_us):
-        """Add the quantum if it is needed, and serve the group.
+        """Add the quantum if needed, and serve the group.
 
         Returns False if a request couldn't be started.
         """
--- a/packages/credit/src/linkhaven/credit/tenant_bucket.py
+++ b/packages/credit/src/linkhaven/credit/tenant_bucket.py
@@ -1,16 +1,15 @@
-"""A tenant's limit at the owner of its shard: which grants keep the bound of its quota.
+"""A tenant's token bucket at the owner of its shard, which keeps the bound of its quota.
 
-A tenant with rate r and burst b may have r x W + b requests run in any window W, more by an
-overage and a slack. Proof that grants by `TenantBucket` keep this:
+A tenant with rate r and burst b may run r x W + b requests in any window W, plus an overage and a
+slack. Proof that grants by `TenantBucket` keep this bound:
 
-1. A slice that is granted at g may be spent until `sent + life`, where `sent <= g` is when its
-   router asked: all of it is spent in [g, g + life].
-2. What is spent in a window W was so granted in an interval of length W + life.
-3. A bucket of capacity c grants at most c + r x T in an interval of length T. That of the next
-   owner begins empty once this one grants no more, so it holds for both together.
-4. r x (W + life) + c is within the bound by the choice of c in `capacity_of`, wherever that has
-   room for a request. Where overage and slack don't cover r x life, r is the lower rate of
-   `grant_rate`.
+1. A slice that is granted at time g may be spent until `sent + life`, where `sent <= g` is when its
+   router sent the request. So all of it is spent in [g, g + life].
+2. So the tokens spent in a window W were granted in an interval of length W + life.
+3. A bucket of capacity c grants at most c + r x T in an interval of length T. The next owner's
+   bucket starts empty after this owner stopped granting, so this holds for both together.
+4. r x (W + life) + c is within the bound by the choice of c in `capacity_of`, if the bound has room
+   for one request. If overage and slack don't cover r x life, r is the lower rate of `grant_rate`.
 
 Test: `test_a_new_owner_that_starts_with_a_full_bucket_breaks_the_bound`.
 """
@@ -19,84 +18,87 @@
 from linkhaven.runtime import Bounds
 
 from .token_bucket import TokenBucket
-from .units import MICROSECONDS
+from .units import US_PER_SECOND
 
 TOLERANCE_SHARE = 0.5
-"""The part of the bound's tolerance that goes into the capacity; the rest is for requests that lie
-between the spending of their token and their runner."""
+"""The fraction of the bound's tolerance that the capacity uses. The rest covers requests between
+the spending of their token and their arrival at a runner."""
 
 FILL_S = 1.0
-"""The capacity holds no more than the rate of so many seconds, beside the burst."""
+"""Seconds of the rate that the capacity holds at most, in addition to the burst."""
 
-LEAST_FILL = 8
-"""So many tokens beside the burst if the tolerance allows them, be the rate low: requests that come
-by chance at five eighths of the rate lack more than 8 tokens in one case of 1,000 (M/D/1 queue)."""
+MIN_FILL = 8
+"""The tokens beside the burst at a low rate, if the tolerance allows them. Poisson arrivals at 5/8
+of the rate lack more than 8 tokens in 1 of 1,000 cases (M/D/1 queue)."""
 
 PREFETCH_FLOOR_SHARE = 0.5
-"""Tokens that nobody waits for are granted only from what a bucket holds above this part."""
+"""Tokens requested in advance are granted only from above this fraction of the capacity."""
 
-LEAST_LIFE_US = 250_000
-"""A slice lives for so long, be the overage 0: it has to outlast the way from its owner."""
+MIN_LIFE_US = 250_000
+"""The minimum lifetime of a slice, even with no overage: it must outlast its delivery."""
 
-LEAST_RATE_SHARE = 0.1
-"""A bucket gains at least this part of the rate, where the bound has no room for one request."""
+MIN_RATE_SHARE = 0.1
+"""The fraction of the rate at which a bucket fills if the bound has no room for one request."""
 
 MAX_RETRY_WAIT_US = 250_000
-"""Routers that are denied are told to come back one after the other, within this time."""
+"""The longest retry delay for denied routers, which are told to retry one after the other."""
 
-ROUNDING = 1e-9
-"""A level that lacks no more than this of a whole token holds it: sums of floats fall short."""
+ROUNDING_TOLERANCE = 1e-9
+"""How much a level may lack of a whole token and still hold it, because of float rounding."""
 
 
 def slice_life_us(bounds: Bounds) -> int:
-    """How long after its router asked for it a slice may be spent, in microseconds."""
-    return max(LEAST_LIFE_US, int(bounds.quota_overage * bounds.quota_window_us))
+    """Return how long after its request a slice may be spent, in microseconds."""
+    return max(MIN_LIFE_US, int(bounds.quota_overage * bounds.quota_window_us))
 
 
 def grant_rate(tenant: Tenant, bounds: Bounds) -> float:
-    """Tokens a second that the tenant's bucket gains: less than its rate in a narrow bound."""
+    """Return the fill rate of the tenant's bucket in tokens per second.
+
+    Lower than the tenant's rate if the bound is too narrow for the rate and one burst.
+    """
     rate = tenant.requests_per_s
     most = _bound_of(tenant, bounds) - max(1.0, tenant.burst_requests)
-    narrowed = most * MICROSECONDS / (bounds.quota_window_us + slice_life_us(bounds))
-    return min(rate, max(narrowed, LEAST_RATE_SHARE * rate))
+    narrowed = most * US_PER_SECOND / (bounds.quota_window_us + slice_life_us(bounds))
+    return min(rate, max(narrowed, MIN_RATE_SHARE * rate))
 
 
 def capacity_of(tenant: Tenant, bounds: Bounds) -> float:
-    """The most tokens that the tenant's bucket holds; see the proof above."""
+    """Return the capacity of the tenant's bucket in tokens; see the proof above."""
     rate, least = grant_rate(tenant, bounds), max(1.0, tenant.burst_requests)
-    granted = rate * (bounds.quota_window_us + slice_life_us(bounds)) / MICROSECONDS
+    granted = rate * (bounds.quota_window_us + slice_life_us(bounds)) / US_PER_SECOND
     bound = _bound_of(tenant, bounds)
     tolerance = max(0.0, bound - granted - tenant.burst_requests)
     most = max(0.0, bound - granted - least)
-    return least + min(max(rate * FILL_S, LEAST_FILL), TOLERANCE_SHARE * tolerance, most)
+    return least + min(max(rate * FILL_S, MIN_FILL), TOLERANCE_SHARE * tolerance, most)
 
 
 def _bound_of(tenant: Tenant, bounds: Bounds) -> float:
-    """The most requests of the tenant that may run in any window."""
+    """Return the most requests of the tenant that may run in any window."""
     rate, window_us = tenant.requests_per_s, bounds.quota_window_us
-    allowed = rate * window_us / MICROSECONDS + tenant.burst_requests
+    allowed = rate * window_us / US_PER_SECOND + tenant.burst_requests
     return allowed * (1 + bounds.quota_overage) + bounds.quota_slack
 
 
 class RecentCount:
-    """Counts what happened in about the last window: all of this one, a part of that before."""
+    """Approximate sliding-window counter: the current window plus a share of the previous one."""
 
     __slots__ = ("window_us", "began_us", "current", "previous")
 
     def __init__(self, window_us: int, now_us: int) -> None:
-        """Nothing was counted yet."""
+        """Start at 0, in a window that begins at `now_us`."""
         self.window_us = window_us
         self.began_us = now_us
         self.current = 0
         self.previous = 0
 
     def add(self, count: int, now_us: int) -> None:
-        """Count so many more."""
+        """Add `count` to the current window."""
         self._roll(now_us)
         self.current += count
 
     def total(self, now_us: int) -> int:
-        """The count of the last window, that of its older part by proportion."""
+        """Return the count of the last window, with the previous window's share interpolated."""
         self._roll(now_us)
         older_share = 1 - (now_us - self.began_us) / self.window_us
         return self.current + int(self.previous * older_share)
@@ -113,9 +115,9 @@
 class TenantBucket:
     """The token bucket of one limited tenant, for one term of its shard's owner.
 
-    `epoch` is the term: a bucket of another one must not be used again. `full_bucket` is the bucket
-    as it would be had it begun full, which the tenant may have left to the owner before: as long as
-    that one still holds tokens, a denial doesn't tell that the tenant is beyond its limit.
+    `epoch` identifies the term; a bucket of another epoch must not be used. `full_bucket` is the
+    bucket as if it had started full, as the previous owner's may have been. While it still holds
+    tokens, a denial doesn't mean that the tenant is beyond its limit (`is_settling`).
     """
 
     __slots__ = (
@@ -132,7 +134,7 @@
     def __init__(
         self, epoch: int, tenant: Tenant, bounds: Bounds, won_us: int, now_us: int
     ) -> None:
-        """Empty when the shard was won, at `won_us`, and refilled since."""
+        """Start with the tokens that an empty bucket gained since the shard was won at `won_us`."""
         self.epoch = epoch
         capacity = capacity_of(tenant, bounds)
         rate = grant_rate(tenant, bounds)
@@ -146,7 +148,7 @@
         self.denied = RecentCount(bounds.quota_window_us, now_us)
 
     def apply_limit(self, tenant: Tenant, bounds: Bounds, now_us: int) -> None:
-        """Follow a changed limit: what the bucket holds above a lower capacity is lost."""
+        """Apply a changed limit; tokens above a lowered capacity are lost."""
         rate, capacity = grant_rate(tenant, bounds), capacity_of(tenant, bounds)
         if self.bucket.rate == rate and self.bucket.capacity == capacity:
             return
@@ -155,11 +157,11 @@
         self.next_retry_us = 0
 
     def take(self, needed: int, extra: int, now_us: int) -> int:
-        """Grant up to `needed` tokens that requests wait for, and `extra` ones from a high level.
+        """Take up to `needed` tokens, and up to `extra` more at a high level; return the count.
 
-        Never more than the bucket holds.
+        Never takes more than the bucket holds.
         """
-        level = self.bucket.refill(now_us) + ROUNDING
+        level = self.bucket.refill(now_us) + ROUNDING_TOLERANCE
         count = min(needed, int(level))
         if count == needed:
             spare = level - count - self.bucket.capacity * PREFETCH_FLOOR_SHARE
@@ -173,19 +175,19 @@
         return count
 
     def retry_wait_us(self, now_us: int) -> int:
-        """When a router that was denied may come back, in microseconds from now.
+        """Return the delay after which a denied router may retry, in microseconds.
 
-        That is when the next token is due that no router before it was sent to, so that the routers
-        of a tenant far above its limit don't all ask for each token.
+        Each router gets the next token that no earlier router was told to wait for, so that the
+        routers of a tenant far above its limit don't all request each token.
         """
         due_us = now_us + self.bucket.wait_us(1, now_us)
-        interval_us = int(MICROSECONDS / self.bucket.rate)
+        interval_us = int(US_PER_SECOND / self.bucket.rate)
         slot_us = min(self.next_retry_us + interval_us, now_us + MAX_RETRY_WAIT_US)
         self.next_retry_us = max(due_us, slot_us)
         return self.next_retry_us - now_us
 
     def _update_full_bucket(self, needed: int, granted: int, now_us: int) -> None:
-        """Have a bucket that began full serve all that was wanted of this one."""
-        level = self.full_bucket.refill(now_us) + ROUNDING
+        """Take all wanted tokens from the bucket that started full, and update `is_settling`."""
+        level = self.full_bucket.refill(now_us) + ROUNDING_TOLERANCE
         self.is_settling = level >= granted + 1
         self.full_bucket.level = max(0.0, level - max(needed, granted))
--- a/packages/credit/src/linkhaven/credit/tenant_quota.py
+++ b/packages/credit/src/linkhaven/credit/tenant_quota.py
@@ -1,23 +1,23 @@
-"""Quotas of tenants at a router: a request of a limited tenant goes on with a token of a slice.
+"""Quotas of tenants at a router: each request of a limited tenant spends a token from a slice.
 
-Tokens are granted by the owner of the tenant's shard (`quota_owner.py`). A request without one is
-held for a bounded time while the router asks for it.
+The owner of the tenant's shard grants slices of tokens (`quota_owner.py`). If no token is left, a
+request is held for a bounded time while the router requests more.
 
-| what comes in | what a tenant's meter does with it |
+| event | effect for the tenant |
 | --- | --- |
-| a request, a live slice is at hand | spends a token; the request goes on |
-| a request, the tenant was just denied, or more wait than can be granted in time | `quota_spent` |
-| a request otherwise | holds it, and asks unless that is in flight |
-| `QuotaResponse` with tokens | the requests that wait go on, in the order of their arrival |
-| `QuotaResponse` that denies | `quota_spent` to those that wait; of a new owner: asks again later |
-| `QuotaResponse`: unowned here | asks another controller |
-| no response in `RESPONSE_TIMEOUT_US` | asks another controller; a late response still counts |
-| no response of two controllers in a row | asks through other routers (`quota_relay.py`) |
+| a request, a live slice has a token | spends the token and admits the request |
+| a request, the tenant was just denied, or too many are held already | `quota_spent` |
+| any other request | holds it, and requests tokens unless a request for them is in flight |
+| `QuotaResponse` with tokens | resumes held requests in the order of their arrival |
+| `QuotaResponse` that denies | `quota_spent` to held requests; from a new owner: retries later |
+| `QuotaResponse`: unowned here | requests tokens from another controller |
+| no response in `RESPONSE_TIMEOUT_US` | tries another controller; a late response still counts |
+| two controllers in a row don't respond | requests through other routers (`quota_relay.py`) |
 | a request was held for `HOLD_SHARE` of its latency target | `quota_unknown` |
-| the configuration takes the limit or the tenant away | the requests that wait go on |
+| the configuration removes the limit or the tenant | resumes the held requests |
 
-A response counts once for each tenant and each request of this process; its tokens live from the
-moment that the router asked.
+A response counts once for each tenant and each request of this process. The lifetime of its tokens
+starts when the router sent the request for them.
 """
 
 from collections import OrderedDict
@@ -33,63 +33,65 @@
 from .quota_relay import QuotaRelay
 from .quota_slices import MeteredRequest, QuotaSlice, TenantMeter
 from .tenant_bucket import capacity_of, slice_life_us
-from .units import MICROSECONDS
+from .units import US_PER_SECOND
 
 RESPONSE_TIMEOUT_US = 50_000
-"""How long a controller has to answer. A round trip takes some 10 ms at most within a region, and
-the loop of a busy controller as long again; two more can be asked while a request is held."""
+"""How long to wait for a controller's response. A round trip takes at most about 10 ms within a
+region, and the event loop of a busy controller as long again. Two more controllers can be tried
+while a request is held."""
 
 HOLD_SHARE = 0.15
-"""The part of its latency target for which a request is held here.
+"""The fraction of its latency target for which a request is held here.
 
-A caller that is refused within a quarter of it may still be served in time if it comes back at
-once; placement may hold a request until a fifth has passed."""
+A caller that is refused within a quarter of the target may still be served in time if it retries at
+once. Placement may hold a request until a fifth of it has passed."""
 
 PAUSE_US = 30_000
-"""How long to wait before asking anew once no controller knew the owner."""
+"""How long to wait before retrying after no controller knew the owner."""
 
-LONGEST_PAUSE_US = 250_000
-"""How long at most a router asks nothing after an owner told it to wait; nobody is held longer."""
+MAX_PAUSE_US = 250_000
+"""The longest pause between requests for tokens after an owner told a router to wait."""
 
-LONGEST_DENIAL_US = 1_000_000
-"""How long at most a router denies without asking: the limit may be raised at the owner first."""
+MAX_DENIAL_US = 1_000_000
+"""The longest time for which a router denies requests without asking the owner, where the limit may
+have been raised first."""
 
 UNKNOWN_RETRY_US = 500_000
-"""When to come back where no owner answered: most often a lease has to run out first."""
+"""The retry delay if no owner answered: usually a lease has to expire first."""
 
-SILENT_CONTROLLERS = 2
-"""So many controllers that didn't answer, with no response since, tell that this router is cut off
-from them all rather than that one of them is gone."""
+CUT_OFF_CONTROLLERS = 2
+"""The number of controllers that must fail to respond, with no response since, before this router
+counts as cut off from all of them. Fewer may just be down."""
 
 PROBE_US = 250_000
-"""How often a router that is cut off asks a controller itself, to learn that it no longer is."""
+"""How often a router that is cut off probes a controller directly."""
 
-LEAST_WAITING = 4
-"""So many requests of a tenant may always wait for an answer."""
+MIN_WAITING_LIMIT = 4
+"""The number of requests that each tenant may always have held."""
 
 
 class ControllerDirectory(Protocol):
-    """Where the controllers are."""
+    """Provides the addresses of controllers and other routers."""
 
     def controller_addresses(self) -> Sequence[str]:
-        """The addresses of those that are up, as far as this router knows."""
+        """Return the addresses of the controllers that this router believes are up."""
 
     def preferred_address(self, shard: int) -> str | None:
-        """The address of the controller that should own a shard, None where none is known."""
+        """Return the address of the preferred owner of a shard, or None if none is known."""
 
     def relay_addresses(self) -> Sequence[str]:
-        """The addresses of other routers that are up, those to be asked first at the front."""
+        """Return the addresses of other routers that are up, in order of preference."""
 
 
 class SentRequest:
-    """A request for tokens that was sent, until its tokens can't be alive any more."""
+    """A sent request for tokens, kept until its tokens would have expired."""
 
     __slots__ = ("number", "address", "sent_us", "tenants", "is_relayed")
 
     def __init__(
         self, number: int, address: str, sent_us: int, tenants: set[str], is_relayed: bool
     ) -> None:
-        """`tenants` are those that no response named yet; `is_relayed`: another router has it."""
+        """`tenants` are those without a response yet; `is_relayed`: sent through another router."""
         self.is_relayed = is_relayed
         self.number = number
         self.address = address
@@ -98,22 +100,22 @@
 
 
 class QuotaCounts:
-    """What was done here since the start."""
+    """Counters since the start of the router."""
 
     __slots__ = ("spent", "given_back", "requests", "wants", "denied", "unknown", "violations")
 
     def __init__(self) -> None:
-        """Nothing yet."""
+        """Start all counters at 0."""
         self.spent = self.given_back = self.requests = self.wants = 0
         self.denied = self.unknown = self.violations = 0
 
     def as_record(self) -> dict[str, int]:
-        """The counts by name."""
+        """Return the counters by name."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 class TenantQuotas:
-    """The meters of all limited tenants at one router."""
+    """Admission of requests of limited tenants at one router."""
 
     __slots__ = (
         "node",
@@ -128,11 +130,11 @@
         "number",
         "unresponsive",
         "probed_us",
-        "probe_place",
-        "relay_place",
+        "probe_index",
+        "relay_index",
         "relay",
-        "to_ask",
-        "is_asking_soon",
+        "pending_meters",
+        "is_send_scheduled",
         "life_us",
         "counts",
     )
@@ -146,11 +148,11 @@
         resume: Callable[[MeteredRequest], object],
         refuse: Callable[[MeteredRequest, ServiceError], object],
     ) -> None:
-        """No tenant is limited yet.
+        """Start without limited tenants.
 
-        `first_number` must be above all numbers of earlier starts of this router, so that no late
-        response to one of those counts here. `resume` gets a held request that has its token now,
-        `refuse` one that gets none.
+        `first_number` must be above all numbers of earlier starts of this router, so that late
+        responses to those don't count. `resume` is called with a held request that got a token,
+        `refuse` with one that got none and the error.
         """
         self.node = node
         self.directory = directory
@@ -164,19 +166,19 @@
         self.number = first_number
         self.unresponsive: set[str] = set()
         self.probed_us = 0
-        self.probe_place = 0
-        self.relay_place = 0
-        self.to_ask: dict[str, TenantMeter] = {}
-        self.is_asking_soon = False
+        self.probe_index = 0
+        self.relay_index = 0
+        self.pending_meters: dict[str, TenantMeter] = {}
+        self.is_send_scheduled = False
         self.life_us = slice_life_us(node.bounds)
         self.counts = QuotaCounts()
         self.relay = QuotaRelay(node, self._next_number, self._relay_address_of, self.life_us)
         node.register_handler(QuotaResponse, self.on_quota_response)
 
-    # the configuration
+    # configuration
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Follow changed limits; requests of a tenant that has none any more go on."""
+        """Apply changed limits, and resume held requests of tenants that no longer have one."""
         before = self.tenants
         listed = configuration.tenants or {}
         self.tenants = {name: tenant for name, tenant in listed.items() if tenant.is_limited}
@@ -185,13 +187,13 @@
                 del self.meters[name]
                 self._release_all(meter)
             elif before.get(name) != self.tenants[name]:
-                self._forget_waits(meter)
+                self._reset_denial(meter)
 
-    def _forget_waits(self, meter: TenantMeter) -> None:
-        """What an owner told under the limit before doesn't hold any more."""
+    def _reset_denial(self, meter: TenantMeter) -> None:
+        """Discard denials and pauses that an owner gave under the previous limit."""
         meter.denied_until_us = meter.paused_until_us = 0
         if meter.waiting:
-            self._ask_for(meter)
+            self._request_tokens(meter)
 
     def _release_all(self, meter: TenantMeter) -> None:
         waiting, meter.waiting = meter.waiting, OrderedDict()
@@ -201,9 +203,10 @@
     # requests
 
     def admit(self, request: MeteredRequest) -> bool:
-        """Spend a token for a request; False where it is held, and `resume` or `refuse` gets it.
+        """Spend a token for a request, or hold it and return False.
 
-        Raises `quota_spent` where the tenant is beyond its limit.
+        A held request is passed to `resume` or `refuse` later. Raises `ServiceError` `quota_spent`
+        if the tenant is beyond its limit.
         """
         tenant = self.tenants.get(request.tenant or "")
         if tenant is None or request.tenant is None:
@@ -213,20 +216,20 @@
         meter.rate.count(now_us)
         if not meter.waiting and self._spend(meter, request, now_us):
             return True
-        if now_us < meter.denied_until_us or self._is_crowded(meter, tenant, request):
+        if now_us < meter.denied_until_us or self._is_over_hold_limit(meter, tenant, request):
             meter.num_denied += 1
             raise self._denial(meter, now_us)
         self._hold(meter, request, now_us)
         return False
 
     def cancel(self, request: MeteredRequest) -> None:
-        """A request ended while it was held."""
+        """Drop a request that ended while it was held."""
         meter = self.meters.get(request.tenant or "")
         if meter is not None:
             meter.waiting.pop(request.id, None)
 
     def give_back(self, request: MeteredRequest) -> None:
-        """A request that has a token ended, and never was sent to a runner."""
+        """Return the token of a request that ended without being sent to a runner."""
         spent, request.quota_slice = request.quota_slice, None
         meter = self.meters.get(request.tenant or "")
         if spent is None or meter is None:
@@ -252,7 +255,7 @@
         return True
 
     def _check_spend(self, meter: TenantMeter, live: QuotaSlice) -> None:
-        """The invariant of slices, by the clock as it is now."""
+        """Count and log a violation if the slice may not be spent by the current clock."""
         now_us = self.node.now_us()
         if live.may_spend(now_us):
             return
@@ -264,22 +267,24 @@
             late_us=now_us - live.expires_us,
         )
 
-    def _is_crowded(self, meter: TenantMeter, tenant: Tenant, request: MeteredRequest) -> bool:
-        """Whether more wait already than the whole tenant can be granted before the hold ends."""
+    def _is_over_hold_limit(
+        self, meter: TenantMeter, tenant: Tenant, request: MeteredRequest
+    ) -> bool:
+        """Whether more requests are held than the tenant can be granted within the hold time."""
         rate, hold_us = tenant.requests_per_s, self._hold_us(request)
-        most = capacity_of(tenant, self.node.bounds) + rate * hold_us / MICROSECONDS
-        return len(meter.waiting) >= max(LEAST_WAITING, most)
+        most = capacity_of(tenant, self.node.bounds) + rate * hold_us / US_PER_SECOND
+        return len(meter.waiting) >= max(MIN_WAITING_LIMIT, most)
 
     def _hold_us(self, request: MeteredRequest) -> int:
         return int(request.kind.ttft_us * HOLD_SHARE)
 
     def _hold(self, meter: TenantMeter, request: MeteredRequest, now_us: int) -> None:
-        """Keep it until its share of the target is over, or at least until one response is due."""
+        """Hold a request for its share of the target, at least until one response is due."""
         meter.waiting[request.id] = request
         until_us = request.arrived_us + self._hold_us(request)
         left_us = max(RESPONSE_TIMEOUT_US, until_us - now_us)
         self.node.ports.clock.call_in(left_us, lambda: self._on_hold_timeout(request))
-        self._ask_for(meter)
+        self._request_tokens(meter)
 
     def _on_hold_timeout(self, request: MeteredRequest) -> None:
         meter = self.meters.get(request.tenant or "")
@@ -295,20 +300,20 @@
 
     # requests for tokens
 
-    def _ask_for(self, meter: TenantMeter) -> None:
-        """Ask for what waits, with what else is wanted in this turn of the loop."""
-        if meter.asked_number is not None or meter.name in self.to_ask:
+    def _request_tokens(self, meter: TenantMeter) -> None:
+        """Schedule a request for tokens, batched with others of this event loop iteration."""
+        if meter.pending_number is not None or meter.name in self.pending_meters:
             return
         if self.node.now_us() < meter.paused_until_us:
             return
-        self.to_ask[meter.name] = meter
-        if not self.is_asking_soon:
-            self.is_asking_soon = True
+        self.pending_meters[meter.name] = meter
+        if not self.is_send_scheduled:
+            self.is_send_scheduled = True
             self.node.ports.clock.call_in(0, self._send_requests)
 
     def _send_requests(self) -> None:
-        self.is_asking_soon = False
-        meters, self.to_ask = self.to_ask, {}
+        self.is_send_scheduled = False
+        meters, self.pending_meters = self.pending_meters, {}
         is_relayed = self._must_relay()
         by_address: dict[str, list[TenantMeter]] = {}
         for meter in meters.values():
@@ -323,31 +328,31 @@
             self._send_request(address, wanting, is_relayed)
 
     def _address_for(self, meter: TenantMeter) -> str | None:
-        """Whom to ask: the last known owner, the preferred one, else any that wasn't tried yet.
+        """Return the last known owner, the preferred one, or any controller not tried yet.
 
-        Cut off, each time another controller.
+        While this router is cut off, return a different controller each time.
         """
         if not self._is_cut_off():
-            return self._controller_for(meter.name, meter.tried)
+            return self._controller_for(meter.name, meter.tried_addresses)
         addresses = self.directory.controller_addresses()
-        self.probe_place += 1
-        return addresses[self.probe_place % len(addresses)] if addresses else None
+        self.probe_index += 1
+        return addresses[self.probe_index % len(addresses)] if addresses else None
 
-    def _controller_for(self, tenant: str, tried: Set[str]) -> str | None:
+    def _controller_for(self, tenant: str, tried_addresses: Set[str]) -> str | None:
         shard = shard_of(tenant, self.num_shards)
         known = [self.owners.get(shard), self.directory.preferred_address(shard)]
         for address in [*known, *self.directory.controller_addresses()]:
-            if address is not None and address not in tried:
+            if address is not None and address not in tried_addresses:
                 return address
         return None
 
-    # other routers
+    # relaying through other routers
 
     def _is_cut_off(self) -> bool:
-        return len(self.unresponsive) >= SILENT_CONTROLLERS
+        return len(self.unresponsive) >= CUT_OFF_CONTROLLERS
 
     def _must_relay(self) -> bool:
-        """Whether to ask through another router now: cut off, and no probe is due."""
+        """Whether to send through another router: this one is cut off and no probe is due."""
         if not self._is_cut_off():
             return False
         now_us = self.node.now_us()
@@ -357,27 +362,27 @@
         return False
 
     def _relay_for(self, meter: TenantMeter) -> str | None:
-        """Another router: the one that answered last, else the next that wasn't tried yet."""
+        """Return the router that last responded, or the next one that wasn't tried yet."""
         addresses = self.directory.relay_addresses()
         for place in range(len(addresses)):
-            address = addresses[(self.relay_place + place) % len(addresses)]
-            if address not in meter.tried:
+            address = addresses[(self.relay_index + place) % len(addresses)]
+            if address not in meter.tried_addresses:
                 return address
         return None
 
     def _relay_address_of(self, tenant: str) -> str | None:
-        """The controller to ask for another router; None where this one is cut off too."""
+        """Return the controller for a relayed request; None if this router is cut off too."""
         return None if self._is_cut_off() else self._controller_for(tenant, frozenset())
 
     def _pause(self, meter: TenantMeter, wait_us: int) -> None:
-        """Ask again after a while, all controllers if need be."""
-        meter.tried.clear()
-        pause_us = min(wait_us, LONGEST_PAUSE_US)
+        """Retry after a pause, with all controllers as candidates again."""
+        meter.tried_addresses.clear()
+        pause_us = min(wait_us, MAX_PAUSE_US)
         meter.paused_until_us = self.node.now_us() + pause_us
 
         def on_pause_timeout() -> None:
             if meter.waiting:
-                self._ask_for(meter)
+                self._request_tokens(meter)
 
         self.node.ports.clock.call_in(pause_us, on_pause_timeout)
 
@@ -389,8 +394,8 @@
         now_us, number = self.node.now_us(), self._next_number()
         wants = [self._want_of(meter, now_us) for meter in meters]
         for meter in meters:
-            meter.asked_number = number
-        self._drop_old(now_us)
+            meter.pending_number = number
+        self._drop_expired_requests(now_us)
         names = {each.name for each in meters}
         self.sent[number] = SentRequest(number, address, now_us, names, is_relayed)
         self.counts.requests += 1
@@ -406,54 +411,54 @@
         extra = meter.extra_tokens(self.life_us, now_us)
         return TokenWant(meter.name, len(meter.waiting), extra, denied)
 
-    def _drop_old(self, now_us: int) -> None:
-        """Forget requests whose tokens would have ended.
+    def _drop_expired_requests(self, now_us: int) -> None:
+        """Drop requests whose tokens would have expired.
 
-        After a freeze their response timeouts may be due but still wait in the loop.
+        After a freeze of the process, their response timeouts may be due but not handled yet.
         """
         while self.sent:
             number, oldest = next(iter(self.sent.items()))
             if now_us - oldest.sent_us < max(self.life_us, RESPONSE_TIMEOUT_US):
                 return
             del self.sent[number]
-            self._ask_others(oldest)
+            self._retry_tenants_of(oldest)
 
     def _on_response_timeout(self, number: int) -> None:
         sent = self.sent.get(number)
         if sent is None or not sent.tenants:
             return
         if sent.is_relayed:
-            self.relay_place += 1
+            self.relay_index += 1
         else:
             self._note_unresponsive(sent.address)
-        self._ask_others(sent)
+        self._retry_tenants_of(sent)
 
-    def _ask_others(self, sent: SentRequest) -> None:
-        """Ask elsewhere for the tenants that still wait for the response to this request."""
+    def _retry_tenants_of(self, sent: SentRequest) -> None:
+        """Retry elsewhere for the tenants that still wait for the response to this request."""
         for name in sent.tenants:
             meter = self.meters.get(name)
-            if meter is not None and meter.asked_number == sent.number:
-                self._ask_elsewhere(meter, sent.address)
+            if meter is not None and meter.pending_number == sent.number:
+                self._retry_elsewhere(meter, sent.address)
 
     def _note_unresponsive(self, address: str) -> None:
         if not self._is_cut_off():
             self.probed_us = self.node.now_us()
         self.unresponsive.add(address)
 
-    def _ask_elsewhere(self, meter: TenantMeter, address: str) -> None:
-        meter.asked_number = None
-        meter.tried.add(address)
+    def _retry_elsewhere(self, meter: TenantMeter, address: str) -> None:
+        meter.pending_number = None
+        meter.tried_addresses.add(address)
         shard = shard_of(meter.name, self.num_shards)
         if self.owners.get(shard) == address:
             del self.owners[shard]
         if meter.waiting:
-            self._ask_for(meter)
+            self._request_tokens(meter)
 
     # responses
 
     def on_quota_response(self, message: QuotaResponse) -> None:
-        """Take what was granted, once for each tenant and request."""
-        if self.relay.send_back(message):
+        """Process a response; it counts once for each tenant and request."""
+        if self.relay.forward_response(message):
             return self.unresponsive.clear()
         sent = self.sent.get(message.number)
         if sent is None:
@@ -461,26 +466,26 @@
         if not sent.is_relayed:
             self.unresponsive.clear()
         elif message.unowned:
-            self.relay_place += 1
+            self.relay_index += 1
         for grant in message.grants:
             if grant.tenant in sent.tenants:
                 sent.tenants.remove(grant.tenant)
-                self._take_grant(grant, sent, message.reply_to)
+                self._apply_grant(grant, sent, message.reply_to)
         for name in message.unowned:
             meter = self.meters.get(name)
-            if meter is not None and meter.asked_number == message.number:
-                self._ask_elsewhere(meter, message.reply_to)
+            if meter is not None and meter.pending_number == message.number:
+                self._retry_elsewhere(meter, message.reply_to)
 
-    def _take_grant(self, grant: TokenGrant, sent: SentRequest, owner: str) -> None:
+    def _apply_grant(self, grant: TokenGrant, sent: SentRequest, owner: str) -> None:
         meter = self.meters.get(grant.tenant)
         if meter is None:
             return
         if not sent.is_relayed:
             self.owners[shard_of(grant.tenant, self.num_shards)] = owner
-        is_newest = meter.asked_number == sent.number
+        is_newest = meter.pending_number == sent.number
         if is_newest:
-            meter.asked_number = None
-            meter.tried.clear()
+            meter.pending_number = None
+            meter.tried_addresses.clear()
         now_us = self.node.now_us()
         expires_us = sent.sent_us + grant.life_us
         if grant.granted and now_us < expires_us:
@@ -489,16 +494,16 @@
         if not meter.waiting or not is_newest:
             return
         if not grant.wait_us:
-            return self._ask_for(meter)
+            return self._request_tokens(meter)
         if grant.is_settling:
             return self._pause(meter, grant.wait_us)
         self._deny(meter, grant.wait_us)
 
     def _serve(self, meter: TenantMeter) -> None:
-        """Let the requests that wait go on, as far as the tokens go.
+        """Resume held requests while there are tokens.
 
-        One that ends at once gives its token back, to be spent by the round that runs already:
-        otherwise each such request would be served within the call of the one before.
+        A resumed request that ends at once gives its token back, which re-enters this method. The
+        guard lets the running loop spend that token instead of recursing for each request.
         """
         if meter.is_serving:
             return
@@ -517,10 +522,10 @@
             self.resume(request)
 
     def _deny(self, meter: TenantMeter, wait_us: int) -> None:
-        """The owner says that the tenant is at its limit: all that wait are beyond it."""
+        """Refuse all held requests, because the owner denied the tenant more tokens."""
         now_us = self.node.now_us()
         meter.token_due_us = now_us + wait_us
-        meter.denied_until_us = now_us + min(wait_us, LONGEST_DENIAL_US)
+        meter.denied_until_us = now_us + min(wait_us, MAX_DENIAL_US)
         waiting, meter.waiting = meter.waiting, OrderedDict()
         for request in waiting.values():
             self.refuse(request, self._denial(meter, now_us))
--- a/packages/credit/src/linkhaven/credit/token_bucket.py
+++ b/packages/credit/src/linkhaven/credit/token_bucket.py
@@ -1,50 +1,50 @@
-"""The token bucket: a level that rises at a steady rate up to a capacity."""
+"""Token bucket: a level that fills at a constant rate up to a capacity."""
 
-from .units import MICROSECONDS
+from .units import US_PER_SECOND
 
 NO_RATE_WAIT_US = 10_000_000
-"""The wait that a bucket without a rate names, after which to ask again."""
+"""The wait that a bucket without a rate returns; the caller checks again after it."""
 
 
 class TokenBucket:
-    """A token bucket: `rate` tokens a second, `capacity` tokens at most.
+    """A token bucket that fills at `rate` tokens per second, up to `capacity` tokens.
 
-    Whoever spends subtracts from `level`, which may fall below zero: work that is under way is
-    charged after the fact, and the debt is paid off at the rate.
+    Callers spend tokens by subtracting from `level`. It may fall below zero, since work in progress
+    is charged afterwards; the debt is paid off at the rate.
     """
 
     __slots__ = ("rate", "capacity", "level", "refilled_us")
 
     def __init__(self, rate, capacity, now_us, level=None):
-        """Start full, or at `level` tokens where it is given."""
+        """Start full, or at `level` tokens if given."""
         self.rate = rate
         self.capacity = capacity
         self.level = capacity if level is None else level
         self.refilled_us = now_us
 
     def refill(self, now_us):
-        """Add what came since the last refill; return the level.
+        """Add the tokens gained since the last refill; return the level.
 
-        A clock that went back adds nothing.
+        A backward clock jump adds nothing.
         """
         elapsed_us = now_us - self.refilled_us
         if elapsed_us > 0:
-            self.level = min(self.capacity, self.level + self.rate * elapsed_us / MICROSECONDS)
+            self.level = min(self.capacity, self.level + self.rate * elapsed_us / US_PER_SECOND)
             self.refilled_us = now_us
         return self.level
 
     def resize(self, rate, capacity, now_us):
-        """Continue with another rate and capacity; what exceeds the capacity is lost."""
+        """Change the rate and capacity; tokens above the capacity are lost."""
         self.refill(now_us)
         self.rate = rate
         self.capacity = capacity
         self.level = min(self.level, capacity)
 
     def wait_us(self, cost, now_us):
-        """Return the time until the bucket holds `cost` tokens, 0 if it does."""
+        """Return the time in microseconds until the bucket holds `cost` tokens, 0 if it does."""
         level = self.refill(now_us)
         if level >= cost:
             return 0
         if self.rate <= 0:
             return NO_RATE_WAIT_US
-        return int((cost - level) / self.rate * MICROSECONDS) + 1
+        return int((cost - level) / self.rate * US_PER_SECOND) + 1
--- a/packages/credit/src/linkhaven/credit/units.py
+++ b/packages/credit/src/linkhaven/credit/units.py
@@ -1,4 +1,4 @@
 """Units of time."""
 
-MICROSECONDS = 1_000_000
-"""In a second."""
+US_PER_SECOND = 1_000_000
+"""Microseconds per second."""
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -416,7 +416,7 @@
 
 def test_slices_that_live_from_the_response_on_break_the_bound(monkeypatch):
     assert late_responses() <= 0
-    take_grant = TenantQuotas._take_grant
+    take_grant = TenantQuotas._apply_grant
 
     def take_from_now(self, grant, sent, owner):
         take_grant(
@@ -426,21 +426,21 @@
             owner,
         )
 
-    monkeypatch.setattr(TenantQuotas, "_take_grant", take_from_now)
-    monkeypatch.setattr(TenantQuotas, "_drop_old", lambda self, now_us: None)
+    monkeypatch.setattr(TenantQuotas, "_apply_grant", take_from_now)
+    monkeypatch.setattr(TenantQuotas, "_drop_expired_requests", lambda self, now_us: None)
     assert late_responses() > 0
 
 
 def test_slices_that_are_spent_after_their_end_break_the_bound(monkeypatch):
     assert late_responses() <= 0
     monkeypatch.setattr(QuotaSlice, "may_spend", lambda self, now_us: self.spent < self.count)
-    monkeypatch.setattr(TenantQuotas, "_drop_old", lambda self, now_us: None)
+    monkeypatch.setattr(TenantQuotas, "_drop_expired_requests", lambda self, now_us: None)
 
     def take_late(self, message):
         sent = self.sent.get(message.number)
         for grant in message.grants:
             self.meters[grant.tenant].add_slice(grant.granted, sent.sent_us + grant.life_us)
-            self._take_grant(grant, sent, message.reply_to)
+            self._apply_grant(grant, sent, message.reply_to)
 
     monkeypatch.setattr(TenantQuotas, "on_quota_response", take_late)
     assert late_responses() > 0
