--- a/packages/credit/src/linkhaven/credit/quota_allocator.py
+++ b/packages/credit/src/linkhaven/credit/quota_allocator.py
@@ -82,16 +82,16 @@
 
     # demand reports
 
-    def on_watch_request(self, ask):
+    def on_watch_request(self, request):
         """Record the demand reports of a router's watch request."""
         if self.elected_us is None:
             return
         now_us = self.node.now_us()
-        router = ask["name"]
-        for group, fields in ask.get("credit", {}).items():
+        router = request["name"]
+        for group, fields in request.get("credit", {}).items():
             self._record(group, router, read_demand(fields), now_us)
-        if "extra" in ask:
-            self._record(RETRY_BUDGET, router, read_demand(ask["extra"]), now_us)
+        if "extra" in request:
+            self._record(RETRY_BUDGET, router, read_demand(request["extra"]), now_us)
 
     def _record(self, name, router, report, now_us):
         self._demands_for(name).record(router, report.wanted, now_us)
@@ -113,7 +113,7 @@
 
     # grants
 
-    def add_shares(self, ask, answer):
+    def add_shares(self, request, response):
         """Add the grants to the response to a router's watch request, if the lease is held."""
         if (
             self.elected_us is None
@@ -122,18 +122,18 @@
         ):
             return
         now_us = self.node.now_us()
-        rates = self._grant_rates(ask, now_us)
+        rates = self._grant_rates(request, now_us)
         shares = AllocatedShares(self.lease.fencing_token, rates)
-        if "extra" in ask:
-            extra = self._grant_attempts(ask["name"], read_demand(ask["extra"]), now_us)
+        if "extra" in request:
+            extra = self._grant_attempts(request["name"], read_demand(request["extra"]), now_us)
             shares = AllocatedShares(self.lease.fencing_token, rates, extra)
-        answer["shares"] = write_fields(shares)
+        response["shares"] = write_fields(shares)
 
-    def _grant_rates(self, ask, now_us):
+    def _grant_rates(self, request, now_us):
         """Return the grants of the groups that the router reported demand for."""
-        router, groups = ask["name"], self.snapshot.configuration.groups
+        router, groups = request["name"], self.snapshot.configuration.groups
         rates = {}
-        for name, fields in ask.get("credit", {}).items():
+        for name, fields in request.get("credit", {}).items():
             allowance = groups[name].allowance if name in groups else None
             if allowance is None:
                 continue
--- a/packages/credit/src/linkhaven/credit/tenant_quota.py
+++ b/packages/credit/src/linkhaven/credit/tenant_quota.py
@@ -50,7 +50,8 @@
 """How long to wait before retrying after no controller knew the owner."""
 
 MAX_PAUSE_US = 250_000
-"""The longest pause between requests for tokens after an owner told a router to wait."""
+"""The longest pause in requests for tokens after an owner told a router to wait; no request is held
+for longer."""
 
 MAX_DENIAL_US = 1_000_000
 """The longest time for which a router denies requests without asking the owner, where the limit may
--- a/packages/leases/src/linkhaven/leases/quorum_lease_voter.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_voter.py
@@ -104,8 +104,8 @@
         """Promise the requested shards that are free; None if this node may not vote at all."""
         if self.instance is None or not self.may_vote() or request.lease_us > LEASE_US:
             return None
-        asked = [shard for shard in request.shards if 0 <= shard < self.num_shards]
-        granted = [shard for shard in asked if self._promise(shard, request)]
+        requested = [shard for shard in request.shards if 0 <= shard < self.num_shards]
+        granted = [shard for shard in requested if self._promise(shard, request)]
         return ShardLeaseVote(
             replica_id=self.instance.replica_id,
             incarnation=self.instance.incarnation,
@@ -113,7 +113,7 @@
             start=request.start,
             round=request.round,
             granted=granted,
-            holders=list(self._holders(set(asked) - set(granted))),
+            holders=list(self._holders(set(requested) - set(granted))),
         )
 
     def _promise(self, shard: int, request: ShardLeaseRequest) -> bool:
