--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -171,7 +171,7 @@
     def __init__(self, seed, tenants, routers=12, owners=3):
         self.world = World(seed)
         self.world.is_tracing = True
-        self.dice = random.Random(seed)
+        self.rng = random.Random(seed)
         self.tenants = tenants
         self.arrivals = []
         self.refusals = []
@@ -219,7 +219,7 @@
     # load
 
     def send_one(self, tenant, routers=None):
-        host = self.dice.choice(routers or self.routers)
+        host = self.rng.choice(routers or self.routers)
         self.asked[tenant] += 1
         host.do(lambda: host.node.serve_tenant(tenant))
 
@@ -231,16 +231,16 @@
             if self.world.now_us >= end_us:
                 return
             self.send_one(tenant, routers)
-            self.world.after(int(self.dice.expovariate(rate) * SECOND) + 1, send)
+            self.world.after(int(self.rng.expovariate(rate) * SECOND) + 1, send)
 
-        self.world.after(int(self.dice.expovariate(rate) * SECOND) + 1, send)
+        self.world.after(int(self.rng.expovariate(rate) * SECOND) + 1, send)
 
     def load_within(self, tenant, rate, burst, seconds, routers=None):
         """Send as much as a limit allows, in bursts: as a token bucket that is spent by chance."""
         level, begun_us = float(burst), self.world.now_us
         for step in range(int(seconds * 20)):
             level = min(float(burst), level + rate / 20)
-            if self.dice.random() < 0.15:
+            if self.rng.random() < 0.15:
                 count, level = int(level), level - int(level)
                 for _ in range(count):
                     self.world.at(begun_us + step * 50_000, lambda: self.send_one(tenant, routers))
@@ -250,7 +250,7 @@
         self.tenants = tenants
         for name in list(self.snapshots):
             self.world.after(
-                self.dice.randrange(within_us), lambda name=name: self._take_limits(name, tenants)
+                self.rng.randrange(within_us), lambda name=name: self._take_limits(name, tenants)
             )
 
     def _take_limits(self, name, tenants):
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -11,7 +11,7 @@
 LEASE_US = 3 * SECOND
 
 
-class Counted:
+class RecountedGrants:
     """The same grants, all looked at each time."""
 
     def __init__(self):
@@ -38,37 +38,37 @@
 
 def test_the_kept_sum_is_what_counting_all_grants_gives():
     for seed in range(30):
-        dice, now_us = random.Random(seed), SECOND
-        kept, counted, number, newest = OutstandingGrants(now_us), Counted(), 0, {}
+        rng, now_us = random.Random(seed), SECOND
+        incremental, recounted, number, newest = OutstandingGrants(now_us), RecountedGrants(), 0, {}
         for _ in range(400):
-            now_us += dice.randrange(300_000)
-            router = f"router-{dice.randrange(12)}"
-            if dice.random() < 0.3:
-                held = (router, newest.get(router, 0) - dice.randrange(3), dice.random() * 100)
-                for grants in (kept, counted):
+            now_us += rng.randrange(300_000)
+            router = f"router-{rng.randrange(12)}"
+            if rng.random() < 0.3:
+                held = (router, newest.get(router, 0) - rng.randrange(3), rng.random() * 100)
+                for grants in (incremental, recounted):
                     grants.confirm(*held, now_us + LEASE_US, now_us)
-            out = kept.amount_of_others(router, now_us)
-            assert out == pytest.approx(counted.amount_of_others(router, now_us), abs=1e-6)
-            number, rate = number + 1, dice.random() * 100
+            out = incremental.amount_of_others(router, now_us)
+            assert out == pytest.approx(recounted.amount_of_others(router, now_us), abs=1e-6)
+            number, rate = number + 1, rng.random() * 100
             newest[router] = number
-            for grants in (kept, counted):
+            for grants in (incremental, recounted):
                 grants.add(router, number, rate, now_us + LEASE_US)
         now_us += 2 * LEASE_US
-        assert kept.amount_of_others("nobody", now_us) == 0.0
-        assert len(kept) == 0
+        assert incremental.amount_of_others("nobody", now_us) == 0.0
+        assert len(incremental) == 0
 
 
 def test_shares_granted_from_what_is_left_never_sum_above_the_whole():
     for seed in range(30):
-        dice, now_us, total = random.Random(seed), SECOND, 1000.0
+        rng, now_us, total = random.Random(seed), SECOND, 1000.0
         grants, held, number = OutstandingGrants(now_us), {}, 0
         for _ in range(600):
-            now_us += dice.randrange(100_000)
-            router = f"router-{dice.randrange(20)}"
+            now_us += rng.randrange(100_000)
+            router = f"router-{rng.randrange(20)}"
             left = total - grants.amount_of_others(router, now_us)
-            rate, number = max(0.0, min(left, dice.random() * 400)), number + 1
+            rate, number = max(0.0, min(left, rng.random() * 400)), number + 1
             grants.add(router, number, rate, now_us + LEASE_US)
-            if dice.random() < 0.8:
+            if rng.random() < 0.8:
                 held[router] = (rate, now_us + LEASE_US)
                 grants.confirm(router, number, rate, now_us + LEASE_US, now_us)
             spent = sum(amount for amount, expires_us in held.values() if expires_us > now_us)
@@ -92,10 +92,10 @@
 def test_a_demand_that_ended_leaves_nothing_behind():
     """A rest of rounding would give an idle fleet a fifth of its even parts."""
     demand = RouterDemands(LEASE_US)
-    dice = random.Random(5)
+    rng = random.Random(5)
     for _ in range(200):
         for router in range(7):
-            demand.record(router, dice.random() * 1_000, SECOND)
+            demand.record(router, rng.random() * 1_000, SECOND)
     for router in range(7):
         demand.record(router, 0.0, SECOND)
     assert demand.total == 0.0
@@ -106,12 +106,12 @@
 
 
 def test_demand_that_falls_to_nothing_keeps_its_ratios():
-    dice = random.Random(3)
-    demand, told = RouterDemands(5 * SECOND), {}
+    rng = random.Random(3)
+    demand, latest = RouterDemands(5 * SECOND), {}
     for step in range(4_000):
-        router = f"router-{dice.randrange(7)}"
-        amount = 0.0 if step > 3_900 else dice.random() * 1e6 * 0.98**step
-        told[router] = amount
+        router = f"router-{rng.randrange(7)}"
+        amount = 0.0 if step > 3_900 else rng.random() * 1e6 * 0.98**step
+        latest[router] = amount
         demand.record(router, amount, SECOND)
-        assert demand.total == pytest.approx(sum(told.values()), rel=1e-6, abs=0)
+        assert demand.total == pytest.approx(sum(latest.values()), rel=1e-6, abs=0)
     assert demand.total == 0.0
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -344,19 +344,19 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_two_holders_act_within_a_lease_where_one_waits_for_others_to_be_idle(seed):
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     register = Register()
     members = [Member(register, name, rank) for rank, name in enumerate(("one", "two", "three"))]
     acted, asleep = [], {}
     for turn in range(4_000):
         for member in members:
             member.time_us += TICK_US
-            if asleep.get(member, 0) > turn or dice.random() < 0.1:
+            if asleep.get(member, 0) > turn or rng.random() < 0.1:
                 continue
             if asleep.pop(member, None):
                 member.lease.on_late_tick(member.time_us)
-            if dice.random() < 0.004:
-                asleep[member] = turn + dice.randrange(20, 200)
+            if rng.random() < 0.004:
+                asleep[member] = turn + rng.randrange(20, 200)
                 continue
             member.lease.tick(member.time_us)
             if not member.lease.are_others_idle():
@@ -364,7 +364,7 @@
             if member.lease.may_act():
                 member.lease.consume_action()
                 acted.append((member.time_us, member.node.name))
-            elif dice.random() < 0.05:
+            elif rng.random() < 0.05:
                 member.lease.announce_action()
     assert len({name for _, name in acted}) > 1
     for (before_us, before), (after_us, after) in zip(acted, acted[1:], strict=False):
--- a/tests/test_shard_leases_core.py
+++ b/tests/test_shard_leases_core.py
@@ -147,23 +147,23 @@
 def test_no_two_controllers_own_a_shard_while_members_go_and_come(seed):
     core = ShardCore(seed, 5)
     core.add_spare()
-    dice = core.world.dice
+    rng = core.world.dice
     for _ in range(12):
         hosts = core.running()
-        host = hosts[dice.randrange(len(hosts))]
-        fault = dice.randrange(4)
+        host = hosts[rng.randrange(len(hosts))]
+        fault = rng.randrange(4)
         if fault == 0:
             host.freeze()
-            core.world.after(dice.randrange(3 * SECOND_US), host.wake)
+            core.world.after(rng.randrange(3 * SECOND_US), host.wake)
         elif fault == 1:
             others = [one.name for one in hosts if one is not host]
-            core.world.cut([host.name], others, both=bool(dice.randrange(2)))
+            core.world.cut([host.name], others, both=bool(rng.randrange(2)))
         elif fault == 2:
             host.kill()
-            core.world.after(dice.randrange(1, 3 * SECOND_US), host.start)
+            core.world.after(rng.randrange(1, 3 * SECOND_US), host.start)
         else:
             core.world.heal()
-        core.world.run_for(dice.randrange(100 * MS, 2 * SECOND_US))
+        core.world.run_for(rng.randrange(100 * MS, 2 * SECOND_US))
     core.world.heal()
     core.world.run_for(10 * SECOND_US)
     assert not core.breaches and core.are_all_owned()
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -62,17 +62,17 @@
 
 
 def test_a_tenant_that_sends_all_along_while_owners_change_is_not_called_over():
-    one = fleet_with(16, rate=6, burst=6, others=0)
-    one.world.run_for(5 * SECOND)
-    one.load(HOT, 4, 20)
+    fleet = fleet_with(16, rate=6, burst=6, others=0)
+    fleet.world.run_for(5 * SECOND)
+    fleet.load(HOT, 4, 20)
     for _ in range(4):
-        one.world.run_for(4 * SECOND)
-        host = next(host for host in one.owners if host.name == one.leases.holders[0])
+        fleet.world.run_for(4 * SECOND)
+        host = next(host for host in fleet.owners if host.name == fleet.leases.holders[0])
         host.kill()
-        one.world.after(SECOND, host.start)
-    one.world.run_for(5 * SECOND)
-    assert set(one.codes(HOT)) <= {"quota_unknown"}
-    assert one.served(HOT) > 0.6 * one.asked[HOT]
+        fleet.world.after(SECOND, host.start)
+    fleet.world.run_for(5 * SECOND)
+    assert set(fleet.codes(HOT)) <= {"quota_unknown"}
+    assert fleet.served(HOT) > 0.6 * fleet.asked[HOT]
 
 
 def test_tokens_that_nobody_waits_for_are_not_granted_from_a_low_level():
@@ -114,207 +114,209 @@
 
 
 def test_a_tenant_at_fifty_times_its_usual_stays_within_its_bound():
-    one = fleet_with(1)
-    one.load(HOT, 50 * 12, 12)
-    one.world.run_for(13 * SECOND)
-    assert worst_excess(one.arrivals, HOT, one.tenants[HOT]) <= 0
-    assert one.served(HOT) > 0.95 * 20 * 12
-    assert set(one.codes(HOT)) == {"quota_spent"}
-    assert not one.violations() and not one.faults()
+    fleet = fleet_with(1)
+    fleet.load(HOT, 50 * 12, 12)
+    fleet.world.run_for(13 * SECOND)
+    assert worst_excess(fleet.arrivals, HOT, fleet.tenants[HOT]) <= 0
+    assert fleet.served(HOT) > 0.95 * 20 * 12
+    assert set(fleet.codes(HOT)) == {"quota_spent"}
+    assert not fleet.violations() and not fleet.faults()
 
 
 @pytest.mark.parametrize("landing", [None, 2, 1], ids=["all routers", "two routers", "one router"])
 @pytest.mark.parametrize("rate,burst", [(20, 10), (1, 4), (0.4, 1), (150, 60)])
 def test_a_tenant_within_its_limit_is_refused_nothing(rate, burst, landing):
-    one = fleet_with(2, rate, burst, others=0)
-    one.world.run_for(30 * SECOND)
-    one.load_within(HOT, rate, burst, 30, one.routers[:landing] if landing else None)
-    one.world.run_for(32 * SECOND)
-    assert one.asked[HOT] > 0.6 * rate * 30
-    assert one.refusals == []
-    assert one.served(HOT) == one.asked[HOT]
+    fleet = fleet_with(2, rate, burst, others=0)
+    fleet.world.run_for(30 * SECOND)
+    fleet.load_within(HOT, rate, burst, 30, fleet.routers[:landing] if landing else None)
+    fleet.world.run_for(32 * SECOND)
+    assert fleet.asked[HOT] > 0.6 * rate * 30
+    assert fleet.refusals == []
+    assert fleet.served(HOT) == fleet.asked[HOT]
 
 
 def test_a_hot_tenant_takes_nothing_from_the_others():
     shares = []
     for heat in (1, 50):
-        one = fleet_with(3)
-        one.world.run_for(2 * SECOND)
-        for name in one.tenants:
-            one.load(name, 12 * (heat if name == HOT else 1), 10)
-        one.world.run_for(11 * SECOND)
-        shares.append({name: one.served(name) / one.asked[name] for name in one.tenants})
+        fleet = fleet_with(3)
+        fleet.world.run_for(2 * SECOND)
+        for name in fleet.tenants:
+            fleet.load(name, 12 * (heat if name == HOT else 1), 10)
+        fleet.world.run_for(11 * SECOND)
+        shares.append({name: fleet.served(name) / fleet.asked[name] for name in fleet.tenants})
     calm, hot = shares
     assert all(calm[name] - hot[name] <= 0.02 for name in calm if name != HOT)
 
 
 def test_a_request_that_was_never_sent_leaves_its_token_to_the_next():
-    one = fleet_with(4, rate=0.5, burst=1, others=0)
-    one.world.run_for(30 * SECOND)
-    quotas = one.routers[0].node.quotas
+    fleet = fleet_with(4, rate=0.5, burst=1, others=0)
+    fleet.world.run_for(30 * SECOND)
+    quotas = fleet.routers[0].node.quotas
     held = []
     quotas.resume = held.append
-    one.send_one(HOT, one.routers[:1])
-    one.world.run_for(SECOND // 10)
+    fleet.send_one(HOT, fleet.routers[:1])
+    fleet.world.run_for(SECOND // 10)
     assert len(held) == 1
     quotas.give_back(held[0])
     asks = quotas.counts.requests
-    one.send_one(HOT, one.routers[:1])
+    fleet.send_one(HOT, fleet.routers[:1])
     assert (quotas.counts.requests, quotas.counts.spent, quotas.counts.given_back) == (asks, 2, 1)
 
 
 def test_requests_that_are_held_go_on_in_the_order_in_which_they_came():
-    one = fleet_with(17, others=0)
-    one.world.run_for(3 * SECOND)
-    router = one.routers[0].node
+    fleet = fleet_with(17, others=0)
+    fleet.world.run_for(3 * SECOND)
+    router = fleet.routers[0].node
     went_on = []
     router.quotas.resume = lambda request: went_on.append(request.id)
     for _ in range(6):
-        one.send_one(HOT, one.routers[:1])
-    one.world.run_for(SECOND // 10)
+        fleet.send_one(HOT, fleet.routers[:1])
+    fleet.world.run_for(SECOND // 10)
     assert went_on == [f"{router.name}-{serial}" for serial in range(1, 7)]
 
 
 def test_a_flooding_tenant_holds_no_more_requests_than_it_could_be_granted():
-    one = fleet_with(18, rate=2, burst=3)
-    one.world.cut([host.name for host in one.routers], [host.name for host in one.owners])
+    fleet = fleet_with(18, rate=2, burst=3)
+    fleet.world.cut([host.name for host in fleet.routers], [host.name for host in fleet.owners])
     for _ in range(200):
-        one.send_one(HOT, one.routers[:1])
-    other = next(name for name in one.tenants if name != HOT)
-    one.send_one(other, one.routers[:1])
-    meters = one.routers[0].node.quotas.meters
-    assert len(meters[HOT].waiting) <= capacity_of(one.tenants[HOT], BOUNDS) + 1
+        fleet.send_one(HOT, fleet.routers[:1])
+    other = next(name for name in fleet.tenants if name != HOT)
+    fleet.send_one(other, fleet.routers[:1])
+    meters = fleet.routers[0].node.quotas.meters
+    assert len(meters[HOT].waiting) <= capacity_of(fleet.tenants[HOT], BOUNDS) + 1
     assert len(meters[other].waiting) == 1
-    assert one.codes(HOT)["quota_spent"] == 200 - len(meters[HOT].waiting)
-    assert one.codes(other) == {}
+    assert fleet.codes(HOT)["quota_spent"] == 200 - len(meters[HOT].waiting)
+    assert fleet.codes(other) == {}
 
 
 # limits that change
 
 
 def test_a_lowered_limit_binds_a_window_after_it_is_in_force():
-    one = fleet_with(5, rate=100, burst=50)
-    one.load(HOT, 300, 20)
-    one.world.run_for(6 * SECOND)
-    lowered = {**one.tenants, HOT: limit(3, 2)}
-    one.put_limits(lowered)
-    in_force_us = one.world.now_us + 500_000
-    one.world.run_for(14 * SECOND)
-    assert worst_excess(one.arrivals, HOT, lowered[HOT], in_force_us + BOUNDS.quota_window_us) <= 0
+    fleet = fleet_with(5, rate=100, burst=50)
+    fleet.load(HOT, 300, 20)
+    fleet.world.run_for(6 * SECOND)
+    lowered = {**fleet.tenants, HOT: limit(3, 2)}
+    fleet.put_limits(lowered)
+    in_force_us = fleet.world.now_us + 500_000
+    fleet.world.run_for(14 * SECOND)
+    assert (
+        worst_excess(fleet.arrivals, HOT, lowered[HOT], in_force_us + BOUNDS.quota_window_us) <= 0
+    )
 
 
 def test_a_raised_limit_is_granted_at_once():
-    one = fleet_with(6, rate=2, burst=1)
-    one.load(HOT, 60, 12)
-    one.world.run_for(5 * SECOND)
-    one.put_limits({**one.tenants, HOT: limit(100, 50)}, within_us=1)
-    one.world.run_for(SECOND // 2)
-    refused, served = len(one.refusals), one.served(HOT)
-    one.world.run_for(5 * SECOND)
-    assert len(one.refusals) == refused
-    assert one.served(HOT) - served > 200
+    fleet = fleet_with(6, rate=2, burst=1)
+    fleet.load(HOT, 60, 12)
+    fleet.world.run_for(5 * SECOND)
+    fleet.put_limits({**fleet.tenants, HOT: limit(100, 50)}, within_us=1)
+    fleet.world.run_for(SECOND // 2)
+    refused, served = len(fleet.refusals), fleet.served(HOT)
+    fleet.world.run_for(5 * SECOND)
+    assert len(fleet.refusals) == refused
+    assert fleet.served(HOT) - served > 200
 
 
 def test_a_limit_that_is_raised_at_the_owner_last_is_granted_soon():
-    one = fleet_with(19, rate=0.05, burst=1, others=0)
-    one.load(HOT, 30, 12)
-    one.world.run_for(5 * SECOND)
+    fleet = fleet_with(19, rate=0.05, burst=1, others=0)
+    fleet.load(HOT, 30, 12)
+    fleet.world.run_for(5 * SECOND)
     raised = {HOT: limit(100, 50)}
-    for host in one.routers:
-        one._take_limits(host.name, raised)
-    one.world.run_for(SECOND)
-    for host in one.owners:
-        one._take_limits(host.name, raised)
-    one.world.run_for(SECOND)
-    refused = len(one.refusals)
-    one.world.run_for(4 * SECOND)
-    assert len(one.refusals) == refused
+    for host in fleet.routers:
+        fleet._take_limits(host.name, raised)
+    fleet.world.run_for(SECOND)
+    for host in fleet.owners:
+        fleet._take_limits(host.name, raised)
+    fleet.world.run_for(SECOND)
+    refused = len(fleet.refusals)
+    fleet.world.run_for(4 * SECOND)
+    assert len(fleet.refusals) == refused
 
 
 def test_requests_held_when_their_tenant_becomes_unlimited_go_on():
-    one = fleet_with(7)
-    one.world.cut([host.name for host in one.routers], [host.name for host in one.owners])
+    fleet = fleet_with(7)
+    fleet.world.cut([host.name for host in fleet.routers], [host.name for host in fleet.owners])
     for _ in range(5):
-        one.send_one(HOT)
-    one.put_limits({**one.tenants, HOT: limit(0)}, within_us=1)
-    one.world.run_for(SECOND)
-    assert one.served(HOT) == 5 and not one.refusals
-    one.put_limits({**one.tenants, HOT: limit(1, 1)}, within_us=1)
-    one.world.run_for(SECOND)
-    one.send_one(HOT)
-    one.world.run_for(SECOND)
-    assert one.codes(HOT) == {"quota_unknown": 1}
+        fleet.send_one(HOT)
+    fleet.put_limits({**fleet.tenants, HOT: limit(0)}, within_us=1)
+    fleet.world.run_for(SECOND)
+    assert fleet.served(HOT) == 5 and not fleet.refusals
+    fleet.put_limits({**fleet.tenants, HOT: limit(1, 1)}, within_us=1)
+    fleet.world.run_for(SECOND)
+    fleet.send_one(HOT)
+    fleet.world.run_for(SECOND)
+    assert fleet.codes(HOT) == {"quota_unknown": 1}
 
 
 # owners that fail
 
 
 def test_without_an_owner_requests_are_told_so_early_and_not_that_the_tenant_is_over():
-    one = fleet_with(8)
-    for host in one.owners:
+    fleet = fleet_with(8)
+    for host in fleet.owners:
         host.kill()
-    one.load(HOT, 12, 3)
-    one.world.run_for(4 * SECOND)
-    assert set(one.codes(HOT)) <= {"quota_unknown", "quota_spent"}
-    assert one.codes(HOT)["quota_unknown"] > 25
-    assert one.served(HOT) == 0
+    fleet.load(HOT, 12, 3)
+    fleet.world.run_for(4 * SECOND)
+    assert set(fleet.codes(HOT)) <= {"quota_unknown", "quota_spent"}
+    assert fleet.codes(HOT)["quota_unknown"] > 25
+    assert fleet.served(HOT) == 0
 
 
 def test_an_owner_that_dies_is_followed_and_nobody_below_the_limit_is_told_to_be_over():
-    one = fleet_with(9)
-    for name in one.tenants:
-        one.load(name, 12, 16)
-    one.world.run_for(5 * SECOND)
-    next(host for host in one.owners if host.name == one.leases.holders[0]).kill()
-    one.world.run_for(3 * SECOND)
-    before = len(one.refusals)
-    one.world.run_for(8 * SECOND)
-    assert {code for _, code, _ in one.refusals} <= {"quota_unknown"}
-    assert before > 0 and len(one.refusals) == before
+    fleet = fleet_with(9)
+    for name in fleet.tenants:
+        fleet.load(name, 12, 16)
+    fleet.world.run_for(5 * SECOND)
+    next(host for host in fleet.owners if host.name == fleet.leases.holders[0]).kill()
+    fleet.world.run_for(3 * SECOND)
+    before = len(fleet.refusals)
+    fleet.world.run_for(8 * SECOND)
+    assert {code for _, code, _ in fleet.refusals} <= {"quota_unknown"}
+    assert before > 0 and len(fleet.refusals) == before
 
 
 def test_a_controller_that_is_not_the_owner_passes_requests_on():
-    one = fleet_with(10, others=0)
-    one.world.run_for(3 * SECOND)
-    shard_owner = one.leases.holders[0]
-    others = [host.address for host in one.owners if host.name != shard_owner]
-    one.preferred_address = lambda shard: others[0]
-    one.controller_addresses = lambda: others
-    one.send_one(HOT)
-    one.world.run_for(SECOND // 20)
-    assert one.served(HOT) == 1
+    fleet = fleet_with(10, others=0)
+    fleet.world.run_for(3 * SECOND)
+    shard_owner = fleet.leases.holders[0]
+    others = [host.address for host in fleet.owners if host.name != shard_owner]
+    fleet.preferred_address = lambda shard: others[0]
+    fleet.controller_addresses = lambda: others
+    fleet.send_one(HOT)
+    fleet.world.run_for(SECOND // 20)
+    assert fleet.served(HOT) == 1
 
 
 def test_routers_that_are_cut_off_from_the_core_ask_through_others():
-    one = fleet_with(14, owners=5)
-    one.world.run_for(2 * SECOND)
-    cut = one.routers[:6]
-    one.world.cut([host.name for host in cut], [host.name for host in one.owners])
-    for name in one.tenants:
-        one.load(name, 12, 10, cut)
-    one.world.run_for(2 * SECOND)
-    asked, served = one.asked.total(), len(one.arrivals)
-    one.world.run_for(6 * SECOND)
-    assert len(one.arrivals) - served > 0.97 * (one.asked.total() - asked)
-    one.world.heal()
-    one.world.run_for(2 * SECOND)
-    relayed = sum(host.node.quotas.relay.relayed.__len__() for host in one.routers)
-    one.world.run_for(2 * SECOND)
+    fleet = fleet_with(14, owners=5)
+    fleet.world.run_for(2 * SECOND)
+    cut = fleet.routers[:6]
+    fleet.world.cut([host.name for host in cut], [host.name for host in fleet.owners])
+    for name in fleet.tenants:
+        fleet.load(name, 12, 10, cut)
+    fleet.world.run_for(2 * SECOND)
+    asked, served = fleet.asked.total(), len(fleet.arrivals)
+    fleet.world.run_for(6 * SECOND)
+    assert len(fleet.arrivals) - served > 0.97 * (fleet.asked.total() - asked)
+    fleet.world.heal()
+    fleet.world.run_for(2 * SECOND)
+    relayed = sum(host.node.quotas.relay.relayed.__len__() for host in fleet.routers)
+    fleet.world.run_for(2 * SECOND)
     assert relayed > 0 and not any(host.node.quotas.unresponsive for host in cut)
-    assert not one.faults() and not one.violations()
+    assert not fleet.faults() and not fleet.violations()
 
 
 def test_a_hot_tenant_is_held_to_its_limit_through_other_routers_too():
-    one = fleet_with(15, others=0)
-    one.load(HOT, 400, 12)
-    one.world.run_for(3 * SECOND)
-    cut = [host.name for host in one.routers[:6]]
-    one.world.cut(cut, [host.name for host in one.owners])
-    one.world.run_for(5 * SECOND)
-    one.world.heal()
-    one.world.run_for(5 * SECOND)
-    assert worst_excess(one.arrivals, HOT, one.tenants[HOT]) <= 0
-    assert one.served(HOT) > 0.9 * 20 * 12
+    fleet = fleet_with(15, others=0)
+    fleet.load(HOT, 400, 12)
+    fleet.world.run_for(3 * SECOND)
+    cut = [host.name for host in fleet.routers[:6]]
+    fleet.world.cut(cut, [host.name for host in fleet.owners])
+    fleet.world.run_for(5 * SECOND)
+    fleet.world.heal()
+    fleet.world.run_for(5 * SECOND)
+    assert worst_excess(fleet.arrivals, HOT, fleet.tenants[HOT]) <= 0
+    assert fleet.served(HOT) > 0.9 * 20 * 12
 
 
 # the bound under faults
@@ -323,23 +325,23 @@
 class Faults:
     """Faults of all kinds, one a second or so, each undone before long."""
 
-    def __init__(self, one):
-        self.one, self.world, self.dice = one, one.world, one.dice
-        self.cores = [host.name for host in one.owners]
-        self.edges = [host.name for host in one.routers]
+    def __init__(self, fleet):
+        self.fleet, self.world, self.rng = fleet, fleet.world, fleet.rng
+        self.cores = [host.name for host in fleet.owners]
+        self.edges = [host.name for host in fleet.routers]
 
     def spread_over(self, seconds):
         faults = [
-            lambda: self.restart(self.dice.choice(self.one.owners)),
-            lambda: self.freeze(self.dice.choice(self.one.owners)),
-            lambda: self.restart(self.dice.choice(self.one.routers)),
-            lambda: self.freeze(self.dice.choice(self.one.routers)),
+            lambda: self.restart(self.rng.choice(self.fleet.owners)),
+            lambda: self.freeze(self.rng.choice(self.fleet.owners)),
+            lambda: self.restart(self.rng.choice(self.fleet.routers)),
+            lambda: self.freeze(self.rng.choice(self.fleet.routers)),
             self.halve,
             self.cut_routers,
             self.slow_links,
         ]
         for _ in range(seconds):
-            self.world.after(self.dice.randrange(seconds * SECOND), self.dice.choice(faults))
+            self.world.after(self.rng.randrange(seconds * SECOND), self.rng.choice(faults))
 
     def restart(self, host):
         def come_back():
@@ -348,54 +350,54 @@
 
         if host.node is not None:
             host.kill()
-            self.world.after(self.dice.randrange(200_000, 3 * SECOND), come_back)
+            self.world.after(self.rng.randrange(200_000, 3 * SECOND), come_back)
 
     def freeze(self, host):
         host.freeze()
-        self.world.after(self.dice.randrange(100_000, 4 * SECOND), host.wake)
+        self.world.after(self.rng.randrange(100_000, 4 * SECOND), host.wake)
 
     def halve(self):
-        left = set(self.dice.sample(self.cores, len(self.cores) // 2))
-        left |= set(self.dice.sample(self.edges, len(self.edges) // 2))
-        how = self.dice.choice(["silent", "reset", "refusal"])
+        left = set(self.rng.sample(self.cores, len(self.cores) // 2))
+        left |= set(self.rng.sample(self.edges, len(self.edges) // 2))
+        how = self.rng.choice(["silent", "reset", "refusal"])
         self.world.cut(left, {*self.cores, *self.edges} - left, how=how)
-        self.world.after(self.dice.randrange(SECOND, 4 * SECOND), self.world.heal)
+        self.world.after(self.rng.randrange(SECOND, 4 * SECOND), self.world.heal)
 
     def cut_routers(self):
-        near = self.dice.sample(self.edges, len(self.edges) // 2)
-        how = self.dice.choice(["silent", "reset"])
-        self.world.cut(near, self.cores, both=self.dice.random() < 0.5, how=how)
-        self.world.after(self.dice.randrange(SECOND, 4 * SECOND), self.world.heal)
+        near = self.rng.sample(self.edges, len(self.edges) // 2)
+        how = self.rng.choice(["silent", "reset"])
+        self.world.cut(near, self.cores, both=self.rng.random() < 0.5, how=how)
+        self.world.after(self.rng.randrange(SECOND, 4 * SECOND), self.world.heal)
 
     def slow_links(self):
         for core in self.cores:
             for edge in self.edges:
-                self.world.slow[(core, edge)] = self.dice.randrange(3 * SECOND)
-        self.world.after(self.dice.randrange(SECOND, 3 * SECOND), self.world.slow.clear)
+                self.world.slow[(core, edge)] = self.rng.randrange(3 * SECOND)
+        self.world.after(self.rng.randrange(SECOND, 3 * SECOND), self.world.slow.clear)
 
 
 def rough_run(seed, seconds=20, owners=3, **given):
-    one = fleet_with(seed, owners=owners, **given)
-    names = list(one.tenants)
-    one.load(HOT, 50 * 12, seconds)
-    one.load(names[1], 100, seconds)
+    fleet = fleet_with(seed, owners=owners, **given)
+    names = list(fleet.tenants)
+    fleet.load(HOT, 50 * 12, seconds)
+    fleet.load(names[1], 100, seconds)
     for name in names[2:]:
-        one.load(name, 12, seconds)
-    Faults(one).spread_over(seconds)
-    one.world.run_for((seconds + 6) * SECOND)
-    return one
+        fleet.load(name, 12, seconds)
+    Faults(fleet).spread_over(seconds)
+    fleet.world.run_for((seconds + 6) * SECOND)
+    return fleet
 
 
-def excesses(one):
-    return {name: worst_excess(one.arrivals, name, one.tenants[name]) for name in one.tenants}
+def excesses(fleet):
+    return {name: worst_excess(fleet.arrivals, name, fleet.tenants[name]) for name in fleet.tenants}
 
 
 @pytest.mark.parametrize("seed", range(100, 112))
 def test_the_bound_holds_under_kills_cuts_freezes_and_late_messages(seed):
-    one = rough_run(seed, owners=3 if seed % 2 else 5, routers=8)
-    assert max(excesses(one).values()) <= 0
-    assert not one.violations() and not one.faults()
-    assert one.served(HOT) > 20
+    fleet = rough_run(seed, owners=3 if seed % 2 else 5, routers=8)
+    assert max(excesses(fleet).values()) <= 0
+    assert not fleet.violations() and not fleet.faults()
+    assert fleet.served(HOT) > 20
 
 
 # sabotages: without each mechanism the checker finds the bound broken
@@ -403,15 +405,15 @@
 
 def late_responses():
     """Responses stand still for some seconds and then come at once, while the tenant is hot."""
-    one = fleet_with(11, others=0)
-    one.load(HOT, 400, 14)
-    one.world.run_for(3 * SECOND)
-    owners, routers = ([host.name for host in hosts] for hosts in (one.owners, one.routers))
-    one.world.cut(owners, routers, both=False)
-    one.world.run_for(5 * SECOND)
-    one.world.heal()
-    one.world.run_for(8 * SECOND)
-    return worst_excess(one.arrivals, HOT, one.tenants[HOT])
+    fleet = fleet_with(11, others=0)
+    fleet.load(HOT, 400, 14)
+    fleet.world.run_for(3 * SECOND)
+    owners, routers = ([host.name for host in hosts] for hosts in (fleet.owners, fleet.routers))
+    fleet.world.cut(owners, routers, both=False)
+    fleet.world.run_for(5 * SECOND)
+    fleet.world.heal()
+    fleet.world.run_for(8 * SECOND)
+    return worst_excess(fleet.arrivals, HOT, fleet.tenants[HOT])
 
 
 def test_slices_that_live_from_the_response_on_break_the_bound(monkeypatch):
@@ -448,17 +450,17 @@
 
 def owners_in_turn():
     """The owner dies again and again, while the tenant is hot."""
-    one = fleet_with(12, rate=20, burst=100, others=0)
-    one.load(HOT, 400, 14)
-    one.world.run_for(4 * SECOND)
+    fleet = fleet_with(12, rate=20, burst=100, others=0)
+    fleet.load(HOT, 400, 14)
+    fleet.world.run_for(4 * SECOND)
     for _ in range(4):
-        holder = one.leases.holders[0]
-        host = next(host for host in one.owners if host.name == holder)
+        holder = fleet.leases.holders[0]
+        host = next(host for host in fleet.owners if host.name == holder)
         host.kill()
-        one.world.after(SECOND, host.start)
-        one.world.run_for(2 * SECOND)
-    one.world.run_for(4 * SECOND)
-    return worst_excess(one.arrivals, HOT, one.tenants[HOT])
+        fleet.world.after(SECOND, host.start)
+        fleet.world.run_for(2 * SECOND)
+    fleet.world.run_for(4 * SECOND)
+    return worst_excess(fleet.arrivals, HOT, fleet.tenants[HOT])
 
 
 def test_a_new_owner_that_starts_with_a_full_bucket_breaks_the_bound(monkeypatch):
@@ -475,15 +477,15 @@
 
 def halved_core():
     """The owner of the shard and half of the routers are cut off from the rest."""
-    one = fleet_with(13, others=0)
-    one.load(HOT, 400, 14)
-    one.world.run_for(4 * SECOND)
-    holder = one.leases.holders[0]
-    near = [holder, *(host.name for host in one.routers[::2])]
-    far = [host.name for host in [*one.owners, *one.routers] if host.name not in near]
-    one.world.cut(near, far)
-    one.world.run_for(12 * SECOND)
-    return worst_excess(one.arrivals, HOT, one.tenants[HOT])
+    fleet = fleet_with(13, others=0)
+    fleet.load(HOT, 400, 14)
+    fleet.world.run_for(4 * SECOND)
+    holder = fleet.leases.holders[0]
+    near = [holder, *(host.name for host in fleet.routers[::2])]
+    far = [host.name for host in [*fleet.owners, *fleet.routers] if host.name not in near]
+    fleet.world.cut(near, far)
+    fleet.world.run_for(12 * SECOND)
+    return worst_excess(fleet.arrivals, HOT, fleet.tenants[HOT])
 
 
 def test_two_owners_of_a_shard_break_the_bound(monkeypatch):
--- a/tests/test_tenant_quotas_fleet.py
+++ b/tests/test_tenant_quotas_fleet.py
@@ -126,89 +126,89 @@
 
 
 def started(seed, rate=RATE):
-    one = TenantFleet(seed, rate).start()
-    one.world.is_tracing = True
-    one.world.run_for(6 * SECOND)
-    return one
+    fleet = TenantFleet(seed, rate).start()
+    fleet.world.is_tracing = True
+    fleet.world.run_for(6 * SECOND)
+    return fleet
 
 
-def events(one, number):
-    return [facts for _, _, which, facts in one.world.events if which == number]
+def events(fleet, number):
+    return [facts for _, _, which, facts in fleet.world.events if which == number]
 
 
 def test_a_hot_tenant_of_the_whole_fleet_is_held_to_its_limit_and_harms_no_other():
-    one = started(1)
-    assert len(one.owners()) == 3
+    fleet = started(1)
+    assert len(fleet.owners()) == 3
     for name in TENANTS:
-        one.load_tenant(name, USUAL * (50 if name == HOT else 1), 10)
-    one.world.run_for(12 * SECOND)
-    assert one.excess(HOT) <= 0
-    assert one.codes(HOT)["done"] > 0.85 * RATE * 10
-    assert one.codes(HOT)["quota_spent"] > 700
-    assert all(one.served_share(name) >= 0.98 for name in TENANTS[1:])
-    assert not events(one, 1903) and not events(one, 1005)
+        fleet.load_tenant(name, USUAL * (50 if name == HOT else 1), 10)
+    fleet.world.run_for(12 * SECOND)
+    assert fleet.excess(HOT) <= 0
+    assert fleet.codes(HOT)["done"] > 0.85 * RATE * 10
+    assert fleet.codes(HOT)["quota_spent"] > 700
+    assert all(fleet.served_share(name) >= 0.98 for name in TENANTS[1:])
+    assert not events(fleet, 1903) and not events(fleet, 1005)
 
 
 @pytest.mark.parametrize("seed", range(20, 24))
 def test_the_bound_holds_while_owners_die_freeze_and_are_cut_off(seed):
-    one = started(seed)
+    fleet = started(seed)
     for name in TENANTS:
-        one.load_tenant(name, 60 if name == HOT else USUAL, 24)
-    seats = list(one.registries)
-    one.load_dice.shuffle(seats)
-    one.world.run_for(3 * SECOND)
-    one.registries[seats[0]].kill()
-    one.world.run_for(3 * SECOND)
-    one.registries[seats[0]].start()
-    one.world.run_for(4 * SECOND)
-    one.registries[seats[1]].freeze()
-    one.world.run_for(3 * SECOND)
-    one.registries[seats[1]].wake()
-    one.world.run_for(3 * SECOND)
-    alone = one.registries[seats[2]].name
-    near = [alone, *(host.name for host in list(one.routers.values())[::2])]
-    others = [*one.registries.values(), *one.routers.values()]
-    one.world.cut(near, [host.name for host in others if host.name not in near])
-    one.world.run_for(4 * SECOND)
-    one.world.heal()
-    one.world.run_for(8 * SECOND)
-    assert max(one.excess(name) for name in TENANTS) <= 0
-    assert one.codes(HOT)["done"] > 40
-    assert not events(one, 1903) and not events(one, 1005)
+        fleet.load_tenant(name, 60 if name == HOT else USUAL, 24)
+    seats = list(fleet.registries)
+    fleet.load_dice.shuffle(seats)
+    fleet.world.run_for(3 * SECOND)
+    fleet.registries[seats[0]].kill()
+    fleet.world.run_for(3 * SECOND)
+    fleet.registries[seats[0]].start()
+    fleet.world.run_for(4 * SECOND)
+    fleet.registries[seats[1]].freeze()
+    fleet.world.run_for(3 * SECOND)
+    fleet.registries[seats[1]].wake()
+    fleet.world.run_for(3 * SECOND)
+    alone = fleet.registries[seats[2]].name
+    near = [alone, *(host.name for host in list(fleet.routers.values())[::2])]
+    others = [*fleet.registries.values(), *fleet.routers.values()]
+    fleet.world.cut(near, [host.name for host in others if host.name not in near])
+    fleet.world.run_for(4 * SECOND)
+    fleet.world.heal()
+    fleet.world.run_for(8 * SECOND)
+    assert max(fleet.excess(name) for name in TENANTS) <= 0
+    assert fleet.codes(HOT)["done"] > 40
+    assert not events(fleet, 1903) and not events(fleet, 1005)
 
 
 def test_below_their_limits_tenants_lose_nothing_while_nothing_fails():
-    one = started(30)
+    fleet = started(30)
     for name in TENANTS:
-        one.load_tenant(name, 0.6 * RATE, 15)
-    one.world.run_for(17 * SECOND)
-    codes = sum((one.codes(name) for name in TENANTS), Counter())
+        fleet.load_tenant(name, 0.6 * RATE, 15)
+    fleet.world.run_for(17 * SECOND)
+    codes = sum((fleet.codes(name) for name in TENANTS), Counter())
     assert not {"quota_spent", "quota_unknown"} & set(codes)
     assert codes["done"] > 0.98 * codes.total()
 
 
 def test_a_callers_leaving_while_its_request_is_held_leaves_nothing_behind():
-    one = started(31)
-    for host in one.registries.values():
+    fleet = started(31)
+    for host in fleet.registries.values():
         host.freeze()
-    router = next(iter(one.routers.values()))
-    one.caller.node.tenant = HOT
-    asked = one.ask("question", routers=[router.address], tokens=600)
-    one.world.run_for(30_000)
+    router = next(iter(fleet.routers.values()))
+    fleet.caller.node.tenant = HOT
+    asked = fleet.ask("question", routers=[router.address], tokens=600)
+    fleet.world.run_for(30_000)
     assert len(router.node.tenant_quotas.meters[HOT].waiting) == 1
-    one.caller.node.hang_up(asked)
-    one.world.run_for(30_000)
+    fleet.caller.node.hang_up(asked)
+    fleet.world.run_for(30_000)
     assert not router.node.requests and not router.node.tenant_quotas.meters[HOT].waiting
 
 
 def test_a_key_that_is_taken_away_while_its_request_is_held_is_refused():
-    one = started(32)
-    router = next(iter(one.routers.values()))
-    edge, core = [router.name], [host.name for host in one.registries.values()]
-    one.world.cut(edge, core)
-    one.caller.node.tenant = HOT
-    asked = one.ask("question", routers=[router.address], tokens=600)
-    one.world.run_for(30_000)
+    fleet = started(32)
+    router = next(iter(fleet.routers.values()))
+    edge, core = [router.name], [host.name for host in fleet.registries.values()]
+    fleet.world.cut(edge, core)
+    fleet.caller.node.tenant = HOT
+    asked = fleet.ask("question", routers=[router.address], tokens=600)
+    fleet.world.run_for(30_000)
     configuration = router.node.snapshot.configuration
     rest = {name: tenant for name, tenant in configuration.tenants.items() if name != HOT}
     changed = type(configuration)(
@@ -221,17 +221,17 @@
     )
     router.node.snapshot.configuration = changed
     router.node._take_plan()
-    one.world.run_for(30_000)
+    fleet.world.run_for(30_000)
     assert asked.code in ("api_key_unknown", "api_key_unconfirmed")
 
 
 def test_the_operator_sees_limits_use_and_owner_and_no_key():
-    one = started(33)
-    one.load_tenant(HOT, 60, 3)
-    one.world.run_for(3 * SECOND)
+    fleet = started(33)
+    fleet.load_tenant(HOT, 60, 3)
+    fleet.world.run_for(3 * SECOND)
     told = []
     call = SimpleNamespace(answer_json=lambda status, document: told.append(document))
-    for host in one.registries.values():
+    for host in fleet.registries.values():
         host.node.quota_owner.serve(call)
     rows = [document["tenants"][HOT] for document in told]
     own = [row for row in rows if row["granted"] is not None]
