--- a/packages/credit/src/linkhaven/credit/grants.py
+++ b/packages/credit/src/linkhaven/credit/grants.py
@@ -24,7 +24,7 @@
 
     Invariant: the sum counts each router's largest grant, since the router may hold any of its
     grants until it reports a later one
-    (`test_the_kept_sum_is_what_counting_all_grants_gives`).
+    (`test_the_incremental_sum_equals_a_full_recount`).
     """
 
     __slots__ = ("by_router", "largest", "total", "expiring", "recounted_us")
--- a/packages/leases/src/linkhaven/leases/announcement.py
+++ b/packages/leases/src/linkhaven/leases/announcement.py
@@ -8,7 +8,7 @@
 
     Invariant: the action may be taken only within `valid_us` after the record was requested. So a
     node that saw no such record for a lease plus `valid_us` knows that no other holder acted within
-    the last lease (`test_who_saw_no_announcement_knows_that_nobody_acted`).
+    the last lease (`test_a_node_that_saw_no_announcement_knows_that_no_holder_acted`).
     """
 
     __slots__ = ("valid_us", "is_requested", "announced_us", "on_announced")
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -23,7 +23,7 @@
 Invariants:
 
 - The holder measures its lease by its own clock from before it sent the request, so it stops no
-  later than any other node may start (`test_a_lease_ends_a_lease_time_after_it_was_asked_for`).
+  later than any other node may start (`test_a_lease_is_measured_from_its_request`).
 - Another node requests the lease only after a full lease and a margin: see `LeaseObserver`.
 - A holder acts only after a quorum recorded its intention: see `ActionAnnouncement`.
 - Each new holder has a higher fencing token than all earlier ones, even after the consensus store
--- a/packages/leases/src/linkhaven/leases/observer.py
+++ b/packages/leases/src/linkhaven/leases/observer.py
@@ -30,7 +30,7 @@
     jump doesn't count as waiting.
 
     Invariant: an election starts only after the same record was seen for a full lease and a
-    margin of counted time (`test_a_leap_of_the_clock_is_no_wait_for_a_holder`).
+    margin of counted time (`test_a_clock_jump_does_not_count_as_waiting_for_the_holder`).
     """
 
     __slots__ = (
--- a/packages/leases/src/linkhaven/leases/quorum_lease_candidate.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_candidate.py
@@ -19,7 +19,8 @@
 Invariants:
 
 - A lease is measured from before its round was sent, whenever the votes arrive, and checked against
-  this node's clock at each use (`counted_from_the_answer` in `tests/test_quorum_lease_safety.py`).
+  this node's clock at each use (`counted_from_the_response` in
+  `tests/test_quorum_lease_safety.py`).
 - A shard that is won again after it was not owned gets another epoch
   (`test_a_shard_that_was_lost_in_between_is_won_in_another_epoch`).
 """
--- a/packages/leases/src/linkhaven/leases/quorum_lease_voter.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_voter.py
@@ -15,7 +15,7 @@
 
 - A promise ends no sooner than the lease that rests on it (`negative_drift_margin` in
   `tests/test_quorum_lease_safety.py`).
-- A clock jump ends no promise early (`leaps_counted` there).
+- A clock jump ends no promise early (`clock_jumps_counted` there).
 - No vote is given within an abstention of the start (`no_abstention` there).
 - A release ends only promises of rounds that its sender no longer counts (`release_without_round`).
 """
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -1,8 +1,8 @@
-"""Routers, owners of tenants' shards and one runner in a simulated world, for tests of quotas.
+"""Simulated routers, owners of tenants' shards and one runner, for tests of quotas.
 
-Shards are owned under a lease that a majority of the owners grants, as the core does, but decided
-in one place: `QuorumLeases` looks at the world's cuts. What the runner gets is judged by
-`worst_excess`, which knows nothing of buckets and slices.
+Shards are owned under a lease that a majority of the owners grants, as in a real deployment, but
+decided in one place: `QuorumLeases` evaluates the world's network partitions. `worst_excess` checks
+the requests that the runner receives, independently of buckets and slices.
 """
 
 import random
@@ -40,7 +40,7 @@
 
 
 class QuorumLeases:
-    """Who owns which shard: renewed while a majority of the owners can be reached."""
+    """The owner of each shard, renewed while it reaches a majority of the owners."""
 
     def __init__(self, world, owners):
         self.world = world
@@ -63,7 +63,7 @@
         return 2 * len(reached) > len(self.owners)
 
     def renew(self, host):
-        """Renew what the node holds, and win what nobody may hold any more."""
+        """Renew the shards that the node owns, and acquire those whose lease has expired."""
         if not self.has_quorum(host):
             return
         for shard in range(NUM_SHARDS):
@@ -83,7 +83,7 @@
 
 
 class Ownership:
-    """What one node knows of the shards; a stand-in for the part that holds their leases."""
+    """One node's `ShardOwnership`; a stand-in for `ShardLeases`."""
 
     num_shards = NUM_SHARDS
 
@@ -104,7 +104,7 @@
 
 
 class OwnerNode(Node):
-    """A controller of which only the part that grants tokens runs."""
+    """A controller that runs only the `QuotaOwner`."""
 
     __slots__ = ("ownership", "quota_owner", "renewed_us", "leases", "host")
 
@@ -124,7 +124,7 @@
 
 
 class MeteredNode(Node):
-    """A router of which only the part that spends tokens runs."""
+    """A router that runs only the `TenantQuotas`."""
 
     __slots__ = ("quotas", "fleet", "host", "serial")
 
@@ -166,7 +166,7 @@
 
 
 class QuotaFleet:
-    """Owners, routers, a runner, and callers that send at each tenant's rate."""
+    """Owners, routers, a runner, and callers of each tenant."""
 
     def __init__(self, seed, tenants, routers=12, owners=3):
         self.world = World(seed)
@@ -205,7 +205,7 @@
         self.snapshots[host.name] = Snapshot(self.tenants)
         return MeteredNode(host, ports, self, self.snapshots[host.name])
 
-    # the directory of controllers, as routers know it
+    # ControllerDirectory
 
     def controller_addresses(self):
         return [host.address for host in self.owners]
@@ -224,7 +224,7 @@
         host.do(lambda: host.node.serve_tenant(tenant))
 
     def load(self, tenant, rate, seconds, routers=None):
-        """Send at random moments, `rate` a second."""
+        """Send requests with Poisson arrivals, `rate` per second."""
         end_us = self.world.now_us + int(seconds * SECOND)
 
         def send():
@@ -236,7 +236,7 @@
         self.world.after(int(self.rng.expovariate(rate) * SECOND) + 1, send)
 
     def load_within(self, tenant, rate, burst, seconds, routers=None):
-        """Send as much as a limit allows, in bursts: as a token bucket that is spent by chance."""
+        """Send as much as a limit allows, by spending a token bucket in random bursts."""
         level, begun_us = float(burst), self.world.now_us
         for step in range(int(seconds * 20)):
             level = min(float(burst), level + rate / 20)
@@ -246,7 +246,7 @@
                     self.world.at(begun_us + step * 50_000, lambda: self.send_one(tenant, routers))
 
     def put_limits(self, tenants, within_us=500_000):
-        """A new configuration, in force at each node within the time."""
+        """Apply new limits at each node, at a random time within `within_us`."""
         self.tenants = tenants
         for name in list(self.snapshots):
             self.world.after(
@@ -257,7 +257,7 @@
         host = next(each for each in [*self.owners, *self.routers] if each.name == name)
         host.do(lambda: self.snapshots[name].take(tenants))
 
-    # what came of it
+    # results
 
     def served(self, tenant):
         return sum(1 for each in self.arrivals if each[0] == tenant)
@@ -269,7 +269,7 @@
         return [facts for _, _, number, facts in self.world.events if number == 1903]
 
     def faults(self):
-        """Events of handlers that failed."""
+        """Log events of failed message handlers."""
         return [facts for _, _, number, facts in self.world.events if number == 1005]
 
 
@@ -284,7 +284,10 @@
 
 
 def worst_excess(arrivals, name, tenant, since_us=0):
-    """By how much the worst window exceeds the bound: both sent and arrived within the window."""
+    """Return by how much the worst window exceeds the bound.
+
+    A request counts for a window if it was both sent and received within it.
+    """
     window_us = Bounds().quota_window_us
     times = sorted((sent, arrived) for who, sent, arrived in arrivals if who == name)
     worst = 0
@@ -301,7 +304,7 @@
 
 
 def tenants_of_shards(count, rate, burst):
-    """Tenants with one limit, and names that fall on different shards one after another."""
+    """Return tenants with the same limit, whose names are assigned to the shards in turn."""
     names = (f"school-{number}" for number in range(10_000))
     found = []
     while len(found) < count:
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -1,4 +1,4 @@
-"""Grants of one allowance and demands for it: the sums that are kept equal those counted anew."""
+"""Grants of one allowance and demands for it: incremental sums equal a full recount."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 class RecountedGrants:
-    """The same grants, all looked at each time."""
+    """A reference implementation of `OutstandingGrants` that recounts all grants at each call."""
 
     def __init__(self):
         self.held = {}
@@ -36,7 +36,7 @@
         )
 
 
-def test_the_kept_sum_is_what_counting_all_grants_gives():
+def test_the_incremental_sum_equals_a_full_recount():
     for seed in range(30):
         rng, now_us = random.Random(seed), SECOND
         incremental, recounted, number, newest = OutstandingGrants(now_us), RecountedGrants(), 0, {}
@@ -75,7 +75,7 @@
             assert spent <= total * (1 + 1e-9)
 
 
-def test_demand_of_quiet_routers_counts_no_more():
+def test_demand_of_routers_without_reports_expires():
     demand = RouterDemands(5 * SECOND)
     demand.record("router-1", 10.0, SECOND)
     demand.record("router-2", 30.0, 2 * SECOND)
@@ -90,7 +90,7 @@
 
 
 def test_a_demand_that_ended_leaves_nothing_behind():
-    """A rest of rounding would give an idle fleet a fifth of its even parts."""
+    """A remaining rounding error would cut the even shares of an idle fleet to a fifth."""
     demand = RouterDemands(LEASE_US)
     rng = random.Random(5)
     for _ in range(200):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -17,7 +17,7 @@
 
 
 class Register:
-    """One key's value that nodes change at once, or later where its answers are held."""
+    """One key's value; proposals complete at once, or later while `held` collects responses."""
 
     def __init__(self):
         self.value = None
@@ -42,7 +42,7 @@
 
 
 class Member:
-    """One node with a lease, driven by hand."""
+    """One node with a lease, whose clock is advanced by the test."""
 
     def __init__(self, register, name, rank=0, incarnations=None):
         self.incarnations = iter(incarnations or repeat(None))
@@ -100,7 +100,7 @@
     assert all(register.patient) and len(register.patient) == record.renewal + 1
 
 
-def test_a_lease_ends_a_lease_time_after_it_was_asked_for():
+def test_a_lease_is_measured_from_its_request():
     register = Register()
     one = Member(register, "one")
     register.held = []
@@ -114,7 +114,7 @@
     assert not one.lease.is_held()
 
 
-def test_an_answer_that_came_after_a_whole_lease_is_none():
+def test_a_response_after_a_full_lease_is_ignored():
     register = Register()
     one = Member(register, "one")
     register.held = []
@@ -135,7 +135,7 @@
     assert register.value["holder"] == "two" and register.value["fence"] == 2
 
 
-def test_a_leap_of_the_clock_is_no_wait_for_a_holder():
+def test_a_clock_jump_does_not_count_as_waiting_for_the_holder():
     register = Register()
     one, two = Member(register, "one"), Member(register, "two")
     one.run(TICK_US)
@@ -175,7 +175,7 @@
     assert one.changes == ["won", "lapsed", "won"]
 
 
-def test_an_answer_that_comes_after_the_release_changes_nothing():
+def test_a_response_after_the_release_is_ignored():
     register = Register()
     one = Member(register, "one")
     register.held = []
@@ -188,7 +188,7 @@
     assert not one.lease.is_held() and one.changes == []
 
 
-def test_who_steps_down_lets_others_have_the_next_lease():
+def test_a_holder_that_steps_down_leaves_the_next_lease_to_others():
     register = Register()
     one, two = Member(register, "one"), Member(register, "two", rank=1)
     one.run(2 * TICK_US)
@@ -214,7 +214,7 @@
     assert not one.lease.is_held()
 
 
-def test_a_released_lease_that_another_node_has_by_now_stays_its_own():
+def test_a_late_release_leaves_another_holders_lease_unchanged():
     register, released = Register(), []
     one = Member(register, "one")
     one.run(TICK_US)
@@ -261,7 +261,7 @@
     assert two.lease.is_holder_suspected() is is_suspected
 
 
-def test_a_record_of_a_newer_version_is_read_and_one_that_is_none_is_refused():
+def test_a_record_of_a_newer_version_is_read_and_an_invalid_one_is_refused():
     register = Register()
     one = Member(register, "one")
     register.value = {"holder": "two", "fence": 4, "renewal": 1, "zone": "north"}
@@ -302,7 +302,7 @@
     assert not one.lease.may_act()
 
 
-def test_who_saw_no_announcement_knows_that_nobody_acted():
+def test_a_node_that_saw_no_announcement_knows_that_no_holder_acted():
     register = Register()
     one, two = Member(register, "one"), Member(register, "two")
     one.run(TICK_US)
@@ -322,7 +322,7 @@
     assert two.lease.are_others_idle()
 
 
-def test_ones_own_announcements_are_no_action_of_others():
+def test_own_announcements_do_not_count_as_actions_of_others():
     register = Register()
     one = Member(register, "one")
     one.run(6 * SECOND_US)
@@ -332,7 +332,7 @@
     assert one.lease.may_act() and one.lease.are_others_idle()
 
 
-def test_a_predecessor_of_a_version_that_announces_nothing_is_never_taken_for_idle():
+def test_a_predecessor_that_does_not_announce_never_counts_as_idle():
     register = Register()
     register.value = {"holder": "old", "fence": 4, "renewal": 7}
     two = Member(register, "two")
--- a/tests/test_quorum_lease.py
+++ b/tests/test_quorum_lease.py
@@ -1,4 +1,4 @@
-"""Quorum leases on shards: who counts for which tenants, step by step in a simulated core."""
+"""Quorum leases on shards, step by step in simulated controllers."""
 
 import statistics
 from itertools import pairwise
@@ -22,9 +22,9 @@
 NUM_SEEDS = 50
 
 
-def settled(seed=1, seats=5):
-    """A core whose shards are with their preferred replicas."""
-    world = LeaseWorld(seed, seats, are_clocks_alike=True)
+def settled_world(seed=1, num_replicas=5):
+    """Return a world whose shards are all owned by their preferred replicas."""
+    world = LeaseWorld(seed, num_replicas, are_clocks_alike=True)
     world.run(SETTLE_US)
     return world
 
@@ -42,11 +42,11 @@
     return [machine.name for machine in world.owners_of(shard)]
 
 
-# a calm core
+# without faults
 
 
 def test_each_shard_is_owned_by_its_preferred_replica_and_all_know_it():
-    world = settled()
+    world = settled_world()
     for shard in SHARDS:
         owner = owner_of(world, shard)
         assert owner.replica.replica_id == preference_order(shard, "abcde")[0]
@@ -55,14 +55,14 @@
 
 
 def test_a_lease_that_is_renewed_stays_in_its_epoch():
-    world = settled()
+    world = settled_world()
     epochs = {shard: owner_of(world, shard).leases.epoch_of(shard) for shard in SHARDS}
     world.run(20 * SECOND_US)
     assert {shard: owner_of(world, shard).leases.epoch_of(shard) for shard in SHARDS} == epochs
 
 
-def test_the_leases_are_the_ownership_that_counting_asks():
-    leases: ShardOwnership = settled().machines[0].leases
+def test_shard_leases_implement_shard_ownership():
+    leases: ShardOwnership = settled_world().machines[0].leases
     assert leases.num_shards == 5
     assert [leases.epoch_of(shard) >= 0 for shard in SHARDS] == [True] * 5
 
@@ -91,8 +91,8 @@
     assert world.num_sent == 0
 
 
-def test_five_replicas_send_at_most_as_much_as_the_page_says():
-    world = settled()
+def test_five_replicas_send_no_more_than_documented():
+    world = settled_world()
     sent, size = world.num_sent, world.bytes_sent
     world.run(10 * SECOND_US)
     assert (world.num_sent - sent) / 10 < 270
@@ -122,8 +122,8 @@
     )
 
 
-def live_until(voter, now_us):
-    """Let the voter's ticks go on until then."""
+def run_until(voter, now_us):
+    """Run the voter's ticks until `now_us`."""
     while voter.time.observed_us < now_us:
         voter.count_elapsed(min(now_us, voter.time.observed_us + TICK_US))
 
@@ -131,12 +131,12 @@
 def voter_from(now_us):
     voter = ShardVoter(5, promise_duration_us(LEASE_US), now_us - promise_duration_us(LEASE_US))
     voter.observe_instance(ReplicaInstance("v", 1))
-    live_until(voter, now_us)
+    run_until(voter, now_us)
     return voter
 
 
 def vote_at(voter, request, now_us):
-    live_until(voter, now_us)
+    run_until(voter, now_us)
     return voter.vote(request, {})
 
 
@@ -151,7 +151,7 @@
     assert granted(voter, request_of("x"), promise_duration_us(LEASE_US) - 1) is None
     assert granted(voter, request_of("x"), promise_duration_us(LEASE_US)) == [0]
     later_us = 10 * SECOND_US
-    live_until(voter, later_us)
+    run_until(voter, later_us)
     voter.observe_instance(None)
     assert granted(voter, request_of("x", 2), later_us) is None
     voter.observe_instance(ReplicaInstance("v", 1))
@@ -169,7 +169,7 @@
     assert granted(voter, request_of("y"), promise_duration_us(LEASE_US)) == [0]
 
 
-def test_a_leap_of_the_clock_ends_no_promise_before_the_lease_that_rests_on_it():
+def test_a_clock_jump_ends_no_promise_before_its_lease():
     voter = voter_from(0)
     assert granted(voter, request_of("x"), 0) == [0]
     leap_us = 40 * SECOND_US
@@ -188,7 +188,7 @@
     voter = voter_from(0)
     granted(voter, request_of("x", 2), 1_000)
     granted(voter, request_of("x", 1, lease_us=1_000), 2_000)
-    live_until(voter, 1_000 + promise_duration_us(LEASE_US) - 1)
+    run_until(voter, 1_000 + promise_duration_us(LEASE_US) - 1)
     assert voter.holder_of(0) is not None
 
 
@@ -200,11 +200,11 @@
     assert granted(voter_from(0), request_of("x", shards=(-1, 5, 4)), 0) == [4]
 
 
-# what counts as won
+# votes and epochs
 
 
 def test_a_late_vote_counts_from_the_sending_of_its_round(monkeypatch):
-    world = settled()
+    world = settled_world()
     owner = owner_of(world, 0)
     votes = []
     hear = Machine.hear
@@ -225,7 +225,7 @@
 
 
 def test_a_shard_that_was_lost_in_between_is_won_in_another_epoch():
-    world = settled()
+    world = settled_world()
     owner = owner_of(world, 0)
     epoch = owner.leases.epoch_of(0)
     for machine in world.machines:
@@ -240,8 +240,8 @@
     assert events[-3:] == ["won", "lost", "won"]
 
 
-def test_a_woken_owner_owns_nothing_before_it_has_asked_again():
-    world = settled()
+def test_a_resumed_owner_owns_nothing_before_it_renewed():
+    world = settled_world()
     owner = owner_of(world, 0)
     owner.freeze()
     world.run(LEASE_US)
@@ -249,7 +249,7 @@
     assert not owner.owns(0)
 
 
-def test_a_vote_for_a_former_start_of_the_process_counts_for_nothing():
+def test_a_vote_for_an_earlier_start_of_the_process_is_ignored():
     world = LeaseWorld(1, are_clocks_alike=True)
     world.run(LEASE_US)
     machine = machine_of(world, "a")
@@ -277,7 +277,7 @@
 
 
 def test_a_vote_is_void_once_another_voter_knows_a_newer_incarnation():
-    world = settled(seats=3)
+    world = settled_world(num_replicas=3)
     owner = owner_of(world, 0)
     others = [machine for machine in world.machines if machine is not owner]
     for machine in (owner, others[1]):
@@ -301,7 +301,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_core_in_two_halves_keeps_every_shard_with_the_majority(seed):
-    world = settled(seed)
+    world = settled_world(seed)
     minority = world.random.sample(world.machines, 2)
     world.split(minority)
     world.run(SECOND_US)
@@ -313,7 +313,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_two_of_five_may_go_at_once(seed):
-    world = settled(seed)
+    world = settled_world(seed)
     for machine in world.random.sample(world.machines, 2):
         machine.end()
     world.run(SECOND_US)
@@ -321,7 +321,7 @@
 
 
 def test_without_a_majority_nobody_owns_a_shard():
-    world = settled()
+    world = settled_world()
     for machine in world.machines[:3]:
         machine.end()
     world.run(LEASE_US)
@@ -331,7 +331,7 @@
 
 
 def test_a_node_that_shuts_down_leaves_its_shards_within_two_ticks():
-    world = settled()
+    world = settled_world()
     owner = owner_of(world, 0)
     done = []
     owner.leases.release(lambda: done.append(True))
@@ -341,7 +341,7 @@
 
 
 def test_a_replica_that_stops_voting_gives_its_shards_up():
-    world = settled()
+    world = settled_world()
     owner = owner_of(world, 0)
     owner.replica.is_voting = False
     world.run(300 * MS)
@@ -370,7 +370,7 @@
 
 
 def test_a_planned_handover_leaves_a_shard_without_an_owner_for_a_few_ms_only():
-    world = settled()
+    world = settled_world()
     owner = owner_of(world, 0)
     replica = owner.replica
     owner.end()
@@ -384,8 +384,8 @@
     assert owner.owns(0) and unowned_us <= 20 * MS
 
 
-def test_an_owner_that_hears_nobody_does_not_keep_others_from_the_shard():
-    world = settled()
+def test_an_owner_that_receives_nothing_does_not_block_others_from_the_shard():
+    world = settled_world()
     owner = owner_of(world, 0)
     world.cut([one for one in world.machines if one is not owner], [owner])
     world.run(SECOND_US)
--- a/tests/test_quorum_lease_safety.py
+++ b/tests/test_quorum_lease_safety.py
@@ -1,4 +1,4 @@
-"""No two nodes own a shard at one time; each mechanism that is taken out breaks that."""
+"""No two nodes own a shard at the same time; disabling any one mechanism breaks that."""
 
 import pytest
 
@@ -16,30 +16,30 @@
 
 
 def no_abstention(monkeypatch):
-    """A replica votes as soon as it is one, whatever was promised before."""
+    """A replica votes at once, ignoring promises from before its start."""
     observe = ShardVoter.observe_instance
 
-    def hasty(self, instance):
+    def observe_without_abstention(self, instance):
         observe(self, instance)
         self.votes_from_us = 0
 
-    monkeypatch.setattr(ShardVoter, "observe_instance", hasty)
+    monkeypatch.setattr(ShardVoter, "observe_instance", observe_without_abstention)
 
 
 def negative_drift_margin(monkeypatch):
-    """A promise ends sooner than the lease that rests on it."""
+    """A promise ends before the lease that rests on it."""
     monkeypatch.setattr(
         quorum_lease_voter, "promise_duration_us", lambda lease_us: lease_us * 9 // 10
     )
 
 
 def no_drift_margin(monkeypatch):
-    """A promise is as long as the lease, by clocks that differ."""
+    """A promise is as long as the lease, while clocks drift."""
     monkeypatch.setattr(quorum_lease_voter, "promise_duration_us", lambda lease_us: lease_us)
 
 
-def leaps_counted(monkeypatch):
-    """A voter counts by its clock, whatever that leaps."""
+def clock_jumps_counted(monkeypatch):
+    """A voter counts clock jumps as elapsed time."""
 
     def by_clock(self, now_us):
         self.elapsed_us += now_us - self.observed_us
@@ -48,105 +48,105 @@
     monkeypatch.setattr(ElapsedTime, "count_elapsed", by_clock)
 
 
-def counted_from_the_answer(monkeypatch):
-    """An owner counts its lease from when the votes came."""
+def counted_from_the_response(monkeypatch):
+    """An owner measures its lease from the arrival of the votes."""
     hold = ShardCandidate._hold
 
-    def late(self, lease, expires_us, now_us):
+    def hold_from_now(self, lease, expires_us, now_us):
         hold(self, lease, now_us + self.times.lease_us, now_us)
 
-    monkeypatch.setattr(ShardCandidate, "_hold", late)
+    monkeypatch.setattr(ShardCandidate, "_hold", hold_from_now)
 
 
-def not_asked_at_each_use(monkeypatch):
-    """An owner counts on until a tick tells it that its lease has expired."""
+def not_checked_at_each_use(monkeypatch):
+    """An owner continues until a tick handles the expiry of its lease."""
     monkeypatch.setattr(ShardLease, "is_owned", lambda self, now_us: self.state.value == "owner")
 
 
 def votes_counted_twice(monkeypatch):
-    """A vote that arrives twice is two votes."""
+    """A vote that arrives twice counts twice."""
     add = LeaseRound.add
 
-    def again(self, vote):
+    def add_twice(self, vote):
         for by_replica in self.granted.values():
             known = by_replica.pop(vote.replica_id, None)
             if known is not None:
                 by_replica[f"{vote.replica_id}+{len(by_replica)}"] = known
         add(self, vote)
 
-    monkeypatch.setattr(LeaseRound, "add", again)
+    monkeypatch.setattr(LeaseRound, "add", add_twice)
     monkeypatch.setattr(
         LeaseRound, "num_granted", lambda self, shard, newest: len(self.granted[shard])
     )
 
 
 def incarnation_not_checked(monkeypatch):
-    """The vote of a replaced instance counts as its successor's does."""
+    """The vote of a replaced instance counts like its successor's."""
     monkeypatch.setattr(LeaseRound, "_newest_of", lambda self, replica_id, newest: 0)
 
 
-def voters_knowledge_not_asked(monkeypatch):
-    """Only what the candidate knows itself makes an older instance's vote void."""
+def voters_knowledge_not_used(monkeypatch):
+    """An older instance's vote is void only if the candidate itself knows a newer one."""
     monkeypatch.setattr(
         LeaseRound, "_newest_of", lambda self, replica_id, newest: newest[replica_id]
     )
 
 
 def release_without_round(monkeypatch):
-    """A release that comes late ends the promise of a later round."""
+    """A late release ends the promise of a later round."""
     on_release = ShardVoter.on_release
 
-    def blind(self, release):
+    def end_all_promises(self, release):
         on_release(self, release)
         for shard in release.shards:
             promise = self.promises.get(shard)
             if promise is not None and promise.start == release.start:
                 promise.expires_us = min(promise.expires_us, self.time.elapsed_us)
 
-    monkeypatch.setattr(ShardVoter, "on_release", blind)
+    monkeypatch.setattr(ShardVoter, "on_release", end_all_promises)
 
 
 def released_rounds_counted(monkeypatch):
-    """Votes of a round count though its shards were released."""
+    """Votes of a round count even after its shards were released."""
     release = ShardCandidate._release
 
-    def forgetful(self, shards, now_us, successor=""):
+    def release_without_marking(self, shards, now_us, successor=""):
         release(self, shards, now_us, successor)
         for shard in shards:
             self.leases[shard].released_round = 0
 
-    monkeypatch.setattr(ShardCandidate, "_release", forgetful)
+    monkeypatch.setattr(ShardCandidate, "_release", release_without_marking)
 
 
-def promise_to_whoever_asks(monkeypatch):
-    """A voter promises a shard again while an earlier promise runs."""
+def promise_to_any_requester(monkeypatch):
+    """A voter promises a shard again while an earlier promise is in force."""
 
-    def lavish(self, shard, request):
+    def promise_again(self, shard, request):
         self.promises.pop(shard, None)
         return promise(self, shard, request)
 
     promise = ShardVoter._promise
-    monkeypatch.setattr(ShardVoter, "_promise", lavish)
+    monkeypatch.setattr(ShardVoter, "_promise", promise_again)
 
 
 SABOTAGES = (
     no_abstention,
     negative_drift_margin,
     no_drift_margin,
-    leaps_counted,
-    counted_from_the_answer,
-    not_asked_at_each_use,
+    clock_jumps_counted,
+    counted_from_the_response,
+    not_checked_at_each_use,
     votes_counted_twice,
     incarnation_not_checked,
-    voters_knowledge_not_asked,
+    voters_knowledge_not_used,
     release_without_round,
     released_rounds_counted,
-    promise_to_whoever_asks,
+    promise_to_any_requester,
 )
 
 
 def first_breach(seeds):
-    """The first seed whose walk has two owners of a shard, None where there is none."""
+    """Return the first seed whose random walk has two owners of a shard, or None."""
     for seed in seeds:
         try:
             Walk(seed).go(WALK_US)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of groups: the token bucket, fair queueing, and the reports as they stand on the wire."""
+"""Quotas of groups: the token bucket, fair queueing, and the wire format of the reports."""
 
 from types import SimpleNamespace
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: what requests of a pool earn, who may spend it, and when it lapses."""
+"""The retry budget: earning by requests of a pool, spending per pool, and expiry."""
 
 from linkhaven.configuration import decode_configuration
 from linkhaven.credit import RetryBudget
@@ -53,7 +53,7 @@
     assert not budget.spend("retry", pool="two")
 
 
-def test_a_pool_that_the_plan_no_longer_names_leaves_nothing_behind():
+def test_the_bucket_of_a_removed_pool_is_dropped():
     budget = budget_with()
     budget.earn("one")
     budget.apply_configuration(configuration_with("two"))
--- a/tests/test_shard_leases_core.py
+++ b/tests/test_shard_leases_core.py
@@ -1,4 +1,4 @@
-"""Leases on shards in whole simulated controllers: real membership, replicas and replacement."""
+"""Leases on shards in simulated controllers with real membership, replicas and replacement."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 class ShardCore:
-    """A core whose owners of shards are sampled all the while."""
+    """Controllers whose owners of shards are sampled every `SAMPLE_US`."""
 
     def __init__(self, seed, seats=5, plan=LIMITED):
         self.core = SimCore(seed, seats=seats).bootstrap(3, seats - 3)
--- a/tests/test_tenant_priority.py
+++ b/tests/test_tenant_priority.py
@@ -1,4 +1,4 @@
-"""A tenant's priority goes before its route's, within the queue that its requests share."""
+"""A tenant's priority overrides its route's, within the queue that its requests share."""
 
 from types import SimpleNamespace
 
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants: the bound over all routers, and nobody refused below the limit."""
+"""Quotas of tenants: the bound over all routers holds, and no tenant below it is refused."""
 
 from types import SimpleNamespace
 
@@ -19,7 +19,7 @@
 from linkhaven.runtime import Bounds
 
 HOT = next(iter(tenants_of_shards(1, 1, 1)))
-"""A tenant of the shard 0."""
+"""A tenant of shard 0."""
 
 BOUNDS = Bounds()
 
@@ -29,7 +29,7 @@
     return QuotaFleet(seed, tenants, **given)
 
 
-# pure parts
+# buckets and meters
 
 
 @pytest.mark.parametrize("rate", [0.2, 1, 7.5, 40, 1_000])
@@ -48,7 +48,7 @@
     assert bucket.retry_wait_us(350_000) == pytest.approx(50_000, abs=2)
 
 
-def test_a_new_owner_calls_a_tenant_over_only_once_a_full_bucket_would_be_spent_too():
+def test_a_new_owner_is_settling_until_a_full_bucket_would_be_spent():
     bucket = TenantBucket(1, limit(10, 5), BOUNDS, won_us=0, now_us=0)
     denied = []
     for step in range(60):
@@ -61,7 +61,7 @@
     assert all(moment_us in over for moment_us, _ in denied if moment_us >= over[0])
 
 
-def test_a_tenant_that_sends_all_along_while_owners_change_is_not_called_over():
+def test_a_tenant_below_its_limit_is_not_denied_while_owners_change():
     fleet = fleet_with(16, rate=6, burst=6, others=0)
     fleet.world.run_for(5 * SECOND)
     fleet.load(HOT, 4, 20)
@@ -90,7 +90,7 @@
     assert bucket.take(1_000, 0, 10 * SECOND) == int(capacity_of(limit(2, 1), BOUNDS))
 
 
-def test_routers_that_are_denied_are_sent_to_different_tokens():
+def test_denied_routers_are_told_to_retry_at_different_times():
     bucket = TenantBucket(1, limit(20, 0), BOUNDS, won_us=0, now_us=0)
     places = [bucket.retry_wait_us(0) for _ in range(3)]
     assert places == sorted(set(places))
@@ -110,7 +110,7 @@
     assert meter.live_slice(80) is spent
 
 
-# the bound and its refusals, without faults
+# bound and refusals without faults
 
 
 def test_a_tenant_at_fifty_times_its_usual_stays_within_its_bound():
@@ -123,12 +123,14 @@
     assert not fleet.violations() and not fleet.faults()
 
 
-@pytest.mark.parametrize("landing", [None, 2, 1], ids=["all routers", "two routers", "one router"])
+@pytest.mark.parametrize(
+    "num_routers", [None, 2, 1], ids=["all routers", "two routers", "one router"]
+)
 @pytest.mark.parametrize("rate,burst", [(20, 10), (1, 4), (0.4, 1), (150, 60)])
-def test_a_tenant_within_its_limit_is_refused_nothing(rate, burst, landing):
+def test_a_tenant_within_its_limit_is_refused_nothing(rate, burst, num_routers):
     fleet = fleet_with(2, rate, burst, others=0)
     fleet.world.run_for(30 * SECOND)
-    fleet.load_within(HOT, rate, burst, 30, fleet.routers[:landing] if landing else None)
+    fleet.load_within(HOT, rate, burst, 30, fleet.routers[:num_routers] if num_routers else None)
     fleet.world.run_for(32 * SECOND)
     assert fleet.asked[HOT] > 0.6 * rate * 30
     assert fleet.refusals == []
@@ -137,15 +139,17 @@
 
 def test_a_hot_tenant_takes_nothing_from_the_others():
     shares = []
-    for heat in (1, 50):
+    for factor in (1, 50):
         fleet = fleet_with(3)
         fleet.world.run_for(2 * SECOND)
         for name in fleet.tenants:
-            fleet.load(name, 12 * (heat if name == HOT else 1), 10)
+            fleet.load(name, 12 * (factor if name == HOT else 1), 10)
         fleet.world.run_for(11 * SECOND)
         shares.append({name: fleet.served(name) / fleet.asked[name] for name in fleet.tenants})
-    calm, hot = shares
-    assert all(calm[name] - hot[name] <= 0.02 for name in calm if name != HOT)
+    without_overload, hot = shares
+    assert all(
+        without_overload[name] - hot[name] <= 0.02 for name in without_overload if name != HOT
+    )
 
 
 def test_a_request_that_was_never_sent_leaves_its_token_to_the_next():
@@ -158,9 +162,13 @@
     fleet.world.run_for(SECOND // 10)
     assert len(held) == 1
     quotas.give_back(held[0])
-    asks = quotas.counts.requests
+    requests_before = quotas.counts.requests
     fleet.send_one(HOT, fleet.routers[:1])
-    assert (quotas.counts.requests, quotas.counts.spent, quotas.counts.given_back) == (asks, 2, 1)
+    assert (quotas.counts.requests, quotas.counts.spent, quotas.counts.given_back) == (
+        requests_before,
+        2,
+        1,
+    )
 
 
 def test_requests_that_are_held_go_on_in_the_order_in_which_they_came():
@@ -189,7 +197,7 @@
     assert fleet.codes(other) == {}
 
 
-# limits that change
+# changed limits
 
 
 def test_a_lowered_limit_binds_a_window_after_it_is_in_force():
@@ -248,10 +256,10 @@
     assert fleet.codes(HOT) == {"quota_unknown": 1}
 
 
-# owners that fail
+# failing owners
 
 
-def test_without_an_owner_requests_are_told_so_early_and_not_that_the_tenant_is_over():
+def test_without_an_owner_requests_fail_early_with_quota_unknown():
     fleet = fleet_with(8)
     for host in fleet.owners:
         host.kill()
@@ -262,7 +270,7 @@
     assert fleet.served(HOT) == 0
 
 
-def test_an_owner_that_dies_is_followed_and_nobody_below_the_limit_is_told_to_be_over():
+def test_after_an_owner_dies_tenants_below_their_limit_are_not_denied():
     fleet = fleet_with(9)
     for name in fleet.tenants:
         fleet.load(name, 12, 16)
@@ -319,11 +327,11 @@
     assert fleet.served(HOT) > 0.9 * 20 * 12
 
 
-# the bound under faults
+# bound under faults
 
 
 class Faults:
-    """Faults of all kinds, one a second or so, each undone before long."""
+    """Random faults of all kinds, about one per second, each undone within seconds."""
 
     def __init__(self, fleet):
         self.fleet, self.world, self.rng = fleet, fleet.world, fleet.rng
@@ -376,7 +384,7 @@
         self.world.after(self.rng.randrange(SECOND, 3 * SECOND), self.world.slow.clear)
 
 
-def rough_run(seed, seconds=20, owners=3, **given):
+def run_with_faults(seed, seconds=20, owners=3, **given):
     fleet = fleet_with(seed, owners=owners, **given)
     names = list(fleet.tenants)
     fleet.load(HOT, 50 * 12, seconds)
@@ -394,17 +402,17 @@
 
 @pytest.mark.parametrize("seed", range(100, 112))
 def test_the_bound_holds_under_kills_cuts_freezes_and_late_messages(seed):
-    fleet = rough_run(seed, owners=3 if seed % 2 else 5, routers=8)
+    fleet = run_with_faults(seed, owners=3 if seed % 2 else 5, routers=8)
     assert max(excesses(fleet).values()) <= 0
     assert not fleet.violations() and not fleet.faults()
     assert fleet.served(HOT) > 20
 
 
-# sabotages: without each mechanism the checker finds the bound broken
+# sabotages: without each mechanism the bound is broken
 
 
 def late_responses():
-    """Responses stand still for some seconds and then come at once, while the tenant is hot."""
+    """Responses are delayed for some seconds and then arrive together, under overload."""
     fleet = fleet_with(11, others=0)
     fleet.load(HOT, 400, 14)
     fleet.world.run_for(3 * SECOND)
@@ -449,7 +457,7 @@
 
 
 def owners_in_turn():
-    """The owner dies again and again, while the tenant is hot."""
+    """The owner dies repeatedly, under overload."""
     fleet = fleet_with(12, rate=20, burst=100, others=0)
     fleet.load(HOT, 400, 14)
     fleet.world.run_for(4 * SECOND)
@@ -476,7 +484,7 @@
 
 
 def halved_core():
-    """The owner of the shard and half of the routers are cut off from the rest."""
+    """The owner of the shard and half of the routers are partitioned from the rest."""
     fleet = fleet_with(13, others=0)
     fleet.load(HOT, 400, 14)
     fleet.world.run_for(4 * SECOND)
--- a/tests/test_tenant_quotas_fleet.py
+++ b/tests/test_tenant_quotas_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants in the whole simulated fleet: real controllers, leases, routers and runners."""
+"""Quotas of tenants in a simulated fleet of real controllers, leases, routers and runners."""
 
 from collections import Counter
 from types import SimpleNamespace
@@ -16,12 +16,12 @@
 TENANTS = tuple(f"institute-{number}" for number in range(6))
 HOT = TENANTS[0]
 RATE, BURST = 6, 4
-USUAL = 2.0
-"""Requests a second of each tenant."""
+BASE_RATE = 2.0
+"""Requests per second of each tenant."""
 
 
 class TenantCaller(Caller):
-    """Sends each request with the key of the tenant that is set."""
+    """Sends each request with the API key of the current `tenant`."""
 
     __slots__ = ("tenant", "tenant_of")
 
@@ -33,7 +33,7 @@
 
 
 class CountingRunner(StandInRunner):
-    """Tells which tenant each request is of that it is asked to run."""
+    """Records the tenant of each request that it receives."""
 
     __slots__ = ("arrivals", "world")
 
@@ -140,7 +140,7 @@
     fleet = started(1)
     assert len(fleet.owners()) == 3
     for name in TENANTS:
-        fleet.load_tenant(name, USUAL * (50 if name == HOT else 1), 10)
+        fleet.load_tenant(name, BASE_RATE * (50 if name == HOT else 1), 10)
     fleet.world.run_for(12 * SECOND)
     assert fleet.excess(HOT) <= 0
     assert fleet.codes(HOT)["done"] > 0.85 * RATE * 10
@@ -153,7 +153,7 @@
 def test_the_bound_holds_while_owners_die_freeze_and_are_cut_off(seed):
     fleet = started(seed)
     for name in TENANTS:
-        fleet.load_tenant(name, 60 if name == HOT else USUAL, 24)
+        fleet.load_tenant(name, 60 if name == HOT else BASE_RATE, 24)
     seats = list(fleet.registries)
     fleet.load_dice.shuffle(seats)
     fleet.world.run_for(3 * SECOND)
@@ -187,7 +187,7 @@
     assert codes["done"] > 0.98 * codes.total()
 
 
-def test_a_callers_leaving_while_its_request_is_held_leaves_nothing_behind():
+def test_a_held_request_is_dropped_when_its_caller_disconnects():
     fleet = started(31)
     for host in fleet.registries.values():
         host.freeze()
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants of a configuration: read, checked, and none with a key of another."""
+"""Tenants of a configuration: decoding, validation, and unique API keys."""
 
 import pytest
 
--- a/tests/test_tenants_in_fleet.py
+++ b/tests/test_tenants_in_fleet.py
@@ -1,4 +1,4 @@
-"""Tenants in a whole simulated fleet: what befalls their keys, and what each mechanism is for."""
+"""Tenants in a simulated fleet: faults of keys and limits, and sabotages of each mechanism."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("fault", TENANT_FAULTS)
-def test_no_rule_breaks_whatever_befalls_tenants(fault):
+def test_no_rule_is_broken_by_faults_of_tenants(fault):
     scenario = play(fault)
     assert scenario.breaches() == {}
     assert scenario.summary()["served"] > 100
@@ -123,7 +123,7 @@
     assert rule in play(fault, rate=16.0 if fault == "lower_limit" else None).breaches()
 
 
-def test_tenants_befall_only_a_deployment_that_has_some():
+def test_tenant_faults_are_drawn_only_for_deployments_with_tenants():
     drawn = {
         deployment: {
             name for seed in range(200) for name, _, _ in draw_course(deployment, seed)["faults"]
@@ -135,7 +135,7 @@
 
 
 def owner_of(fleet, tenant):
-    """The core seat that grants a tenant's quota."""
+    """Return the seat of the controller that grants a tenant's quota."""
     for seat, host in fleet.registries.items():
         leases = host.node.shard_leases
         if leases.is_owned(shard_of(tenant, leases.num_shards), fleet.world.now_us):
@@ -152,12 +152,12 @@
 
 
 def test_a_limit_that_is_raised_ends_the_waits_that_a_new_owner_told_under_the_low_one():
-    """The owner changed while the limit was a request in 20 s: routers were to wait that long."""
+    """A new owner under a limit of one request per 20 s told routers to wait that long."""
     tenant = "institute"
     scenario = Scenario("licensing-tenants", 1).load(1)
     fleet = scenario.fleet
     fleet.stop_load()
-    usual = fleet.tenants.limits[tenant]
+    original_limit = fleet.tenants.limits[tenant]
     fleet.tenants.set_limit(tenant, 0.05, 1)
     scenario.faults._put_tenants()
     fleet.world.run_for(2_000_000)
@@ -165,7 +165,7 @@
     fleet.world.run_for(5_000_000)
     ask_at_each_router(fleet, tenant)
     fleet.world.run_for(1_000_000)
-    fleet.tenants.set_limit(tenant, *usual)
+    fleet.tenants.set_limit(tenant, *original_limit)
     scenario.faults._put_tenants()
     fleet.world.run_for(4_000_000)
     asked = ask_at_each_router(fleet, tenant)
