--- a/packages/pairing/src/linkhaven/pairing/candidate.py
+++ b/packages/pairing/src/linkhaven/pairing/candidate.py
@@ -27,7 +27,7 @@
         "is_eligible",
         "has_memory",
         "has_room",
-        "reads_for_others",
+        "is_mixed",
     )
 
     def __init__(
@@ -56,7 +56,7 @@
         self.queue_wait_us = queue_wait_us
         self.execution_us = execution_us
         self.has_memory = True
-        self.reads_for_others = False
+        self.is_mixed = False
         self.transfer_us = transfer_us
         self.has_room = queue_wait_us == 0 or queue_wait_us < room_us // OVERDUE_PART
         leaves_room = (
--- a/packages/pairing/src/linkhaven/pairing/decoders.py
+++ b/packages/pairing/src/linkhaven/pairing/decoders.py
@@ -16,18 +16,18 @@
 """The share of its places that a runner's streams are meant to take."""
 
 
-UNDISTURBED_LEAST = 2
+MIN_DECODE_ONLY = 2
 
 
 class DecoderSplit:
     """The decode runners of one pool, as two groups of names."""
 
-    __slots__ = ("undisturbed", "reading")
+    __slots__ = ("decode_only", "mixed")
 
-    def __init__(self, undisturbed, reading):
-        """`reading` may be empty: then no decode runner reads for others."""
-        self.undisturbed = frozenset(undisturbed)
-        self.reading = frozenset(reading)
+    def __init__(self, decode_only, mixed):
+        """`mixed` may be empty: then no decode runner reads for others."""
+        self.decode_only = frozenset(decode_only)
+        self.mixed = frozenset(mixed)
 
 
 def split_decoders(runners, streams, held_share):
@@ -42,5 +42,5 @@
     if not slots:
         return DecoderSplit(names, ())
     filled = max((streams + 1) / slots, held_share)
-    count = max(UNDISTURBED_LEAST, math.ceil(filled / COMFORT))
+    count = max(MIN_DECODE_ONLY, math.ceil(filled / COMFORT))
     return DecoderSplit(names[:count], names[count:])
--- a/packages/pairing/src/linkhaven/pairing/estimator.py
+++ b/packages/pairing/src/linkhaven/pairing/estimator.py
@@ -27,9 +27,9 @@
 
     A base and a rate from the plan (halved, as it says, on decode runners), or, where the plan
     tells no rate, a line learned from the reads that were seen; times a factor learned per runner.
-    In a large fleet (`is_blind`) that line is of the reads that all routers saw, by way of the
-    core, and before anything was seen a read counts as nothing, so that the first prompts are
-    placed and show the pace. Test: tests/test_shared_lines.py.
+    In a large fleet (`are_views_late`) that line is of the reads that all routers saw, by way of
+    the core, and before anything was seen a read counts as nothing, so that the first prompts are
+    placed and show the rate. Test: tests/test_shared_lines.py.
     """
 
     __slots__ = (
@@ -41,17 +41,19 @@
         "answer_token_us",
         "links",
         "now_us",
-        "is_blind",
+        "are_views_late",
         "noted_us",
         "others",
         "others_wait",
         "waits",
     )
 
-    def __init__(self, now_us, is_blind=lambda: False):
-        """`is_blind()`: whether the others' queues become known too late to tell them from pace."""
+    def __init__(self, now_us, are_views_late=lambda: False):
+        """`are_views_late()`: whether other routers' queues are known too late to be told from a slow
+        runner.
+        """
         self.now_us = now_us
-        self.is_blind = is_blind
+        self.are_views_late = are_views_late
         self.noted_us = {}
         self.links = LinkSlowdowns(now_us)
         self.settings: PlacementSettings | None = None
@@ -64,20 +66,20 @@
         self.prompt_mean = 1_000.0
         self.answer_token_us = 10_000.0
 
-    def rate(self, phase):
+    def planned_rate(self, phase):
         rate = self.settings.prefill_tokens_per_s or GUESSED_RATE
         return rate * self.settings.decode_prefill_share if phase == DECODE else rate
 
-    def knows_pace(self, phase):
+    def knows_rate(self, phase):
         """Whether the plan or any read has told how fast runners of a phase read."""
         return bool(self.settings.prefill_tokens_per_s) or self._line(phase) is not None
 
-    def pace(self, phase):
+    def known_rate(self, phase):
         """Tokens a second that a runner reads; 0 where neither the plan nor any read told it."""
         line = self._line(phase)
         if line is not None:
             return int(1_000_000 / max(LEAST_TOKEN_US, line[1]))
-        return self.rate(phase) if self.settings.prefill_tokens_per_s else 0
+        return self.planned_rate(phase) if self.settings.prefill_tokens_per_s else 0
 
     def prefill_us(self, tokens, runner):
         if tokens <= 0:
@@ -91,10 +93,10 @@
 
     def _plain_us(self, tokens, phase):
         line = self._line(phase)
-        if line is None and self.is_blind() and not self.settings.prefill_tokens_per_s:
+        if line is None and self.are_views_late() and not self.settings.prefill_tokens_per_s:
             return 0
         if line is None:
-            return self.settings.prefill_base_us + tokens * 1_000_000 / self.rate(phase)
+            return self.settings.prefill_base_us + tokens * 1_000_000 / self.planned_rate(phase)
         return line[0] + tokens * line[1]
 
     def _line(self, phase):
@@ -113,7 +115,7 @@
         other = self._seen_line(other_phase)
         if other is not None:
             return self._converted(other, phase)
-        return own or (self._rough_line(phase, other_phase) if self.is_blind() else None)
+        return own or (self._rough_line(phase, other_phase) if self.are_views_late() else None)
 
     def _converted(self, line, phase):
         """The line of a phase as the other phase's tells it."""
@@ -175,7 +177,7 @@
     def token_us(self, runner):
         """How long one more prompt token takes there."""
         line = self._line(runner.phase)
-        return max(LEAST_TOKEN_US, line[1]) if line else 1_000_000 / self.rate(runner.phase)
+        return max(LEAST_TOKEN_US, line[1]) if line else 1_000_000 / self.planned_rate(runner.phase)
 
     def transfer_us(self, tokens, source=None, target=None):
         planned_us = (
@@ -214,7 +216,7 @@
         fit = self.fits.get(phase)
         if fit is None:
             fit = self.fits[phase] = LineFit()
-        line, above = self._seen_line(phase), ABOVE_SHARE if self.is_blind() else 1.0
+        line, above = self._seen_line(phase), ABOVE_SHARE if self.are_views_late() else 1.0
         is_above = line is not None and seen_us > line[0] + tokens * line[1]
         fit.note(tokens, seen_us, above if is_above else 1.0)
         if line is not None:
--- a/packages/pairing/src/linkhaven/pairing/load_view.py
+++ b/packages/pairing/src/linkhaven/pairing/load_view.py
@@ -85,7 +85,7 @@
         if any(peer.name == name for peer in self.peers()):
             self.heard_us = self.node.now_us()
 
-    def is_deaf(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether there are other routers that this one doesn't hear."""
         return DEAF_US < self.node.now_us() - self.heard_us < ALONE_US
 
--- a/packages/pairing/src/linkhaven/pairing/placement.py
+++ b/packages/pairing/src/linkhaven/pairing/placement.py
@@ -51,31 +51,31 @@
     __slots__ = (
         "node",
         "roster",
-        "fellows",
+        "peers",
         "estimator",
         "load",
         "backoff",
         "exceptions",
         "prefix_caches",
-        "in_place_us",
+        "max_in_place_us",
         "plain",
         "plain_pools",
     )
 
-    def __init__(self, node, roster, fellows=list):
-        """`fellows`: the other routers that run."""
+    def __init__(self, node, roster, peers=list):
+        """`peers`: the other routers that run."""
         self.node = node
         self.roster = roster
-        self.fellows = fellows
+        self.peers = peers
         self.estimator = Estimator(node.now_us, self.is_large)
         self.prefix_caches = PrefixCacheView()
-        self.load = LoadView(node, roster, fellows, self.estimator, self.prefix_caches)
-        self.backoff = RunnerBackoff(node, fellows)
+        self.load = LoadView(node, roster, peers, self.estimator, self.prefix_caches)
+        self.backoff = RunnerBackoff(node, peers)
         self.plain = PlainScheduler(
             node.now_us, node.ports.random, lambda runner: self.load.work_at(runner).total().streams
         )
         self.plain_pools = frozenset()
-        self.in_place_us = NO_BOUND_US
+        self.max_in_place_us = NO_BOUND_US
         self.exceptions = {}
         node.register_handler(QueueViews, self.load.on_queue_views)
         node.register_handler(RunnerShunned, self.backoff.on_runner_shunned)
@@ -93,7 +93,7 @@
         self.estimator.settings = configuration.placement
         targets = (kind.ttft_us for kind in configuration.kinds.values())
         tightest_us = min(targets, default=NO_BOUND_US)
-        self.in_place_us = int(tightest_us * IN_PLACE_SHARE)
+        self.max_in_place_us = int(tightest_us * IN_PLACE_SHARE)
 
     def _note_plain_pools(self):
         self.plain_pools = frozenset(
@@ -108,8 +108,8 @@
         """Tokens a second that all open runners could read."""
         if self.estimator.settings is None:
             return 0
-        pace_of = self.estimator.pace if self.is_large() else self.estimator.rate
-        return sum(pace_of(runner.phase) for runner in self.roster.open_runners())
+        rate_of = self.estimator.known_rate if self.is_large() else self.estimator.planned_rate
+        return sum(rate_of(runner.phase) for runner in self.roster.open_runners())
 
     def _snapshot(self, pool):
         """The runners of a pool as they are now, for one choice."""
@@ -141,7 +141,7 @@
         for runner in runners:
             if runner.phase == PREFILL:
                 shares[runner] = 1.0
-            elif split is not None and runner.name in split.reading and not work.has_long_answer:
+            elif split is not None and runner.name in split.mixed and not work.has_long_answer:
                 shares[runner] = self.estimator.settings.decode_prefill_share
         return self.prefix_caches.affinity_runner(shares, work)
 
@@ -179,7 +179,7 @@
             )
             execution_us = self.estimator.prefill_us(uncached_tokens, runner)
             transfer_us, start_us = (
-                self._hand_over_us(runner, work, without, snapshot)
+                self._transfer_us(runner, work, without, snapshot)
                 if runner.phase == PREFILL
                 else (0, 0)
             )
@@ -200,7 +200,7 @@
                 typical_us,
             )
             if runner.phase == DECODE and split is not None:
-                candidate.reads_for_others = runner.name in split.reading
+                candidate.is_mixed = runner.name in split.mixed
                 if not self._may_read_in_place(candidate, work, split):
                     candidate.is_eligible = False
             if self.load.work_at(runner).would_overtake(uncached_tokens, now_us):
@@ -238,7 +238,7 @@
 
     def _are_readers_behind(self):
         """Whether reads wait longer at prefill runners than a read in place may take, as all routers saw lately."""
-        return self.estimator.wait_us(PREFILL) > self.in_place_us
+        return self.estimator.wait_us(PREFILL) > self.max_in_place_us
 
     def _may_read_in_place(self, candidate, work, split):
         """Whether a prompt may be read beside the streams of a decode runner.
@@ -246,12 +246,12 @@
         Those of short answers at the runners that read for others; any where its stream belongs,
         as long as queue and read are only a part of the tightest target.
         """
-        if candidate.reads_for_others:
+        if candidate.is_mixed:
             return not work.has_long_answer
-        if self.is_large() and not self.estimator.knows_pace(DECODE):
+        if self.is_large() and not self.estimator.knows_rate(DECODE):
             return False
-        is_brief = candidate.queue_wait_us + candidate.execution_us <= self.in_place_us
-        return is_brief and (work.has_long_answer or not split.reading)
+        is_brief = candidate.queue_wait_us + candidate.execution_us <= self.max_in_place_us
+        return is_brief and (work.has_long_answer or not split.mixed)
 
     def _least(self, candidates, worth):
         worths = [worth(candidate) for candidate in candidates]
@@ -336,7 +336,7 @@
 
     def _harm_us(self, candidate):
         """What a read in place costs the streams of its runner; none where it is there to read."""
-        if candidate.runner.phase != DECODE or candidate.reads_for_others:
+        if candidate.runner.phase != DECODE or candidate.is_mixed:
             return 0
         return self.load.work_at(candidate.runner).total().streams * candidate.execution_us
 
@@ -369,7 +369,7 @@
         runners = [runner for runner in snapshot.decoders if runner.name not in without]
         if not runners:
             return None
-        runners = self._sample(self._undisturbed(runners, pool, snapshot))
+        runners = self._sample(self._prefer_decode_only(runners, pool, snapshot))
         if source is not None:
             times = {
                 runner.name: self.estimator.transfer_us(tokens, source, runner)
@@ -384,11 +384,11 @@
             lambda runner: (snapshot.start_us(runner) // START_US, snapshot.kv_share(runner)),
         )
 
-    def _undisturbed(self, runners, pool, snapshot):
+    def _prefer_decode_only(self, runners, pool, snapshot):
         """Of these decode runners, those that read for nobody else, if there are any."""
         if pool is None:
             return runners
-        names = snapshot.split.undisturbed
+        names = snapshot.split.decode_only
         return [runner for runner in runners if runner.name in names] or runners
 
     def _choose_plain(self, without, pool):
@@ -408,7 +408,7 @@
         over = self.load.work_at(runner).total().streams + 1 - runner.slots
         return wait_us + max(0, over) * int(self.estimator.stream_us) // runner.slots
 
-    def _hand_over_us(self, source, work, without, snapshot):
+    def _transfer_us(self, source, work, without, snapshot):
         """How long the transfer to the decode runner that would be chosen takes, and its start."""
         target = self._target_of(source, work, without, snapshot)
         is_waited_for = target is not None and work.pool is not None
@@ -420,13 +420,13 @@
             return self._choose_plain(without, work.pool)
         return self._choose_decode(snapshot, without, source, work.tokens, work.pool)
 
-    def note_begin(self, source, target, tokens, seen_us):
+    def note_decode_start(self, source, target, tokens, seen_us):
         """A decode began after its hand-over; a runner short of memory tells nothing of the link."""
         if self.load.kv_share(target) >= FULL_SHARE:
             return
         news = self.estimator.note_transfer(source, target, tokens, seen_us)
-        for fellow in self.fellows() if news else ():
-            self.node.send(fellow.address, LinkSample(*news))
+        for peer in self.peers() if news else ():
+            self.node.send(peer.address, LinkSample(*news))
 
     def on_link_sample(self, message):
         """Learn how slow a link is from a hand-over of another router."""
@@ -450,7 +450,7 @@
             return
         alone_tokens, begun_us = work_there.predictions.pop(attempt)
         self.load.on_changed(runner, work_there)
-        if is_seen and not self.load.is_deaf():
+        if is_seen and not self.load.is_isolated():
             self.estimator.note_prefill(
                 runner.name,
                 runner.phase,
--- a/packages/pairing/src/linkhaven/pairing/runner_backoff.py
+++ b/packages/pairing/src/linkhaven/pairing/runner_backoff.py
@@ -56,7 +56,7 @@
         if until_us > self.ejected.get(message.runner, NEVER)[0]:
             self.ejected[message.runner] = (until_us, span_us)
 
-    def note_hand_over(self, runner: Runner) -> None:
+    def note_transfer_done(self, runner: Runner) -> None:
         """A hand-over from it went well."""
         self.ejected.pop((runner.name, runner.incarnation), None)
 
--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -29,10 +29,10 @@
         self.attempts.roster.note_alive(self.runner)
         request, now_us, pairing = self.request, self.attempts.node.now_us(), self.attempts.pairing
         if request.handle:
-            pairing.note_begin(
+            pairing.note_decode_start(
                 request.handle[1], self.runner, request.prompt_tokens, now_us - request.progress_us
             )
-            pairing.backoff.note_hand_over(request.handle[1])
+            pairing.backoff.note_transfer_done(request.handle[1])
             request.handle = None
         request.progress_us = now_us
         if request.run is None:
--- a/tests/test_shared_lines.py
+++ b/tests/test_shared_lines.py
@@ -8,7 +8,7 @@
 from linkhaven.configuration import PlacementSettings
 from linkhaven.controller.figure_relay import FigureRelay
 from linkhaven.pairing import PrefillWork
-from linkhaven.pairing.decoders import UNDISTURBED_LEAST, split_decoders
+from linkhaven.pairing.decoders import MIN_DECODE_ONLY, split_decoders
 from linkhaven.pairing.estimator import Estimator
 from linkhaven.pairing.fit import LineFit
 from linkhaven.pairing.kept import PrefixCacheView
@@ -35,9 +35,11 @@
 class Fleet:
     """Some routers' estimators on one clock, which hear each other's sums."""
 
-    def __init__(self, count, is_blind=True):
+    def __init__(self, count, are_views_late=True):
         self.now = SECOND
-        self.estimators = [Estimator(lambda: self.now, lambda: is_blind) for _ in range(count)]
+        self.estimators = [
+            Estimator(lambda: self.now, lambda: are_views_late) for _ in range(count)
+        ]
         for estimator in self.estimators:
             estimator.settings = SETTINGS
 
@@ -51,15 +53,15 @@
 
 def test_before_any_read_nothing_is_known_and_nothing_read_in_place():
     estimator = Fleet(1).estimators[0]
-    assert estimator.prefill_us(9_000, runner("r")) == 0 and estimator.pace(PREFILL) == 0
-    assert not estimator.knows_pace(DECODE)
+    assert estimator.prefill_us(9_000, runner("r")) == 0 and estimator.known_rate(PREFILL) == 0
+    assert not estimator.knows_rate(DECODE)
     estimator.note_prefill("r", PREFILL, 9_000, 30_000)
-    assert estimator.prefill_us(9_000, runner("r")) == 30_000 and estimator.knows_pace(DECODE)
+    assert estimator.prefill_us(9_000, runner("r")) == 30_000 and estimator.knows_rate(DECODE)
     assert estimator.prefill_us(9_000, runner("d", DECODE)) == 60_000
 
 
 def test_in_a_small_fleet_a_pace_is_guessed_before_a_line_is_seen():
-    estimator = Fleet(1, is_blind=False).estimators[0]
+    estimator = Fleet(1, are_views_late=False).estimators[0]
     guessed_us = estimator.prefill_us(9_000, runner("r"))
     assert guessed_us > 400_000
     estimator.note_prefill("r", PREFILL, 9_000, 30_000)
@@ -132,9 +134,9 @@
     for _ in range(5):
         dice.shuffle(runners)
         again = split_decoders(runners, 3, 0.0)
-        assert (again.undisturbed, again.reading) == (split.undisturbed, split.reading)
-    assert len(split.undisturbed) == min(count, UNDISTURBED_LEAST)
-    assert not split.undisturbed & split.reading
+        assert (again.decode_only, again.mixed) == (split.decode_only, split.mixed)
+    assert len(split.decode_only) == min(count, MIN_DECODE_ONLY)
+    assert not split.decode_only & split.mixed
 
 
 @pytest.mark.parametrize(
@@ -144,11 +146,11 @@
 def test_as_many_keep_undisturbed_as_streams_and_memory_need(streams, held, undisturbed):
     runners = [runner(f"i-{place}", DECODE) for place in range(10)]
     split = split_decoders(runners, streams, held)
-    assert (len(split.undisturbed), len(split.reading)) == (undisturbed, 10 - undisturbed)
+    assert (len(split.decode_only), len(split.mixed)) == (undisturbed, 10 - undisturbed)
 
 
 def test_without_known_places_nobody_reads_for_others():
-    assert not split_decoders([runner("a", DECODE, 0), runner("b", DECODE, 0)], 0, 0.0).reading
+    assert not split_decoders([runner("a", DECODE, 0), runner("b", DECODE, 0)], 0, 0.0).mixed
 
 
 # homes of parts
--- a/tests/test_spread_streams.py
+++ b/tests/test_spread_streams.py
@@ -17,7 +17,7 @@
 def large_policy():
     policy = policy_over(READERS, DECODERS)
     policy.load.peers = lambda: PEERS
-    policy.in_place_us = 200_000
+    policy.max_in_place_us = 200_000
     return policy
 
 
@@ -52,4 +52,4 @@
     candidates = policy.evaluate_candidates(
         PrefillWork(500, (), POOL, has_long_answer=False), 800_000
     )
-    assert any(candidate.reads_for_others for candidate in candidates)
+    assert any(candidate.is_mixed for candidate in candidates)
