--- a/packages/controller/src/linkhaven/controller/runner_discovery.py
+++ b/packages/controller/src/linkhaven/controller/runner_discovery.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 from linkhaven.api import ServiceError
-from linkhaven.runner import Runner, Starts
+from linkhaven.runner import IncarnationHistory, Runner
 from linkhaven.runtime import Node
 
 from .runner_health import RunnerHealth
@@ -113,7 +113,7 @@
         self.list = RunnerList()
         self.runners = self.list.runners
         self.health = RunnerHealth(node, self.list)
-        self.starts = Starts()
+        self.starts = IncarnationHistory()
         self.since_us: int | None = None
         self.listed_us: int | None = None
         self.first_listed_us: int | None = None
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -306,7 +306,7 @@
         if runner.is_plain() and code not in NO_FAILURE:
             self.pairing.plain.note_failed(runner)
         if not has_begun:
-            self.roster.note_dark(runner)
+            self.roster.note_unresponsive(runner)
         elif code in TURNED_AWAY:
             self.roster.note_alive(runner)
         if code in GONE:
--- a/packages/router/src/linkhaven/router/native.py
+++ b/packages/router/src/linkhaven/router/native.py
@@ -1,6 +1,6 @@
 from linkhaven.api import ServiceError, check_document
 from linkhaven.configuration import digest_api_key
-from linkhaven.runner.pieces import read_place, write_event
+from linkhaven.runner.pieces import parse_event_id, write_event
 from linkhaven.runtime import read_json
 
 ERROR_EVENT = "trouble"
@@ -56,7 +56,7 @@
         told = request.call.headers.get("last-event-id")
         if not told:
             return None
-        place = read_place(told)
+        place = parse_event_id(told)
         if place is None:
             raise ServiceError("bad_resume", told=told[:100])
         return place
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -259,9 +259,9 @@
             facts["extra"] = self.extra.demand_report()
         facts["usage"] = self.credit.usage_reports()
         is_keeping = is_roster or pace.is_sender(seat, "steward", now_us)
-        facts["evidence"] = self.roster.tell_evidence(is_keeping)
+        facts["evidence"] = self.roster.evidence_rows(is_keeping)
         facts["rates"] = [*self.rates, self.pairing.estimator.learned_prefill_rate()]
-        facts["roster"] = self.roster.place
+        facts["roster"] = self.roster.version
         facts["steward"] = self.steward_place
         if is_roster and self.pairing.is_large():
             facts["views"] = self.pairing.load.own_rows()
@@ -270,7 +270,7 @@
             facts["outcomes"] = self.pairing.plain.own_rows()
         newest_grant = max(self.extra.grant_number, self.credit.newest_grant())
         facts["fences"] = {
-            "roster": self.roster.place[0],
+            "roster": self.roster.version[0],
             "steward": self.steward_place[0],
             "bursar": newest_grant // GRANT_NUMBERS_PER_FENCE,
         }
@@ -406,7 +406,7 @@
         has_room = self.callers.piece(request, piece)
         if not has_room and request.part is not None and not call.is_ended:
             request.is_held = True
-            request.part.outing.hold()
+            request.part.call.hold()
 
     def _release(self, request):
         if not request.is_held:
@@ -414,7 +414,7 @@
         request.is_held = False
         request.progress_us = self.now_us()
         if request.part is not None:
-            request.part.outing.release()
+            request.part.call.release()
 
     def end_done(self, request):
         if not request.call.is_begun:
--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -39,7 +39,7 @@
             request.run = run
         if not request.call.is_begun:
             request.head = head
-        is_same_run = request.run == run or self.attempts.desk.joins_runs
+        is_same_run = request.run == run or self.attempts.desk.allows_run_change
         if not run or not is_same_run or after != request.written:
             self._break("another run or place than asked for")
 
--- a/packages/router/src/linkhaven/router/silence.py
+++ b/packages/router/src/linkhaven/router/silence.py
@@ -32,11 +32,11 @@
         if self._is_lost(request, now_us):
             return "its runner is dark"
         if request.state == states.DECODING and self._is_quiet(request, now_us):
-            self.attempts.roster.note_dark(request.runner)
+            self.attempts.roster.note_unresponsive(request.runner)
             return "no progress"
         is_reading = request.state == states.READING and not request.parked
         if is_reading and self._is_read_quiet(request, now_us):
-            self.attempts.roster.note_dark(request.runner)
+            self.attempts.roster.note_unresponsive(request.runner)
             return "no answer to the read"
         return None
 
--- a/packages/runner/src/linkhaven/runner/__init__.py
+++ b/packages/runner/src/linkhaven/runner/__init__.py
@@ -2,7 +2,7 @@
 
 from .adapter import RunnerClient
 from .pieces import Piece, PieceReader, write_event
-from .roster import PLAIN, Roster, Runner, Starts
+from .roster import PLAIN, IncarnationHistory, Roster, Runner
 
 __all__ = [
     "PLAIN",
@@ -11,6 +11,6 @@
     "Roster",
     "Runner",
     "RunnerClient",
-    "Starts",
+    "IncarnationHistory",
     "write_event",
 ]
--- a/packages/runner/src/linkhaven/runner/adapter.py
+++ b/packages/runner/src/linkhaven/runner/adapter.py
@@ -23,12 +23,12 @@
     `has_begun` tells whether the runner may have begun the work; False only if it can't have.
     """
 
-    __slots__ = ("done", "outing", "status", "body", "is_done")
+    __slots__ = ("done", "call", "status", "body", "is_done")
 
     def __init__(self, done):
-        """Await an answer; the caller sets `outing`, the call that can be closed."""
+        """Await an answer; the caller sets `call`, the call that can be closed."""
         self.done = done
-        self.outing = None
+        self.call = None
         self.status = 0
         self.body = b""
         self.is_done = False
@@ -70,8 +70,8 @@
 
     def close(self):
         """Close the call."""
-        if self.outing is not None:
-            self.outing.close()
+        if self.call is not None:
+            self.call.close()
 
     def abandon(self):
         """Close the call without calling `done`."""
@@ -86,13 +86,13 @@
     either `on_done(piece)` or `on_error(error, has_begun)`.
     """
 
-    __slots__ = ("request", "handler", "outing", "status", "body", "reader", "is_over")
+    __slots__ = ("request", "handler", "call", "status", "body", "reader", "is_over")
 
     def __init__(self, request, handler):
         """Await the stream of the request with this id."""
         self.request = request
         self.handler = handler
-        self.outing = None
+        self.call = None
         self.status = 0
         self.body = b""
         self.reader = PieceReader()
@@ -148,29 +148,29 @@
         if self.is_over:
             return
         self.is_over = True
-        if self.outing is not None:
-            self.outing.close()
+        if self.call is not None:
+            self.call.close()
         self.handler.on_error(error, has_begun)
 
     def abandon(self):
         """Close the call; the handler hears nothing more."""
         self.is_over = True
-        if self.outing is not None:
-            self.outing.close()
+        if self.call is not None:
+            self.call.close()
 
 
 class RunnerClient:
     """The client of runners that speak our own protocol, which the OpenAPI file describes.
 
     Another protocol has a class with the same methods. `prefill_counts_as_begun`: a prompt that was
-    prefilled counts as begun work. `joins_runs`: a new run may continue after the last piece of
-    another.
+    prefilled counts as begun work. `allows_run_change`: a new run may continue after the last piece
+    of another.
     """
 
     __slots__ = ("node",)
 
     prefill_counts_as_begun = True
-    joins_runs = False
+    allows_run_change = False
 
     def __init__(self, node):
         """Call by the node's ports."""
@@ -179,7 +179,7 @@
     def _call(self, address, method, path, document, part, headers=HEADERS):
         body = write_json(document) if document is not None else b""
         handler = ResponseHandler(part.on_head, part.on_data, part.on_end, part.on_error)
-        part.outing = self.node.ports.network.open(address, method, path, headers, body, handler)
+        part.call = self.node.ports.network.open(address, method, path, headers, body, handler)
         return part
 
     def _headers_of(self, request):
--- a/packages/runner/src/linkhaven/runner/pieces.py
+++ b/packages/runner/src/linkhaven/runner/pieces.py
@@ -29,7 +29,7 @@
         self.document = document
 
 
-def read_place(text):
+def parse_event_id(text):
     """Read an id `run:number`; return both, or None where it is malformed."""
     run, _, number = text.rpartition(":")
     if not run or not number.isascii() or not number.isdigit() or len(run) > RUN_CHARACTERS:
@@ -62,7 +62,7 @@
         for line in block.split(b"\n"):
             name, _, value = line.partition(b": ")
             fields[name] = value
-        place = read_place(fields.get(b"id", b"").decode("utf-8", "replace"))
+        place = parse_event_id(fields.get(b"id", b"").decode("utf-8", "replace"))
         run, number = place or ("", 0)
         event = fields.get(b"event", b"").decode("utf-8", "replace")
         try:
--- a/packages/runner/src/linkhaven/runner/roster.py
+++ b/packages/runner/src/linkhaven/runner/roster.py
@@ -6,13 +6,13 @@
 PLAIN = "plain"
 """A runner without an engine: it reads no prompt, plays no phase and gives no report."""
 
-DARK_US = 1_500_000
+EVIDENCE_LIFETIME_US = 1_500_000
 """How long this node's own evidence on a runner counts."""
 
 ALIVE_US = 500_000
 """How long a byte from a runner outweighs the word of others that it is dark."""
 
-FORMER = 8
+MAX_FORMER_INCARNATIONS = 8
 """How many former incarnations of a runner are remembered."""
 
 
@@ -159,7 +159,7 @@
         }
 
 
-class Starts:
+class IncarnationHistory:
     """Which incarnations of a runner are over.
 
     A runner's own report names its incarnation; after its clock was set back that number is lower
@@ -182,7 +182,7 @@
             return False
         if incarnation < runner.incarnation and not is_reported:
             return False
-        self.former[runner.name] = (*former, runner.incarnation)[-FORMER:]
+        self.former[runner.name] = (*former, runner.incarnation)[-MAX_FORMER_INCARNATIONS:]
         return True
 
     def forget(self, names):
@@ -194,20 +194,20 @@
 class Roster:
     """A router's list of runners: told by the holder of the duty `roster`, corrected by evidence.
 
-    The evidence is what this router itself saw of a runner; it counts for `DARK_US`.
+    The evidence is what this router itself saw of a runner; it counts for `EVIDENCE_LIFETIME_US`.
     """
 
-    __slots__ = ("node", "runners", "place", "taken_us", "evidence", "on_new", "starts")
+    __slots__ = ("node", "runners", "version", "taken_us", "evidence", "on_new", "incarnations")
 
     def __init__(self, node):
         """Start empty, older than any list."""
         self.node = node
         self.runners = Table()
-        self.place = (0, 0)
+        self.version = (0, 0)
         self.taken_us = None
         self.evidence = {}
         self.on_new = []
-        self.starts = Starts()
+        self.incarnations = IncarnationHistory()
 
     def is_fresh(self):
         """Whether the list is recent enough to place work by it."""
@@ -223,17 +223,17 @@
         """
         place = (document["fence"], document["serial"])
         if "runners" not in document:
-            if place == self.place:
+            if place == self.version:
                 self.taken_us = sent_us - document["age_us"]
             return
-        if place <= self.place:
+        if place <= self.version:
             return
         if "since" in document:
-            if self.place == (document["fence"], document["since"]):
+            if self.version == (document["fence"], document["since"]):
                 self._take_changes(document, sent_us)
             return
         now_us, before_us = self.node.now_us(), self.taken_us
-        self.place = place
+        self.version = place
         self.taken_us = sent_us - document["age_us"]
         named = set()
         for record in document["runners"]:
@@ -245,7 +245,7 @@
 
     def _take_changes(self, document, sent_us):
         now_us, before_us = self.node.now_us(), self.taken_us
-        self.place = (document["fence"], document["serial"])
+        self.version = (document["fence"], document["serial"])
         self.taken_us = sent_us - document["age_us"]
         for record in document["runners"]:
             self._take_record(record, now_us, before_us)
@@ -256,17 +256,17 @@
         for name in document["gone"]:
             self.runners.drop(name)
         for runner in self.runners.values():
-            self._weigh_dark(runner, now_us)
+            self._update_unresponsive(runner, now_us)
         self._end_taking()
 
     def _end_taking(self):
-        self.starts.forget(self.runners)
+        self.incarnations.forget(self.runners)
         for hear in self.on_new:
             hear()
 
     def _take_record(self, record, now_us, before_us):
         runner = self.runners.get(record["name"])
-        was_known = runner is not None and not self.starts.is_new(
+        was_known = runner is not None and not self.incarnations.is_new(
             runner, record["incarnation"], record["age_us"] is not None
         )
         if not was_known:
@@ -287,9 +287,9 @@
         if runner.is_leaving and was_serving:
             runner.serves_until_us = before_us + self.node.bounds.stand_in_us
         runner.is_reported_unresponsive = record["is_dark"]
-        self._weigh_dark(runner, now_us)
+        self._update_unresponsive(runner, now_us)
 
-    def _weigh_dark(self, runner, now_us):
+    def _update_unresponsive(self, runner, now_us):
         is_reported = runner.is_reported_unresponsive and not self._is_alive_first_hand(
             runner, now_us
         )
@@ -297,7 +297,7 @@
 
     def _is_unresponsive_first_hand(self, runner, now_us):
         seen = self.evidence.get((runner.name, runner.incarnation, "dark"))
-        return seen is not None and now_us - seen <= DARK_US
+        return seen is not None and now_us - seen <= EVIDENCE_LIFETIME_US
 
     def _is_alive_first_hand(self, runner, now_us):
         return runner.alive_us is not None and now_us - runner.alive_us <= ALIVE_US
@@ -312,16 +312,19 @@
     def note_silent(self, runner):
         """Note that a runner owes this router answers and sends no byte.
 
-        Other runners are preferred until it sends one, or for `DARK_US`.
+        Other runners are preferred until it sends one, or for `EVIDENCE_LIFETIME_US`.
         """
         runner.silent_us = self.node.now_us()
         self.evidence.setdefault((runner.name, runner.incarnation, "silent"), runner.silent_us)
 
     def is_silent(self, runner):
-        """Whether a runner was noted as silent within `DARK_US`."""
-        return runner.silent_us is not None and self.node.now_us() - runner.silent_us <= DARK_US
+        """Whether a runner was noted as silent within `EVIDENCE_LIFETIME_US`."""
+        return (
+            runner.silent_us is not None
+            and self.node.now_us() - runner.silent_us <= EVIDENCE_LIFETIME_US
+        )
 
-    def note_dark(self, runner):
+    def note_unresponsive(self, runner):
         """Note that a runner can't be reached, or has been silent for too long."""
         runner.alive_us = None
         self.evidence[(runner.name, runner.incarnation, "dark")] = self.node.now_us()
@@ -336,14 +339,14 @@
         runner.is_leaving = True
         runner.serves_until_us = 0
 
-    def tell_evidence(self, is_keeping=True):
+    def evidence_rows(self, is_keeping=True):
         """Return rows of name, incarnation, what was seen and its age in microseconds.
 
         A seat that keeps no list (`is_keeping` is False) is told only who leaves.
         """
         now_us = self.node.now_us()
         for key, seen_us in list(self.evidence.items()):
-            if now_us - seen_us > DARK_US:
+            if now_us - seen_us > EVIDENCE_LIFETIME_US:
                 del self.evidence[key]
         if not is_keeping:
             return [
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -211,7 +211,7 @@
         world.run_for(SECOND)
         old.start()
         world.run_for(6 * SECOND)
-    known = fleet.routers["edge-1"].node.roster.place[0]
+    known = fleet.routers["edge-1"].node.roster.version[0]
     assert known >= 3
     for host in fleet.registries.values():
         host.kill()
@@ -219,7 +219,9 @@
     for host in fleet.registries.values():
         host.start()
     router = fleet.routers["edge-1"].node
-    assert world.wait_for(lambda: fleet.is_ready() and router.roster.place[0] > known, 12 * SECOND)
+    assert world.wait_for(
+        lambda: fleet.is_ready() and router.roster.version[0] > known, 12 * SECOND
+    )
     assert world.wait_for(lambda: holder_of(fleet, "steward"), 5 * SECOND)
     fleet.runners["runner-3"].node.fence = 50
     role_balancer = holder_of(fleet, "steward").node.role_balancer
@@ -559,7 +561,7 @@
         "done"
     }
     assert holder_of(fleet, "roster") is not old
-    marks = {host.node.roster.place[0] for host in fleet.routers.values()}
+    marks = {host.node.roster.version[0] for host in fleet.routers.values()}
     assert marks == {holder_of(fleet, "roster").node.leases["roster"].fencing_token}
 
 
@@ -575,7 +577,7 @@
     assert fleet.is_ready()
     held = holder_of(fleet, "roster").node.leases["roster"].fencing_token
     assert held > fence
-    assert {host.node.roster.place[0] for host in fleet.routers.values()} == {held}
+    assert {host.node.roster.version[0] for host in fleet.routers.values()} == {held}
 
 
 def test_an_exchanged_holder_that_wakes_beside_its_successor_takes_no_duty():
@@ -632,7 +634,7 @@
     fleet.settle()
     told = fleet.summary(begun_us)
     assert told["served"] >= 0.85 * told["asked"]
-    assert {host.node.roster.place[0] > 1 for host in fleet.routers.values()} == {True}
+    assert {host.node.roster.version[0] > 1 for host in fleet.routers.values()} == {True}
 
 
 def test_runners_that_stop_reporting_go_on_serving_while_their_streams_do():
@@ -655,7 +657,7 @@
     fleet.stop_load()
     fleet.runners["runner-4"].kill()
     router = fleet.routers["edge-1"].node
-    router.roster.note_dark(router.roster.runners["runner-4"])
+    router.roster.note_unresponsive(router.roster.runners["runner-4"])
     world.run_for(SECOND)
     assert {
         host.node.roster.runners["runner-4"].is_unresponsive for host in fleet.routers.values()
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -214,10 +214,10 @@
     assert fleet.open() == ["d-1", "d-2", "p-1"]
     fleet.run_for(100_000)
     assert fleet.open() == ["d-2", "p-1"]
-    assert [told[:3] for told in fleet.roster.tell_evidence()] == [["d-1", 1, "silent"]]
+    assert [told[:3] for told in fleet.roster.evidence_rows()] == [["d-1", 1, "silent"]]
     fleet.roster.note_alive(fleet.roster.runners["d-1"])
     assert fleet.open() == ["d-1", "d-2", "p-1"]
-    assert [told[:3] for told in fleet.roster.tell_evidence()] == [["d-1", 1, "alive"]]
+    assert [told[:3] for told in fleet.roster.evidence_rows()] == [["d-1", 1, "alive"]]
 
 
 def test_the_reads_that_wait_there_have_their_time():
--- a/tests/test_gone_runner.py
+++ b/tests/test_gone_runner.py
@@ -25,7 +25,7 @@
         backoff=SimpleNamespace(note_turned_away=lambda runner: heard.append("turned away")),
     )
     roster = SimpleNamespace(
-        note_dark=lambda runner: heard.append("dark"),
+        note_unresponsive=lambda runner: heard.append("dark"),
         note_alive=lambda runner: heard.append("alive"),
     )
     request = Request("r-1", SimpleNamespace(is_begun=False), 0)
@@ -66,7 +66,9 @@
         backoff=SimpleNamespace(eject=lambda runner: None, note_turned_away=lambda runner: None),
     )
     roster = SimpleNamespace(
-        note_leaving=closed.append, note_dark=lambda runner: None, note_alive=lambda runner: None
+        note_leaving=closed.append,
+        note_unresponsive=lambda runner: None,
+        note_alive=lambda runner: None,
     )
     request = Request("r-1", SimpleNamespace(is_begun=False), 0)
     request.kind = RequestKind("g", SECOND, SECOND, SECOND, is_idempotent=True)
--- a/tests/test_resumed_head.py
+++ b/tests/test_resumed_head.py
@@ -19,7 +19,7 @@
         node=SimpleNamespace(now_us=lambda: 5),
         pairing=None,
         roster=roster,
-        desk=SimpleNamespace(joins_runs=True),
+        desk=SimpleNamespace(allows_run_change=True),
     )
     return Relay(attempts, request, "runner")
 
--- a/tests/test_runner_list_delta.py
+++ b/tests/test_runner_list_delta.py
@@ -117,7 +117,7 @@
             clock.at_us += 100_000
             for _ in range(dice.randrange(4)):
                 change_something(runner_discovery, dice, 10 + 100 * step + dice.randrange(90))
-            document = runner_discovery.document(by_changes.place)
+            document = runner_discovery.document(by_changes.version)
             parts += "since" in document
             by_changes.take(document, clock.at_us)
             by_whole.take(runner_discovery.whole(), clock.at_us)
@@ -129,14 +129,14 @@
     clock = Clock()
     runner_discovery, roster = Keeper(clock, ["runner-1"]), Roster(clock)
     roster.take(runner_discovery.whole(), clock.at_us)
-    place = roster.place
+    place = roster.version
     runner_discovery.report("runner-1", queued=5)
     missed = runner_discovery.document(place)
     runner_discovery.list(["runner-1", "runner-2"])
     roster.take(runner_discovery.document(place), clock.at_us)
     assert set(roster.runners) == {"runner-1", "runner-2"}
     roster.take({**missed, "serial": runner_discovery.serial + 9}, clock.at_us)
-    assert roster.place == (1, runner_discovery.serial)
+    assert roster.version == (1, runner_discovery.serial)
 
 
 def test_a_list_begun_anew_and_one_that_forgot_the_gone_are_told_whole():
@@ -176,9 +176,9 @@
     runner_discovery, roster = Keeper(clock, ["runner-1", "runner-2"]), Roster(clock)
     runner_discovery.report("runner-1")
     roster.take(runner_discovery.whole(), clock.at_us)
-    roster.note_dark(roster.runners["runner-1"])
+    roster.note_unresponsive(roster.runners["runner-1"])
     assert roster.runners["runner-1"].is_unresponsive
     clock.at_us += 2 * SECOND
     runner_discovery.report("runner-2", queued=1)
-    roster.take(runner_discovery.document(roster.place), clock.at_us)
+    roster.take(runner_discovery.document(roster.version), clock.at_us)
     assert not roster.runners["runner-1"].is_unresponsive
