--- a/packages/controller/src/linkhaven/controller/role_pools.py
+++ b/packages/controller/src/linkhaven/controller/role_pools.py
@@ -176,17 +176,17 @@
         sound, search = self.now.sound, self.search
         decoding = sound[DECODE]
         sound_runners = sound[PREFILL] + decoding
-        search.pace = prefill_pace
-        search.held = sum(runner.kv_used / runner.kv_total for runner in sound_runners)
+        search.prefill_rate = prefill_pace
+        search.held_memory = sum(runner.kv_used / runner.kv_total for runner in sound_runners)
         search.streams = sum(runner.running / runner.slots for runner in decoding if runner.slots)
-        search.is_in_place = self.name is None
-        wanted: int = search.settle(
+        search.allows_in_place_prefill = self.name is None
+        wanted: int = search.next_prefill_count(
             len(sound[PREFILL]), len(sound_runners), prompt_rate, answer_rate, settings, now_us
         )
         self.observed.update(
             wanted=wanted,
             prompts=int(prompt_rate),
             streams=round(search.streams, 2),
-            held=round(search.held, 2),
+            held=round(search.held_memory, 2),
         )
         return wanted
--- a/packages/pairing/src/linkhaven/pairing/load_view.py
+++ b/packages/pairing/src/linkhaven/pairing/load_view.py
@@ -172,7 +172,7 @@
     def on_queue_views(self, message: QueueViews) -> None:
         """Count in what another router has open, until it tells anew or its view lapses."""
         now_us = self.node.now_us()
-        for view in message.books:
+        for view in message.views:
             runner = self.roster.runners.get(view.runner)
             if view.parts and runner is not None:
                 self.prefix_caches.note(runner, view.parts)
--- a/packages/pairing/src/linkhaven/pairing/messages.py
+++ b/packages/pairing/src/linkhaven/pairing/messages.py
@@ -27,10 +27,10 @@
 class QueueViews(Message, tag="books", frozen=True):
     """The sender's views, at each change that of one runner, and now and then all."""
 
-    books: list[QueueView]
+    views: list[QueueView] = msgspec.field(name="books")
 
 
-class RunnerShunned(Message, tag="shun", frozen=True):
+class RunnerEjected(Message, tag="shun", frozen=True):
     """A hand-over from this start of a runner failed: reads go elsewhere for a while."""
 
     runner: tuple[str, int]
--- a/packages/pairing/src/linkhaven/pairing/placement.py
+++ b/packages/pairing/src/linkhaven/pairing/placement.py
@@ -9,7 +9,7 @@
 | estimate | `evaluate_candidates` | queue, read, transfer and start times of each, see `estimator.py` |
 | eligibility | `Candidate`, `_may_read_in_place`, `_keep_to_memory` | who answers in time, with room |
 | selection | `choose`, `_ahead_us` | the least queued of them; ties at random |
-| admission of what is late | `choose_anyway` | whether it may join a queue, or waits on |
+| admission of what is late | `choose_best_effort` | whether it may join a queue, or waits on |
 | decode | `choose_decode` | the least used of the decode runners that are near |
 
 State is owned by `LoadView`, `RunnerBackoff`, `PrefixCacheView` (prefix caches), `Estimator` and
@@ -24,7 +24,7 @@
 from .estimator import Estimator
 from .kept import PrefillWork, PrefixCacheView
 from .load_view import LoadView
-from .messages import LinkSample, QueueViews, RunnerShunned
+from .messages import LinkSample, QueueViews, RunnerEjected
 from .plain import PlainScheduler
 from .pool_snapshot import PoolSnapshot
 from .runner_backoff import RunnerBackoff
@@ -78,7 +78,7 @@
         self.max_in_place_us = NO_BOUND_US
         self.exceptions = {}
         node.register_handler(QueueViews, self.load.on_queue_views)
-        node.register_handler(RunnerShunned, self.backoff.on_runner_shunned)
+        node.register_handler(RunnerEjected, self.backoff.on_runner_ejected)
         node.register_handler(LinkSample, self.on_link_sample)
         node.sender_listeners.append(self.load.note_heard)
         roster.on_new.append(self._note_plain_pools)
@@ -291,7 +291,7 @@
             candidates, self._least(eligible, lambda candidate: self._ahead_us(candidate, work))
         )
 
-    def choose_anyway(self, work, ttft_us, why, without=(), room_us=NO_BOUND_US):
+    def choose_best_effort(self, work, ttft_us, why, without=(), room_us=NO_BOUND_US):
         """A runner for what none can answer in time; none where all queues are beyond the room.
 
         What is late anyway may not make others late: it joins a queue only while that is shorter
--- a/packages/pairing/src/linkhaven/pairing/runner_backoff.py
+++ b/packages/pairing/src/linkhaven/pairing/runner_backoff.py
@@ -13,7 +13,7 @@
 from linkhaven.runner.roster import PREFILL
 from linkhaven.runtime import Node
 
-from .messages import RunnerShunned
+from .messages import RunnerEjected
 
 REST_US = 200_000
 REST_MOST_US = 1_600_000
@@ -47,9 +47,9 @@
         span_us = min(EJECT_MOST_US, span_us * 2)
         self.ejected[key] = (now_us + span_us, span_us)
         for peer in self.peers():
-            self.node.send(peer.address, RunnerShunned(key, span_us))
+            self.node.send(peer.address, RunnerEjected(key, span_us))
 
-    def on_runner_shunned(self, message: RunnerShunned) -> None:
+    def on_runner_ejected(self, message: RunnerEjected) -> None:
         """Eject a runner for as long as another router does, at most."""
         span_us = min(EJECT_MOST_US, message.span_us)
         until_us = self.node.now_us() + span_us
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -84,7 +84,7 @@
         """
         is_bounded = not self._has_waited_half(request, now_us)
         room_us = self.node.rooms.get(request.group, NO_BOUND_US) if is_bounded else NO_BOUND_US
-        decision = self.pairing.choose_anyway(work, ttft_us, why, room_us=room_us)
+        decision = self.pairing.choose_best_effort(work, ttft_us, why, room_us=room_us)
         if decision.winner is None:
             is_held_out = decision.candidates and self._has_waited_its_share(request, now_us)
             if not is_held_out:
@@ -363,9 +363,9 @@
 
     def _read_again(self, request, error):
         work, ttft_us = self.work_of(request), request.kind.ttft_us
-        decision = self.pairing.choose_anyway(work, ttft_us, "retry", request.failed)
+        decision = self.pairing.choose_best_effort(work, ttft_us, "retry", request.failed)
         if decision.winner is None:
-            decision = self.pairing.choose_anyway(work, ttft_us, "retry")
+            decision = self.pairing.choose_best_effort(work, ttft_us, "retry")
         winner = decision.winner
         if winner is None or not self._has_time_for(request, winner.total_us):
             return self.node.end_with_error(request, self._spent(request, error))
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -26,7 +26,7 @@
     Suspicion,
     make_hello,
 )
-from linkhaven.pairing.messages import LinkSample, QueueView, QueueViews, RunnerShunned
+from linkhaven.pairing.messages import LinkSample, QueueView, QueueViews, RunnerEjected
 from linkhaven.router.messages import Explanation, WantExplanation
 from linkhaven.runtime import (
     Bounds,
@@ -523,7 +523,7 @@
 )
 def test_what_a_router_is_told_is_checked_at_the_edge(line, is_fit):
     node, heard = make_node(), []
-    for message_type in (QueueViews, RunnerShunned, LinkSample, WantExplanation, Explanation):
+    for message_type in (QueueViews, RunnerEjected, LinkSample, WantExplanation, Explanation):
         node.register_handler(message_type, heard.append)
     dispatch_line(node, write_json({**line, **ENVELOPE}))
     assert len(heard) == is_fit
@@ -533,7 +533,7 @@
 def test_a_view_of_an_older_router_has_no_parts():
     reader = reader_of(QueueViews)
     line = {"say": "books", "books": [["r-1", 7, 2, 900, 40, 1]], **ENVELOPE}
-    [view] = reader.read(write_json(line)).books
+    [view] = reader.read(write_json(line)).views
     assert view == QueueView("r-1", 7, 2, 900, 40, 1, ())
 
 
--- a/tests/test_placement_invariants.py
+++ b/tests/test_placement_invariants.py
@@ -29,7 +29,7 @@
 
     plain_weigh = PlacementPolicy.evaluate_candidates
     monkeypatch.setattr(PlacementPolicy, "evaluate_candidates", weigh_by_room)
-    monkeypatch.setattr(PlacementPolicy, "choose_anyway", choose_any)
+    monkeypatch.setattr(PlacementPolicy, "choose_best_effort", choose_any)
     assert run(seed)["late_work_beyond_room"] > 0
 
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -19,6 +19,12 @@
 
 RECORDINGS = Path(__file__).parent / "recordings" / "decisions.json"
 CHUNK = 200
+RECORDED_NAMES = {
+    "choose": "choose",
+    "choose_best_effort": "choose_anyway",
+    "choose_decode": "choose_decode",
+}
+"""The method of each decision, and the name that the recordings have for it."""
 
 
 def pooled(seed, routers, rate, gone=()):
@@ -74,10 +80,7 @@
 def recorded():
     """While this is open, each outermost decision of every router goes into the list."""
     entries, depth = [], [0]
-    kept = {
-        name: getattr(PlacementPolicy, name)
-        for name in ("choose", "choose_anyway", "choose_decode")
-    }
+    kept = {name: getattr(PlacementPolicy, name) for name in RECORDED_NAMES}
 
     def hooked(name, inner):
         def call(self, *words, **facts):
@@ -87,7 +90,7 @@
             finally:
                 depth[0] -= 1
             if not depth[0]:
-                told = [self.node.now_us(), self.node.name, name, decided(result)]
+                told = [self.node.now_us(), self.node.name, RECORDED_NAMES[name], decided(result)]
                 entries.append(json.dumps(told))
             return result
 
