--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -406,7 +406,7 @@
         has_room = self.callers.piece(request, piece)
         if not has_room and request.part is not None and not call.is_ended:
             request.is_held = True
-            request.part.call.hold()
+            request.part.http_call.hold()
 
     def _release(self, request):
         if not request.is_held:
@@ -414,7 +414,7 @@
         request.is_held = False
         request.progress_us = self.now_us()
         if request.part is not None:
-            request.part.call.release()
+            request.part.http_call.release()
 
     def end_done(self, request):
         if not request.call.is_begun:
--- a/packages/runner/src/linkhaven/runner/adapter.py
+++ b/packages/runner/src/linkhaven/runner/adapter.py
@@ -23,12 +23,12 @@
     `has_begun` tells whether the runner may have begun the work; False only if it can't have.
     """
 
-    __slots__ = ("done", "call", "status", "body", "is_done")
+    __slots__ = ("done", "http_call", "status", "body", "is_done")
 
     def __init__(self, done):
-        """Await an answer; the caller sets `call`, the call that can be closed."""
+        """Await an answer; the caller sets `http_call`, the call that can be closed."""
         self.done = done
-        self.call = None
+        self.http_call = None
         self.status = 0
         self.body = b""
         self.is_done = False
@@ -70,8 +70,8 @@
 
     def close(self):
         """Close the call."""
-        if self.call is not None:
-            self.call.close()
+        if self.http_call is not None:
+            self.http_call.close()
 
     def abandon(self):
         """Close the call without calling `done`."""
@@ -86,13 +86,13 @@
     either `on_done(piece)` or `on_error(error, has_begun)`.
     """
 
-    __slots__ = ("request", "handler", "call", "status", "body", "reader", "is_over")
+    __slots__ = ("request", "handler", "http_call", "status", "body", "reader", "is_over")
 
     def __init__(self, request, handler):
         """Await the stream of the request with this id."""
         self.request = request
         self.handler = handler
-        self.call = None
+        self.http_call = None
         self.status = 0
         self.body = b""
         self.reader = PieceReader()
@@ -148,15 +148,15 @@
         if self.is_over:
             return
         self.is_over = True
-        if self.call is not None:
-            self.call.close()
+        if self.http_call is not None:
+            self.http_call.close()
         self.handler.on_error(error, has_begun)
 
     def abandon(self):
         """Close the call; the handler hears nothing more."""
         self.is_over = True
-        if self.call is not None:
-            self.call.close()
+        if self.http_call is not None:
+            self.http_call.close()
 
 
 class RunnerClient:
@@ -179,7 +179,7 @@
     def _call(self, address, method, path, document, part, headers=HEADERS):
         body = write_json(document) if document is not None else b""
         handler = ResponseHandler(part.on_head, part.on_data, part.on_end, part.on_error)
-        part.call = self.node.ports.network.open(address, method, path, headers, body, handler)
+        part.http_call = self.node.ports.network.open(address, method, path, headers, body, handler)
         return part
 
     def _headers_of(self, request):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -312,7 +312,7 @@
     handler = ResponseHandler()
     request = SimpleNamespace(written=written, attempt="a/1", outside_id="r-1")
     part = Stream(request, handler, False, "i-1")
-    part.call = SimpleNamespace(close=lambda: handler.heard.append(("closed",)))
+    part.http_call = SimpleNamespace(close=lambda: handler.heard.append(("closed",)))
     return part, handler
 
 
