--- a/packages/pairing/src/linkhaven/pairing/candidate.py
+++ b/packages/pairing/src/linkhaven/pairing/candidate.py
@@ -1,15 +1,15 @@
-"""The records of a placement: each runner as it was weighed, and which of them was chosen."""
+"""The records of a placement: each evaluated runner, and which of them was chosen."""
 
 from typing import Any
 
 from linkhaven.runner import Runner
 
 OVERDUE_PART = 4
-"""What is late already joins a queue only while that is shorter than this part of the room."""
+"""An overdue request joins a queue only while that is shorter than `room_us` divided by this."""
 
 
 class Candidate:
-    """A runner for one prompt, with the times that it was weighed by.
+    """A runner evaluated for one prompt, with its estimated times.
 
     After TaiChi, Algorithm 2, in microseconds: `queue_wait_us` (Q) until the prefill starts,
     `execution_us` (E) of the prefill itself, `transfer_us` (T) of the KV cache, and `start_us`
@@ -44,10 +44,11 @@
         is_overdue: bool = False,
         typical_us: int = 0,
     ) -> None:
-        """Eligible where the first token comes within `ttft_us` and the queue leaves `room_us`.
+        """Eligible if the first token comes within `ttft_us` and other requests stay in time.
 
-        `typical_us`: what a usual prompt of this kind takes there; `is_overdue`: it has waited for
-        longer than its target, and need only find room itself.
+        For the latter the queue and a typical prompt of this kind, which takes `typical_us`, must
+        end within `room_us`, the tightest target of the others. `is_overdue`: the request has
+        waited for longer than its target, so that a short queue (`has_room`) is enough.
         """
         self.runner = runner
         self.start_us = start_us
@@ -69,16 +70,16 @@
 
     @property
     def ahead_tokens(self) -> float:
-        """What this runner has to read until this prompt is read."""
+        """The prompt tokens that this runner has to prefill up to the end of this prompt."""
         return self.queued_tokens + self.uncached_tokens
 
     @property
     def total_us(self) -> int:
-        """How long the first token takes."""
+        """The estimated time to first token, in microseconds."""
         return self.queue_wait_us + self.execution_us + self.transfer_us + self.start_us
 
     def as_record(self) -> dict[str, Any]:
-        """As `explain` shows it."""
+        """Return the record that `explain` shows."""
         return {
             "runner": self.runner.name,
             "phase": self.runner.phase,
@@ -93,20 +94,23 @@
 
 
 class Decision:
-    """Where a prompt is read: all candidates, the chosen one, and why one was chosen that is late."""
+    """Where a prompt is prefilled: all candidates, the chosen one, and why it may be a late one."""
 
     __slots__ = ("candidates", "winner", "exception")
 
     def __init__(
         self, candidates: list[Candidate], winner: Candidate | None, exception: str | None = None
     ) -> None:
-        """`winner` None: no runner may be sent the prompt now."""
+        """`winner` is None if the prompt may be sent to no runner now.
+
+        `exception` names why a winner was taken that can't answer in time, else it is None.
+        """
         self.candidates = candidates
         self.winner = winner
         self.exception = exception
 
     def as_record(self) -> dict[str, Any]:
-        """As `explain` shows it."""
+        """Return the record that `explain` shows."""
         return {
             "candidates": [candidate.as_record() for candidate in self.candidates],
             "winner": self.winner and self.winner.runner.name,
--- a/packages/pairing/src/linkhaven/pairing/ratio.py
+++ b/packages/pairing/src/linkhaven/pairing/ratio.py
@@ -1,4 +1,4 @@
-from .estimator import GUESSED_RATE
+from .estimator import DEFAULT_PREFILL_RATE
 
 GAIN = 0.15
 IDLE = 0.25
@@ -44,7 +44,7 @@
 
     def utilization(self, prefills, runners, prompt_rate, answer_rate, settings):
         decodes = runners - prefills
-        fast = self.prefill_rate or settings.prefill_tokens_per_s or GUESSED_RATE
+        fast = self.prefill_rate or settings.prefill_tokens_per_s or DEFAULT_PREFILL_RATE
         if not self.allows_in_place_prefill:
             read_busy = prompt_rate / (prefills * fast) if prefills else float("inf")
             return max(read_busy, self.held_memory / decodes, self.streams / decodes / COMFORT)
--- a/tests/test_placement_invariants.py
+++ b/tests/test_placement_invariants.py
@@ -20,7 +20,7 @@
     def choose_any(self, work, ttft_us, why, without=(), room_us=0):
         decision = self.choose(work, ttft_us, without)
         if decision.winner is None and decision.candidates:
-            decision.winner = self._least(decision.candidates, lambda each: each.total_us)
+            decision.winner = self._pick_least(decision.candidates, lambda each: each.total_us)
             decision.exception = why
         return decision
 
