--- a/packages/pairing/src/linkhaven/pairing/__init__.py
+++ b/packages/pairing/src/linkhaven/pairing/__init__.py
@@ -1,3 +1,5 @@
+"""Placement: estimates, load, prefix caches, backoff and choice of runners."""
+
 from .candidate import Candidate, Decision
 from .estimator import Estimator
 from .flow import StreamMigrator
--- a/packages/pairing/src/linkhaven/pairing/estimator.py
+++ b/packages/pairing/src/linkhaven/pairing/estimator.py
@@ -23,8 +23,8 @@
 """The half-life with which a runner's factor returns to 1, so that a wrong one doesn't persist."""
 
 ABOVE_LINE_WEIGHT = 0.1
-"""The weight of a prefill that took longer than the line says, where queues are known late: it most
-likely waited in a queue that wasn't reported yet, and the line is to follow prefills without one."""
+"""The weight of a prefill that took longer than the line says, where queues are known late: most
+likely it met a queue that wasn't reported yet, and the line is to follow prefills that met none."""
 
 MIN_TOKEN_US = 0.001
 """The lower bound of the estimated time per prompt token."""
@@ -62,9 +62,7 @@
     )
 
     def __init__(self, now_us, are_views_late=lambda: False):
-        """`are_views_late()`: whether other routers' queues are known too late to be told from a slow
-        runner.
-        """
+        """`are_views_late()`: other routers' queues are known too late to be told from slowness."""
         self.now_us = now_us
         self.are_views_late = are_views_late
         self.noted_us = {}
@@ -80,7 +78,7 @@
         self.answer_token_us = 10_000.0
 
     def planned_rate(self, phase):
-        """Return the prompt tokens per second of the plan, or `DEFAULT_PREFILL_RATE` without one."""
+        """Return the prompt tokens per second of the plan, else `DEFAULT_PREFILL_RATE`."""
         rate = self.settings.prefill_tokens_per_s or DEFAULT_PREFILL_RATE
         return rate * self.settings.decode_prefill_share if phase == DECODE else rate
 
--- a/packages/pairing/src/linkhaven/pairing/fit.py
+++ b/packages/pairing/src/linkhaven/pairing/fit.py
@@ -1,51 +1,55 @@
-"""Reading time over tokens as a straight line, from sums that can be added up over routers."""
+"""Weighted linear regression of prefill time over tokens, by sums that routers can add up."""
 
-FORGET = 0.97
-"""What an earlier sample still counts after a further one."""
+DECAY = 0.97
+"""The factor by which the weight of earlier samples decays with each new one."""
 
-SPREAD = 4.0
-"""How many times the least size the most must be to tell base and rate apart."""
+MIN_SIZE_RATIO = 4.0
+"""The ratio of largest to smallest size that is needed to separate base and rate."""
 
-SPREAD_LEAST = 0.5
-"""The same of samples that are only known as sums: their squared relative spread."""
+MIN_RELATIVE_SPREAD = 0.5
+"""The squared relative spread that is needed where only sums of the samples are known."""
 
 PARTS = ("count", "x", "y", "xx", "xy")
+"""The sums of a fit, in the order of a row; x is tokens and y microseconds."""
+
 SCALE = 1_000_000_000
-"""Sums go to other routers in billionths, as whole numbers, so that they can be subtracted."""
+"""Sums are exchanged in billionths, as integers, so that they can be subtracted exactly."""
 
 
 class LineFit:
-    """Least squares with older samples fading out; each sample weighs by its relative error."""
+    """Least squares over decaying samples, weighted so that relative errors count alike."""
 
-    __slots__ = (*PARTS, "least", "most")
+    __slots__ = (*PARTS, "min_tokens", "max_tokens")
 
     def __init__(self):
-        """Nothing was seen yet."""
-        self.least = self.most = None
+        """Start without samples."""
+        self.min_tokens = self.max_tokens = None
         self.count = self.x = self.y = self.xx = self.xy = 0.0
 
     def note(self, tokens, span_us, share=1.0):
-        """Take a read of `tokens` that took `span_us`; `share`: how much of a sample it counts."""
+        """Add a prefill of `tokens` that took `span_us`, with a weight of `share` samples."""
         weight = share / max(1.0, span_us)
         sample = (1.0, tokens, span_us, tokens * tokens, tokens * span_us)
         for name, part in zip(PARTS, sample, strict=True):
-            setattr(self, name, getattr(self, name) * FORGET + weight * part)
-        self.least = tokens if self.least is None else min(self.least * 1.02 + 1, tokens)
-        self.most = tokens if self.most is None else max(self.most * 0.98, tokens)
+            setattr(self, name, getattr(self, name) * DECAY + weight * part)
+        self.min_tokens = (
+            tokens if self.min_tokens is None else min(self.min_tokens * 1.02 + 1, tokens)
+        )
+        self.max_tokens = tokens if self.max_tokens is None else max(self.max_tokens * 0.98, tokens)
 
     def as_row(self):
-        """Return the sums as whole numbers."""
+        """Return the sums as integers."""
         return [round(getattr(self, name) * SCALE) for name in PARTS]
 
     def plus(self, row):
-        """Return a fit of these samples and those that `row` sums up."""
+        """Return a fit of these samples and those summed up in `row`."""
         both = LineFit()
         for name, part in zip(PARTS, row, strict=True):
             setattr(both, name, getattr(self, name) + part / SCALE)
         return both
 
     def line(self):
-        """Return (base_us, us a token), or None before sizes were seen that tell them apart."""
+        """Return (base_us, us per token), or None while sizes are too alike to separate them."""
         spread = self.count * self.xx - self.x * self.x
         if self.x <= 0 or spread <= 0 or not self._differ_enough(spread):
             return None
@@ -54,10 +58,10 @@
         return (max(0.0, base), slope) if slope > 0 else None
 
     def _differ_enough(self, spread):
-        if self.least is None:
-            return spread >= SPREAD_LEAST * self.x * self.x
-        return self.most >= SPREAD * max(1, self.least)
+        if self.min_tokens is None:
+            return spread >= MIN_RELATIVE_SPREAD * self.x * self.x
+        return self.max_tokens >= MIN_SIZE_RATIO * max(1, self.min_tokens)
 
     def rough_line(self):
-        """Return a line through 0, or None before any read was seen: all time is the rate's."""
+        """Return a line through 0, which has no base, or None without samples."""
         return (0.0, self.y / self.x) if self.x > 0 else None
--- a/packages/pairing/src/linkhaven/pairing/load_view.py
+++ b/packages/pairing/src/linkhaven/pairing/load_view.py
@@ -1,12 +1,13 @@
-"""The load of each runner as this router sees it: its own work there, and what others report.
+"""The load of each runner as this router knows it: its own work there, and what others report.
 
-Reports of runners are late and give counts. So routers tell each other what they have at a runner as
-soon as that changes; in a large fleet, where this would grow with the square of the routers, each
-tells the core with its polls, and is told the sum of all others.
+The runners' own reports are late and contain only counts. So routers send each other their
+outstanding work at a runner whenever it changes. In a large fleet, where the messages would grow
+with the square of the number of routers, each router reports to the core with its polls, and gets
+the sums of all others in return.
 
-| message | what it does here |
+| message | effect |
 | --- | --- |
-| `QueueViews` | replaces what its sender had at these runners, until it tells anew or it lapses |
+| `QueueViews` | replaces the sender's work at these runners, until the next one or its expiry |
 """
 
 from collections.abc import Callable, Sequence
@@ -20,26 +21,30 @@
 from .messages import QueueView, QueueViews
 from .outstanding_work import OutstandingWork, WorkFigures
 
-REPORT_LASTS_US = 2_500_000
+REPORT_LIFETIME_US = 2_500_000
+"""How long another router's report counts unless it is renewed."""
+
 RENEW_US = 1_000_000
+"""The interval at which a router renews its reports."""
+
 LARGE_FLEET = 16
-"""With more other routers than this, views go by way of the core."""
+"""With more other routers than this, views are exchanged through the core."""
 
 FLEET = "fleet"
-"""Stands for all other routers in the place of one's name."""
+"""Stands for all other routers together, where a router's name is expected."""
 
-DEAF_US = 2_500_000
-"""A router that heard no other for so long can't tell their queues from a slow runner."""
+ISOLATED_US = 2_500_000
+"""After this long without a message of another router, their queues look like slow runners."""
 
 ALONE_US = 60_000_000
-"""A router that heard no other for so long takes itself for the only one."""
+"""After this long without a message of another router, this one counts as the only one."""
 
 Key = tuple[str, int]
 """A runner's name and incarnation."""
 
 
 class LoadView:
-    """Owns the outstanding work of each runner, in memory only; what peers reported lapses."""
+    """Owns the outstanding work of each runner, in memory only; reports of peers expire."""
 
     __slots__ = (
         "node",
@@ -60,7 +65,7 @@
         estimator: Estimator,
         prefix_caches: PrefixCacheView,
     ) -> None:
-        """`peers`: the other routers that run; nothing is outstanding yet."""
+        """`peers()`: the other running routers. Starts without outstanding work."""
         self.node = node
         self.roster = roster
         self.peers = peers
@@ -70,38 +75,34 @@
         self.renewed_us = 0
         self.heard_us = -ALONE_US
 
-    # who is heard
-
     def is_large(self) -> bool:
-        """Whether there are too many routers to tell each of them every change.
+        """Whether there are too many routers to send each of them every change.
 
-        Views come late then, and each router weighs only a few runners drawn at random, so that
-        late views send no herd to the least of them.
+        Views arrive late then. Each router evaluates only a random sample of runners, so that late
+        views don't send all requests to the same least loaded runner.
         """
         return len(self.peers()) > LARGE_FLEET
 
     def note_heard(self, name: str) -> None:
-        """A message of this node came."""
+        """Note that a message of the node `name` arrived."""
         if any(peer.name == name for peer in self.peers()):
             self.heard_us = self.node.now_us()
 
     def is_isolated(self) -> bool:
-        """Whether there are other routers that this one doesn't hear."""
-        return DEAF_US < self.node.now_us() - self.heard_us < ALONE_US
-
-    # the work at a runner
+        """Whether messages of the other routers have lately stopped arriving."""
+        return ISOLATED_US < self.node.now_us() - self.heard_us < ALONE_US
 
     def work_at(self, runner: Runner) -> OutstandingWork:
-        """What is outstanding at this incarnation of a runner, kept from now on."""
+        """Return the outstanding work at this incarnation of a runner; creates its record."""
         key = (runner.name, runner.incarnation)
         work = self.outstanding.get(key)
         if work is None:
-            self._drop_former(runner.name)
+            self._drop_unused(runner.name)
             work = self.outstanding[key] = OutstandingWork()
         return work
 
-    def _drop_former(self, name: str) -> None:
-        """Earlier incarnations of a runner leave nothing once this router has nothing there."""
+    def _drop_unused(self, name: str) -> None:
+        """Drop records of a runner's incarnations at which this router has no work."""
         former = [
             key for key, work in self.outstanding.items() if key[0] == name and not work.has_own()
         ]
@@ -115,9 +116,10 @@
         return work
 
     def queued_tokens(self, runner: Runner) -> float:
-        """Prompt tokens that wait at a runner: what is known, and what its report counts beyond.
+        """Return the prompt tokens queued at a runner.
 
-        What only the report knows is taken at the mean prompt, less what was read since.
+        They are those that the routers know of, plus requests that only the runner's report counts.
+        The latter are taken at the mean prompt length, less what was prefilled since the report.
         """
         work = self.work_at(runner)
         tokens = work.total().tokens
@@ -133,18 +135,18 @@
         return tokens + max(0, unknown - read_since)
 
     def prefill_wait_us(self, runner: Runner) -> int:
-        """How long the runner reads what is known to wait there."""
+        """Return how long the runner takes to prefill its queue, in microseconds."""
         return self.estimator.prefill_us(self.queued_tokens(runner), runner)
 
     def queue_us(self, runner: Runner, queued_tokens: float, now_us: int) -> int:
-        """The queue's reading time, less what the read at its head has had."""
+        """Return the queue's prefill time, less the time already spent on the first prompt."""
         work = self.work_at(runner)
         longest_us = self.estimator.prefill_us(work.longest_prefill(), runner)
-        head_us = min(now_us - work.moved_us, longest_us)
+        head_us = min(now_us - work.head_since_us, longest_us)
         return max(0, self.estimator.prefill_us(queued_tokens, runner) - head_us)
 
     def kv_share(self, runner: Runner) -> float:
-        """The part of a runner's KV cache that is taken: as reported, and what changed since."""
+        """Return the share of a runner's KV cache in use: as reported, plus changes since then."""
         work = self.work_at(runner)
         held_tokens = work.total().held_tokens
         if runner.reported_us is None:
@@ -152,25 +154,23 @@
         _, held_then = work.at(runner.reported_us)
         return max(0, runner.kv_used + held_tokens - held_then) / runner.kv_total
 
-    # views of others, and to them
-
     def own_rows(self) -> list[list[Any]]:
-        """What this router has at each runner, as a poll carries it."""
+        """Return rows of this router's work at each runner, for a poll of the core."""
         return [[*key, *work.own()] for key, work in self.outstanding.items() if work.has_own()]
 
     def take_fleet_sums(self, rows: Sequence[Sequence[Any]]) -> None:
-        """What all other routers together have at each runner, as of their last polls."""
+        """Replace the sums of all other routers' work at each runner, as of their last polls."""
         now_us, named = self.node.now_us(), set()
         for name, incarnation, *figures in rows:
             named.add((name, incarnation))
             work = self._work_of((name, incarnation))
-            work.take_report(FLEET, WorkFigures(*figures), now_us + REPORT_LASTS_US, now_us)
+            work.take_report(FLEET, WorkFigures(*figures), now_us + REPORT_LIFETIME_US, now_us)
         for key, work in self.outstanding.items():
             if key not in named:
                 work.drop_report(FLEET, now_us)
 
     def on_queue_views(self, message: QueueViews) -> None:
-        """Count in what another router has open, until it tells anew or its view lapses."""
+        """Replace another router's work at the runners that its message names."""
         now_us = self.node.now_us()
         for view in message.views:
             runner = self.roster.runners.get(view.runner)
@@ -178,10 +178,13 @@
                 self.prefix_caches.note(runner, view.parts)
             figures = WorkFigures(view.count, view.tokens, view.held, view.streams)
             work = self._work_of((view.runner, view.incarnation))
-            work.take_report(message.sender, figures, now_us + REPORT_LASTS_US, now_us)
+            work.take_report(message.sender, figures, now_us + REPORT_LIFETIME_US, now_us)
 
     def on_changed(self, runner: Runner, work: OutstandingWork, parts: Sequence[Any] = ()) -> None:
-        """This router's work at a runner changed; `parts`: what is read there from now on."""
+        """Report a change of this router's work at a runner to the other routers.
+
+        `parts`: the shared parts of a prompt that is prefilled there from now on.
+        """
         work.note_change(self.node.now_us())
         if self.is_large():
             return
@@ -193,22 +196,20 @@
         for peer in self.peers():
             self.node.send(peer.address, message)
 
-    # time
-
     def drop_lapsed(self, now_us: int) -> None:
-        """Forget what others reported and did not renew."""
+        """Drop reports that other routers did not renew in time."""
         for work in self.outstanding.values():
             work.drop_lapsed(now_us)
 
     def is_renewal_due(self, now_us: int) -> bool:
-        """Whether to tell the others all again; a renewal that is due counts as done."""
+        """Whether reports must be renewed now; if so, the next renewal is scheduled."""
         if now_us - self.renewed_us < RENEW_US:
             return False
         self.renewed_us = now_us
         return True
 
     def renew(self) -> None:
-        """Tell the others what is still outstanding, since a view lapses."""
+        """Report all outstanding work to the other routers again, since reports expire."""
         if self.is_large():
             return
         views = [QueueView(*row) for row in self.own_rows()]
@@ -216,7 +217,7 @@
             self._send_views(views)
 
     def forget_gone(self, names: set[str]) -> None:
-        """Runners that no list names leave nothing behind once nothing is outstanding there."""
+        """Drop records of runners that are not among `names` and have no outstanding work."""
         gone = [
             key
             for key, work in self.outstanding.items()
--- a/packages/pairing/src/linkhaven/pairing/messages.py
+++ b/packages/pairing/src/linkhaven/pairing/messages.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of the runners, so that none of them counts on the same room twice."""
+"""Messages between routers about runners, so that two don't count on the same capacity."""
 
 import msgspec
 
@@ -6,42 +6,42 @@
 
 
 class QueueView(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender has open at one start of a runner; a list on the wire."""
+    """The sender's outstanding work at one incarnation of a runner; an array on the wire."""
 
     runner: str
     incarnation: int
     count: int
-    """How many of its requests wait there to be read or begun."""
+    """Its requests waiting for their prefill or their first token."""
 
     tokens: int | float
-    """The prompt tokens that are to be read for them."""
+    """Their prompt tokens still to be prefilled."""
 
     held: int | float
-    """The tokens of memory that its streams hold."""
+    """The tokens of KV cache held by its streams."""
 
     streams: int
     parts: tuple[tuple[str, int | float], ...] = ()
-    """The shared parts of the newest read, as (id, tokens) in order; the runner keeps them."""
+    """The shared parts of the latest prompt, as (id, tokens) in order; the runner caches them."""
 
 
 class QueueViews(Message, tag="books", frozen=True):
-    """The sender's views, at each change that of one runner, and now and then all."""
+    """The sender's work: of one runner at each change, and periodically of all."""
 
     views: list[QueueView] = msgspec.field(name="books")
 
 
 class RunnerEjected(Message, tag="shun", frozen=True):
-    """A hand-over from this start of a runner failed: reads go elsewhere for a while."""
+    """A KV transfer from this incarnation of a runner failed: it is ejected for a while."""
 
     runner: tuple[str, int]
     span_us: int
 
 
 class LinkSample(Message, tag="link", frozen=True):
-    """How much slower than planned a hand-over was, for a link that is clearly slow."""
+    """How much slower than planned a KV transfer was, for a link that is or was slow."""
 
     pair: tuple[str, str]
-    """The reading and the decoding runner."""
+    """The names of the prefill and the decode runner."""
 
     zones: tuple[str, str]
     factor: float
--- a/packages/pairing/src/linkhaven/pairing/plain.py
+++ b/packages/pairing/src/linkhaven/pairing/plain.py
@@ -1,57 +1,59 @@
-"""Choice among runners without an engine, by what routers saw of their answers.
+"""Load balancing and outlier ejection for runners without an engine, by their answers alone.
 
-Such a runner gives no report, so nothing but its answers tells how it does. Each router keeps
-decayed counts of answers, failures and time per runner, and hears by way of the core what all
-other routers counted. From the sums follow
+Such a runner gives no report. Each router keeps decayed counts of answers, failures and busy time
+per runner, and gets the sums of all other routers through the core. They determine
 
-- the pace: two runners are drawn in proportion to their speed, and the one with the smaller share
-  of its places taken gets the request, and
-- ejection: a runner that fails clearly more often than the others of its pool gets only trial
-  requests until its failures have faded out. At most a third of a pool is out at once.
+- load balancing: two runners are drawn with probabilities proportional to their speed, and the one
+  with the smaller share of its slots in use gets the request (power of two choices), and
+- outlier ejection: a runner that fails clearly more often than the others of its pool gets only
+  trial requests until its failures have decayed. At most a third of a pool is ejected at once.
 
-Health answers play no part: they may be false either way, and each takes a place at the runner.
+Health checks are not used: their answers may be wrong either way, and each takes a slot at the
+runner.
 """
 
 import math
 
 HALF_LIFE_US = 4_000_000
-"""After this long an outcome counts half."""
+"""The half-life of an outcome's weight."""
 
 EJECT_FAILURES = 4.0
-"""How many recent failures it takes, at least, before a runner is ejected."""
+"""The least number of recent failures at which a runner is ejected."""
 
 RETURN_FAILURES = 1.0
-"""With fewer recent failures than this an ejected runner is back."""
+"""With fewer recent failures than this an ejected runner returns."""
 
 EJECT_RATE = 0.15
-"""Below this share of failures nobody is ejected."""
+"""Below this share of failures no runner is ejected."""
 
 EJECT_DEVIATIONS = 4.0
-"""How many standard deviations above the failure rate of the pool's others make an outlier."""
+"""How many standard deviations above the others' failure rate make a runner an outlier."""
 
 RETURN_DEVIATIONS = 1.5
-"""Within so many an ejected runner is back; its counts fade, so the deviations get larger."""
+"""An ejected runner returns within this many; as its counts decay, a deviation gets larger."""
+
+MAX_EJECTED_SHARE = 1 / 3
+"""The largest share of a pool that is ejected at once."""
 
-EJECTED_MOST_SHARE = 1 / 3
 TRIAL_SHARE = 0.02
-"""The share of choices that goes to an ejected runner, so that it can be found well."""
+"""The share of requests sent to ejected runners, so that their recovery is noticed."""
 
 SCALE = 100
-"""Counts go to other routers in hundredths, as whole numbers, so that their sums stay exact."""
+"""Counts are exchanged in hundredths, as integers, so that their sums are exact."""
 
 
 class Outcomes:
-    """Decayed counts of what became of requests at one runner; `busy_us` is spent on answers."""
+    """Decayed counts of a runner's answers and failures; `busy_us` is the time its answers took."""
 
     __slots__ = ("answered", "failed", "busy_us", "noted_us")
 
     def __init__(self, now_us):
-        """Nothing was seen yet."""
+        """Start without outcomes."""
         self.answered = self.failed = self.busy_us = 0.0
         self.noted_us = now_us
 
-    def fade(self, now_us):
-        """Let what was seen count less by now."""
+    def decay(self, now_us):
+        """Decay the counts to the present time."""
         share = 0.5 ** ((now_us - self.noted_us) / HALF_LIFE_US)
         self.noted_us = now_us
         self.answered *= share
@@ -59,50 +61,51 @@
         self.busy_us *= share
 
     def as_row(self):
-        """Return the counts as whole numbers, for the sums at the core."""
+        """Return the counts as integers, to be summed at the core."""
         return [round(self.answered * SCALE), round(self.failed * SCALE), round(self.busy_us)]
 
 
 class PlainScheduler:
-    """Picks runners without an engine. `open_at(runner)`: the requests known to be open there."""
+    """Chooses among runners without an engine.
+
+    `open_at(runner)`: the number of requests known to be open there.
+    """
 
-    __slots__ = ("now_us", "dice", "open_at", "own", "others", "ejected")
+    __slots__ = ("now_us", "rng", "open_at", "own", "others", "ejected")
 
-    def __init__(self, now_us, dice, open_at):
-        """Nothing was seen of any runner yet."""
+    def __init__(self, now_us, rng, open_at):
+        """Start without outcomes of any runner."""
         self.now_us = now_us
-        self.dice = dice
+        self.rng = rng
         self.open_at = open_at
         self.own = {}
         self.others = {}
         self.ejected = set()
 
-    # What was seen
-
-    def _own(self, runner):
+    def _own_outcomes(self, runner):
         key = (runner.name, runner.incarnation)
         outcomes = self.own.get(key)
         if outcomes is None:
             outcomes = self.own[key] = Outcomes(self.now_us())
-        outcomes.fade(self.now_us())
+        outcomes.decay(self.now_us())
         return outcomes
 
     def note_answered(self, runner, span_us):
-        """Note a whole answer that took so long and is no failure."""
-        outcomes = self._own(runner)
+        """Note a complete answer that took `span_us` and is no failure."""
+        outcomes = self._own_outcomes(runner)
         outcomes.answered += 1
         outcomes.busy_us += span_us
 
     def note_failed(self, runner):
-        """Note a failure of its own, a broken or a missing answer."""
-        self._own(runner).failed += 1
+        """Note a failure of the runner, or a broken or missing answer."""
+        self._own_outcomes(runner).failed += 1
 
     def own_rows(self):
-        """Return what this router saw, for the sums at the core."""
+        """Return this router's counts, to be summed at the core."""
         now_us = self.now_us()
         rows = []
         for key, outcomes in list(self.own.items()):
-            outcomes.fade(now_us)
+            outcomes.decay(now_us)
             row = outcomes.as_row()
             if any(row[:2]):
                 rows.append([*key, *row])
@@ -111,86 +114,85 @@
         return rows
 
     def take_others(self, rows):
-        """Take the sums of what all other routers saw lately."""
+        """Replace the sums of all other routers' recent counts."""
         self.others = {(name, incarnation): figures for name, incarnation, *figures in rows}
 
-    def _seen(self, runner):
-        """Return answers, failures and busy time, seen by all routers."""
+    def _counts(self, runner):
+        """Return answers, failures and busy time as counted by all routers."""
         key = (runner.name, runner.incarnation)
         answered, failed, busy_us = self.others.get(key, (0, 0, 0))
         answered, failed = answered / SCALE, failed / SCALE
         if key in self.own:
-            own = self._own(runner)
+            own = self._own_outcomes(runner)
             return answered + own.answered, failed + own.failed, busy_us + own.busy_us
         return answered, failed, busy_us
 
-    # Ejection
-
-    def _judge(self, runners):
-        """Eject outliers and take back who recovered, the worst first and never too many."""
-        seen = {runner.name: self._seen(runner) for runner in runners}
-        most = int(len(runners) * EJECTED_MOST_SHARE)
-        outliers = [name for name in seen if self._is_outlier(name, seen)]
-        outliers.sort(key=lambda name: seen[name][1], reverse=True)
-        self.ejected.difference_update(seen)
-        self.ejected.update(outliers[:most])
-        return seen
-
-    def _is_outlier(self, name, seen):
-        """Whether it fails more often than the others' rate can explain; sooner in than out."""
-        answered, failed, _ = seen[name]
+    def _update_ejected(self, runners):
+        """Update which runners are ejected, the worst ones first; return all runners' counts."""
+        counts = {runner.name: self._counts(runner) for runner in runners}
+        max_ejected = int(len(runners) * MAX_EJECTED_SHARE)
+        outliers = [name for name in counts if self._is_outlier(name, counts)]
+        outliers.sort(key=lambda name: counts[name][1], reverse=True)
+        self.ejected.difference_update(counts)
+        self.ejected.update(outliers[:max_ejected])
+        return counts
+
+    def _is_outlier(self, name, counts):
+        """Whether a runner fails more often than the others' failure rate explains.
+
+        The thresholds have hysteresis: an ejected runner returns below lower ones.
+        """
+        answered, failed, _ = counts[name]
         count = answered + failed
         is_out = name in self.ejected
         if failed < (RETURN_FAILURES if is_out else EJECT_FAILURES) or failed < count * EJECT_RATE:
             return False
-        rest = [figures for other, figures in seen.items() if other != name]
+        rest = [figures for other, figures in counts.items() if other != name]
         rest_failed = sum(figures[1] for figures in rest)
         rest_count = sum(figures[0] + figures[1] for figures in rest)
         rate = (rest_failed + 1) / (rest_count + 2)
-        spread = math.sqrt(count * rate * (1 - rate))
+        deviation = math.sqrt(count * rate * (1 - rate))
         deviations = RETURN_DEVIATIONS if is_out else EJECT_DEVIATIONS
-        return failed > count * rate + deviations * spread
-
-    # Choice
+        return failed > count * rate + deviations * deviation
 
     def choose(self, runners):
-        """Return the runner for one more request, None where there is none."""
+        """Return the runner for one more request, or None if `runners` is empty."""
         if len(runners) < 2:
             return runners[0] if runners else None
-        seen = self._judge(runners)
+        counts = self._update_ejected(runners)
         fit = [runner for runner in runners if runner.name not in self.ejected]
         out = [runner for runner in runners if runner.name in self.ejected]
-        if not fit or out and self.dice.random() < TRIAL_SHARE:
+        if not fit or out and self.rng.random() < TRIAL_SHARE:
             fit = out
-        paces = self._paces(seen)
-        weights = [1 / paces[runner.name] for runner in fit]
+        answer_times_us = self._answer_times_us(counts)
+        weights = [1 / answer_times_us[runner.name] for runner in fit]
         first = self._draw(fit, weights)
         rest = [(runner, weight) for runner, weight in zip(fit, weights, strict=True)]
         rest = [pair for pair in rest if pair[0] is not first]
         if not rest:
             return first
         second = self._draw(*zip(*rest, strict=True))
-        return min((first, second), key=self._fill)
+        return min((first, second), key=self._slot_usage)
 
     def _draw(self, runners, weights):
-        return self.dice.choices(runners, weights)[0]
+        return self.rng.choices(runners, weights)[0]
 
-    def _paces(self, seen):
-        """Return how long an answer takes at each runner; who is new counts as the mean of all."""
-        answered = sum(figures[0] for figures in seen.values())
-        busy_us = sum(figures[2] for figures in seen.values())
+    def _answer_times_us(self, counts):
+        """Return the mean answer time of each runner; a new one counts as the mean of all."""
+        answered = sum(figures[0] for figures in counts.values())
+        busy_us = sum(figures[2] for figures in counts.values())
         mean_us = busy_us / answered if answered and busy_us else 1.0
         return {
             name: (busy_us + mean_us) / (answered + 1)
-            for name, (answered, _, busy_us) in seen.items()
+            for name, (answered, _, busy_us) in counts.items()
         }
 
-    def _fill(self, runner):
-        """Return the share of the runner's places that one more request would fill."""
+    def _slot_usage(self, runner):
+        """Return the share of the runner's slots in use with one more request."""
         return (self.open_at(runner) + 1) / max(1, runner.slots)
 
     def forget(self, names):
-        """Drop what was seen of runners that are not among `names`."""
+        """Drop the counts of runners that are not among `names`."""
         for key in [key for key in self.own if key[0] not in names]:
             del self.own[key]
         self.ejected.intersection_update(names)
--- a/packages/pairing/src/linkhaven/pairing/pool_snapshot.py
+++ b/packages/pairing/src/linkhaven/pairing/pool_snapshot.py
@@ -1,7 +1,8 @@
-"""The open runners of a pool at the moment of one choice, each of them looked at once.
+"""The open runners of a pool during one placement decision, with their figures computed once.
 
-A choice weighs every reader by the decode runner that its KV cache would go to, so that the same
-decode runners are asked for by each reader. What they are like doesn't change meanwhile.
+A decision evaluates each prefill runner together with the decode runner that would get its KV
+cache, so that the same decode runners come up once per prefill runner. Their figures don't change
+during the decision.
 """
 
 from collections.abc import Callable
@@ -13,9 +14,9 @@
 
 
 class PoolSnapshot:
-    """Serves one choice and is dropped with it.
+    """Caches the figures of a pool's runners for one decision.
 
-    `runners`: those that take new work. `split`: how the decode runners among them are divided.
+    `runners`: those that take new work.
     """
 
     __slots__ = (
@@ -36,7 +37,7 @@
         start_us_of: Callable[[Runner], int],
         kv_share_of: Callable[[Runner], float],
     ) -> None:
-        """The functions are asked at most once for each runner, and when needed."""
+        """Each function is called lazily and at most once per runner."""
         self.runners = runners
         self.decoders = [runner for runner in runners if runner.phase == DECODE]
         self._split_of = split_of
@@ -48,20 +49,20 @@
 
     @property
     def split(self) -> DecoderSplit:
-        """How the decode runners are divided."""
+        """The division of the decode runners."""
         if self._split is None:
             self._split = self._split_of(self.decoders)
         return self._split
 
     def kv_share(self, runner: Runner) -> float:
-        """The part of a runner's KV cache that is taken."""
+        """Return the share of a runner's KV cache in use."""
         kv_share = self._kv_shares.get(runner.name)
         if kv_share is None:
             kv_share = self._kv_shares[runner.name] = self._kv_share_of(runner)
         return kv_share
 
     def start_us(self, runner: Runner) -> int:
-        """How long a decode waits for its start at a runner."""
+        """Return how long a decode would wait for its start at a runner, in microseconds."""
         start_us = self._starts_us.get(runner.name)
         if start_us is None:
             start_us = self._starts_us[runner.name] = self._start_us_of(runner)
--- a/packages/pairing/src/linkhaven/pairing/ratio.py
+++ b/packages/pairing/src/linkhaven/pairing/ratio.py
@@ -1,13 +1,25 @@
+"""The search for the number of runners that should prefill."""
+
 from .estimator import DEFAULT_PREFILL_RATE
 
-GAIN = 0.15
-IDLE = 0.25
-APART_GAIN = 0.3
-APART_IDLE = 0.6
-COMFORT = 0.6
+MIN_GAIN = 0.15
+"""The relative drop in utilization for which the count is changed."""
+
+MIN_UTILIZATION = 0.25
+"""Below this utilization the count isn't changed."""
+
+SEPARATE_MIN_GAIN = 0.3
+SEPARATE_MIN_UTILIZATION = 0.6
+"""The same two where decode runners don't prefill."""
+
+TARGET_SLOT_USAGE = 0.6
+"""The target share of a decode runner's slots in use."""
+
 SETTLE_US = 2_000_000
-SPARED_FROM = 4
-"""From how many runners on a second decode runner is kept, whatever the load."""
+"""How long the direction of a change must stay the same before it is made."""
+
+SPARE_DECODE_FROM = 4
+"""With at least this many runners a second decode runner is kept, whatever the load."""
 
 
 class RatioSearch:
@@ -24,7 +36,7 @@
     """
 
     __slots__ = (
-        "side",
+        "direction",
         "since_us",
         "target",
         "held_memory",
@@ -34,7 +46,8 @@
     )
 
     def __init__(self):
-        self.side = None
+        """Start without a decision."""
+        self.direction = None
         self.since_us = 0
         self.target = None
         self.held_memory = 0.0
@@ -43,28 +56,43 @@
         self.prefill_rate = None
 
     def utilization(self, prefills, runners, prompt_rate, answer_rate, settings):
+        """Return the utilization of the busier role if `prefills` of `runners` prefill.
+
+        1 is full capacity. The rates are tokens per second of prompts and of answers.
+        """
         decodes = runners - prefills
-        fast = self.prefill_rate or settings.prefill_tokens_per_s or DEFAULT_PREFILL_RATE
+        rate = self.prefill_rate or settings.prefill_tokens_per_s or DEFAULT_PREFILL_RATE
         if not self.allows_in_place_prefill:
-            read_busy = prompt_rate / (prefills * fast) if prefills else float("inf")
-            return max(read_busy, self.held_memory / decodes, self.streams / decodes / COMFORT)
+            prefill_usage = prompt_rate / (prefills * rate) if prefills else float("inf")
+            return max(
+                prefill_usage,
+                self.held_memory / decodes,
+                self.streams / decodes / TARGET_SLOT_USAGE,
+            )
         spare = max(0.0, 1 - answer_rate / (decodes * settings.decode_tokens_per_s))
-        reading = prefills * fast + decodes * fast * settings.decode_prefill_share * spare
-        read_busy = prompt_rate / reading if reading else float("inf") if prompt_rate else 0.0
-        decode_busy = answer_rate / (decodes * settings.decode_tokens_per_s)
-        return max(read_busy, decode_busy, self.held_memory / decodes)
+        prefill_capacity = prefills * rate + decodes * rate * settings.decode_prefill_share * spare
+        prefill_usage = (
+            prompt_rate / prefill_capacity
+            if prefill_capacity
+            else float("inf")
+            if prompt_rate
+            else 0.0
+        )
+        decode_usage = answer_rate / (decodes * settings.decode_tokens_per_s)
+        return max(prefill_usage, decode_usage, self.held_memory / decodes)
 
-    def _most_readers(self, runners):
-        """All but one; all but two where reading and decoding are apart and there are some more.
+    def _max_prefill_count(self, runners):
+        """Return the largest number of prefill runners: all but one, in some cases all but two.
 
-        There the loss of the only decode runner ends all service until another has switched, while
-        without a reader prompts are read in place.
+        Where decode runners don't prefill, the loss of the only one ends all service until another
+        runner has switched roles, whereas without a prefill runner prompts are prefilled in place.
         """
-        is_spared = not self.allows_in_place_prefill and runners >= SPARED_FROM
-        return runners - 2 if is_spared else runners - 1
+        keeps_spare = not self.allows_in_place_prefill and runners >= SPARE_DECODE_FROM
+        return runners - 2 if keeps_spare else runners - 1
 
     def best_prefill_count(self, runners, prompt_rate, answer_rate, settings):
-        counts = range(0, self._most_readers(runners) + 1)
+        """Return the count of least utilization; of equal ones the largest."""
+        counts = range(0, self._max_prefill_count(runners) + 1)
         return min(
             counts,
             key=lambda count: (
@@ -74,12 +102,17 @@
         )
 
     def next_prefill_count(self, current, runners, prompt_rate, answer_rate, settings, now_us):
+        """Return how many of `runners` should prefill now, given that `current` do."""
         if runners < 2 or prompt_rate + answer_rate <= 0:
-            self.side = self.target = None
+            self.direction = self.target = None
             return current if self.allows_in_place_prefill or runners < 2 else (runners + 1) // 2
-        if current > self._most_readers(runners):
-            return self._most_readers(runners)
-        gain, idle = (GAIN, IDLE) if self.allows_in_place_prefill else (APART_GAIN, APART_IDLE)
+        if current > self._max_prefill_count(runners):
+            return self._max_prefill_count(runners)
+        gain, idle = (
+            (MIN_GAIN, MIN_UTILIZATION)
+            if self.allows_in_place_prefill
+            else (SEPARATE_MIN_GAIN, SEPARATE_MIN_UTILIZATION)
+        )
 
         def utilization(count):
             return self.utilization(
@@ -95,13 +128,17 @@
                 return self.target
             self.target = None
         best = self.best_prefill_count(runners, prompt_rate, answer_rate, settings)
-        here = utilization(current)
-        if best == current or here < idle or utilization(best) > here * (1 - gain):
-            self.side = None
+        current_usage = utilization(current)
+        if (
+            best == current
+            or current_usage < idle
+            or utilization(best) > current_usage * (1 - gain)
+        ):
+            self.direction = None
             return current
-        side = 1 if best > current else -1
-        if self.side != side:
-            self.side = side
+        direction = 1 if best > current else -1
+        if self.direction != direction:
+            self.direction = direction
             self.since_us = now_us
         if now_us - self.since_us < SETTLE_US:
             return current
