--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -29,17 +29,17 @@
         self.attempts.roster.note_alive(self.runner)
         request, now_us, pairing = self.request, self.attempts.node.now_us(), self.attempts.pairing
         if request.handle:
-            pairing.note_begin(
+            pairing.note_decode_start(
                 request.handle[1], self.runner, request.prompt_tokens, now_us - request.progress_us
             )
-            pairing.backoff.note_hand_over(request.handle[1])
+            pairing.backoff.note_transfer_done(request.handle[1])
             request.handle = None
         request.progress_us = now_us
         if request.run is None:
             request.run = run
         if not request.call.is_begun:
             request.head = head
-        is_same_run = request.run == run or self.attempts.desk.joins_runs
+        is_same_run = request.run == run or self.attempts.desk.allows_run_change
         if not run or not is_same_run or after != request.written:
             self._break("another run or place than asked for")
 
--- a/tests/test_placement_invariants.py
+++ b/tests/test_placement_invariants.py
@@ -20,7 +20,7 @@
     def choose_any(self, work, ttft_us, why, without=(), room_us=0):
         decision = self.choose(work, ttft_us, without)
         if decision.winner is None and decision.candidates:
-            decision.winner = self._least(decision.candidates, lambda each: each.total_us)
+            decision.winner = self._pick_least(decision.candidates, lambda each: each.total_us)
             decision.exception = why
         return decision
 
@@ -29,7 +29,7 @@
 
     plain_weigh = PlacementPolicy.evaluate_candidates
     monkeypatch.setattr(PlacementPolicy, "evaluate_candidates", weigh_by_room)
-    monkeypatch.setattr(PlacementPolicy, "choose_anyway", choose_any)
+    monkeypatch.setattr(PlacementPolicy, "choose_best_effort", choose_any)
     assert run(seed)["late_work_beyond_room"] > 0
 
 
