--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -1,26 +1,27 @@
 """The node of a core member: the composition root of the control plane.
 
-The parts are built in the order of their dependencies. Who owns what:
+The components are built in the order of their dependencies:
 
-| part | owns |
+| component | owns |
 | --- | --- |
 | `snapshot` | the configuration in force, as far as this node knows |
 | `membership` | the members of the fleet and their health |
-| `replica`, `proposer` | the register: what this replica voted for, the proposals in flight |
-| `blobs`, `blob_exchange` | the configuration's documents and their way here |
+| `replica`, `proposer` | the register: this replica's votes, the proposals in flight |
+| `blobs`, `blob_exchange` | the configuration's documents and their transfer |
 | `configuration_store` | the changes of the configuration |
 | `watch_server` | the routers that watch the configuration |
 | `leases` | the singleton roles: role balancer, quota allocator, runner list |
-| `runner_discovery`, `role_balancer` | the runners; their prefill and decode roles |
+| `runner_discovery`, `role_balancer` | the runner list; the prefill and decode roles |
 | `quota_allocator` | the quotas of groups |
-| `shard_leases` | which shards of tenants this node counts for |
-| `quota_owner` | the quotas of tenants, in the shards that this node owns |
-| `configuration_recovery`, `claim_admission` | what routers give back to a core that lost it |
-| `quorum_contact`, `router_contact` | whether replicas, and routers, reach this node |
-| `shutdown` | the way out |
-
-Ticks run in the order in which the parts are built, since parts register theirs; those of the parts
-that announce nothing to others come last. The order is part of what a simulated run repeats.
+| `shard_leases` | which tenant shards this node owns |
+| `quota_owner` | the quotas of the tenants in those shards |
+| `configuration_recovery`, `claim_admission` | what routers return to a core that lost it |
+| `quorum_contact`, `router_contact` | whether replicas and routers reach this node |
+| `shutdown` | the graceful shutdown |
+
+Components register their ticks when they are built, so the ticks run in that order. Those of the
+components that announce nothing to others come last. Simulated runs depend on this order to be
+reproducible.
 """
 
 from collections.abc import Callable, Sequence
@@ -69,10 +70,10 @@
 """The names of the replicas; a deployment uses the first `bounds.seats` of them."""
 
 TENANT_SHARDS = "tenant_shards"
-"""What the leases on shards of tenants are called among those that are released at shutdown."""
+"""The name of the tenant shard leases among the leases that are released at shutdown."""
 
 RELAYED_FIGURES = ("views", "outcomes", "lines")
-"""The fields of a watch request whose sums over all other routers a router is told."""
+"""The fields of a watch request that are summed over all other routers for each router."""
 
 
 class ControllerNode(Node):
@@ -127,12 +128,12 @@
         contact: str | None = None,
         make_runner_client: Callable[[Node], Any] = RunnerClient,
     ) -> None:
-        """Build the parts of the node `name`, reached at `address`.
+        """Build the components of the node `name`, reached at `address`.
 
-        `replica_id`: its replica; None where the disk says it, a first start's `contacts`
-        say it, or it is learned from a running core. `contact`: its address among `contacts`.
-        `platform`: where the platform's list of runners is. `make_runner_client`: makes the client
-        that calls platform and runners.
+        `replica_id`: its replica; None if that is read from the disk, follows from `contacts` at a
+        first start, or is learned from a running core. `contact`: its address among `contacts`.
+        `platform`: the address of the platform's list of runners. `make_runner_client`: creates the
+        client that calls the platform and the runners.
         """
         super().__init__(name, address, ports, bounds)
         self.incarnation = incarnation
@@ -143,13 +144,13 @@
         self._build_singleton_roles(platform, make_runner_client)
         self._build_reporting()
         self._subscribe()
-        self._route()
+        self._register_routes()
         begin_first_start(self.replica, self.bounds.bootstrap, sorted(contacts))
 
     def _build_register(
         self, zone: str, seeds: Sequence[str], replica_id: str | None, contact: str
     ) -> None:
-        """Membership, register, and what a replica does about an empty disk."""
+        """Build the membership, the register and the admission of claims after an empty start."""
         self.membership = Membership(
             self,
             "registry",
@@ -182,8 +183,8 @@
         self.claim_admission = ClaimAdmission(self, self.replica, self.membership, self.snapshot)
 
     def _build_configuration(self) -> None:
-        """The configuration's store and its watch server."""
-        # The interfaces of these parts ask for settable attributes, which they only read.
+        """Build the configuration store and its watch server."""
+        # The protocols of these components declare attributes as settable, but only read them.
         node: Any = self
         replica: Any = self.replica
         membership: Any = self.membership
@@ -209,7 +210,7 @@
     def _build_singleton_roles(
         self, platform: str, make_runner_client: Callable[[Node], Any]
     ) -> None:
-        """The leases, and what their holders do."""
+        """Build the leases and the components that act under them."""
         self.runner_client = make_runner_client(self)
         proposer: Any = self.proposer
         replica: Any = self.replica
@@ -244,7 +245,7 @@
         self.quota_owner = QuotaOwner(self, self.shard_leases, self.snapshot)
 
     def _build_reporting(self) -> None:
-        """What is published to routers and operators, recovery from routers, and the way out."""
+        """Build what serves routers and operators, the recovery from routers, and the shutdown."""
         self.relays = [FigureRelay(self, field) for field in RELAYED_FIGURES]
         self.publisher = RunnerListPublisher(
             self.replica, self.leases, self.runner_discovery, self.role_balancer, self.relays
@@ -296,7 +297,7 @@
         ]
 
     def _subscribe(self) -> None:
-        """Who hears of a member's version and of each watch request, and adds to its response."""
+        """List the components that read each watch request, and those that add to its response."""
         self.watch_listeners = [
             *(relay.on_watch_request for relay in self.relays),
             self.runner_discovery.on_evidence,
@@ -312,21 +313,21 @@
         ]
 
     def on_watch_request(self, message: dict[str, Any]) -> None:
-        """Hand the sections of a router's poll to the parts that read them."""
+        """Pass a router's watch request to the components that read its sections."""
         for listener in self.watch_listeners:
             listener(message)
 
     def add_watch_facts(self, request: dict[str, Any], response: dict[str, Any]) -> None:
-        """Have each part add its section to the answer of a poll."""
+        """Let each contributor add its section to the response to a watch request."""
         for contributor in self.watch_contributors:
             contributor(request, response)
 
     def is_watch_urgent(self, request: dict[str, Any]) -> bool:
-        """Whether a router lacks something that can't wait for the end of its long poll."""
+        """Whether a router must be answered before the end of its long poll."""
         return self.publisher.is_urgent(request)
 
-    def _route(self) -> None:
-        """The calls of operators."""
+    def _register_routes(self) -> None:
+        """Register the HTTP routes of operators."""
         self.routes.update(
             {
                 ("GET", "/v1/core"): self.status.serve,
@@ -338,7 +339,7 @@
         )
 
     def on_slot_changed(self, key: str) -> None:
-        """The replica has another value: a configuration that is known chosen is in force here."""
+        """Apply a configuration that is known to be chosen, after the replica's value changed."""
         if key != CONFIGURATION_KEY:
             return
         value = self.replica.register_state(key).value
@@ -351,15 +352,15 @@
         self.watch_server.answer_waiting()
 
     def on_voting_started(self) -> None:
-        """The replica votes from now on.
+        """Start what depends on the replica's vote.
 
-        Where nobody can have held a lease before, or no other vote was met, candidates needn't wait
-        for leases to run out.
+        If no node can have held a lease before, or no other voter was found, candidates needn't
+        wait for leases to expire.
         """
         self.claim_admission.on_voting_started()
         self.configuration_recovery.on_voting_started()
         rank_candidates(self.leases, self.replica.replica_ids, self.replica.replica_id)
-        self.runner_discovery.list.start_serials_at(self.replica.incarnation)
+        self.runner_discovery.runner_list.start_serials_at(self.replica.incarnation)
         if not self.replica.votes_from_us:
             for lease in self.leases.values():
                 lease.allow_election_now()
@@ -367,49 +368,49 @@
             self.leases[RUNNER_LIST].assume_vacant()
 
     def on_runner_list_ready(self) -> None:
-        """The runner list may be published: routers needn't wait for their next request."""
+        """Answer all waiting watch requests, since the runner list can now be published."""
         self.watch_server.answer_all()
 
     def on_runner_list_outdated(self) -> None:
-        """This node can't reach the platform: another one should keep the list."""
+        """Give up the runner list's lease, since this node can't reach the platform."""
         self.leases[RUNNER_LIST].step_down()
 
     def on_replica_retired(self) -> None:
-        """This node is a spare again: what it kept on disk is dropped, blobs with it."""
+        """Drop the stored blobs, since this node no longer has a replica."""
         self.blobs.on_replica_retired()
 
     def on_key_outbid(self, key: str) -> None:
-        """Too few replicas have a key's value: write it to a majority under a higher ballot."""
+        """Write a key that too few replicas have to a majority under a higher ballot."""
         if key in self.outbid_keys:
             return
         self.outbid_keys.add(key)
         self.proposer.read(key, lambda outcome, value: self.outbid_keys.discard(key))
 
     def claim_limits(self) -> Any:
-        """How long one-time claims are kept, and how many: of the configuration in force."""
+        """The limits on age and number of one-time claims, from the configuration in force."""
         configuration = self.snapshot.configuration
         return configuration.claims if configuration is not None else default_claim_limits()
 
     def on_member_version(self, version: int, member: Member) -> None:
-        """A member gossiped which version of the configuration it holds."""
+        """Handle the configuration version that a member gossiped."""
         self.configuration_recovery.on_member_version(version, member)
 
     def has_limited_tenants(self) -> bool:
-        """Whether requests of any tenant have to be counted."""
+        """Whether any tenant has a limit, so that its requests must be counted."""
         configuration = self.snapshot.configuration
         tenants = (configuration.tenants if configuration is not None else None) or {}
         return any(tenant.is_limited for tenant in tenants.values())
 
     def on_shard_won(self, shard: int) -> None:
-        """Count for the tenants of a shard from now on."""
+        """Start to enforce the quotas of the tenants in a shard."""
         self.quota_owner.on_shard_won(shard)
 
     def on_shard_lost(self, shard: int) -> None:
-        """Another node may count for the tenants of a shard."""
+        """Stop enforcing the quotas of a shard, which another node may now own."""
         self.quota_owner.on_shard_lost(shard)
 
     def on_lease_won(self, role: str) -> None:
-        """Begin the work of a singleton role."""
+        """Start the work of a singleton role."""
         if role == ROLE_BALANCER:
             self.role_balancer.on_lease_won(role)
         elif role == QUOTA_ALLOCATOR:
@@ -419,7 +420,7 @@
             self.watch_server.answer_all()
 
     def on_lease_lapsed(self, role: str) -> None:
-        """End the work of a singleton role; the list of runners follows its lease by itself."""
+        """Stop the work of a singleton role; the runner list checks its lease by itself."""
         if role == ROLE_BALANCER:
             self.role_balancer.on_lease_lapsed(role)
         elif role == QUOTA_ALLOCATOR:
@@ -431,5 +432,5 @@
         return self.shutdown.state is not ShutdownState.RUNNING
 
     def drain(self, on_drained: Callable[[], None]) -> None:
-        """Shut down gracefully; `on_drained` is called when the process may end."""
+        """Shut down gracefully; `on_drained` is called when the process may exit."""
         self.shutdown.begin(on_drained)
--- a/packages/controller/src/linkhaven/controller/role_change.py
+++ b/packages/controller/src/linkhaven/controller/role_change.py
@@ -1,4 +1,4 @@
-"""One change of a runner's role, from the decision to its end."""
+"""One change of a runner's role, from the decision to completion."""
 
 from enum import Enum
 
@@ -6,13 +6,13 @@
 
 
 class ChangeState(Enum):
-    """How far a change of role has come.
+    """The state of a role change.
 
     | state | next |
     | --- | --- |
-    | `ANNOUNCED`: routers are told of it | `ORDERED`, or dropped |
-    | `ORDERED`: the order was sent to the runner | `REFUSED`, or it plays the role, or is lost |
-    | `REFUSED`: the runner refused the order | over |
+    | `ANNOUNCED`: routers are notified | `ORDERED`, or dropped |
+    | `ORDERED`: the order was sent to the runner | `REFUSED`, or ended (switched or lost) |
+    | `REFUSED`: the runner rejected the order | ended |
     """
 
     ANNOUNCED = "announced"
@@ -21,11 +21,12 @@
 
 
 class RoleChange:
-    """A runner that is to play another role.
+    """A change of one runner to another role.
 
-    `announced_us`: since when routers are told of it. `notice_us`: for how long they are told
-    before the order leaves. `members`: how many sound runners its pool had when it was decided on;
-    None for a change that fills a vacant role, which stands however few there are.
+    `announced_us`: when the routers were first notified. `notice_us`: how long they are notified
+    before the order is sent. `min_healthy`: the change is dropped before its order if the pool
+    has fewer healthy runners than this; None for a change that fills a vacant role, which is valid
+    however few there are.
     """
 
     __slots__ = (
@@ -34,7 +35,7 @@
         "role",
         "announced_us",
         "notice_us",
-        "members",
+        "min_healthy",
         "state",
         "ordered_us",
     )
@@ -45,15 +46,15 @@
         role: str,
         announced_us: int,
         notice_us: int = 0,
-        members: int | None = None,
+        min_healthy: int | None = None,
     ) -> None:
-        """Nothing is ordered yet."""
+        """Begin in the state `ANNOUNCED`."""
         self.name: str = runner.name
         self.pool: str | None = runner.pool
         self.role = role
         self.announced_us = announced_us
         self.notice_us = notice_us
-        self.members = members
+        self.min_healthy = min_healthy
         self.state = ChangeState.ANNOUNCED
         self.ordered_us = 0
 
@@ -62,5 +63,5 @@
         return self.state is not ChangeState.ANNOUNCED
 
     def fills_vacancy(self) -> bool:
-        """Whether it was begun because nobody plays that role."""
-        return self.members is None
+        """Whether it was begun because no runner has that role."""
+        return self.min_healthy is None
--- a/packages/controller/src/linkhaven/controller/role_decisions.py
+++ b/packages/controller/src/linkhaven/controller/role_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions on the roles of runners: functions of what they are given, without any state."""
+"""Decisions on role changes, as pure functions of their arguments."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -10,32 +10,32 @@
 from .role_pools import PoolRoles, RunnerPool
 
 NOTICE_US = 700_000
-"""How long routers are told of a change before its order leaves."""
+"""How long before a planned order is sent the routers are notified of it."""
 
 ORDER_TIMEOUT_US = 3_000_000
-"""After this without a sign of it, an order counts as lost."""
+"""An order is considered lost if the runner shows no effect of it within this time."""
 
 MAX_SWITCH_US = 30_000_000
-"""A runner that reports a switch for longer than this counts as stuck."""
+"""A runner that reports a switch in progress for longer than this is considered stuck."""
 
 VACANCY_WAIT_US = 700_000
-"""How long a vacant role is waited for where reports may merely be late."""
+"""How long to wait before filling a vacant role if the reports may merely be late."""
 
-WEIGH_INTERVAL_US = 500_000
-"""How often the ratio of prefill to decode runners is weighed."""
+RATIO_INTERVAL_US = 500_000
+"""How often the ratio of prefill to decode runners is evaluated."""
 
-MEMBERS_PER_CHANGE = 8
-"""One planned change at once for so many sound runners of a pool, and one in any case."""
+RUNNERS_PER_CHANGE = 8
+"""A pool may have one concurrent planned change per this many healthy runners, at least one."""
 
 DEFAULT_SWITCH_US = 2_000_000
-"""How long a switch takes where the configuration doesn't say."""
+"""How long a switch takes if the configuration doesn't specify it."""
 
 PREFILL_END_US = 1_000_000
-"""What a prefill runner may take to end the read that it has begun before it switches."""
+"""How long a prefill runner may take to finish its current prompt before it switches."""
 
 
 class ChangeProgress(Enum):
-    """What is to be done about a change of role."""
+    """The progress of a role change, which determines its next step."""
 
     RUNNER_LOST = "runner lost"
     TO_ORDER = "to order"
@@ -46,7 +46,7 @@
 
 
 def progress_of(change: RoleChange, runner: Runner | None, now_us: int) -> ChangeProgress:
-    """How far a change is, by what its runner reports."""
+    """The progress of a change, derived from its runner's last report."""
     if runner is None or not runner.is_listed or runner.is_leaving or runner.is_unresponsive:
         return ChangeProgress.RUNNER_LOST
     if not change.is_ordered():
@@ -65,41 +65,42 @@
     return ChangeProgress.EXPIRED
 
 
-def still_stands(
+def is_still_valid(
     change: RoleChange, runner: Runner, pool: RunnerPool | None, is_balanced: bool
 ) -> bool:
-    """Whether what a change was decided on is still so; asked until its order is sent.
+    """Whether the conditions that a change was decided on still hold, until its order is sent.
 
-    No order takes the last runner of a role that the pool needs
+    No order takes the last runner from a role that the pool needs
     (`test_no_order_takes_the_last_decoder_that_stays`).
     """
     if pool is None:
         return False
-    if change.fills_vacancy() and pool.now.sound[change.role]:
+    if change.fills_vacancy() and pool.roles.healthy[change.role]:
         return False
     if change.fills_vacancy() and change.role == DECODE:
         return True
-    if change.members is not None and pool.now.healthy_count() < change.members:
+    if change.min_healthy is not None and pool.roles.healthy_count() < change.min_healthy:
         return False
-    return not pool.needs(runner.phase, is_balanced) or pool.now.may_spare(runner)
+    return not pool.needs(runner.phase, is_balanced) or pool.roles.can_spare(runner)
 
 
 def least_busy(roles: PoolRoles, role: str, count: int) -> list[Runner]:
-    """The sound runners of the other role that have least to do."""
+    """The `count` healthy runners of the other role that have the least work."""
     if role == DECODE:
-        return sorted(roles.sound[PREFILL], key=lambda runner: runner.queued)[:count]
-    return sorted(roles.sound[DECODE], key=lambda runner: runner.running)[:count]
+        return sorted(roles.healthy[PREFILL], key=lambda runner: runner.queued)[:count]
+    return sorted(roles.healthy[DECODE], key=lambda runner: runner.running)[:count]
 
 
-def changes_at_once(wanted: int, members: int) -> int:
-    """How many of the changes that are wanted are begun now: in a large pool several."""
-    return min(wanted, max(1, members // MEMBERS_PER_CHANGE))
+def concurrent_changes(wanted: int, healthy_count: int) -> int:
+    """How many of the wanted changes may begin now: more than one only in a large pool."""
+    return min(wanted, max(1, healthy_count // RUNNERS_PER_CHANGE))
 
 
-def notice_for_vacancy(role: str) -> int:
-    """How long routers are told before a vacant role is filled, in microseconds.
+def notice_for_vacancy_us(role: str) -> int:
+    """How long before a vacant role is filled the routers are notified, in microseconds.
 
-    Not at all for decode: nothing read can be decoded in that pool before, so no request is lost.
+    0 for decode: without a decode runner no prompt can be completed in that pool, so no request is
+    lost.
     """
     return 0 if role == DECODE else NOTICE_US
 
@@ -107,9 +108,9 @@
 def vacancy_bound_us(
     role: str, switch_us: int | None, deadlines_us: Iterable[int], report_us: int
 ) -> int:
-    """How long a role may be vacant: to be sure of it, to order, to switch and to see it."""
+    """How long a role may be vacant: the time to detect it, to order, to switch and to report."""
     switch_us = switch_us or DEFAULT_SWITCH_US
-    seen_us = VACANCY_WAIT_US + WEIGH_INTERVAL_US + 2 * report_us
+    detection_us = VACANCY_WAIT_US + RATIO_INTERVAL_US + 2 * report_us
     if role == DECODE:
-        return seen_us + PREFILL_END_US + switch_us
-    return seen_us + NOTICE_US + max(deadlines_us, default=0) + switch_us
+        return detection_us + PREFILL_END_US + switch_us
+    return detection_us + NOTICE_US + max(deadlines_us, default=0) + switch_us
--- a/packages/controller/src/linkhaven/controller/role_orders.py
+++ b/packages/controller/src/linkhaven/controller/role_orders.py
@@ -1,9 +1,10 @@
-"""Orders of roles in flight: who may order when, what was ordered, and what routers are told.
+"""Role orders in flight: when this node may send them, their outcome, and notices to routers.
 
-Invariant: no order reaches a runner after a later holder's. A holder orders only while its lease is
-held, after a quorum recorded that it will act, and only once any earlier holder can act no more;
-the order carries the lease's fencing token, and a runner refuses one with a lower token than it has
-seen (`test_an_order_with_an_old_fencing_token_is_refused_by_the_runner`).
+Invariant: a runner carries out no order of an earlier lease holder after one of a later holder. A
+holder sends orders only while it holds the lease, after a quorum recorded that it will act, and
+once any earlier holder can no longer act. Each order carries the lease's fencing token, and a
+runner rejects one with a lower token than it has seen
+(`test_an_order_with_an_old_fencing_token_is_refused_by_the_runner`).
 """
 
 from collections.abc import Callable
@@ -18,27 +19,28 @@
 from .role_change import ChangeState, RoleChange
 from .singleton_roles import ROLE_BALANCER
 
-SETTLED_MEMORY_US = 5_000_000
-"""How long routers are told which role a runner has just taken up."""
+SWITCHED_MEMORY_US = 5_000_000
+"""How long routers are sent the new role of a runner that has completed a switch."""
 
 
 class OrderClient(Protocol):
     """Sends orders to runners."""
 
     def order_phase(self, runner: Runner, order: dict[str, Any], done: Any) -> Any:
-        """Order a role of this incarnation of a runner; `done` gets an error or the answer."""
+        """Order this incarnation of a runner to a role; `done` gets an error or the answer."""
 
 
 class OrderPermission:
-    """Whether a lease lies between another holder's last order and now.
+    """Permits orders only once at least one lease has passed since another holder's last order.
 
-    After a pause of this process nothing is ordered for a while either: what it knows is old.
+    Orders are also withheld for `thaw_us` after a pause of this process, since its view of the
+    runners is outdated then.
     """
 
     __slots__ = ("node", "lease", "won_us", "paused_us")
 
     def __init__(self, node: Node, lease: Lease) -> None:
-        """Nothing is permitted before the lease is won."""
+        """Start without a won lease, as if this process had not been paused."""
         self.node = node
         self.lease = lease
         self.won_us = 0
@@ -46,18 +48,19 @@
         node.on_late.append(self.on_late_tick)
 
     def on_lease_won(self) -> None:
-        """Another holder may have ordered until now."""
+        """Start the wait: another holder may have sent orders until now."""
         self.won_us = self.node.now_us()
 
     def on_late_tick(self, now_us: int) -> None:
-        """This process was paused."""
+        """Remember that this process was paused until now."""
         self.paused_us = now_us
 
     def may_order(self, now_us: int) -> bool:
         """Whether an order may be sent.
 
-        At once where no announcement of another holder was seen for long enough, else a lease
-        after the lease was won; also where the former holder released it.
+        At once if no announcement of another holder was seen for long enough; otherwise
+        `orders_after_us` after the lease was won, and at least one lease if there was an earlier
+        holder, even if that one released it.
         """
         if now_us - self.paused_us < self.node.bounds.thaw_us:
             return False
@@ -68,9 +71,10 @@
 
 
 class RoleOrders:
-    """Owns the changes in flight, and those that were just completed, by the runner's name.
+    """Owns the role changes in flight and those just completed, by runner name.
 
-    `serial` rises with each change that routers must know of. `sent`: how many orders were sent.
+    `switched`: new role and time of completion. `serial` increases with each change that routers
+    must learn of. `sent`: how many orders were sent.
     """
 
     __slots__ = (
@@ -80,7 +84,7 @@
         "client",
         "snapshot",
         "changes",
-        "settled",
+        "switched",
         "serial",
         "sent",
     )
@@ -93,54 +97,54 @@
         client: OrderClient,
         snapshot: ConfigurationSnapshot,
     ) -> None:
-        """Nothing is in flight."""
+        """Start without any change in flight."""
         self.node = node
         self.lease = lease
         self.permission = permission
         self.client = client
         self.snapshot = snapshot
         self.changes: dict[str, RoleChange] = {}
-        self.settled: dict[str, tuple[str, int]] = {}
+        self.switched: dict[str, tuple[str, int]] = {}
         self.serial = 0
         self.sent = 0
 
     def clear(self) -> None:
-        """Nothing of an earlier lease counts."""
+        """Drop all changes, as at the start or end of a lease."""
         self.changes = {}
-        self.settled = {}
+        self.switched = {}
 
     def begin(self, change: RoleChange) -> None:
-        """Routers are told of it from now on."""
+        """Add a change; routers are notified of it from now on."""
         self.changes[change.name] = change
         self.serial += 1
 
     def end(self, change: RoleChange) -> None:
-        """It is over, or dropped: routers are told that the runner stays what it is."""
+        """Remove a change that ended or was dropped, and let routers know."""
         del self.changes[change.name]
         self.serial += 1
 
-    def settle(self, runner: Runner, now_us: int) -> None:
-        """The runner plays its new role."""
-        self.settled[runner.name] = (runner.phase, now_us)
+    def mark_switched(self, runner: Runner, now_us: int) -> None:
+        """Record that the runner has its new role."""
+        self.switched[runner.name] = (runner.phase, now_us)
 
-    def forget_settled(self, now_us: int) -> None:
-        """By now the reports that routers have of these runners name the role."""
-        for name, (_, settled_us) in list(self.settled.items()):
-            if now_us - settled_us > SETTLED_MEMORY_US:
-                del self.settled[name]
+    def forget_switched(self, now_us: int) -> None:
+        """Forget completed switches that the runners' reports have told the routers of by now."""
+        for name, (_, switched_us) in list(self.switched.items()):
+            if now_us - switched_us > SWITCHED_MEMORY_US:
+                del self.switched[name]
 
-    def of_pool(self, pool: str | None) -> list[RoleChange]:
+    def in_pool(self, pool: str | None) -> list[RoleChange]:
         """The changes in flight in one pool."""
         return [change for change in self.changes.values() if change.pool == pool]
 
     def add_watch_facts(self, response: dict[str, Any]) -> None:
-        """Which runners are changing, and which have just changed."""
+        """Add the runners that are changing or have just changed to a watch response."""
         if self.lease.is_held():
             response[ROLE_BALANCER] = {
                 "fence": self.lease.fencing_token,
                 "serial": self.serial,
                 "changing": list(self.changes),
-                "settled": {name: role for name, (role, _) in self.settled.items()},
+                "settled": {name: role for name, (role, _) in self.switched.items()},
             }
 
     def send(
@@ -151,10 +155,11 @@
         now_us: int,
         on_announced: Callable[[], None],
     ) -> None:
-        """Send the order under the lease's fencing token, if the lease is held and may order.
+        """Send the order with the lease's fencing token, if this node holds it and may order.
 
-        A quorum records first that an order follows, so that a successor knows of it; then
-        `on_announced` is called to send it. `observed`: what it was decided by, for the log.
+        A quorum first records that an order follows, so that a successor knows of it. In that case
+        nothing is sent yet and `on_announced` is called once the record is made. `observed`: the
+        inputs of the decision, for the log.
         """
         if not self.lease.is_held() or not self.permission.may_order(now_us):
             return
--- a/packages/controller/src/linkhaven/controller/traffic_demand.py
+++ b/packages/controller/src/linkhaven/controller/traffic_demand.py
@@ -1,18 +1,18 @@
-"""The traffic that routers report: what pools of runners have to serve."""
+"""The traffic that routers report, from which the demand on each pool is estimated."""
 
 from typing import Any, NamedTuple
 
 from linkhaven.runtime import Node
 
 REPORT_TIMEOUT_US = 3_000_000
-"""The rates of a router that reported nothing for so long are old."""
+"""The rates of a router that hasn't reported for this long are ignored."""
 
-PREFILL_PACE = 2
-"""Where a router's rates have the pace it saw prefill runners at."""
+PREFILL_PACE_INDEX = 2
+"""The index of the prefill pace in a router's rates; a router may report none."""
 
 
 class Demand(NamedTuple):
-    """Tokens a second, and tokens a second that one prefill runner reads, where any was seen."""
+    """Rates in tokens per second; `prefill_pace` is that of one prefill runner, None if unknown."""
 
     prompt_rate: float
     answer_rate: float
@@ -20,30 +20,30 @@
 
 
 class TrafficDemand:
-    """Owns the rates that each router reported last, over all pools together."""
+    """Owns the last reported rates of each router, which cover all pools together."""
 
     __slots__ = ("node", "rates")
 
     def __init__(self, node: Node) -> None:
-        """Nothing was reported yet."""
+        """Start without any report."""
         self.node = node
         self.rates: dict[str, tuple[list[float], int]] = {}
 
     def on_watch_request(self, message: dict[str, Any]) -> None:
-        """A router's rates: prompt and answer tokens a second, and the pace of prefill runners."""
+        """Store a router's rates: prompt and answer tokens per second, and the prefill pace."""
         self.rates[message["name"]] = (message.get("rates", [0, 0]), self.node.now_us())
 
-    def of_share(self, share: float, now_us: int) -> Demand:
-        """The demand on a pool that has this share of all sound runners."""
+    def for_share(self, share: float, now_us: int) -> Demand:
+        """The demand on a pool that has this share of all healthy runners."""
         recent = [
             rates
             for rates, reported_us in self.rates.values()
             if now_us - reported_us < REPORT_TIMEOUT_US
         ]
         paces = [
-            rates[PREFILL_PACE]
+            rates[PREFILL_PACE_INDEX]
             for rates in recent
-            if len(rates) > PREFILL_PACE and rates[PREFILL_PACE]
+            if len(rates) > PREFILL_PACE_INDEX and rates[PREFILL_PACE_INDEX]
         ]
         return Demand(
             share * sum(rates[0] for rates in recent),
--- a/tests/test_exchanged_address.py
+++ b/tests/test_exchanged_address.py
@@ -1,22 +1,28 @@
+"""A runner whose address now belongs to another runner is treated as leaving.
+
+The platform may list the former runner for a while longer, and reports from the address come from
+the new one.
+"""
+
 from linkhaven.controller.runner_discovery import RunnerDiscovery
 from linkhaven.runtime import Bounds
 
 
-class Part:
+class FakeCall:
     def abandon(self):
         pass
 
 
-class Desk:
+class FakeClient:
     def list_runners(self, address, done):
         self.listed = done
-        return Part()
+        return FakeCall()
 
     def report(self, address, done):
-        return Part()
+        return FakeCall()
 
 
-class Duty:
+class HeldLease:
     def is_held(self):
         return True
 
@@ -24,7 +30,7 @@
         return False
 
 
-class Observer:
+class FakeObserver:
     def on_runner_list_ready(self):
         pass
 
@@ -32,17 +38,17 @@
         pass
 
 
-class Ports:
+class FakePorts:
     def log(self, number, **facts):
         pass
 
 
-class Node:
+class FakeNode:
     def __init__(self):
-        self.bounds, self.ports, self.systems, self.us = Bounds(), Ports(), [], 1_000_000
+        self.bounds, self.ports, self.systems, self.time_us = Bounds(), FakePorts(), [], 1_000_000
 
     def now_us(self):
-        return self.us
+        return self.time_us
 
 
 def entry(name):
@@ -58,26 +64,26 @@
     }
 
 
-def listing(*rounds):
-    node, desk = Node(), Desk()
-    runner_discovery = RunnerDiscovery(node, desk, "10.0.0.9:1", (Duty(),), Observer())
-    for names in rounds:
-        node.us += 1_000_000
-        runner_discovery.tick(node.us)
-        desk.listed(None, {"runners": [entry(name) for name in names]}, True)
+def discovery_after(*lists):
+    node, client = FakeNode(), FakeClient()
+    runner_discovery = RunnerDiscovery(node, client, "10.0.0.9:1", (HeldLease(),), FakeObserver())
+    for names in lists:
+        node.time_us += 1_000_000
+        runner_discovery.tick(node.time_us)
+        client.listed(None, {"runners": [entry(name) for name in names]}, True)
     return runner_discovery
 
 
 def test_a_runner_whose_address_went_to_another_is_leaving_before_the_list_drops_it():
-    runner_discovery = listing(["old"], ["new", "old"])
+    runner_discovery = discovery_after(["old"], ["new", "old"])
     assert (
         runner_discovery.runners["old"].is_leaving
         and not runner_discovery.runners["new"].is_leaving
     )
 
 
-def test_a_first_list_with_both_closes_neither():
-    runner_discovery = listing(["new", "old"])
+def test_a_first_list_with_two_runners_at_one_address_closes_neither():
+    runner_discovery = discovery_after(["new", "old"])
     assert (
         not runner_discovery.runners["old"].is_leaving
         and not runner_discovery.runners["new"].is_leaving
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -150,7 +150,7 @@
 def test_a_dark_plain_runner_is_tried_again_and_closed_anew_by_evidence():
     core, runner_discovery = plain_core()
     runner = runner_discovery.runners["i-1"]
-    assert runner_discovery.is_ready() and runner.is_open() and not runner_discovery.reports
+    assert runner_discovery.is_ready() and runner.is_open() and not runner_discovery.report_calls
     for _ in range(3):
         runner_discovery.on_evidence({"evidence": [["i-1", runner.incarnation, "dark", 0]]})
         assert runner.is_unresponsive
--- a/tests/test_runner_list_delta.py
+++ b/tests/test_runner_list_delta.py
@@ -1,4 +1,4 @@
-"""The list of runners told as differences: what a router holds then equals the whole list."""
+"""Deltas of the runner list: a router that applies them holds the same list as the publisher."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class Clock:
-    """A node as far as a list of runners needs one."""
+    """A stand-in for the node, with the clock and bounds that a roster uses."""
 
     class Bounds:
         roster_stale_us = None
@@ -17,14 +17,14 @@
     bounds = Bounds()
 
     def __init__(self):
-        self.at_us = 10 * SECOND
+        self.time_us = 10 * SECOND
 
     def now_us(self):
-        return self.at_us
+        return self.time_us
 
 
-def report(**told):
-    facts = {
+def report(**fields):
+    values = {
         "incarnation": 1,
         "phase": "decode",
         "queued": 0,
@@ -36,18 +36,18 @@
         "age_us": 0,
         "is_leaving": False,
     }
-    return {**facts, **told}
+    return {**values, **fields}
 
 
-class Keeper:
-    """The list as its keeper holds it, with the serials of what changed."""
+class Publisher:
+    """A publisher of the runner list, with the serials of its changes."""
 
     def __init__(self, clock, names):
         self.clock = clock
         self.serial = 1
-        self.changes = RunnerListDelta()
+        self.delta = RunnerListDelta()
         self.runners = {}
-        self.changes.begin(self.serial)
+        self.delta.begin(self.serial)
         self.list(names)
 
     def list(self, names):
@@ -58,33 +58,33 @@
                 kept[name] = Runner(name, f"{name}:1", "zone-1", 1)
         self.runners = kept
         self.serial += 1
-        self.changes.note_list(before, kept, self.serial)
+        self.delta.note_list(before, kept, self.serial)
 
-    def report(self, name, **told):
+    def report(self, name, **fields):
         runner = self.runners[name]
         before = runner.as_record(0) if runner.reported_us is not None else None
-        runner.take_report(report(**told), self.clock.at_us)
+        runner.take_report(report(**fields), self.clock.time_us)
         self.serial += 1
-        return self.changes.note_report(before, runner, self.serial)
+        return self.delta.note_report(before, runner, self.serial)
 
-    def darken(self, name, is_unresponsive):
+    def mark_unresponsive(self, name, is_unresponsive):
         self.runners[name].is_unresponsive = is_unresponsive
         self.serial += 1
-        self.changes.note_record(name, self.serial)
+        self.delta.note_record(name, self.serial)
 
-    def whole(self):
-        records = [runner.as_record(self.clock.at_us) for runner in self.runners.values()]
+    def full_list(self):
+        records = [runner.as_record(self.clock.time_us) for runner in self.runners.values()]
         return {"fence": 1, "serial": self.serial, "age_us": 0, "runners": records}
 
-    def document(self, place):
-        fence, held = place
-        if fence != 1 or not self.changes.is_known(held, self.serial):
-            return self.whole()
-        told = self.changes.since(held, self.runners, self.clock.at_us)
-        return {"fence": 1, "serial": self.serial, "age_us": 0, "since": held, **told}
+    def document(self, version):
+        fence, known = version
+        if fence != 1 or not self.delta.is_known(known, self.serial):
+            return self.full_list()
+        fields = self.delta.since(known, self.runners, self.clock.time_us)
+        return {"fence": 1, "serial": self.serial, "age_us": 0, "since": known, **fields}
 
 
-def seen(roster):
+def state_of(roster):
     names = ("incarnation", "phase", "queued", "running", "kv_used", "is_unresponsive")
     names += ("is_leaving",)
     return {
@@ -92,93 +92,91 @@
     }
 
 
-def change_something(runner_discovery, dice, extra):
-    kind = dice.randrange(5)
-    name = dice.choice(list(runner_discovery.runners))
-    if kind == 0:
-        runner_discovery.list(
-            [*(other for other in runner_discovery.runners if other != name), f"runner-{extra}"]
+def change_something(publisher, rng, number):
+    action = rng.randrange(5)
+    name = rng.choice(list(publisher.runners))
+    if action == 0:
+        publisher.list(
+            [*(other for other in publisher.runners if other != name), f"runner-{number}"]
         )
-    elif kind == 1:
-        runner_discovery.darken(name, not runner_discovery.runners[name].is_unresponsive)
-    elif kind == 2:
-        runner_discovery.report(name, phase=dice.choice(("prefill", "decode")))
+    elif action == 1:
+        publisher.mark_unresponsive(name, not publisher.runners[name].is_unresponsive)
+    elif action == 2:
+        publisher.report(name, phase=rng.choice(("prefill", "decode")))
     else:
-        runner_discovery.report(name, queued=dice.randrange(9), running=dice.randrange(9))
+        publisher.report(name, queued=rng.randrange(9), running=rng.randrange(9))
 
 
-def test_differences_lead_to_the_same_list_as_the_whole():
+def test_deltas_give_the_same_list_as_full_lists():
     for seed in range(40):
-        dice, clock = random.Random(seed), Clock()
-        runner_discovery = Keeper(clock, [f"runner-{place}" for place in range(6)])
-        by_whole, by_changes = Roster(clock), Roster(clock)
-        parts = 0
+        rng, clock = random.Random(seed), Clock()
+        publisher = Publisher(clock, [f"runner-{place}" for place in range(6)])
+        by_full_list, by_delta = Roster(clock), Roster(clock)
+        deltas = 0
         for step in range(60):
-            clock.at_us += 100_000
-            for _ in range(dice.randrange(4)):
-                change_something(runner_discovery, dice, 10 + 100 * step + dice.randrange(90))
-            document = runner_discovery.document(by_changes.version)
-            parts += "since" in document
-            by_changes.take(document, clock.at_us)
-            by_whole.take(runner_discovery.whole(), clock.at_us)
-            assert seen(by_changes) == seen(by_whole)
-        assert parts > 50
-
-
-def test_a_difference_from_another_list_than_the_held_one_is_not_taken():
+            clock.time_us += 100_000
+            for _ in range(rng.randrange(4)):
+                change_something(publisher, rng, 10 + 100 * step + rng.randrange(90))
+            document = publisher.document(by_delta.version)
+            deltas += "since" in document
+            by_delta.take(document, clock.time_us)
+            by_full_list.take(publisher.full_list(), clock.time_us)
+            assert state_of(by_delta) == state_of(by_full_list)
+        assert deltas > 50
+
+
+def test_a_delta_on_another_base_than_the_held_list_is_not_applied():
     clock = Clock()
-    runner_discovery, roster = Keeper(clock, ["runner-1"]), Roster(clock)
-    roster.take(runner_discovery.whole(), clock.at_us)
-    place = roster.version
-    runner_discovery.report("runner-1", queued=5)
-    missed = runner_discovery.document(place)
-    runner_discovery.list(["runner-1", "runner-2"])
-    roster.take(runner_discovery.document(place), clock.at_us)
+    publisher, roster = Publisher(clock, ["runner-1"]), Roster(clock)
+    roster.take(publisher.full_list(), clock.time_us)
+    version = roster.version
+    publisher.report("runner-1", queued=5)
+    missed_delta = publisher.document(version)
+    publisher.list(["runner-1", "runner-2"])
+    roster.take(publisher.document(version), clock.time_us)
     assert set(roster.runners) == {"runner-1", "runner-2"}
-    roster.take({**missed, "serial": runner_discovery.serial + 9}, clock.at_us)
-    assert roster.version == (1, runner_discovery.serial)
+    roster.take({**missed_delta, "serial": publisher.serial + 9}, clock.time_us)
+    assert roster.version == (1, publisher.serial)
 
 
-def test_a_list_begun_anew_and_one_that_forgot_the_gone_are_told_whole():
+def test_a_new_list_and_one_that_forgot_removed_runners_are_sent_in_full():
     clock = Clock()
-    runner_discovery = Keeper(clock, ["runner-1"])
-    held = runner_discovery.serial
-    assert runner_discovery.changes.is_known(held, runner_discovery.serial)
+    publisher = Publisher(clock, ["runner-1"])
+    known = publisher.serial
+    assert publisher.delta.is_known(known, publisher.serial)
     for place in range(300):
-        runner_discovery.list(["runner-1", f"other-{place}"])
-    assert not runner_discovery.changes.is_known(held, runner_discovery.serial)
-    runner_discovery.serial += 1
-    runner_discovery.changes.begin(runner_discovery.serial)
-    assert not runner_discovery.changes.is_known(
-        runner_discovery.serial - 1, runner_discovery.serial
-    )
+        publisher.list(["runner-1", f"other-{place}"])
+    assert not publisher.delta.is_known(known, publisher.serial)
+    publisher.serial += 1
+    publisher.delta.begin(publisher.serial)
+    assert not publisher.delta.is_known(publisher.serial - 1, publisher.serial)
 
 
-def test_a_report_without_news_is_no_change_and_is_told_beside_the_next_one():
+def test_an_unchanged_report_is_no_change_and_is_included_in_the_next_delta():
     clock = Clock()
-    runner_discovery = Keeper(clock, ["runner-1", "runner-2", "runner-3"])
-    for name in runner_discovery.runners:
-        assert runner_discovery.report(name, queued=1)
-    held = runner_discovery.serial
-    clock.at_us += SECOND // 4
-    assert not runner_discovery.report("runner-1", queued=1)
-    assert runner_discovery.report("runner-2", queued=2)
-    figures = runner_discovery.changes.since(held, runner_discovery.runners, clock.at_us)["figures"]
+    publisher = Publisher(clock, ["runner-1", "runner-2", "runner-3"])
+    for name in publisher.runners:
+        assert publisher.report(name, queued=1)
+    known = publisher.serial
+    clock.time_us += SECOND // 4
+    assert not publisher.report("runner-1", queued=1)
+    assert publisher.report("runner-2", queued=2)
+    figures = publisher.delta.since(known, publisher.runners, clock.time_us)["figures"]
     assert [(row[0], row[2], row[-1]) for row in figures] == [
         ("runner-1", 1, 0),
         ("runner-2", 2, 0),
     ]
 
 
-def test_a_runner_that_this_router_lost_is_open_again_after_a_while_by_any_difference():
+def test_a_runner_that_this_router_lost_is_reopened_by_any_later_delta():
     clock = Clock()
-    clock.ports = type("Ports", (), {"log": staticmethod(lambda number, **facts: None)})
-    runner_discovery, roster = Keeper(clock, ["runner-1", "runner-2"]), Roster(clock)
-    runner_discovery.report("runner-1")
-    roster.take(runner_discovery.whole(), clock.at_us)
+    clock.ports = type("Ports", (), {"log": staticmethod(lambda number, **values: None)})
+    publisher, roster = Publisher(clock, ["runner-1", "runner-2"]), Roster(clock)
+    publisher.report("runner-1")
+    roster.take(publisher.full_list(), clock.time_us)
     roster.note_unresponsive(roster.runners["runner-1"])
     assert roster.runners["runner-1"].is_unresponsive
-    clock.at_us += 2 * SECOND
-    runner_discovery.report("runner-2", queued=1)
-    roster.take(runner_discovery.document(roster.version), clock.at_us)
+    clock.time_us += 2 * SECOND
+    publisher.report("runner-2", queued=1)
+    roster.take(publisher.document(roster.version), clock.time_us)
     assert not roster.runners["runner-1"].is_unresponsive
