--- a/packages/controller/src/linkhaven/controller/storage.py
+++ b/packages/controller/src/linkhaven/controller/storage.py
@@ -1,26 +1,30 @@
-"""The data folder of a core member, in lmdb: what it voted for, synced before it answers.
+"""The data folder of a core member, stored in LMDB and synced before any message is answered.
 
-`data.mdb` holds records; each value carries a checksum over its key and its text, and the record
-`!header` says the format and the node that it belongs to. The file is made under another name,
-synced, and then renamed, so that under its own name it is whole or not there:
+`data.mdb` holds the records. Each value carries a checksum over its key and text, and the record
+`!header` holds the format version and the name of the node that the folder belongs to. The file is
+created under a temporary name, synced and then renamed, so that under its own name it is either
+complete or absent:
 
-| after a loss of power | next start |
+| found after a power loss | at the next start |
 | --- | --- |
-| only `data.mdb.new` | removed: nothing was answered before the folder's sync |
+| only `data.mdb.new` | removed: nothing was answered before the folder was synced |
 | both names | `data.mdb.new` is removed, `data.mdb` is read |
-| neither name | a new folder |
-| `data.mdb` without a header, or shorter than its pages | refused: `disk_corrupt` |
-| `data.mdb.refused` beside it, or without it | not read; the next one set aside replaces it |
-| `lock.mdb` there, missing, or torn | made anew |
-
-Invariant: a file that can't be read as a whole is never read as empty
-(`test_no_spoilt_folder_is_read_as_empty`). An empty folder would let the member vote again
-where it has voted already (Lamport, Paxos Made Simple, 2.2: an acceptor must remember).
-
-What a caller is told after `write` was synced: the answer to a message waits for it. Errors name
-their remedy: `disk_corrupt` (set the folder aside; the member counts as one that lost its disk),
-`disk_format` (start the release that wrote it), `disk_foreign` (name the member's own folder),
-`disk_failing` (the folder can't be read or written: room, rights or the device).
+| neither name | a new folder is created |
+| `data.mdb` without a header, or shorter than its pages | rejected: `disk_corrupt` |
+| `data.mdb.refused`, with or without `data.mdb` | not read; overwritten by the next rejected file |
+| `lock.mdb` present, missing, or torn | created anew |
+
+Invariant: a file that can't be read completely is never treated as empty
+(`test_no_corrupt_folder_is_read_as_empty`). With an empty folder the member could vote again where
+it has already voted (Lamport, Paxos Made Simple, 2.2: an acceptor must remember).
+
+A write is reported as done only after its sync, and the answer to a message waits for that. Each
+error code has a remedy:
+
+- `disk_corrupt`: set the folder aside; the member then counts as one that lost its disk;
+- `disk_format`: start the release that wrote the folder;
+- `disk_foreign`: configure the member's own folder;
+- `disk_failing`: the folder can't be read or written; check free space, permissions and the device.
 """
 
 import json
@@ -33,27 +37,32 @@
 
 from linkhaven.api import ServiceError
 
-MAP_BYTES = 1 << 30
-"""The most bytes of a folder where the settings don't say."""
+DEFAULT_MAX_BYTES = 1 << 30
+"""The maximum size of a folder in bytes if the settings give none."""
 
-FORMAT = 1
-"""The version of the format; a folder of another one is refused."""
+FORMAT_VERSION = 1
+"""The version of the format; a folder of another version is rejected."""
 
-HEADER = "!header"
-"""The key of the record that says format and node."""
+HEADER_KEY = "!header"
+"""The key of the record that holds the format version and the node's name."""
 
-SUM_BYTES = 8
-"""The checksum's digits in front of each value."""
+CHECKSUM_DIGITS = 8
+"""The length of the hexadecimal checksum in front of each value."""
 
-DATA, NEW, REFUSED, LOCK = "data.mdb", "data.mdb.new", "data.mdb.refused", "lock.mdb"
+DATA_FILE, NEW_FILE, REFUSED_FILE, LOCK_FILE = (
+    "data.mdb",
+    "data.mdb.new",
+    "data.mdb.refused",
+    "lock.mdb",
+)
 
-KEPT_SHARE = 8
-"""A refused file is kept only where it has at most this part of the folder's bytes."""
+REFUSED_SIZE_DIVISOR = 8
+"""A rejected file is kept only if it is at most 1/8 of the folder's maximum size."""
 
-Done = Callable[[bool], None]
-"""Is told whether the records are kept."""
+WriteCallback = Callable[[bool], None]
+"""Called with whether the records were synced to disk."""
 
-CORRUPT_FAULTS = (
+CORRUPTION_ERRORS = (
     lmdb.CorruptedError,
     lmdb.InvalidError,
     lmdb.VersionMismatchError,
@@ -67,28 +76,28 @@
 
 
 def pack_value(key: bytes, value: Any) -> bytes:
-    """A record's value as it is stored."""
+    """Encode a record's value for storage, with its checksum."""
     text = json.dumps(value).encode()
     return checksum_of(key, text) + text
 
 
 def unpack_value(key: bytes, stored: bytes) -> Any:
-    """The value of a record; ValueError for one that was not stored by `pack_value`."""
-    text = stored[SUM_BYTES:]
-    if stored[:SUM_BYTES] != checksum_of(key, text):
+    """Decode a stored value; raises ValueError if `pack_value` didn't write it under this key."""
+    text = stored[CHECKSUM_DIGITS:]
+    if stored[:CHECKSUM_DIGITS] != checksum_of(key, text):
         raise ValueError(f"record {key.decode(errors='replace')} has another checksum")
     return json.loads(text)
 
 
 class Clock(Protocol):
-    """Calls functions in later turns of the loop."""
+    """Schedules callbacks on the event loop."""
 
-    def call_in(self, delay_us: int, deed: Callable[[], None]) -> Any:
-        """Call it after this time; 0 for the end of this turn."""
+    def call_in(self, delay_us: int, callback: Callable[[], None]) -> Any:
+        """Call it after `delay_us` microseconds; 0 means at the end of this loop iteration."""
 
 
 def sync_folder(folder: str) -> None:
-    """Make names last that were made, renamed or removed."""
+    """Sync a directory, so that created, renamed and removed names survive a power loss."""
     handle = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(handle)
@@ -97,37 +106,38 @@
 
 
 class LmdbStorage:
-    """The data folder: writes of one turn of the loop go into one synced transaction.
+    """The data folder: all writes of one loop iteration share one synced transaction.
 
-    `env`: the open environment, None after it shut itself. `waiting`: the writes of this turn.
-    `read`: the records as the start read them, until the first write.
+    `env`: the open LMDB environment, None while it is closed. `pending`: the writes of this loop
+    iteration. `cached_records`: the records as read at the start, until the first write.
     """
 
-    __slots__ = ("env", "clock", "waiting", "folder", "most_bytes", "node", "read")
+    __slots__ = ("env", "clock", "pending", "folder", "max_bytes", "node", "cached_records")
 
-    def __init__(self, folder: str, most_bytes: int = MAP_BYTES, node: str = "") -> None:
-        """Open the folder, or make it where nothing is there.
+    def __init__(self, folder: str, max_bytes: int = DEFAULT_MAX_BYTES, node: str = "") -> None:
+        """Open the folder, or create it if it doesn't exist.
 
-        `node`: the name that the folder belongs to; another one's is refused. Raises
-        `disk_corrupt`, `disk_format`, `disk_foreign` and `disk_failing`.
+        `max_bytes`: the maximum size of the folder. `node`: the name of the node that the folder
+        belongs to; the folder of another node is rejected. Raises `disk_corrupt`, `disk_format`,
+        `disk_foreign` and `disk_failing`.
         """
         self.folder = folder
-        self.most_bytes = most_bytes
+        self.max_bytes = max_bytes
         self.node = node
         self.clock: Clock | None = None
-        self.waiting: list[tuple[dict[str, bytes | None], Done]] = []
+        self.pending: list[tuple[dict[str, bytes | None], WriteCallback]] = []
         self.env: Any = None
-        self.read: dict[str, Any] | None = None
+        self.cached_records: dict[str, Any] | None = None
         try:
-            self._make_if_new()
-            self._check_length()
+            self._create_if_missing()
+            self._check_not_empty()
             self.env = self._open()
-        except CORRUPT_FAULTS as fault:
+        except CORRUPTION_ERRORS as fault:
             raise ServiceError("disk_corrupt", data=folder, why=str(fault)) from None
         except (lmdb.Error, OSError) as fault:
             raise ServiceError("disk_failing", data=folder, why=str(fault)) from None
         try:
-            self._check()
+            self._verify()
         except ServiceError:
             self.close()
             raise
@@ -136,37 +146,37 @@
         return os.path.join(self.folder, name)
 
     def _open(self) -> Any:
-        return lmdb.open(self.folder, map_size=self.most_bytes, sync=True, metasync=True, max_dbs=0)
+        return lmdb.open(self.folder, map_size=self.max_bytes, sync=True, metasync=True, max_dbs=0)
 
-    def _make_if_new(self) -> None:
-        """The file comes under its name with its header synced, and the name is synced."""
+    def _create_if_missing(self) -> None:
+        """Create the file under a temporary name with a synced header, then rename and sync it."""
         if not os.path.isdir(self.folder):
             os.makedirs(self.folder)
             sync_folder(os.path.dirname(os.path.abspath(self.folder)))
-        for name in (NEW, NEW + "-lock"):
+        for name in (NEW_FILE, NEW_FILE + "-lock"):
             if os.path.exists(self._path(name)):
                 os.remove(self._path(name))
-        if os.path.exists(self._path(DATA)):
+        if os.path.exists(self._path(DATA_FILE)):
             return
-        env = lmdb.open(self._path(NEW), map_size=self.most_bytes, subdir=False, lock=False)
+        env = lmdb.open(self._path(NEW_FILE), map_size=self.max_bytes, subdir=False, lock=False)
         try:
             with env.begin(write=True) as txn:
-                header = {"format": FORMAT, "node": self.node}
-                txn.put(HEADER.encode(), pack_value(HEADER.encode(), header))
+                header = {"format": FORMAT_VERSION, "node": self.node}
+                txn.put(HEADER_KEY.encode(), pack_value(HEADER_KEY.encode(), header))
         finally:
             env.close()
-        os.rename(self._path(NEW), self._path(DATA))
+        os.rename(self._path(NEW_FILE), self._path(DATA_FILE))
         sync_folder(self.folder)
 
-    def _check_length(self) -> None:
-        """A file that ends before its first pages would be taken for a new one."""
-        if os.path.getsize(self._path(DATA)) == 0:
+    def _check_not_empty(self) -> None:
+        """Reject an empty file, which LMDB would treat as a new one."""
+        if os.path.getsize(self._path(DATA_FILE)) == 0:
             raise ServiceError("disk_corrupt", data=self.folder, why="data.mdb has no bytes")
 
-    def _check(self) -> None:
-        """A file that ends before its last page would end this process when it is read."""
+    def _verify(self) -> None:
+        """Check length, header and records; reading a truncated file would crash the process."""
         needed = (self.env.info()["last_pgno"] + 1) * self.env.stat()["psize"]
-        held = os.path.getsize(self._path(DATA))
+        held = os.path.getsize(self._path(DATA_FILE))
         try:
             if held < needed:
                 raise ValueError(f"data.mdb has {held} of {needed} bytes")
@@ -182,72 +192,74 @@
 
     def _check_header(self) -> None:
         with self.env.begin() as txn:
-            stored = txn.get(HEADER.encode())
+            stored = txn.get(HEADER_KEY.encode())
             has_records = txn.stat()["entries"] > 0
         if stored is None and has_records:
-            raise ServiceError("disk_format", data=self.folder, held=0, reads=FORMAT)
+            raise ServiceError("disk_format", data=self.folder, held=0, reads=FORMAT_VERSION)
         if stored is None:
             raise ValueError("data.mdb has no header")
-        header = unpack_value(HEADER.encode(), bytes(stored))
-        if header["format"] != FORMAT:
-            raise ServiceError("disk_format", data=self.folder, held=header["format"], reads=FORMAT)
+        header = unpack_value(HEADER_KEY.encode(), bytes(stored))
+        if header["format"] != FORMAT_VERSION:
+            raise ServiceError(
+                "disk_format", data=self.folder, held=header["format"], reads=FORMAT_VERSION
+            )
         if header["node"] != self.node:
             raise ServiceError(
                 "disk_foreign", data=self.folder, held=header["node"], node=self.node
             )
 
     def attach(self, clock: Clock) -> None:
-        """The clock whose turns the writes are gathered by."""
+        """Set the clock that schedules the sync at the end of a loop iteration."""
         self.clock = clock
 
     def load(self) -> dict[str, Any]:
-        """All records but the header; raises ValueError where one was not stored whole.
+        """All records except the header; raises ValueError if one is corrupt.
 
-        A start reads the folder once: what its check read is kept until the first write.
+        The folder is read only once per start: the records read by the check are cached until the
+        first write.
         """
-        if self.read is None:
-            self.read = self._read()
-        return dict(self.read)
+        if self.cached_records is None:
+            self.cached_records = self._read()
+        return dict(self.cached_records)
 
     def _read(self) -> dict[str, Any]:
         with self.env.begin() as txn:
             return {
                 bytes(key).decode(): unpack_value(bytes(key), bytes(value))
                 for key, value in txn.cursor()
-                if bytes(key) != HEADER.encode()
+                if bytes(key) != HEADER_KEY.encode()
             }
 
-    def write(self, items: Mapping[str, Any], done: Done) -> None:
-        """Keep these records, None removing one; `done(is_kept)` after the sync."""
-        self.read = None
-        if not self.waiting:
+    def write(self, items: Mapping[str, Any], done: WriteCallback) -> None:
+        """Store these records (None removes one) and call `done(is_kept)` after the sync."""
+        self.cached_records = None
+        if not self.pending:
             assert self.clock is not None
             self.clock.call_in(0, self._sync)
         packed = {
             key: pack_value(key.encode(), value) if value is not None else None
             for key, value in items.items()
         }
-        self.waiting.append((packed, done))
+        self.pending.append((packed, done))
 
     def _sync(self) -> None:
-        self.read = None
-        waiting, self.waiting = self.waiting, []
-        is_kept = self._keep(waiting)
-        for _, done in waiting:
+        self.cached_records = None
+        pending, self.pending = self.pending, []
+        is_kept = self._commit(pending)
+        for _, done in pending:
             done(is_kept)
 
-    def _keep(self, waiting: list[tuple[dict[str, bytes | None], Done]]) -> bool:
-        """Whether all of this turn's writes are synced.
+    def _commit(self, pending: list[tuple[dict[str, bytes | None], WriteCallback]]) -> bool:
+        """Write all pending records in one transaction; whether they were synced.
 
-        False also where the map or the device is full: then nothing of the turn is kept, each
-        writer hears so, and a replica refuses the vote (event 1205) and goes on once writes go
-        through again.
+        If the map or the device is full, nothing is stored and every writer is told so. A replica
+        then refuses the vote (event 1205), and continues once writes succeed again.
         """
         try:
             if self.env is None:
                 self.env = self._open()
             with self.env.begin(write=True) as txn:
-                for items, _ in waiting:
+                for items, _ in pending:
                     for key, value in items.items():
                         if value is None:
                             txn.delete(key.encode())
@@ -261,22 +273,24 @@
         return True
 
     def close(self) -> None:
-        """Close the folder; the next write opens it anew.
+        """Close the folder; the next write reopens it.
 
-        Also done after a head that could not be written, which shuts the environment.
+        This is also done when a meta page could not be written, since LMDB then disables the
+        environment.
         """
         if self.env is not None:
             self.env.close()
         self.env = None
 
 
-def set_aside(folder: str, most_bytes: int) -> None:
-    """Take the refused file out of the way.
+def set_aside(folder: str, max_bytes: int) -> None:
+    """Move the rejected data file out of the way.
 
-    One is kept to be looked at, unless it fills the disk. Raises OSError.
+    The latest one is kept for inspection, unless it is too large (`REFUSED_SIZE_DIVISOR`). Raises
+    OSError.
     """
-    data, refused = os.path.join(folder, DATA), os.path.join(folder, REFUSED)
-    if os.path.getsize(data) * KEPT_SHARE > most_bytes:
+    data, refused = os.path.join(folder, DATA_FILE), os.path.join(folder, REFUSED_FILE)
+    if os.path.getsize(data) * REFUSED_SIZE_DIVISOR > max_bytes:
         os.remove(data)
     else:
         os.replace(data, refused)
@@ -285,19 +299,19 @@
 
 def open_storage(
     folder: str,
-    most_bytes: int,
+    max_bytes: int,
     node: str,
     log: Callable[..., None],
     sets_aside: bool = False,
 ) -> LmdbStorage:
-    """Open a member's folder; one that is refused is named in the log.
+    """Open a member's folder; a rejected folder is logged.
 
-    With `sets_aside` a torn or foreign folder is taken out of the way, and the member counts as one
-    that lost its disk. One of another format is whole and good for another release: it is never set
-    aside. Raises as `LmdbStorage` does.
+    With `sets_aside` a corrupt or foreign data file is set aside and the member counts as one that
+    lost its disk. A folder of another format is intact and usable by another release, so it is
+    never set aside. Raises the errors of `LmdbStorage`.
     """
     try:
-        return LmdbStorage(folder, most_bytes, node)
+        return LmdbStorage(folder, max_bytes, node)
     except ServiceError as error:
         if error.code == "disk_failing":
             raise
@@ -305,8 +319,8 @@
         if not sets_aside or error.code == "disk_format":
             raise
     try:
-        set_aside(folder, most_bytes)
+        set_aside(folder, max_bytes)
     except OSError as fault:
         raise ServiceError("disk_failing", data=folder, why=str(fault)) from None
     log(1213, data=folder)
-    return LmdbStorage(folder, most_bytes, node)
+    return LmdbStorage(folder, max_bytes, node)
--- a/tests/test_data_folder_of_6c079fa.py
+++ b/tests/test_data_folder_of_6c079fa.py
@@ -1,9 +1,9 @@
-"""A core that finds the data folders that 6c079fa wrote goes on with them.
+"""A core started on the data folders of version 6c079fa keeps its data.
 
-`recordings/data-6c079fa/` has the `data.mdb` of three core members, compressed, as 6c079fa left
-them in a whole fleet after a plan was put and patched, a key was claimed and all duties were won,
-and what they served. `python tests/test_data_folder_of_6c079fa.py FOLDER` writes it, on an
-untouched 6c079fa only.
+`recordings/data-6c079fa/` holds the compressed `data.mdb` files of three core members as 6c079fa
+left them, after a plan was put and patched, a key was claimed and all leases were won, together
+with the answers that the members gave. `python tests/test_data_folder_of_6c079fa.py FOLDER` writes
+this recording; run it only on an unmodified 6c079fa.
 """
 
 import gzip
@@ -25,8 +25,8 @@
 KIND, KEY = "entitlement-check", "form-1"
 
 
-class Folder:
-    """A member's real data folder in the simulated world; what is under way is lost in a crash."""
+class DataFolderDisk:
+    """A real data folder in the simulated world; a crash loses the writes that are not synced."""
 
     def __init__(self, folder, name):
         self.disk = LmdbStorage(str(folder), 1 << 24, name)
@@ -34,10 +34,10 @@
         self.epoch = 0
         self.disk.attach(self)
 
-    def call_in(self, delay_us, deed):
+    def call_in(self, delay_us, callback):
         epoch = self.epoch
         after = self.host.world.after
-        after(delay_us + 1_000, lambda: self.host.do(deed) if epoch == self.epoch else None)
+        after(delay_us + 1_000, lambda: self.host.do(callback) if epoch == self.epoch else None)
 
     def load(self):
         return self.disk.load()
@@ -47,59 +47,59 @@
 
     def crash(self):
         self.epoch += 1
-        self.disk.waiting.clear()
+        self.disk.pending.clear()
 
 
-def fleet_on(folders, begun_us=0):
-    """A fleet whose core members keep their data in these folders."""
-    stage = SimFleet(LICENSING, 31)
-    stage.world.now_us = begun_us
+def fleet_on(folders, start_us=0):
+    """Create a fleet whose core members keep their data in these folders."""
+    fleet = SimFleet(LICENSING, 31)
+    fleet.world.now_us = start_us
     for seat in SEATS:
-        host = stage.registries[seat]
-        host.disk = Folder(folders / host.name, host.name)
+        host = fleet.registries[seat]
+        host.disk = DataFolderDisk(folders / host.name, host.name)
         host.disk.host = host
-    return stage
+    return fleet
 
 
-def call(stage, seat, method, path, document=None):
-    """What a member answers an operator: status and document."""
-    told = []
-    operator = stage.operators[0].node
-    address = stage.registries[seat].address
-    operator._call(address, method, path, document, lambda *words: told.append(words))
-    stage.world.wait_for(lambda: told, 5 * SECOND, 10_000)
-    return list(told[0])
+def call(fleet, seat, method, path, document=None):
+    """Send an operator's call to a member; returns the status and the document."""
+    answers = []
+    operator = fleet.operators[0].node
+    address = fleet.registries[seat].address
+    operator._call(address, method, path, document, lambda *answer: answers.append(answer))
+    fleet.world.wait_for(lambda: answers, 5 * SECOND, 10_000)
+    return list(answers[0])
 
 
-def standings(stage):
-    return [call(stage, seat, "GET", "/v1/core")[1]["standing"] for seat in SEATS]
+def replica_states(fleet):
+    return [call(fleet, seat, "GET", "/v1/core")[1]["standing"] for seat in SEATS]
 
 
-def fences(stage):
-    duties = call(stage, "a", "GET", "/v1/core")[1]["duties"]
+def fencing_tokens(fleet):
+    duties = call(fleet, "a", "GET", "/v1/core")[1]["duties"]
     return {name: duty["fence"] for name, duty in duties.items()}
 
 
-def ask(stage):
-    asked = stage.ask(KIND, [stage.routers["edge-1"].address], key=KEY)
-    stage.world.wait_for(lambda: asked.ended_us is not None, 20 * SECOND)
-    return asked
+def send_request(fleet):
+    request = fleet.ask(KIND, [fleet.routers["edge-1"].address], key=KEY)
+    fleet.world.wait_for(lambda: request.ended_us is not None, 20 * SECOND)
+    return request
 
 
 def stored(folder):
-    """The bytes of all records of a folder."""
+    """All records of a folder, as stored."""
     with lmdb.open(str(folder), readonly=True) as env, env.begin() as txn:
         return {bytes(key).decode(): bytes(value).decode() for key, value in txn.cursor()}
 
 
-def run_all(stage):
-    """Start every process; answers once all three members vote."""
-    hosts = [stage.platform, *stage.runners.values(), *stage.registries.values()]
-    for host in [*hosts, *stage.routers.values(), stage.caller, *stage.operators]:
+def start_all(fleet):
+    """Start every process and wait until all three members vote."""
+    hosts = [fleet.platform, *fleet.runners.values(), *fleet.registries.values()]
+    for host in [*hosts, *fleet.routers.values(), fleet.caller, *fleet.operators]:
         host.start()
-    stage.list_runners(at_once=True)
-    are_up = stage.world.wait_for(lambda: standings(stage) == ["voting"] * 3, 20 * SECOND)
-    assert are_up, standings(stage)
+    fleet.list_runners(at_once=True)
+    are_up = fleet.world.wait_for(lambda: replica_states(fleet) == ["voting"] * 3, 20 * SECOND)
+    assert are_up, replica_states(fleet)
 
 
 @pytest.fixture
@@ -112,117 +112,120 @@
 
 
 @pytest.fixture
-def told():
+def recorded():
     return json.loads((RECORDED / "told.json").read_text())
 
 
-def restarted(folders, told):
-    stage = fleet_on(folders, told["ended_us"] + 60 * SECOND)
-    run_all(stage)
-    return stage
+def restarted(folders, recorded):
+    fleet = fleet_on(folders, recorded["ended_us"] + 60 * SECOND)
+    start_all(fleet)
+    return fleet
 
 
-def test_the_folders_hold_the_recorded_records(folders, told):
-    for name, records in told["records"].items():
+def test_the_folders_hold_the_recorded_records(folders, recorded):
+    for name, records in recorded["records"].items():
         assert stored(folders / name) == records, name
 
 
 @pytest.mark.parametrize("seat", SEATS)
-def test_what_is_read_is_stored_again_byte_for_byte(folders, told, tmp_path, seat):
-    """Each record through the folder's reader and writer, into a new folder."""
-    name, deeds = f"core-{seat}", []
+def test_records_that_are_read_are_written_back_byte_for_byte(folders, recorded, tmp_path, seat):
+    """Reads each record from its folder and writes it to a new one."""
+    name, callbacks = f"core-{seat}", []
     again = LmdbStorage(str(tmp_path / "again"), 1 << 24, name)
-    again.attach(SimpleNamespace(call_in=lambda delay_us, deed: deeds.append(deed)))
-    held = LmdbStorage(str(folders / name), 1 << 24, name)
-    again.write(held.load(), lambda is_kept: None)
-    deeds[0]()
-    held.close()
+    again.attach(SimpleNamespace(call_in=lambda delay_us, callback: callbacks.append(callback)))
+    stored_folder = LmdbStorage(str(folders / name), 1 << 24, name)
+    again.write(stored_folder.load(), lambda is_kept: None)
+    callbacks[0]()
+    stored_folder.close()
     again.close()
-    assert stored(tmp_path / "again") == told["records"][name]
+    assert stored(tmp_path / "again") == recorded["records"][name]
 
 
-def test_the_core_serves_the_same_plan_at_the_same_mark(folders, told):
-    stage = restarted(folders, told)
+def test_the_core_serves_the_same_plan_with_the_same_version(folders, recorded):
+    fleet = restarted(folders, recorded)
     for seat in SEATS:
-        assert call(stage, seat, "GET", "/v1/plan") == told["plan"], seat
+        assert call(fleet, seat, "GET", "/v1/plan") == recorded["plan"], seat
 
 
-def test_the_members_keep_their_seats_and_raise_their_incarnations(folders, told):
-    stage = restarted(folders, told)
+def test_the_members_keep_their_replicas_and_increase_their_incarnations(folders, recorded):
+    fleet = restarted(folders, recorded)
     for seat in SEATS:
-        _, document = call(stage, seat, "GET", "/v1/core")
-        was = told["cores"][seat][1]
-        assert document["seat"] == was["seat"] == seat
-        assert document["incarnation"] > was["incarnation"]
-
-
-def test_a_key_that_was_claimed_then_is_used_now(folders, told):
-    stage = restarted(folders, told)
-    assert stage.world.wait_for(stage.is_ready, 20 * SECOND)
-    asked = ask(stage)
-    assert [asked.status, asked.code] == told["claimed_again"]
-
-
-def test_a_duty_that_is_won_again_has_a_higher_fence(folders, told):
-    stage = restarted(folders, told)
-    assert stage.world.wait_for(stage.are_duties_held, 20 * SECOND)
-    now = fences(stage)
-    assert sorted(now) == sorted(told["fences"])
-    assert all(now[name] > fence for name, fence in told["fences"].items()), now
-
-
-def test_the_core_takes_the_next_change_and_still_knows_the_orders_of_then(folders, told):
-    stage = restarted(folders, told)
-    mark = told["plan"][1]["mark"]
-    again = call(stage, "b", "PUT", "/v1/plan", told["put"])
-    assert again == told["put_answer"]
-    order = {"expect": mark, "put_id": "next", "plan": LICENSING.plan()}
-    assert call(stage, "c", "PUT", "/v1/plan", order) == [200, {"mark": mark + 1, "put_id": "next"}]
+        _, document = call(fleet, seat, "GET", "/v1/core")
+        former = recorded["cores"][seat][1]
+        assert document["seat"] == former["seat"] == seat
+        assert document["incarnation"] > former["incarnation"]
+
+
+def test_a_key_claimed_by_the_earlier_version_stays_claimed(folders, recorded):
+    fleet = restarted(folders, recorded)
+    assert fleet.world.wait_for(fleet.is_ready, 20 * SECOND)
+    request = send_request(fleet)
+    assert [request.status, request.code] == recorded["claimed_again"]
+
+
+def test_a_lease_that_is_won_again_has_a_higher_fencing_token(folders, recorded):
+    fleet = restarted(folders, recorded)
+    assert fleet.world.wait_for(fleet.are_duties_held, 20 * SECOND)
+    now = fencing_tokens(fleet)
+    assert sorted(now) == sorted(recorded["fences"])
+    assert all(now[name] > fence for name, fence in recorded["fences"].items()), now
+
+
+def test_the_core_accepts_the_next_change_and_still_knows_earlier_ones(folders, recorded):
+    fleet = restarted(folders, recorded)
+    mark = recorded["plan"][1]["mark"]
+    again = call(fleet, "b", "PUT", "/v1/plan", recorded["put"])
+    assert again == recorded["put_answer"]
+    change = {"expect": mark, "put_id": "next", "plan": LICENSING.plan()}
+    assert call(fleet, "c", "PUT", "/v1/plan", change) == [
+        200,
+        {"mark": mark + 1, "put_id": "next"},
+    ]
     for seat in SEATS:
-        assert call(stage, seat, "GET", "/v1/plan")[1]["mark"] == mark + 1
+        assert call(fleet, seat, "GET", "/v1/plan")[1]["mark"] == mark + 1
 
 
-def test_two_folders_are_enough(folders, told):
+def test_two_folders_are_enough(folders, recorded):
     (folders / "core-b" / "data.mdb").unlink()
-    stage = restarted(folders, told)
+    fleet = restarted(folders, recorded)
     for seat in SEATS:
-        assert call(stage, seat, "GET", "/v1/plan") == told["plan"], seat
+        assert call(fleet, seat, "GET", "/v1/plan") == recorded["plan"], seat
 
 
 def record(target):
-    """Play the course of the fixture and write down the folders and what was served."""
+    """Run the recorded scenario, and write the folders and the answers to `target`."""
     with tempfile.TemporaryDirectory() as place:
-        stage = fleet_on(Path(place))
-        run_all(stage)
-        stage.world.run_for(SECOND)
+        fleet = fleet_on(Path(place))
+        start_all(fleet)
+        fleet.world.run_for(SECOND)
         put = {"expect": 0, "put_id": "first", "plan": LICENSING.plan()}
-        put_answer = call(stage, "a", "PUT", "/v1/plan", put)
+        put_answer = call(fleet, "a", "PUT", "/v1/plan", put)
         group = {"credit": {"tokens": 50_000, "period_us": 10 * SECOND}, "weight": 2.0}
         patch = {"expect": 1, "put_id": "second", "upserts": {"groups": {"more": group}}}
-        call(stage, "b", "PATCH", "/v1/plan", patch)
-        stage.world.wait_for(lambda: stage.is_ready() and stage.are_duties_held())
-        asked = [ask(stage) for _ in range(2)]
-        stage.world.run_for(2 * SECOND)
-        told = {
-            "plan": call(stage, "a", "GET", "/v1/plan"),
+        call(fleet, "b", "PATCH", "/v1/plan", patch)
+        fleet.world.wait_for(lambda: fleet.is_ready() and fleet.are_duties_held())
+        requests = [send_request(fleet) for _ in range(2)]
+        fleet.world.run_for(2 * SECOND)
+        recorded = {
+            "plan": call(fleet, "a", "GET", "/v1/plan"),
             "put": put,
             "put_answer": put_answer,
-            "cores": {seat: call(stage, seat, "GET", "/v1/core") for seat in SEATS},
-            "fences": fences(stage),
-            "claimed": [asked[0].status, asked[0].code],
-            "claimed_again": [asked[1].status, asked[1].code],
-            "ended_us": stage.world.now_us,
+            "cores": {seat: call(fleet, seat, "GET", "/v1/core") for seat in SEATS},
+            "fences": fencing_tokens(fleet),
+            "claimed": [requests[0].status, requests[0].code],
+            "claimed_again": [requests[1].status, requests[1].code],
+            "ended_us": fleet.world.now_us,
         }
-        for host in stage.registries.values():
+        for host in fleet.registries.values():
             host.kill()
             host.disk.disk.close()
-        told["records"] = {}
-        for host in stage.registries.values():
+        recorded["records"] = {}
+        for host in fleet.registries.values():
             folder = Path(place) / host.name
             packed = gzip.compress((folder / "data.mdb").read_bytes(), mtime=0)
             (target / f"{host.name}.mdb.gz").write_bytes(packed)
-            told["records"][host.name] = stored(folder)
-        (target / "told.json").write_text(json.dumps(told, ensure_ascii=False, indent=1) + "\n")
+            recorded["records"][host.name] = stored(folder)
+        (target / "told.json").write_text(json.dumps(recorded, ensure_ascii=False, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,3 +1,9 @@
+"""The data folder of a core member: synced writes, and corrupt or foreign folders.
+
+A folder that can't be read completely must never be treated as empty, since the member would then
+vote again where it has already voted.
+"""
+
 import os
 import random
 
@@ -8,101 +14,108 @@
 from linkhaven.controller import storage as module
 
 
-class Later:
+class FakeClock:
     def __init__(self):
-        self.deeds = []
+        self.callbacks = []
 
-    def call_in(self, delay_us, deed):
-        self.deeds.append(deed)
+    def call_in(self, delay_us, callback):
+        self.callbacks.append(callback)
 
     def run(self):
-        deeds, self.deeds = self.deeds, []
-        for deed in deeds:
-            deed()
+        callbacks, self.callbacks = self.callbacks, []
+        for callback in callbacks:
+            callback()
 
 
 def open_storage(folder, **given):
-    disk, clock = module.LmdbStorage(str(folder), **given), Later()
+    disk, clock = module.LmdbStorage(str(folder), **given), FakeClock()
     disk.attach(clock)
     return disk, clock
 
 
-def test_writes_of_one_turn_are_answered_after_one_sync_and_are_there_on_the_next_start(tmp_path):
+def test_writes_of_one_loop_iteration_share_one_sync_and_survive_a_restart(tmp_path):
     disk, clock = open_storage(tmp_path / "data")
-    told = []
-    disk.write({"a": 1, "b": {"mark": 2}}, told.append)
-    disk.write({"a": None}, told.append)
-    assert told == []
-    assert len(clock.deeds) == 1
+    results = []
+    disk.write({"a": 1, "b": {"mark": 2}}, results.append)
+    disk.write({"a": None}, results.append)
+    assert results == []
+    assert len(clock.callbacks) == 1
     clock.run()
-    assert told == [True, True]
+    assert results == [True, True]
     disk.close()
     again, _ = open_storage(tmp_path / "data")
     assert again.load() == {"b": {"mark": 2}}
     again.close()
 
 
-def test_a_full_disk_answers_no_and_goes_on_when_there_is_room(tmp_path):
-    disk, clock = open_storage(tmp_path / "data", most_bytes=65_536)
-    told = []
-    disk.write({"big": "x" * 200_000}, told.append)
+def test_a_full_disk_fails_the_write_and_works_again_when_there_is_room(tmp_path):
+    disk, clock = open_storage(tmp_path / "data", max_bytes=65_536)
+    results = []
+    disk.write({"big": "x" * 200_000}, results.append)
     clock.run()
-    disk.write({"small": "x"}, told.append)
+    disk.write({"small": "x"}, results.append)
     clock.run()
-    assert told == [False, True]
+    assert results == [False, True]
     assert disk.load() == {"small": "x"}
     disk.close()
 
 
-def test_a_folder_that_shut_itself_is_opened_again(tmp_path):
+def test_an_environment_that_lmdb_disabled_is_reopened(tmp_path):
     disk, clock = open_storage(tmp_path / "data")
     disk.write({"a": 1}, lambda is_kept: None)
     clock.run()
 
-    class Shut:
+    class DisabledEnvironment:
         def begin(self, write=False):
-            raise lmdb.PanicError("head was not written")
+            raise lmdb.PanicError("meta page was not written")
 
         def close(self):
-            shut.close()
+            environment.close()
 
-    shut, disk.env = disk.env, Shut()
-    told = []
+    environment, disk.env = disk.env, DisabledEnvironment()
+    results = []
     for value in (2, 3):
-        disk.write({"a": value}, told.append)
+        disk.write({"a": value}, results.append)
         clock.run()
-    assert told == [False, True]
+    assert results == [False, True]
     assert disk.load() == {"a": 3}
     disk.close()
 
 
 def test_many_plans_and_renewals_keep_the_folder_small(tmp_path):
-    """Two and a half minutes of a plan each 100 ms, and three duties renewed beside them, by the figures of a small disk."""
+    """2.5 minutes with a new plan every 100 ms while three leases are renewed, on a small disk."""
     folder, sizes = tmp_path / "data", random.Random(5)
-    disk, clock = open_storage(folder, most_bytes=96 << 20)
+    disk, clock = open_storage(folder, max_bytes=96 << 20)
     disk.env.close()
     disk.env = lmdb.open(str(folder), map_size=96 << 20, sync=False)
-    told = []
-    for turn in range(1_500):
+    results = []
+    for number in range(1_500):
         plan = "p" * sizes.randrange(20_000, 400_000)
         disk.write(
             {
                 "cell/plan": [
-                    [turn, "n"],
-                    [turn, "n"],
-                    {"mark": turn, "document": plan, "plan": plan},
+                    [number, "n"],
+                    [number, "n"],
+                    {"mark": number, "document": plan, "plan": plan},
                     0,
                 ]
             },
-            told.append,
+            results.append,
         )
         clock.run()
         disk.write(
-            {f"cell/duty/{turn % 3}": [[turn, "n"], [turn, "n"], {"fence": 1, "renewal": turn}, 0]},
-            told.append,
+            {
+                f"cell/duty/{number % 3}": [
+                    [number, "n"],
+                    [number, "n"],
+                    {"fence": 1, "renewal": number},
+                    0,
+                ]
+            },
+            results.append,
         )
         clock.run()
-    assert all(told)
+    assert all(results)
     held = os.path.getsize(folder / "data.mdb")
     disk.close()
     assert held < 12 << 20, held
@@ -115,30 +128,32 @@
     assert caught.value.code == "disk_failing"
 
 
-def spoil_head(file):
+def overwrite_file(file):
     file.write_bytes(b"not a data file" * 1_000)
 
 
-def spoil_tail(file):
+def truncate_file(file):
     file.write_bytes(file.read_bytes()[:9_000])
 
 
-def spoil_record(file):
+def write_invalid_record(file):
     import lmdb
 
     with lmdb.open(str(file.parent)) as env, env.begin(write=True) as txn:
         txn.put(b"cell/plan", b'[[1, "core-a"], [1, ')
 
 
-@pytest.mark.parametrize("spoil", [spoil_head, spoil_tail, spoil_record])
-def test_a_corrupt_or_half_written_folder_is_refused_with_a_code_and_left_as_it_is(tmp_path, spoil):
+@pytest.mark.parametrize("corrupt", [overwrite_file, truncate_file, write_invalid_record])
+def test_a_corrupt_or_half_written_folder_is_refused_with_a_code_and_left_as_it_is(
+    tmp_path, corrupt
+):
     disk, clock = open_storage(tmp_path / "data")
     for place in range(40):
         disk.write({f"cell/{place}": ["x" * 2_000]}, lambda is_kept: None)
         clock.run()
     disk.close()
     file = tmp_path / "data" / "data.mdb"
-    spoil(file)
+    corrupt(file)
     before = file.read_bytes()
     with pytest.raises(ServiceError) as caught:
         open_storage(tmp_path / "data")
@@ -146,8 +161,8 @@
     assert file.read_bytes() == before
 
 
-def filled(folder, node="core-1"):
-    """A folder with some records, closed."""
+def folder_with_records(folder, node="core-1"):
+    """Create a folder with some records, close it, and return the path of its data file."""
     disk, clock = open_storage(folder, node=node)
     disk.write(
         {"seat": "a", "incarnation": 3, "cell/plan": [[2, "n"], [2, "n"], {"mark": 4}, 0]},
@@ -158,7 +173,7 @@
     return folder / "data.mdb"
 
 
-def put_raw(folder, key, stored):
+def write_raw(folder, key, stored):
     with lmdb.open(str(folder)) as env, env.begin(write=True) as txn:
         if stored is None:
             txn.delete(key)
@@ -166,66 +181,73 @@
             txn.put(key, stored)
 
 
-def cut_to(length):
-    def spoil(file):
+def truncate_to(length):
+    def corrupt(file):
         file.write_bytes(file.read_bytes()[:length])
 
-    return spoil
+    return corrupt
 
 
-def zero_head(file):
+def zero_first_pages(file):
     file.write_bytes(b"\0" * 8_192 + file.read_bytes()[8_192:])
 
 
-def lose_header(file):
+def delete_all_records(file):
     with lmdb.open(str(file.parent)) as env, env.begin(write=True) as txn:
         for key in [bytes(key) for key, _ in txn.cursor()]:
             txn.delete(key)
 
 
-def flip_record(file):
-    put_raw(file.parent, b"seat", module.pack_value(b"seat", "a")[:-2] + b'b"')
+def corrupt_record_value(file):
+    write_raw(file.parent, b"seat", module.pack_value(b"seat", "a")[:-2] + b'b"')
 
 
-def move_record(file):
-    """A good value under another key."""
-    put_raw(file.parent, b"seat", module.pack_value(b"incarnation", 3))
+def copy_value_to_other_key(file):
+    """A valid value stored under the wrong key."""
+    write_raw(file.parent, b"seat", module.pack_value(b"incarnation", 3))
 
 
-SPOILS = [cut_to(0), cut_to(100), cut_to(4_096), cut_to(8_192), zero_head, lose_header]
-SPOILS += [flip_record, move_record, spoil_head]
+CORRUPTIONS = [
+    truncate_to(0),
+    truncate_to(100),
+    truncate_to(4_096),
+    truncate_to(8_192),
+    zero_first_pages,
+    delete_all_records,
+]
+CORRUPTIONS += [corrupt_record_value, copy_value_to_other_key, overwrite_file]
 
 
-@pytest.mark.parametrize("spoil", SPOILS)
-def test_no_spoilt_folder_is_read_as_empty(tmp_path, spoil):
-    file = filled(tmp_path / "data")
-    spoil(file)
+@pytest.mark.parametrize("corrupt", CORRUPTIONS)
+def test_no_corrupt_folder_is_read_as_empty(tmp_path, corrupt):
+    file = folder_with_records(tmp_path / "data")
+    corrupt(file)
     with pytest.raises(ServiceError) as caught:
         module.LmdbStorage(str(tmp_path / "data"), node="core-1")
     assert caught.value.code == "disk_corrupt"
 
 
-@pytest.mark.parametrize("spoil", SPOILS)
-def test_a_member_that_repairs_itself_sets_a_spoilt_folder_aside_and_says_so(tmp_path, spoil):
-    file, told = filled(tmp_path / "data"), []
-    spoil(file)
+@pytest.mark.parametrize("corrupt", CORRUPTIONS)
+def test_a_corrupt_folder_is_set_aside_and_logged_if_that_is_enabled(tmp_path, corrupt):
+    file, logged = folder_with_records(tmp_path / "data"), []
+    corrupt(file)
     before = file.read_bytes()
     disk = module.open_storage(
         str(tmp_path / "data"),
         1 << 20,
         "core-1",
-        lambda number, **facts: told.append((number, facts.get("code"))),
+        lambda number, **facts: logged.append((number, facts.get("code"))),
         sets_aside=True,
     )
-    assert told == [(1212, "disk_corrupt"), (1213, None)]
+    assert logged == [(1212, "disk_corrupt"), (1213, None)]
     assert disk.load() == {}
     assert (tmp_path / "data" / "data.mdb.refused").read_bytes() == before
     disk.close()
 
 
 def test_a_set_aside_file_that_would_fill_the_disk_is_removed(tmp_path):
-    file = filled(tmp_path / "data")
-    spoil_head(file)
+    file = folder_with_records(tmp_path / "data")
+    overwrite_file(file)
     module.open_storage(
         str(tmp_path / "data"), 96_000, "core-1", lambda *a, **f: None, True
     ).close()
@@ -233,7 +255,7 @@
 
 
 def test_a_folder_of_another_node_is_refused_with_its_code(tmp_path):
-    filled(tmp_path / "data", node="core-7")
+    folder_with_records(tmp_path / "data", node="core-7")
     with pytest.raises(ServiceError) as caught:
         module.LmdbStorage(str(tmp_path / "data"), node="core-1")
     assert caught.value.code == "disk_foreign"
@@ -243,43 +265,43 @@
 @pytest.mark.parametrize("held", [0, 2])
 @pytest.mark.parametrize("sets_aside", [False, True])
 def test_a_folder_of_another_format_is_refused_and_never_set_aside(tmp_path, held, sets_aside):
-    file, told = filled(tmp_path / "data"), []
+    file, logged = folder_with_records(tmp_path / "data"), []
     header = {"format": held, "node": "core-1"}
     stored = module.pack_value(b"!header", header) if held else None
-    put_raw(tmp_path / "data", b"!header", stored)
+    write_raw(tmp_path / "data", b"!header", stored)
     before = file.read_bytes()
     with pytest.raises(ServiceError) as caught:
         module.open_storage(
             str(tmp_path / "data"),
             1 << 20,
             "core-1",
-            lambda number, **facts: told.append(number),
+            lambda number, **facts: logged.append(number),
             sets_aside,
         )
     assert caught.value.code == "disk_format"
     assert caught.value.detail["held"] == held
-    assert told == [1212]
+    assert logged == [1212]
     assert file.read_bytes() == before
 
 
-class Recorded(Exception):  # noqa: N818  it stands for a loss of power, not for an error
-    """A loss of power at this call."""
+class PowerLoss(Exception):  # noqa: N818  stands for a power loss, not an error
+    """Simulates a power loss at the patched call."""
 
 
 @pytest.mark.parametrize("call", ["rename", "sync_folder"])
 def test_a_first_start_that_loses_power_before_its_name_is_synced_starts_anew(
     tmp_path, monkeypatch, call
 ):
-    """Made, renamed and synced: each step kept or lost by itself leaves no file, or a whole one."""
+    """The file is created, renamed and synced; after any step it is either absent or complete."""
     folder = tmp_path / "data"
     folder.mkdir()
 
     def lose_power(*given):
-        raise Recorded
+        raise PowerLoss
 
     with monkeypatch.context() as patch:
         patch.setattr(module.os if call == "rename" else module, call, lose_power)
-        with pytest.raises(Recorded):
+        with pytest.raises(PowerLoss):
             module.LmdbStorage(str(folder), node="core-1")
     names = set(os.listdir(folder))
     assert names == {"data.mdb.new"} if call == "rename" else names == {"data.mdb"}
@@ -289,36 +311,44 @@
     disk.close()
 
 
-def kept_both(folder):
+def add_complete_new_file(folder):
     (folder / "data.mdb.new").write_bytes((folder / "data.mdb").read_bytes())
 
 
-def torn_new(folder):
+def add_torn_new_file(folder):
     (folder / "data.mdb.new").write_bytes(b"\0" * 5_000)
 
 
-def no_lock(folder):
+def remove_lock(folder):
     (folder / "lock.mdb").unlink()
 
 
-def empty_lock(folder):
+def truncate_lock(folder):
     (folder / "lock.mdb").write_bytes(b"")
 
 
-def torn_lock(folder):
+def corrupt_lock(folder):
     (folder / "lock.mdb").write_bytes(os.urandom(8_192))
 
 
-def old_refused(folder):
+def add_refused_file(folder):
     (folder / "data.mdb.refused").write_bytes(b"left by an earlier day")
 
 
 @pytest.mark.parametrize(
-    "change", [kept_both, torn_new, no_lock, empty_lock, torn_lock, old_refused]
+    "change",
+    [
+        add_complete_new_file,
+        add_torn_new_file,
+        remove_lock,
+        truncate_lock,
+        corrupt_lock,
+        add_refused_file,
+    ],
 )
-def test_a_name_kept_or_lost_by_itself_beside_the_data_changes_nothing(tmp_path, change):
+def test_other_files_present_or_missing_beside_the_data_change_nothing(tmp_path, change):
     folder = tmp_path / "data"
-    filled(folder)
+    folder_with_records(folder)
     change(folder)
     disk = module.LmdbStorage(str(folder), node="core-1")
     assert disk.load()["incarnation"] == 3
@@ -326,29 +356,29 @@
     disk.close()
 
 
-def test_a_rename_aside_that_was_lost_is_made_again(tmp_path):
-    """Power was lost between the rename of the refused file and its folder's sync: it stands as before."""
-    file = filled(tmp_path / "data")
-    spoil_head(file)
+def test_setting_aside_is_repeated_if_its_rename_was_lost(tmp_path):
+    """A power loss between the rename and the folder's sync can leave the file under its old name."""
+    file = folder_with_records(tmp_path / "data")
+    overwrite_file(file)
     before = file.read_bytes()
     module.set_aside(str(tmp_path / "data"), 1 << 20)
     os.rename(tmp_path / "data" / "data.mdb.refused", file)
-    told = []
+    logged = []
     disk = module.open_storage(
-        str(tmp_path / "data"), 1 << 20, "core-1", lambda *a, **f: told.append(a[0]), True
+        str(tmp_path / "data"), 1 << 20, "core-1", lambda *a, **f: logged.append(a[0]), True
     )
-    assert told == [1212, 1213]
+    assert logged == [1212, 1213]
     assert (tmp_path / "data" / "data.mdb.refused").read_bytes() == before
     disk.close()
 
 
-def test_what_a_restart_reads_is_what_is_in_force_whatever_the_number_of_changes(tmp_path):
+def test_the_data_read_at_a_restart_does_not_grow_with_the_number_of_changes(tmp_path):
     sizes = []
     for changes in (10, 400):
         folder = tmp_path / f"data-{changes}"
-        disk, clock = open_storage(folder, most_bytes=32 << 20)
-        for turn in range(changes):
-            cell = [[turn, "n"], [turn, "n"], {"mark": turn, "document": "p" * 20_000}, 0]
+        disk, clock = open_storage(folder, max_bytes=32 << 20)
+        for number in range(changes):
+            cell = [[number, "n"], [number, "n"], {"mark": number, "document": "p" * 20_000}, 0]
             disk.write({"cell/plan": cell}, lambda is_kept: None)
             clock.run()
         sizes.append((len(str(disk.load())), os.path.getsize(folder / "data.mdb")))
@@ -359,7 +389,7 @@
 
 
 def test_a_start_reads_the_folder_once_and_a_write_is_read_back(tmp_path):
-    filled(tmp_path / "data")
+    folder_with_records(tmp_path / "data")
     disk, clock = open_storage(tmp_path / "data", node="core-1")
     first = disk.load()
     first["seat"] = "changed by its reader"
