--- a/packages/controller/src/linkhaven/controller/claim_admission.py
+++ b/packages/controller/src/linkhaven/controller/claim_admission.py
@@ -1,26 +1,29 @@
-"""Admission of one-time claims at a core that began empty.
+"""Admission of one-time claims by a replica that started with an empty disk.
 
-Claims that were granted before the core lost its disks are known to the routers only. So a replica
-that began empty admits none until the routers have handed over theirs, page by page:
+Claims that were granted before the core lost its disks are known only to the routers. Therefore a
+replica that started empty admits no claim until the routers have handed over theirs, page by page:
 
-| state of a router's hand-over | message or event | what it does | next |
+| state of a router's hand-over | message or event | action | next state |
 | --- | --- | --- | --- |
-| ASKED | `ASK_INTERVAL_US` passed | asks for the page at its offset | ASKED |
-| ASKED | `ClaimsResponse` at its offset | syncs the page | STORING |
-| STORING | synced, more pages follow | asks for the next one | ASKED |
+| REQUESTED | `REQUEST_INTERVAL_US` passed | request the page at its offset | REQUESTED |
+| REQUESTED | `ClaimsResponse` at its offset | write the page to disk | STORING |
+| STORING | synced, more pages follow | request the next page | REQUESTED |
 | STORING | synced, the last page | | COMPLETE |
-| STORING | the disk refused the page | | ASKED |
+| STORING | the write failed | | REQUESTED |
 
-What stands in no row is passed over: an answer to an earlier start, at another offset, or while a
-page is being synced.
+Any other response is ignored: one to an earlier start of the replica, at another offset, or while
+a page is being synced.
 
-Whom it waits for: the routers that run; those that membership, or a router that answered, holds for
-failed, for `FAILED_ROUTER_US`, since one that is only cut off has claims and works on; those that
-left, for as long as they speak.
+The replica waits for these routers:
 
-Invariant: no claim is admitted twice by one core, also not across a loss of all disks
-(`test_sabotage.py`, with the admission taken out;
-`test_no_claim_is_granted_twice_where_a_router_is_wrongly_held_for_failed`).
+- all live routers;
+- routers that membership, or a router that answered, considers failed: for `FAILED_ROUTER_US`,
+  since a router that is only partitioned holds claims and keeps working;
+- routers that have left: as long as messages from them arrive.
+
+Invariant: a core never admits a claim twice, even across a loss of all disks
+(`test_sabotage.py`, with the admission disabled;
+`test_no_claim_is_granted_twice_if_a_router_is_wrongly_considered_failed`).
 """
 
 from collections.abc import Iterator
@@ -33,24 +36,24 @@
 
 from .messages import ClaimsRequest, ClaimsResponse
 
-ASK_INTERVAL_US = 250_000
-"""How often each router is asked for its next page."""
+REQUEST_INTERVAL_US = 250_000
+"""How often the next page is requested from each router."""
 
-SETTLE_US = 2_000_000
-"""How long after its first votes a replica waits for routers that it may not know yet."""
+DISCOVERY_WAIT_US = 2_000_000
+"""How long after it starts voting a replica waits for routers that it may not know yet."""
 
 REPORTED_BALLOT = [0, "told"]
-"""The ballot of a claim that a router reported: below any that a proposer makes."""
+"""The ballot of a claim reported by a router, lower than any that a proposer uses."""
 
 FAILED_ROUTER_US = 60_000_000
-"""How long after its first votes a replica waits for a router that is held for failed. Membership
-forgets failed members after the same time."""
+"""How long after it starts voting a replica waits for a router that is considered failed.
+Membership forgets failed members after the same time."""
 
 
 class HandOverState(Enum):
-    """How far a router is with handing over its claims."""
+    """The state of a router's hand-over of its claims."""
 
-    ASKED = "asked"
+    REQUESTED = "asked"
     STORING = "storing"
     COMPLETE = "complete"
 
@@ -61,9 +64,9 @@
     __slots__ = ("address", "state", "offset")
 
     def __init__(self, address: str) -> None:
-        """Nothing was handed over yet."""
+        """Begin with the first page of the router at `address`."""
         self.address = address
-        self.state = HandOverState.ASKED
+        self.state = HandOverState.REQUESTED
         self.offset = 0
 
     @property
@@ -73,7 +76,7 @@
 
 
 class ClaimAdmission:
-    """Owns how far each router has handed over its claims."""
+    """Owns the state of each router's hand-over, and opens the replica for claims afterwards."""
 
     __slots__ = (
         "node",
@@ -81,7 +84,7 @@
         "membership",
         "snapshot",
         "routers",
-        "asked_us",
+        "requested_us",
         "voting_since_us",
         "has_lost_configuration",
     )
@@ -89,38 +92,38 @@
     def __init__(
         self, node: Node, replica: Replica, membership: Membership, snapshot: ConfigurationSnapshot
     ) -> None:
-        """No router was asked yet."""
+        """Register the message handler and the tick; routers are asked once the replica votes."""
         self.node = node
         self.replica = replica
         self.membership = membership
         self.snapshot = snapshot
         self.routers: dict[str, RouterHandOver] = {}
-        self.asked_us = 0
+        self.requested_us = 0
         self.voting_since_us: int | None = None
         self.has_lost_configuration = False
         node.register_handler(ClaimsResponse, self.on_claims)
         node.systems.append(self.tick)
 
     def on_voting_started(self) -> None:
-        """The replica votes from now on."""
+        """Start the waits that count from the replica's first votes."""
         self.voting_since_us = self.node.now_us()
 
     def on_configuration_lost(self) -> None:
-        """A router knows a configuration that the core lost: the fleet served before."""
+        """Note that the fleet served before: a router knows a configuration that the core lost."""
         self.has_lost_configuration = True
 
     def tick(self, now_us: int) -> None:
-        """Ask the routers in turn, and admit claims once enough have handed over theirs."""
+        """Request pages from all routers when due; admit claims once enough have handed over."""
         if self.replica.are_claims_open or not self.replica.is_voting:
             return
-        if now_us - self.asked_us < ASK_INTERVAL_US:
+        if now_us - self.requested_us < REQUEST_INTERVAL_US:
             return
-        self.asked_us = now_us
+        self.requested_us = now_us
         for member in self._known_routers():
-            self._note_router(member.name, member.address)
+            self._add_router(member.name, member.address)
         for router in self.routers.values():
-            if router.state is HandOverState.ASKED:
-                self._ask(router)
+            if router.state is HandOverState.REQUESTED:
+                self._request_page(router)
         if self._have_enough_handed_over(now_us):
             self.routers = {}
             self.replica.open_claims()
@@ -128,23 +131,24 @@
     def _known_routers(self) -> Iterator[Member]:
         return (member for member in self.membership.peers.values() if member.kind == "router")
 
-    def _note_router(self, name: str, address: str) -> None:
+    def _add_router(self, name: str, address: str) -> None:
         self.routers.setdefault(name, RouterHandOver(address)).address = address
 
-    def _ask(self, router: RouterHandOver) -> None:
+    def _request_page(self, router: RouterHandOver) -> None:
         self.node.send(router.address, ClaimsRequest(self._start(), router.offset))
 
     def _start(self) -> str:
         return self.replica.recovery.start
 
     def _have_enough_handed_over(self, now_us: int) -> bool:
-        """All that are waited for; of a fleet that served before, most that were configured.
+        """Whether all routers that are waited for have handed over their claims.
 
-        Fewer than most could all be routers that won no claim.
+        If the fleet served before, this must also be a majority of the configured routers, since
+        fewer could all be routers that won no claim.
         """
         if not self.membership.live_members("router") or self.voting_since_us is None:
             return False
-        if now_us - self.voting_since_us < SETTLE_US:
+        if now_us - self.voting_since_us < DISCOVERY_WAIT_US:
             return False
         if any(self._is_awaited(name, now_us) for name in self.routers):
             return False
@@ -167,12 +171,12 @@
         return now_us - (self.voting_since_us or 0) < FAILED_ROUTER_US
 
     def on_claims(self, message: ClaimsResponse) -> None:
-        """Keep a page of a router's claims, and ask for the next one once that is synced."""
+        """Store a page of a router's claims, and request the next one once it is synced."""
         router = self.routers.get(str(message.sender))
-        if router is None or not self._awaits_page(router, message):
+        if router is None or not self._is_page_requested(router, message):
             return
         for name, address in message.routers:
-            self._note_router(name, address)
+            self._add_router(name, address)
         router.state = HandOverState.STORING
         changed = self.replica.merge(
             {key: [[0, ""], REPORTED_BALLOT, {"by": by}] for key, by in message.claims}
@@ -182,14 +186,14 @@
             if is_kept and message.is_last:
                 router.state = HandOverState.COMPLETE
                 return
-            router.state = HandOverState.ASKED
+            router.state = HandOverState.REQUESTED
             if is_kept:
                 router.offset += len(message.claims)
-                self._ask(router)
+                self._request_page(router)
 
         self.node.ports.storage.write(changed, done)
 
-    def _awaits_page(self, router: RouterHandOver, message: ClaimsResponse) -> bool:
-        is_asking = message.start == self._start() and not self.replica.are_claims_open
-        is_asked = router.state is HandOverState.ASKED and router.offset == message.offset
-        return is_asking and is_asked
+    def _is_page_requested(self, router: RouterHandOver, message: ClaimsResponse) -> bool:
+        is_current = message.start == self._start() and not self.replica.are_claims_open
+        is_next_page = router.state is HandOverState.REQUESTED and router.offset == message.offset
+        return is_current and is_next_page
--- a/packages/controller/src/linkhaven/controller/configuration_recovery.py
+++ b/packages/controller/src/linkhaven/controller/configuration_recovery.py
@@ -1,17 +1,17 @@
-"""Restores a configuration that routers hold and the core has lost.
+"""Restores a configuration that the core has lost from the routers that still hold it.
 
 A core that lost its disks, or was restored from older ones, may hold an older configuration than
-its routers. A replica that hears of a newer version asks the router that named it for its
-configuration, and writes the newest one that it was given to the register.
+its routers. A replica that learns of a newer version requests the configuration from the router
+that reported it, and writes the newest one received to the register.
 
-| message | from | does |
+| event | from | action |
 | --- | --- | --- |
-| a newer version, gossiped or watched from | a router | sends it `ConfigurationRequest` |
-| `ConfigurationResponse` | a router | kept if it is the newest so far and its digest fits |
+| a newer version, by gossip or in a watch request | a router | send it `ConfigurationRequest` |
+| `ConfigurationResponse` | a router | keep it if it is the newest so far and its digest matches |
 
-What was given is written once the replica has voted for `SETTLE_US`, since until then the core may
-still learn the version by itself; and only if no newer version was heard of, since an older
-configuration must never follow a newer one.
+The configuration is written once the replica has voted for `WRITE_DELAY_US`, since until then the
+core may still learn the version by itself. It is written only if no newer version is known, since
+an older configuration must never replace a newer one.
 """
 
 from collections.abc import Mapping
@@ -23,22 +23,22 @@
 
 from .messages import ConfigurationRequest, ConfigurationResponse
 
-SETTLE_US = 1_000_000
-"""The wait after the first votes, and between two attempts."""
+WRITE_DELAY_US = 1_000_000
+"""The wait after the replica starts voting, and between two attempts."""
 
 CONFIGURATION_KEY = "plan"
 """The register's key of the configuration."""
 
 
 class LostConfigurationObserver(Protocol):
-    """Wants to know that the core lost a configuration that was in force."""
+    """Is notified when the core is found to have lost a configuration."""
 
     def on_configuration_lost(self) -> None:
-        """A router knows a newer configuration than the core."""
+        """A router holds a newer configuration than the core."""
 
 
 class ConfigurationRecovery:
-    """Owns the newest configuration that routers reported, until it is written or obsolete."""
+    """Owns the newest configuration that routers sent, until it is written or obsolete."""
 
     __slots__ = (
         "node",
@@ -64,7 +64,7 @@
         snapshot: ConfigurationSnapshot,
         observer: LostConfigurationObserver,
     ) -> None:
-        """Nothing was reported yet."""
+        """Start without any configuration from routers."""
         self.node = node
         self.replica = replica
         self.proposer = proposer
@@ -79,17 +79,17 @@
         node.register_handler(ConfigurationResponse, self.on_configuration)
 
     def on_voting_started(self) -> None:
-        """The replica votes from now on."""
+        """Start the wait before the first write."""
         self.voting_since_us = self.node.now_us()
 
     def on_member_version(self, version: int, member: Any) -> None:
-        """A member gossiped which version of the configuration it holds."""
+        """Handle the configuration version that a member gossiped."""
         self.snapshot.observe_version(version)
         if member.kind == "router" and self.is_behind(version):
             self.node.send(member.address, ConfigurationRequest())
 
     def on_watch_request(self, message: dict[str, Any]) -> None:
-        """A router that watches the configuration says which version it holds."""
+        """Handle the configuration version that a router holds, from its watch request."""
         if self.is_behind(message["mark"]):
             self.observer.on_configuration_lost()
             self.node.send(message["back"], ConfigurationRequest())
@@ -100,7 +100,7 @@
         return self.replica.is_voting and version > (value["mark"] if value else 0)
 
     def on_configuration(self, message: ConfigurationResponse) -> None:
-        """Keep a router's configuration if it is the newest; its blob must have its digest."""
+        """Keep a router's configuration if it is the newest and its blob matches its digest."""
         record = message.record
         if not self.blobs.take(record["bodies"]["plan"], message.blob):
             return
@@ -108,7 +108,7 @@
             self.reported = {**record, "plan": self.blobs.document_of(record)}
 
     def tick(self, now_us: int) -> None:
-        """Write what was reported once that is safe, or drop it where it is obsolete."""
+        """Write the received configuration once that is safe, or drop it if it is obsolete."""
         reported = self.reported
         if reported is None or self.is_writing or not self._may_write(reported["mark"], now_us):
             return
@@ -120,9 +120,9 @@
         self._write(reported)
 
     def _may_write(self, version: int, now_us: int) -> bool:
-        if now_us - self.attempted_us < SETTLE_US or self.voting_since_us is None:
+        if now_us - self.attempted_us < WRITE_DELAY_US or self.voting_since_us is None:
             return False
-        if now_us - self.voting_since_us < SETTLE_US:
+        if now_us - self.voting_since_us < WRITE_DELAY_US:
             return False
         return version >= self.snapshot.highest_version
 
--- a/packages/controller/src/linkhaven/controller/messages.py
+++ b/packages/controller/src/linkhaven/controller/messages.py
@@ -1,6 +1,6 @@
-"""Messages between the replicas of the core, and between these and the routers.
+"""Messages between the replicas of the core, and between replicas and routers.
 
-The names on the wire are bound to the code's names here, and nowhere else.
+The names in the wire format are mapped to the code's names here and nowhere else.
 """
 
 from typing import Any
@@ -11,56 +11,56 @@
 
 
 class QuorumContactRequest(Message, tag="contact_ask", frozen=True):
-    """A voting replica asks another one whether it can be reached, and votes too."""
+    """A voting replica asks another one whether it is reachable and votes too."""
 
     sent_us: int
-    """When it was asked, by the asker's own clock."""
+    """The time of sending in microseconds, by the sender's own clock."""
 
 
 class QuorumContactResponse(Message, tag="contact", frozen=True):
-    """A replica that votes answers `QuorumContactRequest`."""
+    """The answer of a voting replica to `QuorumContactRequest`."""
 
     replica: str = field(name="seat")
     incarnation: int
     sent_us: int
-    """As in the request."""
+    """Copied from the request."""
 
     version: int = field(name="mark")
-    """The newest version of the configuration that it knows chosen."""
+    """The newest version of the configuration that it knows to be chosen."""
 
 
 class ConfigurationRequest(Message, tag="want_image", frozen=True):
-    """A replica that holds an older configuration than a router asks it for its own."""
+    """A replica with an older configuration than a router requests the router's one."""
 
 
 class ConfigurationResponse(Message, tag="image", frozen=True):
     """The configuration that a router holds, in answer to `ConfigurationRequest`."""
 
     record: dict[str, Any] = field(name="value")
-    """The register's value that the router was given, kept whole, whatever version wrote it."""
+    """The register's value as the router received it, unchanged, whichever release wrote it."""
 
     blob: str = field(name="body")
-    """The packed document, whose digest the record has."""
+    """The packed document; the record contains its digest."""
 
     def __post_init__(self) -> None:
-        """Refuse a record without a version at the edge."""
+        """Reject a record without a version when the message is decoded."""
         if type(self.record.get("mark")) is not int:
             raise ValueError("the plan's mark is no whole number")
 
     @property
     def version(self) -> int:
-        """The configuration's version, which only rises."""
+        """The configuration's version, which only increases."""
         return self.record["mark"]
 
 
 class ClaimsRequest(Message, tag="want_keys", frozen=True):
-    """A replica that began empty asks a router for a page of the one-time claims that it won."""
+    """A replica that started empty requests a page of the one-time claims that a router won."""
 
     start: str
-    """Names this start of the replica; answers to an earlier one are passed over."""
+    """Identifies this start of the replica; answers to an earlier start are ignored."""
 
     offset: int = field(name="place")
-    """How many claims of the router the replica has already."""
+    """How many claims of the router the replica already has."""
 
 
 class ClaimsResponse(Message, tag="keys", frozen=True):
@@ -69,36 +69,36 @@
     start: str
     offset: int = field(name="place")
     claims: list[tuple[str, str]] = field(name="keys")
-    """The register's key of each claim with the request that won it."""
+    """The register key of each claim, and the request that won it."""
 
     is_last: bool
     routers: list[tuple[str, str]] = []
-    """Name and address of each router that this one holds for failed; it may only be cut off. A
-    router of an earlier version doesn't say."""
+    """Name and address of each router that this one considers failed; it may only be partitioned.
+    A router of an earlier version doesn't send this."""
 
 
 class MemberStatus(Struct, frozen=True):
-    """How a member of the core stands, by its own word."""
+    """The status of a core member, as reported by itself."""
 
     replica: str | None = field(name="seat")
     state: str = field(name="standing")
     incarnation: int
     address: str
     learning: dict[str, Any] | None
-    """Whom it still reads, and how many records are left there; None where it reads nobody."""
+    """How many records are left to read from which replicas; None if it reads from none."""
 
     leaving: str | None
-    """How far its hand-over is; None while it doesn't shut down."""
+    """The state of its hand-over; None unless it is shutting down."""
 
 
 class MemberStatusRequest(Message, tag="core_ask", frozen=True):
-    """A member that was asked for the status of the core asks another one for its part."""
+    """A member that serves the status of the core requests the status of another member."""
 
     id: int
 
 
 class MemberStatusResponse(Message, tag="core_told", frozen=True):
-    """Answers `MemberStatusRequest`."""
+    """The answer to `MemberStatusRequest`."""
 
     id: int
     member: MemberStatus
--- a/tests/test_claim_admission.py
+++ b/tests/test_claim_admission.py
@@ -1,4 +1,7 @@
-"""A core that lost every disk grants no claim before the routers handed over all that they won."""
+"""A core that lost all its disks grants no claim before the routers have received over theirs.
+
+Otherwise a claim that was granted before the loss could be granted again.
+"""
 
 from types import SimpleNamespace
 
@@ -15,7 +18,7 @@
 
 
 class Core:
-    """A replica that began empty, with its disk and its messages driven by hand."""
+    """A replica that started empty; the test drives its disk and its messages."""
 
     def __init__(self, routers):
         self.now = 0
@@ -49,7 +52,7 @@
             are_claims_open=False,
             recovery=SimpleNamespace(start="this start"),
             merge=lambda registers: self.merged.update(registers) or {},
-            open_claims=self.open,
+            open_claims=self.open_claims,
         )
         self.membership = SimpleNamespace(
             peers=peers,
@@ -59,15 +62,15 @@
         self.admission = ClaimAdmission(self.node, self.replica, self.membership, snapshot)
         self.admission.on_voting_started()
 
-    def open(self):
+    def open_claims(self):
         self.is_open = self.replica.are_claims_open = True
 
-    def run_for(self, span_us):
-        for _ in range(span_us // 50_000):
+    def run_for(self, duration_us):
+        for _ in range(duration_us // 50_000):
             self.now += 50_000
             self.admission.tick(self.now)
 
-    def answer(self, router, offset, keys, is_last, **more):
+    def respond(self, router, offset, keys, is_last, **extra):
         self.admission.on_claims(
             ClaimsResponse(
                 start="this start",
@@ -76,97 +79,97 @@
                 is_last=is_last,
                 sender=router,
                 reply_to=f"at {router}",
-                **more,
+                **extra,
             )
         )
 
-    def sync(self):
+    def complete_writes(self):
         writes, self.writes = self.writes, []
         for done in writes:
             done(True)
 
 
-def test_a_page_that_is_being_synced_is_not_asked_for_again():
-    """A disk that takes longer than the time after which a router is asked again."""
+def test_a_page_that_is_being_synced_is_not_requested_again():
+    """The disk takes longer than the interval at which a router is asked."""
     core = Core(["router-1"])
     core.run_for(3 * SECOND)
-    core.answer("router-1", 0, [f"claim/g/{number}" for number in range(PAGE)], False)
+    core.respond("router-1", 0, [f"claim/g/{number}" for number in range(PAGE)], False)
     core.sent.clear()
     core.run_for(SECOND)
     assert not core.sent
-    core.sync()
+    core.complete_writes()
     assert [message.offset for _, message in core.sent] == [PAGE]
 
 
-def test_an_answer_at_an_offset_that_was_not_asked_for_completes_nothing():
+def test_a_response_at_an_offset_that_was_not_requested_is_ignored():
     core = Core(["router-1"])
     core.run_for(3 * SECOND)
-    core.answer("router-1", 0, [f"claim/g/{number}" for number in range(PAGE)], False)
-    core.answer("router-1", -1, ["claim/g/x"], True)
-    core.sync()
+    core.respond("router-1", 0, [f"claim/g/{number}" for number in range(PAGE)], False)
+    core.respond("router-1", -1, ["claim/g/x"], True)
+    core.complete_writes()
     core.run_for(SECOND)
     assert not core.is_open
     assert "claim/g/x" not in core.merged
 
 
-def test_a_router_that_is_held_for_failed_is_asked_and_waited_for():
+def test_a_router_considered_failed_is_asked_and_waited_for():
     core = Core(["router-1", "router-2"])
     core.membership.peers["router-2"].is_up = False
     core.run_for(3 * SECOND)
-    core.answer("router-1", 0, [], True)
-    core.sync()
+    core.respond("router-1", 0, [], True)
+    core.complete_writes()
     core.run_for(3 * SECOND)
     assert not core.is_open
     assert "at router-2" in [address for address, _ in core.sent]
-    core.answer("router-2", 0, ["claim/g/1"], True)
-    core.sync()
+    core.respond("router-2", 0, ["claim/g/1"], True)
+    core.complete_writes()
     core.run_for(SECOND)
     assert core.is_open and "claim/g/1" in core.merged
 
 
 def test_a_router_that_only_another_router_knows_is_waited_for():
-    """A replica that began empty hears of failed members from nobody but the routers' answers."""
+    """A replica that started empty learns of failed members only from the routers' answers."""
     core = Core(["router-1"])
     core.run_for(3 * SECOND)
-    core.answer("router-1", 0, [], True, routers=[("router-2", "at router-2")])
-    core.sync()
+    core.respond("router-1", 0, [], True, routers=[("router-2", "at router-2")])
+    core.complete_writes()
     core.run_for(3 * SECOND)
     assert not core.is_open
     assert "at router-2" in [address for address, _ in core.sent]
-    core.answer("router-2", 0, ["claim/g/1"], True)
-    core.sync()
+    core.respond("router-2", 0, ["claim/g/1"], True)
+    core.complete_writes()
     core.run_for(SECOND)
     assert core.is_open
 
 
-def test_a_failed_router_is_waited_for_only_so_long():
+def test_the_wait_for_a_failed_router_is_limited():
     core = Core(["router-1", "router-2"])
     core.membership.peers["router-2"].is_up = False
     core.run_for(3 * SECOND)
-    core.answer("router-1", 0, [], True, routers=[("router-3", "at router-3")])
-    core.sync()
+    core.respond("router-1", 0, [], True, routers=[("router-3", "at router-3")])
+    core.complete_writes()
     core.run_for(50 * SECOND)
     assert not core.is_open
     core.run_for(10 * SECOND)
     assert core.is_open
 
 
-def test_a_router_that_left_is_waited_for_while_it_still_speaks():
-    """It drains, and hands over its claims until its process ends."""
+def test_a_router_that_left_is_waited_for_while_it_sends_messages():
+    """A draining router hands over its claims until its process ends."""
     core = Core(["router-1", "router-2"])
-    leaver = core.membership.peers["router-2"]
-    leaver.is_up, leaver.has_left = False, True
+    leaving = core.membership.peers["router-2"]
+    leaving.is_up, leaving.has_left = False, True
     core.run_for(3 * SECOND)
-    leaver.last_message_us = core.now
-    core.answer("router-1", 0, [], True)
-    core.sync()
+    leaving.last_message_us = core.now
+    core.respond("router-1", 0, [], True)
+    core.complete_writes()
     core.run_for(SECOND // 2)
     assert not core.is_open
     core.run_for(SECOND)
     assert core.is_open
 
 
-def keys_at_a_router(number):
+def router_with_claims(number):
     sent = []
     node = SimpleNamespace(
         name="router-1",
@@ -183,27 +186,27 @@
 
 
 def test_no_claim_is_skipped_when_others_expire_between_two_pages():
-    keys, sent = keys_at_a_router(2 * PAGE)
+    keys, sent = router_with_claims(2 * PAGE)
     ask = {"start": "s", "back": "core"}
     keys.hear_want({**ask, "place": 0})
     for _ in range(10):
         keys.won.popitem(last=False)
     keys.hear_want({**ask, "place": PAGE})
-    handed = {key for page in sent for key, _ in page["keys"]}
-    assert handed >= set(keys.won)
+    received = {key for page in sent for key, _ in page["keys"]}
+    assert received >= set(keys.won)
     assert [page["is_last"] for page in sent] == [False, True]
 
 
 @pytest.mark.parametrize("place", [5, 10_000])
 def test_an_offset_beyond_what_was_won_gets_an_empty_last_page(place):
-    keys, sent = keys_at_a_router(3)
+    keys, sent = router_with_claims(3)
     keys.hear_want({"start": "s", "back": "core", "place": place})
     assert [page["keys"] for page in sent] == [[]]
 
 
 def test_the_offset_that_an_earlier_version_sends_while_it_syncs_gets_no_answer():
-    """It would take the answer for the last page."""
-    keys, sent = keys_at_a_router(3)
+    """That version would take the answer for the last page."""
+    keys, sent = router_with_claims(3)
     keys.hear_want({"start": "s", "back": "core", "place": -1})
     assert not sent
 
@@ -217,8 +220,8 @@
 
 
 @pytest.mark.parametrize("seed", range(41, 44))
-def test_no_claim_is_granted_twice_where_a_router_is_wrongly_held_for_failed(seed):
-    """It is cut off for a moment around the loss of all disks, and works on after that."""
+def test_no_claim_is_granted_twice_if_a_router_is_wrongly_considered_failed(seed):
+    """The router is partitioned briefly around the loss of all disks, and keeps working."""
     fleet = SimFleet(LICENSING, seed).start()
     names = [host.name for host in [*fleet.registries.values(), *fleet.routers.values()]]
     addresses = [host.address for host in fleet.routers.values()]
