--- a/packages/controller/src/linkhaven/controller/__init__.py
+++ b/packages/controller/src/linkhaven/controller/__init__.py
@@ -1,4 +1,4 @@
-"""The control plane: the node of a core member and its program."""
+"""The control plane: the node of a core member, and its program."""
 
 from .node import ControllerNode
 from .singleton_roles import SINGLETON_ROLES
--- a/packages/controller/src/linkhaven/controller/bootstrap.py
+++ b/packages/controller/src/linkhaven/controller/bootstrap.py
@@ -1,4 +1,4 @@
-"""The first start of a core: who gets which replica when nothing was ever started."""
+"""Bootstrap of a new core: assigns the replicas to its first nodes."""
 
 from collections.abc import Sequence
 
@@ -6,11 +6,11 @@
 
 
 def begin_first_start(replica: Replica, may_bootstrap: bool, contacts: Sequence[str]) -> None:
-    """Give this node a replica if it is one of the first contacts of a core without any history.
+    """Assign a replica to this node if it is one of the first contacts of a new core.
 
-    `may_bootstrap`: whether the deployment says that nothing was ever started. `contacts`: the
-    sorted addresses of the nodes that start the core; the first of them get a replica each. A node
-    with a disk that isn't empty, or with a replica already, keeps what it has.
+    `may_bootstrap`: whether the deployment says that this core was never started before.
+    `contacts`: the sorted addresses of the nodes that start the core; the first of them get one
+    replica each. A node that already has a replica, or whose disk isn't empty, is left as it is.
     """
     contact = replica.assignment.contact
     if replica.replica_id or not replica.is_empty or not may_bootstrap or contact not in contacts:
--- a/packages/controller/src/linkhaven/controller/commands.py
+++ b/packages/controller/src/linkhaven/controller/commands.py
@@ -1,7 +1,7 @@
-"""The operators' commands: each calls a node of the control plane over HTTP.
+"""The operators' commands, which call a control plane node over HTTP.
 
-Names, options and outputs are part of the interface and keep the words of its pages: `registry` is
-a node of the control plane, `plan` the configuration, `mark` its version, `seat` a replica.
+Names, options and outputs are a public interface with its own terms: `registry` is a control plane
+node, `plan` the configuration, `mark` its version, `seat` a replica.
 """
 
 import uuid
@@ -22,7 +22,7 @@
     """A command that calls the node named by `--registry`."""
 
     def call_node(self, method: str, path: str, document: dict[str, Any] | None = None) -> Any:
-        """The answer as JSON; raises the error that the node answers."""
+        """Call the node and return its answer as JSON; raises the error that the node returns."""
         if document is None:
             return call_json(self.option("registry"), method, path)
         return call_json(self.option("registry"), method, path, document)
@@ -30,21 +30,21 @@
     def submit(self, method: str, path: str, document: dict[str, Any]) -> None:
         """Send a change and show its outcome.
 
-        Its put id is shown first, so that a change whose outcome is unknown can be repeated by it.
+        The put id is shown first, so that a change with an unknown outcome can be retried with it.
         """
         self.line_error(f"put id {document['put_id']}")
         self.show(self.call_node(method, path, document))
 
 
 class PlanCheckCommand(OperatorCommand):
-    """Check a file with a configuration."""
+    """Validate a configuration file."""
 
     name = "plan check"
     description = "Check a plan file without putting it."
     arguments = [argument("file", "the plan as JSON")]
 
     def act(self) -> None:
-        """Show the faults of the file; raises `plan_invalid` where it has any."""
+        """Validate the file; raises `plan_invalid` with its faults if it has any."""
         places = list_document_faults(read_document(self.argument("file")))
         if places:
             raise ServiceError("plan_invalid", places=places)
@@ -52,13 +52,13 @@
 
 
 def put_id_of(command: Any) -> str:
-    """The id of a change, as the operator gives it, or made."""
+    """The put id given by the operator, or a new one."""
     put_id: str = command.option("put-id") or str(uuid.uuid4())
     return put_id
 
 
 def read_expect(command: Any, least: int) -> int:
-    """The version that an operator expects to change; raises `bad_request` where it says none."""
+    """The version given by `--expect`, at least `least`; raises `bad_request` otherwise."""
     text = command.option("expect")
     if text is None or not text.isdigit() or int(text) < least:
         raise ServiceError(
@@ -88,7 +88,7 @@
     ]
 
     def act(self) -> None:
-        """Send the file and show the version that it got."""
+        """Send the file and show its new version."""
         document = {
             "expect": read_expect(self, 0),
             "put_id": put_id_of(self),
@@ -112,7 +112,7 @@
     ]
 
     def act(self) -> None:
-        """Send the patch and show the mark that it got."""
+        """Send the patch and show the new version."""
         document = {
             **read_document(self.argument("file")),
             "expect": read_expect(self, 1),
@@ -129,7 +129,7 @@
     options = [REGISTRY_OPTION]
 
     def act(self) -> None:
-        """Show the configuration that a majority has."""
+        """Show the configuration, read from a majority."""
         self.show(self.call_node("GET", "/v1/plan"))
 
 
@@ -142,7 +142,7 @@
     options = [REGISTRY_OPTION]
 
     def act(self) -> None:
-        """Show what the file would change."""
+        """Show what applying the file would change; raises `plan_invalid` if it has faults."""
         wanted = read_document(self.argument("file"))
         places = list_document_faults(wanted)
         if places:
@@ -154,10 +154,10 @@
 
 
 class PartCommand(OperatorCommand):
-    """One group or kind of the plan, changed of the version that the operator expects."""
+    """A command that changes one group or kind of the expected configuration version."""
 
     def change(self, method: str, part: str, document: dict[str, Any]) -> None:
-        """Send the change of the thing that the argument `name` names."""
+        """Send a change of the group or kind given by the argument `name`."""
         document = {
             "expect": read_expect(self, 1),
             "put_id": put_id_of(self),
@@ -175,7 +175,7 @@
 
 
 class GroupListCommand(OperatorCommand):
-    """Show the groups and their use."""
+    """Show the groups and their usage."""
 
     name = "group list"
     description = (
@@ -185,12 +185,12 @@
     options = [REGISTRY_OPTION]
 
     def act(self) -> None:
-        """Show what each group may spend and has spent."""
+        """Show the quota and usage of each group."""
         self.show(self.call_node("GET", "/v1/groups"))
 
 
 class TenantsCommand(OperatorCommand):
-    """Show the tenants and their use."""
+    """Show the tenants and their usage."""
 
     name = "tenants"
     description = (
@@ -199,7 +199,7 @@
     options = [REGISTRY_OPTION]
 
     def act(self) -> None:
-        """Show what each tenant may send, and what it was granted where this node grants it."""
+        """Show each tenant's limit, and its usage if this node owns the tenant's shard."""
         self.show(self.call_node("GET", "/v1/tenants"))
 
 
@@ -222,7 +222,7 @@
     ]
 
     def act(self) -> None:
-        """Send the group; raises `bad_request` where an option is no number."""
+        """Send the group; raises `bad_request` if an option isn't a number."""
         is_capped = self.option("tokens") is not None
         fields = {
             name: self.option(name) or ""
@@ -257,7 +257,7 @@
     options = PART_OPTIONS
 
     def act(self) -> None:
-        """Have the group removed."""
+        """Send the removal of the group."""
         self.change("DELETE", "groups", {})
 
 
@@ -283,7 +283,7 @@
     options = PART_OPTIONS
 
     def act(self) -> None:
-        """Send the kind as it is with its new group; raises `plan_invalid` where it isn't there."""
+        """Send the kind with its new group; raises `plan_invalid` if the kind doesn't exist."""
         held = self.call_node("GET", "/v1/plan")
         kind = ((held["plan"] or {}).get("kinds") or {}).get(self.argument("name"))
         if kind is None:
@@ -303,7 +303,7 @@
     options = PART_OPTIONS
 
     def act(self) -> None:
-        """Have the kind removed."""
+        """Send the removal of the kind."""
         self.change("DELETE", "kinds", {})
 
 
@@ -318,12 +318,12 @@
     options = [REGISTRY_OPTION]
 
     def act(self) -> None:
-        """Show the members, and which loss could be borne."""
+        """Show the members, and how many of them may be lost."""
         self.show(self.call_node("GET", "/v1/core"))
 
 
 class SeatRestoreCommand(OperatorCommand):
-    """Let a replica vote that waits for members that are lost."""
+    """Let a replica vote that is waiting for lost members."""
 
     name = "seat restore"
     description = (
@@ -336,7 +336,7 @@
     ]
 
     def act(self) -> None:
-        """Have it vote; raises `bad_request` without `--yes`."""
+        """Send the request to vote; raises `bad_request` without `--yes`."""
         if not self.option("yes"):
             raise ServiceError(
                 "bad_request",
@@ -351,14 +351,14 @@
 
 
 class StandingCommand(OperatorCommand):
-    """Show what a node knows."""
+    """Show a node's view of its peers and of the runners."""
 
     name = "standing"
     description = "Show what a registry knows of its fellows and the runners."
     options = [REGISTRY_OPTION]
 
     def act(self) -> None:
-        """Show the peers and the runners that a node knows."""
+        """Show the peers and runners that the node knows."""
         self.show(self.call_node("GET", "/v1/standing"))
 
 
@@ -379,4 +379,4 @@
     SeatRestoreCommand,
     StandingCommand,
 )
-"""All commands of operators, in the order in which the help shows them."""
+"""All operator commands, in the order of the help output."""
--- a/packages/controller/src/linkhaven/controller/figure_relay.py
+++ b/packages/controller/src/linkhaven/controller/figure_relay.py
@@ -1,8 +1,8 @@
-"""Relays figures between routers: each reports its own and is given the sum of the others'.
+"""Relays per-runner figures between routers: each reports its own and gets the sum of the others'.
 
-Above a number of routers these don't exchange figures of the runners with each other; each reports
-its own with its watch requests, as rows of runner, incarnation and figures, and is given the sums
-with the runner list. The sums are as old as the routers' last reports.
+In a fleet with more than a certain number of routers, the routers don't exchange these figures
+directly. Each reports its own in its watch requests, as rows of runner, incarnation and figures,
+and receives the sums with the runner list. The sums are as old as the routers' last reports.
 """
 
 from collections.abc import Sequence
@@ -11,19 +11,19 @@
 from linkhaven.runtime import Node
 
 REPORT_TIMEOUT_US = 2_500_000
-"""A router that reported nothing for so long is left out of the sums."""
+"""A router that hasn't reported for this long is left out of the sums."""
 
 Key = tuple[str, int]
 """A runner's name and incarnation."""
 
 
 class FigureRelay:
-    """Owns what each router reported in one field of its watch requests, and the sums over all."""
+    """Owns the last report of each router in one field of its watch requests, and their sums."""
 
     __slots__ = ("node", "field", "reports", "sums")
 
     def __init__(self, node: Node, field: str) -> None:
-        """Relay the rows in the field named `field`; nothing was reported yet."""
+        """Relay the rows in the watch request field named `field`."""
         self.node = node
         self.field = field
         self.reports: dict[str, tuple[Sequence[Any], int]] = {}
@@ -31,12 +31,12 @@
         node.systems.append(self.tick)
 
     def on_watch_request(self, message: dict[str, Any]) -> None:
-        """Take a router's rows in place of those that it reported before."""
+        """Replace a router's rows by those in its request, if it has any."""
         if self.field in message:
             self._replace(message["name"], message[self.field])
 
     def add_watch_facts(self, request: dict[str, Any], response: dict[str, Any]) -> None:
-        """Add the sum of the others' rows, for a router that reported its own."""
+        """Add the sums of the other routers' rows, if this router reported its own."""
         if self.field in request:
             response[self.field] = self.of_others(request["name"])
 
@@ -58,7 +58,7 @@
                 self.sums.pop(key, None)
 
     def of_others(self, router: str) -> list[list[Any]]:
-        """The sums without what this router reported itself."""
+        """The sums of all rows except those of `router`, as rows without zero sums."""
         own = {
             (name, incarnation): figures
             for name, incarnation, *figures in self.reports.get(router, ((), 0))[0]
@@ -76,7 +76,7 @@
         return rows
 
     def tick(self, now_us: int) -> None:
-        """Leave out the routers that reported nothing for a while."""
+        """Remove the rows of routers that haven't reported for `REPORT_TIMEOUT_US`."""
         for router in [
             router
             for router, (_, reported_us) in self.reports.items()
--- a/packages/controller/src/linkhaven/controller/group_usage.py
+++ b/packages/controller/src/linkhaven/controller/group_usage.py
@@ -1,4 +1,4 @@
-"""What each group of requests may spend and has spent: GET /v1/groups."""
+"""Quota and usage of each group of requests: GET /v1/groups."""
 
 from typing import Any
 
@@ -8,17 +8,17 @@
 from linkhaven.runtime import Node
 
 REPORT_TIMEOUT_US = 5_000_000
-"""A router that reported nothing for this long is left out."""
+"""A router that hasn't reported for this long is left out."""
 
 NO_CONFIGURATION_RETRY_US = 2_000_000
-"""When a caller may ask again where no configuration is in force yet."""
+"""The retry delay for callers while no configuration is in force."""
 
 COUNTERS = ("spent", "refused", "waiting", "waiting_tokens")
-"""What routers count for each group; tokens, but for `refused` and `waiting`: requests."""
+"""The routers' counters of each group: tokens, except `refused` and `waiting` (requests)."""
 
 
 class GroupUsage:
-    """Sums what routers report of the groups, with what the configuration grants them."""
+    """Sums the routers' usage reports by group, and adds the configured quotas."""
 
     __slots__ = ("node", "replica", "store", "snapshot", "reports")
 
@@ -29,7 +29,7 @@
         store: ConfigurationStore,
         snapshot: ConfigurationSnapshot,
     ) -> None:
-        """Nothing was reported yet."""
+        """Start without any report."""
         self.node = node
         self.replica = replica
         self.store = store
@@ -37,7 +37,7 @@
         self.reports: dict[str, tuple[dict[str, dict[str, int]], int]] = {}
 
     def on_watch_request(self, message: dict[str, Any]) -> None:
-        """Take a router's counters in place of those before, and forget silent routers."""
+        """Replace a router's counters, and forget routers that stopped reporting."""
         now_us = self.node.now_us()
         self.reports[message["name"]] = (message["usage"], now_us)
         for name in [name for name, (_, at_us) in self.reports.items() if self._is_old(at_us)]:
@@ -49,10 +49,10 @@
     def serve(self, call: Any) -> None:
         """Answer GET /v1/groups.
 
-        Routers report to replicas that vote only: any other node reads the configuration from the
-        register, and has heard no router.
+        Routers report only to voting replicas. Any other node reads the configuration from the
+        register and has no reports.
 
-        Raises `plan_absent` where no configuration is in force.
+        Raises `plan_absent` if no configuration is in force.
         """
         if self.replica.is_voting:
             return self._answer(call)
--- a/packages/controller/src/linkhaven/controller/local_status.py
+++ b/packages/controller/src/linkhaven/controller/local_status.py
@@ -1,6 +1,7 @@
-"""What a node knows of itself and of the core: for the status, `standing` and `seat restore`.
+"""A node's view of itself and of the core: for `core status`, `standing` and `seat restore`.
 
-The names in these answers are those that operators see; they are bound here.
+The keys of these answers are the names that operators see. They are mapped to the code's names
+here.
 """
 
 from collections.abc import Mapping
@@ -21,7 +22,7 @@
 from .shutdown import GracefulShutdown, ShutdownState
 
 NO_LEASE = LeaseRecord(holder=None, fencing_token=0, renewal=0)
-"""Shown for a role that nobody ever held."""
+"""Shown for a role that no node has ever held."""
 
 
 class NodeStatus:
@@ -49,7 +50,7 @@
         shard_leases: ShardLeases,
         shutdown: GracefulShutdown,
     ) -> None:
-        """Describe these parts."""
+        """Describe the state of these components."""
         self.node = node
         self.replica = replica
         self.membership = membership
@@ -60,11 +61,11 @@
         self.shutdown = shutdown
 
     def majority(self) -> int:
-        """How many replicas must answer."""
+        """How many replicas form a majority."""
         return self.replica.majority
 
     def member(self) -> MemberStatus:
-        """How this node stands."""
+        """The status of this node as a member."""
         is_draining = self.shutdown.state is not ShutdownState.RUNNING
         return MemberStatus(
             replica=self.replica.replica_id,
@@ -76,7 +77,7 @@
         )
 
     def _learning(self) -> dict[str, Any] | None:
-        """Whom it still reads, and how many records are left of those that were listed."""
+        """How many listed records are left to read from each replica; None if nothing is read."""
         replica = self.replica
         remaining = (
             replica.succession.remaining_keys() or replica.recovery.transfer.remaining_keys()
@@ -84,7 +85,7 @@
         return {"left": remaining} if remaining else None
 
     def facts(self) -> dict[str, Any]:
-        """What this node knows of the core."""
+        """This node's view of the core."""
         replica = self.replica
         return {
             "seat": replica.replica_id,
@@ -113,15 +114,15 @@
         }
 
     def _shards(self) -> dict[str, Any]:
-        """Who owns each shard of tenants; nothing where no tenant has a limit."""
+        """The owner of each tenant shard; empty if no tenant has a limit."""
         if not self.shard_leases.is_needed():
             return {}
         return {"tenant_shards": to_builtins(self.shard_leases.status())}
 
     def serve_restore(self, call: Any) -> None:
-        """Let a waiting replica vote with what it has: POST /v1/core/restore.
+        """Let a waiting replica vote with the data it has: POST /v1/core/restore.
 
-        Raises `seat_not_waiting` where it doesn't wait.
+        Raises `seat_not_waiting` if it isn't waiting.
         """
         if not self.replica.restore():
             raise ServiceError("seat_not_waiting", standing=self.replica.state.wire_name)
@@ -131,7 +132,7 @@
 
 
 class StandingView:
-    """Answers GET /v1/standing: what this node knows of its peers and of the runners."""
+    """Answers GET /v1/standing: this node's view of its peers and of the runners."""
 
     __slots__ = (
         "node",
@@ -153,7 +154,7 @@
         discovery: RunnerDiscovery,
         balancer: RoleBalancer,
     ) -> None:
-        """Show these parts."""
+        """Show the state of these components."""
         self.node = node
         self.replica = replica
         self.membership = membership
--- a/packages/controller/src/linkhaven/controller/program.py
+++ b/packages/controller/src/linkhaven/controller/program.py
@@ -1,4 +1,4 @@
-"""The program `linkhaven-registry`: runs a node of the control plane and has its commands."""
+"""The program `linkhaven-registry`: runs a control plane node, with the operators' commands."""
 
 from collections.abc import Callable
 from typing import Any
@@ -21,11 +21,11 @@
 ]
 
 CORE_SETTINGS = ("data", "seat", "platform")
-"""The settings that options may replace, by the names of both."""
+"""The settings that command-line options of the same name override."""
 
 
 def controller_builder(settings: dict[str, Any]) -> Callable[[Ports, int], ControllerNode]:
-    """What makes the node of a member's checked settings, from ports and an incarnation."""
+    """A factory of nodes with these validated settings, given ports and an incarnation."""
 
     def build(ports: Ports, incarnation: int) -> ControllerNode:
         return ControllerNode(
@@ -43,25 +43,25 @@
 
 
 class CoreCommand(CodedCommand):
-    """A command that reads a node's settings."""
+    """A command that reads the settings of a node."""
 
     options = CORE_OPTIONS
 
     def read_core(self) -> dict[str, Any]:
-        """The settings file with the options in place of its values, checked."""
+        """Read and validate the settings file, with values overridden by options."""
         given = {name: self.option(name) for name in CORE_SETTINGS}
         settings: dict[str, Any] = self.read_node_settings("registry", **given)
         return settings
 
 
 class ServeCommand(CoreCommand):
-    """Run a node."""
+    """Run a control plane node."""
 
     name = "serve"
     description = "Run this core seat until SIGTERM."
 
     def act(self) -> Any:
-        """Run until a signal ends it; returns the exit code."""
+        """Run until a signal ends the process; returns the exit code."""
         settings = self.read_core()
         log = make_log(settings["name"], **settings["log"])
         storage = open_storage(settings["data"], settings["data_bytes"], settings["name"], log)
@@ -78,13 +78,13 @@
 
 
 class CheckCommand(CoreCommand):
-    """Check a node's settings."""
+    """Validate the settings of a node."""
 
     name = "check"
     description = "Check the settings without starting."
 
     def act(self) -> None:
-        """Show the settings as they are used."""
+        """Show the effective settings."""
         self.show(self.read_core())
 
 
--- a/packages/controller/src/linkhaven/controller/shutdown.py
+++ b/packages/controller/src/linkhaven/controller/shutdown.py
@@ -3,11 +3,11 @@
 | state | until | next |
 | --- | --- | --- |
 | `RUNNING` | `begin` | `DRAINING` |
-| `DRAINING` | the replica is handed over, the leases are released (or in time-out) | `LEFT` |
+| `DRAINING` | the replica is handed over and the leases are released (or time out) | `LEFT` |
 | `LEFT` | the process ends | |
 
-A lease that can't be released runs out by itself, so its release is waited for only so long; the
-hand-over has a bound of its own.
+A lease that can't be released expires by itself, so the wait for its release is limited to
+`RELEASE_TIMEOUT_US`. The hand-over has its own time limit.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,11 +17,11 @@
 from linkhaven.runtime import Node
 
 RELEASE_TIMEOUT_US = 400_000
-"""How long the release of the leases is waited for."""
+"""How long to wait for the release of the leases."""
 
 
 class ShutdownState(Enum):
-    """How far the shutdown has come."""
+    """The state of the shutdown."""
 
     RUNNING = "running"
     DRAINING = "draining"
@@ -29,28 +29,28 @@
 
 
 class ReleasableLease(Protocol):
-    """A lease that can be given up before it runs out."""
+    """A lease that can be given up before it expires."""
 
     def release(self, done: Callable[[], None]) -> None:
-        """Give it up; `done` once the register has that, or at once where it isn't held."""
+        """Give it up; calls `done` once the register records that, or at once if it isn't held."""
 
 
 class HandOver(Protocol):
     """Hands this replica over to another node."""
 
     def begin(self, done: Callable[[], None]) -> None:
-        """Begin; `done` once another node has it, or nobody can take it in time."""
+        """Begin; calls `done` once another node has the replica or none can take it in time."""
 
 
 class Leaver(Protocol):
-    """A member that can leave."""
+    """A member of the fleet that can leave it."""
 
     def send_leave(self) -> None:
-        """Tell the others that this node leaves."""
+        """Notify the other members that this node leaves."""
 
 
 class GracefulShutdown:
-    """Ends the work of this node in order, and reports when the process may end."""
+    """Runs the steps of a graceful shutdown, and reports when the process may exit."""
 
     __slots__ = (
         "node",
@@ -71,7 +71,7 @@
         hand_over: HandOver,
         membership: Leaver,
     ) -> None:
-        """Nothing ends yet."""
+        """Start in the state `RUNNING`."""
         self.node = node
         self.leases = leases
         self.hand_over = hand_over
@@ -83,7 +83,7 @@
         self.is_handed_over = False
 
     def begin(self, on_drained: Callable[[], None]) -> None:
-        """Begin to end; `on_drained` is called once, when the process may end."""
+        """Begin the shutdown; `on_drained` is called once, when the process may exit."""
         self.state = ShutdownState.DRAINING
         self.node.ports.log(1002, running=0)
         self.on_drained = on_drained
@@ -94,17 +94,17 @@
         self.hand_over.begin(self.on_handed_over)
 
     def on_released(self, name: str) -> None:
-        """The lease of this role is free for a successor."""
+        """Record that the named lease was released."""
         self.unreleased.discard(name)
         self._leave_if_done()
 
     def on_handed_over(self) -> None:
-        """The replica is another node's, or nobody could take it."""
+        """Record that another node has the replica, or that none could take it."""
         self.is_handed_over = True
         self._leave_if_done()
 
     def tick(self, now_us: int) -> None:
-        """Wait no longer than its bound for the release of the leases."""
+        """Stop waiting for the release of the leases after the timeout."""
         if self.state is ShutdownState.DRAINING and now_us >= self.release_until_us:
             self._leave_if_done()
 
@@ -112,7 +112,7 @@
         return bool(self.unreleased) and self.node.now_us() < self.release_until_us
 
     def _leave_if_done(self) -> None:
-        """Leave the membership last: until then others reach this node for the hand-over."""
+        """Leave the membership last, since the hand-over needs this node to be reachable."""
         if not self.is_handed_over or self._is_waiting_for_release():
             return
         on_drained, self.on_drained = self.on_drained, None
--- a/packages/controller/src/linkhaven/controller/status.py
+++ b/packages/controller/src/linkhaven/controller/status.py
@@ -1,14 +1,14 @@
-"""The status of the core: its members, their incarnations, who learns, what loss could be borne.
+"""The status of the core: members, incarnations, recovery progress, and tolerable losses.
 
-The node that is asked asks every member of the core that it knows, and answers when all have
-answered or after `ANSWER_TIMEOUT_US`, so that a silent member stands as silent instead of as it
-was heard last.
+The node that serves the call queries every core member that it knows. It answers when all have
+answered or after `ANSWER_TIMEOUT_US`, so that a member that doesn't answer is shown as silent
+instead of in its last known state.
 
-| message | then |
+| message | action |
 | --- | --- |
-| `MemberStatusRequest` | `MemberStatusResponse` to the asker, at once |
-| `MemberStatusResponse` of an open query | noted; the query is answered after the last one |
-| `MemberStatusResponse` of a query that is over | passed over |
+| `MemberStatusRequest` | `MemberStatusResponse` to the requester, at once |
+| `MemberStatusResponse` to an open query | recorded; the last one completes the query |
+| `MemberStatusResponse` to a completed query | ignored |
 """
 
 from typing import Any, Protocol
@@ -21,37 +21,37 @@
 from .messages import MemberStatus, MemberStatusRequest, MemberStatusResponse
 
 ANSWER_TIMEOUT_US = 400_000
-"""How long a query waits for the others."""
+"""How long a query waits for the other members."""
 
 MAX_QUERIES = 16
-"""Open queries; the oldest is answered with what it has when another comes."""
+"""The maximum number of open queries; beyond it the oldest is answered as far as it got."""
 
 SILENT = "silent"
-"""The state of a member that didn't answer."""
+"""The state shown for a member that didn't answer."""
 
 VOTING = "voting"
 
 
 class LocalStatus(Protocol):
-    """What this node knows of itself and of the core."""
+    """The status of this node, and its view of the core."""
 
     def member(self) -> MemberStatus:
-        """How this node stands."""
+        """The status of this node as a member."""
 
     def facts(self) -> dict[str, Any]:
-        """What the asked node adds to the members' statuses."""
+        """What this node adds to the members' statuses."""
 
     def majority(self) -> int:
-        """How many replicas must answer."""
+        """How many replicas form a majority."""
 
 
 class StatusQuery:
-    """One call that waits for the others' answers."""
+    """An operator's call that waits for the other members' answers."""
 
     __slots__ = ("call", "until_us", "missing", "answers")
 
     def __init__(self, call: Any, until_us: int, missing: set[str]) -> None:
-        """`missing`: the names of those that haven't answered yet."""
+        """`until_us`: the deadline. `missing`: the members that haven't answered yet."""
         self.call = call
         self.until_us = until_us
         self.missing = missing
@@ -59,12 +59,12 @@
 
 
 class ClusterStatus:
-    """Answers GET /v1/core from what each member of the core says of itself."""
+    """Answers GET /v1/core from the status that each core member gives of itself."""
 
     __slots__ = ("node", "membership", "local", "queries", "serial")
 
     def __init__(self, node: Node, membership: Membership, local: LocalStatus) -> None:
-        """No query is open."""
+        """Register the message handlers."""
         self.node = node
         self.membership = membership
         self.local = local
@@ -74,7 +74,7 @@
         node.register_handler(MemberStatusResponse, self.on_response)
 
     def serve(self, call: Any) -> None:
-        """Ask all; the answer goes out from `on_response` or `tick`."""
+        """Query all members; `on_response` or `tick` sends the answer."""
         members = [
             member
             for member in self.membership.peers.values()
@@ -92,12 +92,12 @@
             self._answer(self.serial)
 
     def on_request(self, message: MemberStatusRequest) -> None:
-        """Say how this node stands."""
+        """Answer with the status of this node."""
         response = MemberStatusResponse(message.id, self.local.member())
         self.node.send(message.reply_to, response)
 
     def on_response(self, message: MemberStatusResponse) -> None:
-        """Answer the query once the last member has answered."""
+        """Record the answer; complete the query if it was the last one."""
         query = self.queries.get(message.id)
         if query is None:
             return
@@ -108,7 +108,7 @@
             self._answer(message.id)
 
     def tick(self, now_us: int) -> None:
-        """Answer the queries whose time is over."""
+        """Complete the queries whose deadline has passed."""
         for serial in [
             serial for serial, query in self.queries.items() if now_us >= query.until_us
         ]:
@@ -127,7 +127,7 @@
         query.call.answer_json(200, facts)
 
     def _silent(self, name: str) -> MemberStatus:
-        """A silent member, as the membership knows it."""
+        """The status of a member that didn't answer, from the membership."""
         member = self.membership.peers.get(name)
         if member is None:
             return MemberStatus("", SILENT, 0, "", None, None)
@@ -136,7 +136,7 @@
         )
 
     def _losses(self, members: dict[str, MemberStatus]) -> dict[str, Any]:
-        """How many of those that vote may be lost now so that a majority still answers."""
+        """How many of the voting replicas may be lost now without losing the majority."""
         newest = self.membership.replicas()
         majority = self.local.majority()
         voting = sorted(
