--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -1,4 +1,4 @@
-"""Point 4 of docs/control.md: hundreds of changes, and members that come back after them."""
+"""Hundreds of configuration changes, and members that return after them (docs/control.md, 4)."""
 
 import pytest
 
@@ -20,40 +20,40 @@
 
 
 @pytest.mark.parametrize("seats", [3, 5])
-def test_after_hundreds_of_changes_whoever_comes_back_is_soon_current_and_never_leads_before(seats):
+def test_after_hundreds_of_changes_a_returning_member_is_soon_current_and_never_leads_before(seats):
     course = ChangeCourse(seats, seats, CHANGES_A_LEG).run(LEGS)
     assert course.newest >= CHANGES_A_LEG * len(LEGS)
     assert judge_changes(course) == {}
     first = Order(0, 1, "text 000001", PLAN)
-    told = [course.operators.put(name, first) for name in course.core.machines]
+    results = [course.operators.put(name, first) for name in course.core.machines]
     course.core.world.run_for(2 * SECOND)
-    assert [one for one in told if one.outcome == REFUSED] == []
+    assert [result for result in results if result.outcome == REFUSED] == []
 
 
 def vote_before_reading(monkeypatch):
-    weigh = Recovery._evaluate_reports
+    evaluate_reports = Recovery._evaluate_reports
 
-    def hasty(self, now_us):
-        weigh(self, now_us)
+    def vote_early(self, now_us):
+        evaluate_reports(self, now_us)
         if self.transfer.peers:
             self.transfer.end()
             self.replica.begin_voting()
 
-    def vote_once(self):
-        """Its own recovery ends later, and would begin votes a second time, which is refused."""
+    def begin_votes_once(self):
+        """Its own recovery ends later and would begin votes again, which is rejected."""
         if not self.replica.is_voting:
-            end(self)
+            on_peer_read(self)
 
-    end = Recovery.on_peer_read
-    monkeypatch.setattr(Recovery, "_evaluate_reports", hasty)
-    monkeypatch.setattr(Recovery, "on_peer_read", vote_once)
+    on_peer_read = Recovery.on_peer_read
+    monkeypatch.setattr(Recovery, "_evaluate_reports", vote_early)
+    monkeypatch.setattr(Recovery, "on_peer_read", begin_votes_once)
 
 
 def serve_without_contact(monkeypatch):
     monkeypatch.setattr(QuorumContact, "is_held", lambda self: True)
 
 
-def remember_every_order(monkeypatch):
+def keep_all_history(monkeypatch):
     def extend_without_end(value, taken):
         return [*(value or {}).get("taken", []), taken.as_row()]
 
@@ -65,9 +65,9 @@
     [
         (vote_before_reading, (WIPED, WIPED), "early"),
         (serve_without_contact, (WIPED, WOKEN, WIPED), "old_news"),
-        (remember_every_order, (RESTARTED, RESTARTED, WIPED, RESTARTED, WIPED), "disk_grows"),
+        (keep_all_history, (RESTARTED, RESTARTED, WIPED, RESTARTED, WIPED), "disk_grows"),
     ],
 )
-def test_each_mechanism_of_coming_back_is_needed(monkeypatch, sabotage, legs, breach):
+def test_each_mechanism_of_recovery_is_needed(monkeypatch, sabotage, legs, breach):
     sabotage(monkeypatch)
     assert breach in judge_changes(ChangeCourse(1, 3, CHANGES_A_LEG).run(legs))
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,3 +1,8 @@
+"""Coordination of the whole fleet in simulation: membership, leases, runner roles and streams.
+
+Each test injects one failure or change and checks that the fleet keeps its guarantees.
+"""
+
 import pytest
 
 from linkhaven.stage.faults import Faults
@@ -7,7 +12,7 @@
 SECOND = 1_000_000
 
 
-def make(deployment=LICENSING, seed=1, **given):
+def start_fleet(deployment=LICENSING, seed=1, **given):
     fleet = SimFleet(deployment, seed, **given)
     fleet.world.is_tracing = True
     fleet.start()
@@ -18,8 +23,8 @@
     return [event for event in fleet.world.events if event[2] == number and event[0] >= since_us]
 
 
-def noted(fleet, kind):
-    return [(at_us, facts) for at_us, known, facts in fleet.world.record if known == kind]
+def recorded(fleet, kind):
+    return [(at_us, facts) for at_us, entry, facts in fleet.world.record if entry == kind]
 
 
 def holder_of(fleet, role):
@@ -34,7 +39,7 @@
 
 
 def test_a_router_cut_from_the_core_stops_within_the_bound_and_says_so():
-    fleet, faults = make()
+    fleet, faults = start_fleet()
     cut_us = fleet.world.now_us
     faults.begin("cut_router_from_core", "edge-2")
     fleet.world.run_for(1_600_000)
@@ -48,8 +53,8 @@
     assert fleet.world.wait_for(router.node.may_start, 5 * SECOND)
 
 
-def test_a_router_told_of_a_newer_mark_by_a_runner_takes_no_work_until_it_has_that_plan():
-    fleet, faults = make()
+def test_a_router_that_learns_of_a_newer_version_from_a_runner_takes_no_work_until_it_has_it():
+    fleet, faults = start_fleet()
     router = fleet.routers["edge-1"]
     fleet.world.run_for(SECOND)
     for _ in range(6):
@@ -68,47 +73,49 @@
     assert first.ended_us is None
     assert second.code == "plan_stale"
     assert not [
-        facts for _, facts in noted(fleet, "begin") if facts["asked"] in (first.id, second.id)
+        facts for _, facts in recorded(fleet, "begin") if facts["asked"] in (first.id, second.id)
     ]
     faults.close()
     assert fleet.world.wait_for(lambda: first.ended_us, 10 * SECOND)
     assert first.how == "done"
 
 
-def test_an_acknowledged_plan_reaches_every_router_with_a_seat_dead():
-    fleet, faults = make(ARCHIVE, 2)
+def test_an_acknowledged_plan_reaches_every_router_with_a_replica_down():
+    fleet, faults = start_fleet(ARCHIVE, 2)
     faults.begin("kill_core", "c")
     fleet.world.run_for(SECOND)
-    told = []
-    fleet.put_plan(fleet.plan, 1, "a", 0, lambda status, document: told.append(fleet.world.now_us))
-    assert fleet.world.wait_for(lambda: told, SECOND, 5_000)
+    answers = []
+    fleet.put_plan(
+        fleet.plan, 1, "a", 0, lambda status, document: answers.append(fleet.world.now_us)
+    )
+    assert fleet.world.wait_for(lambda: answers, SECOND, 5_000)
     assert fleet.world.wait_for(
         lambda: all(host.node.snapshot.version == 2 for host in fleet.routers.values()),
         2 * SECOND,
         5_000,
     )
-    assert fleet.world.now_us - told[0] < 500_000
+    assert fleet.world.now_us - answers[0] < 500_000
 
 
-def test_a_dead_node_is_found_by_its_watchers_and_a_live_one_is_not_accused():
-    fleet, _ = make(ARCHIVE, 3)
+def test_a_failed_node_is_detected_by_its_watchers_and_no_live_one_is_suspected():
+    fleet, _ = start_fleet(ARCHIVE, 3)
     fleet.world.run_for(10 * SECOND)
     assert events(fleet, 1102) == []
     killed_us = fleet.world.now_us
     fleet.routers["edge-4"].kill()
     fleet.world.run_for(4 * SECOND)
-    told = {
+    detected_us = {
         event[1]: event[0]
         for event in events(fleet, 1102, killed_us)
         if event[3]["fellow"] == "edge-4"
     }
-    assert len(told) == len(fleet.routers) - 1 + len(fleet.registries)
-    assert max(told.values()) - killed_us < 2_500_000
+    assert len(detected_us) == len(fleet.routers) - 1 + len(fleet.registries)
+    assert max(detected_us.values()) - killed_us < 2_500_000
     assert {event[3]["fellow"] for event in events(fleet, 1102, killed_us)} == {"edge-4"}
 
 
-def test_many_nodes_killed_at_once_are_all_found_though_they_watched_each_other():
-    fleet, _ = make(ARCHIVE, 4)
+def test_many_nodes_killed_at_once_are_all_detected_though_they_watched_each_other():
+    fleet, _ = start_fleet(ARCHIVE, 4)
     dead = [f"edge-{place}" for place in range(2, 10)]
     for name in dead:
         fleet.routers[name].kill()
@@ -118,7 +125,7 @@
 
 
 def test_a_node_that_cannot_hear_does_not_talk_others_down():
-    fleet, faults = make(LICENSING, 5)
+    fleet, faults = start_fleet(LICENSING, 5)
     since_us = fleet.world.now_us
     faults.begin("cut_router_one_way", "edge-3")
     fleet.world.run_for(6 * SECOND)
@@ -129,7 +136,7 @@
 
 
 def test_a_restarted_node_with_its_wall_clock_set_back_is_known_again():
-    fleet, _ = make(LICENSING, 6)
+    fleet, _ = start_fleet(LICENSING, 6)
     host = fleet.routers["edge-1"]
     host.kill()
     fleet.world.run_for(3 * SECOND)
@@ -148,7 +155,7 @@
 
 @pytest.mark.parametrize("role", ["steward", "bursar", "roster"])
 def test_a_vacant_role_is_filled_by_exactly_one_with_a_higher_fencing_token(role):
-    fleet, _ = make(LICENSING, 7)
+    fleet, _ = start_fleet(LICENSING, 7)
     old = holder_of(fleet, role)
     fence = old.node.leases[role].fencing_token
     old.kill()
@@ -164,8 +171,8 @@
     assert held == [new]
 
 
-def test_a_holder_that_slept_past_its_grant_orders_nothing_when_it_wakes():
-    fleet, _ = make(LICENSING, 8)
+def test_a_holder_paused_past_its_lease_sends_no_orders_when_it_resumes():
+    fleet, _ = start_fleet(LICENSING, 8)
     old = holder_of(fleet, "steward")
     role_balancer = old.node.role_balancer
     fleet.world.run_for(SECOND)
@@ -182,14 +189,14 @@
     fleet.world.run_for(4 * SECOND)
     assert [
         facts
-        for at_us, facts in noted(fleet, "order")
+        for at_us, facts in recorded(fleet, "order")
         if at_us >= woke_us and facts["fence"] < fence
     ] == []
     assert events(fleet, 1402, woke_us)
 
 
 def test_an_order_with_an_old_fencing_token_is_refused_by_the_runner():
-    fleet, _ = make(LICENSING, 9)
+    fleet, _ = start_fleet(LICENSING, 9)
     runner = fleet.runners["runner-3"]
     runner.node.fence = 1_000
     role_balancer = holder_of(fleet, "steward").node.role_balancer
@@ -202,7 +209,7 @@
 
 
 def test_after_the_loss_of_the_whole_core_fencing_tokens_go_on_from_those_reported():
-    fleet, _ = make(LICENSING, 22)
+    fleet, _ = start_fleet(LICENSING, 22)
     world = fleet.world
     for _ in range(2):
         old = holder_of(fleet, "roster")
@@ -233,8 +240,8 @@
     assert fleet.runners["runner-3"].node.phase == "prefill"
 
 
-def test_the_ratio_of_phases_follows_a_swing_and_comes_back_without_flapping():
-    fleet, _ = make(ARCHIVE, 10)
+def test_the_role_ratio_follows_a_load_shift_without_flapping():
+    fleet, _ = start_fleet(ARCHIVE, 10)
     world = fleet.world
 
     def reading():
@@ -248,15 +255,15 @@
     fleet.rate = 30.0
     world.run_for(45 * SECOND)
     long_answers = reading()
-    orders = len(noted(fleet, "order"))
+    orders = len(recorded(fleet, "order"))
     world.run_for(20 * SECOND)
     assert long_prompts > long_answers
     assert 1 <= sum(host.node.phase == "decode" for host in fleet.runners.values())
-    assert len(noted(fleet, "order")) - orders <= 2
+    assert len(recorded(fleet, "order")) - orders <= 2
 
 
-def test_a_runner_being_changed_gets_no_new_work():
-    fleet, _ = make(LICENSING, 11)
+def test_a_runner_that_is_to_switch_roles_gets_no_new_work():
+    fleet, _ = start_fleet(LICENSING, 11)
     fleet.load(10.0)
     fleet.world.run_for(2 * SECOND)
     role_balancer = holder_of(fleet, "steward").node.role_balancer
@@ -265,11 +272,11 @@
     )
     fleet.world.run_for(2 * SECOND)
     ordered_us = next(
-        at_us for at_us, facts in noted(fleet, "order") if facts["runner"] == "runner-4"
+        at_us for at_us, facts in recorded(fleet, "order") if facts["runner"] == "runner-4"
     )
     late = [
         facts
-        for at_us, facts in noted(fleet, "offered")
+        for at_us, facts in recorded(fleet, "offered")
         if facts["runner"] == "runner-4" and ordered_us - 50_000 < facts["sent_us"] < ordered_us
     ]
     assert late == []
@@ -277,7 +284,7 @@
 
 def test_a_group_that_floods_delays_neither_of_the_others():
     def waits(seed, is_flooded):
-        fleet, _ = make(LICENSING, seed)
+        fleet, _ = start_fleet(LICENSING, seed)
         fleet.load(4.0)
         if is_flooded:
             for step in range(400):
@@ -285,12 +292,12 @@
         fleet.world.run_for(8 * SECOND)
         fleet.settle(120)
         checks = [
-            one
-            for one in fleet.caller.node.asked.values()
-            if one.kind == "entitlement-check" and one.code != "key_used"
+            request
+            for request in fleet.caller.node.asked.values()
+            if request.kind == "entitlement-check" and request.code != "key_used"
         ]
-        assert {one.how for one in checks} == {"done"}
-        return [one.first_us - one.asked_us for one in checks]
+        assert {request.how for request in checks} == {"done"}
+        return [request.first_us - request.asked_us for request in checks]
 
     calm, flooded = [], []
     for seed in (14, 15, 16, 24, 25, 26):
@@ -313,22 +320,22 @@
             "queue": {"requests": 2, "tokens": 20_000},
         },
     }
-    fleet, _ = make(LICENSING, 13, plan=plan)
+    fleet, _ = start_fleet(LICENSING, 13, plan=plan)
     router = [fleet.routers["edge-1"].address]
     fleet.world.run_for(SECOND)
     digests = [fleet.ask("audit-digest", router) for _ in range(6)]
     questions = [fleet.ask("seat-question", router) for _ in range(6)]
     fleet.world.run_for(10 * SECOND)
-    assert all(one.how == "done" for one in questions)
-    refused = [one for one in digests if one.how == "refused"]
+    assert all(request.how == "done" for request in questions)
+    refused = [request for request in digests if request.how == "refused"]
     assert refused
-    assert {one.code for one in refused} == {"credit_spent"}
-    waits = sorted(one.ended_us - one.asked_us for one in refused)
+    assert {request.code for request in refused} == {"credit_spent"}
+    waits = sorted(request.ended_us - request.asked_us for request in refused)
     assert waits[1] < 50_000 and waits[-1] < 4 * SECOND
 
 
 def test_credit_follows_demand_between_zones_and_never_sums_above_the_allowance():
-    fleet, faults = make(LICENSING, 14)
+    fleet, faults = start_fleet(LICENSING, 14)
     world = fleet.world
     worst = []
 
@@ -361,19 +368,19 @@
 
 
 def test_one_key_is_never_run_again_after_its_router_died():
-    fleet, _ = make(LICENSING, 15)
+    fleet, _ = start_fleet(LICENSING, 15)
     first = fleet.ask("entitlement-check", [fleet.routers["edge-1"].address], key="form-17")
-    assert fleet.world.wait_for(lambda: noted(fleet, "begin"), 2 * SECOND, 1_000)
+    assert fleet.world.wait_for(lambda: recorded(fleet, "begin"), 2 * SECOND, 1_000)
     fleet.routers["edge-1"].kill()
     second = fleet.ask("entitlement-check", [fleet.routers["edge-2"].address], key="form-17")
     fleet.world.run_for(3 * SECOND)
     assert first.how == "cut"
     assert (second.how, second.code, second.done) == ("trouble", "key_used", "unknown")
-    assert len({facts["asked"] for _, facts in noted(fleet, "begin")}) == 1
+    assert len({facts["asked"] for _, facts in recorded(fleet, "begin")}) == 1
 
 
-def test_a_stream_goes_on_through_another_router_from_the_last_piece_received():
-    fleet, _ = make(LICENSING, 16)
+def test_a_stream_resumes_through_another_router_from_the_last_piece_received():
+    fleet, _ = start_fleet(LICENSING, 16)
     routers = [fleet.routers[name].address for name in ("edge-1", "edge-2")]
     asked = fleet.ask("audit-digest", routers, answer=400)
     assert fleet.world.wait_for(lambda: asked.pieces >= 1 or asked.ended_us, 10 * SECOND, 10_000)
@@ -382,11 +389,11 @@
     if asked.resumes:
         assert asked.how == "done"
         assert asked.count == asked.last
-        assert len({facts["run"] for _, facts in noted(fleet, "piece")}) == 1
+        assert len({facts["run"] for _, facts in recorded(fleet, "piece")}) == 1
 
 
 def test_a_deadline_is_answered_while_the_runner_hangs():
-    fleet, faults = make(LICENSING, 17)
+    fleet, faults = start_fleet(LICENSING, 17)
     for name in fleet.runners:
         faults.begin("freeze_runner", name)
     asked = fleet.ask("entitlement-check")
@@ -397,8 +404,8 @@
     assert queued.ended_us is not None
 
 
-def test_a_caller_that_goes_away_ends_its_shot():
-    fleet, _ = make(LICENSING, 18)
+def test_a_caller_that_disconnects_ends_its_attempt():
+    fleet, _ = start_fleet(LICENSING, 18)
     asked = fleet.ask("audit-digest", answer=800)
     assert fleet.world.wait_for(lambda: asked.pieces >= 1 or asked.ended_us, 10 * SECOND, 10_000)
     fleet.caller.node.hang_up(asked)
@@ -406,8 +413,8 @@
     assert sum(len(host.node.streams) for host in fleet.runners.values()) == 0
 
 
-def test_a_slow_reader_holds_its_runner_back_and_loses_nothing():
-    fleet, _ = make(LICENSING, 19)
+def test_a_slow_reader_slows_its_runner_down_and_loses_nothing():
+    fleet, _ = start_fleet(LICENSING, 19)
     asked = fleet.ask("audit-digest", answer=800)
     assert fleet.world.wait_for(lambda: asked.pieces >= 1, 10 * SECOND, 10_000)
     asked.outing.hold()
@@ -418,8 +425,8 @@
     assert asked.pieces == asked.count
 
 
-def test_draining_refuses_new_work_and_ends_running_streams_honestly():
-    fleet, _ = make(LICENSING, 20)
+def test_draining_refuses_new_work_and_completes_or_reports_running_streams():
+    fleet, _ = start_fleet(LICENSING, 20)
     router = fleet.routers["edge-1"]
     running = fleet.ask("audit-digest", [router.address], answer=800)
     assert fleet.world.wait_for(lambda: running.pieces >= 1, 10 * SECOND, 10_000)
@@ -433,7 +440,7 @@
 
 
 def test_shedding_moves_the_longest_resumable_stream_and_keeps_it_whole():
-    fleet, _ = make(
+    fleet, _ = start_fleet(
         LICENSING,
         21,
         runner_given={"kv_total": 40_000},
@@ -445,15 +452,19 @@
     fleet.settle(120)
     moves = sum(host.node.flow.moves["shed"] for host in fleet.routers.values())
     assert moves >= 1
-    assert {one.how for one in fleet.caller.node.asked.values()} <= {"done", "refused", "trouble"}
+    assert {request.how for request in fleet.caller.node.asked.values()} <= {
+        "done",
+        "refused",
+        "trouble",
+    }
     from linkhaven.stage.checkers import extra_shots_keep_to_the_budget, streams_are_whole
 
     assert list(streams_are_whole(fleet.world.record)) == []
     assert list(extra_shots_keep_to_the_budget(fleet.world.record, margin=7)) == []
 
 
-def test_a_restarted_router_is_found_though_all_three_seed_machines_were_exchanged():
-    fleet, faults = make(LICENSING, 23)
+def test_a_restarted_router_is_found_though_all_three_seed_machines_were_replaced():
+    fleet, faults = start_fleet(LICENSING, 23)
     for seat in "abc":
         faults.begin("empty_core", seat)
         fleet.world.run_for(8 * SECOND)
@@ -469,8 +480,8 @@
     assert asked.how == "done"
 
 
-def test_a_node_that_flaps_ends_up_up_and_accuses_nobody():
-    fleet, _ = make(LICENSING, 24)
+def test_a_flapping_node_ends_up_live_and_suspects_nobody():
+    fleet, _ = start_fleet(LICENSING, 24)
     since_us = fleet.world.now_us
     host = fleet.routers["edge-2"]
     for _ in range(4):
@@ -488,26 +499,26 @@
 
 
 @pytest.mark.parametrize("seed", range(30, 34))
-def test_streams_stay_whole_while_conns_break_at_any_piece(seed):
+def test_streams_stay_complete_while_connections_break_at_any_piece(seed):
     from linkhaven.stage.checkers import one_time_work_runs_once, streams_are_whole
 
-    fleet, faults = make(LICENSING, seed)
+    fleet, faults = start_fleet(LICENSING, seed)
     fleet.load(10.0)
     for _ in range(30):
         fleet.world.run_for(fleet.world.dice.randrange(50_000, 350_000))
         faults.begin("break_conns", 0.1)
     fleet.settle()
     asked = fleet.caller.node.asked.values()
-    assert any(one.resumes for one in asked)
-    assert all(one.ended_us is not None for one in asked)
+    assert any(request.resumes for request in asked)
+    assert all(request.ended_us is not None for request in asked)
     assert list(streams_are_whole(fleet.world.record)) == []
     assert list(one_time_work_runs_once(fleet.world.record)) == []
 
 
-def test_extra_shots_keep_to_the_budget_when_a_crowd_ends_and_all_streams_break():
+def test_extra_attempts_stay_within_the_budget_when_a_load_peak_ends_and_all_streams_break():
     from linkhaven.stage.checkers import extra_shots_keep_to_the_budget
 
-    fleet, faults = make(ARCHIVE, 25)
+    fleet, faults = start_fleet(ARCHIVE, 25)
     fleet.load(60.0)
     fleet.world.run_for(5 * SECOND)
     fleet.stop_load()
@@ -515,7 +526,7 @@
         faults.begin("break_conns", 0.8)
         fleet.world.run_for(400_000)
     fleet.settle()
-    extra = [facts for _, facts in noted(fleet, "offered") if facts["shot"] > 1]
+    extra = [facts for _, facts in recorded(fleet, "offered") if facts["shot"] > 1]
     assert len(extra) >= 5
     assert (
         list(
@@ -525,8 +536,8 @@
     )
 
 
-def test_a_platform_that_knows_no_incarnations_can_still_say_that_a_runner_leaves():
-    fleet, _ = make(LICENSING, 26)
+def test_a_platform_without_incarnations_can_still_report_that_a_runner_leaves():
+    fleet, _ = start_fleet(LICENSING, 26)
     fleet.load(10.0)
     listed = {
         name: {**record, "incarnation": 0} for name, record in fleet.platform.node.now().items()
@@ -537,36 +548,38 @@
     fleet.world.run_for(8 * SECOND)
     late = [
         at_us
-        for at_us, facts in noted(fleet, "offered")
+        for at_us, facts in recorded(fleet, "offered")
         if facts["runner"] == "runner-4" and at_us > left_us + 3 * SECOND
     ]
     assert late == []
-    assert len([facts for _, facts in noted(fleet, "offered") if facts["runner"] == "runner-5"]) > 5
+    assert (
+        len([facts for _, facts in recorded(fleet, "offered") if facts["runner"] == "runner-5"]) > 5
+    )
 
 
-def test_the_runner_list_stays_fresh_while_its_role_stands_vacant():
-    fleet, faults = make(LICENSING, 27)
+def test_the_runner_list_stays_fresh_while_its_role_is_vacant():
+    fleet, faults = start_fleet(LICENSING, 27)
     world = fleet.world
     fleet.load(10.0)
     world.run_for(2 * SECOND)
     old = holder_of(fleet, "roster")
-    begun_us = world.now_us
+    start_us = world.now_us
     faults.begin("freeze_holder", "roster")
     world.run_for(6 * SECOND)
     faults.close()
     world.run_for(6 * SECOND)
     fleet.settle()
-    assert events(fleet, 2002, begun_us) == []
-    assert {one.how for one in fleet.caller.node.asked.values() if one.code != "key_used"} == {
-        "done"
-    }
+    assert events(fleet, 2002, start_us) == []
+    assert {
+        request.how for request in fleet.caller.node.asked.values() if request.code != "key_used"
+    } == {"done"}
     assert holder_of(fleet, "roster") is not old
-    marks = {host.node.roster.version[0] for host in fleet.routers.values()}
-    assert marks == {holder_of(fleet, "roster").node.leases["roster"].fencing_token}
+    ranks = {host.node.roster.version[0] for host in fleet.routers.values()}
+    assert ranks == {holder_of(fleet, "roster").node.leases["roster"].fencing_token}
 
 
-def test_a_holder_that_was_only_slow_to_renew_is_heard_above_its_deputies():
-    fleet, _ = make(LICENSING, 28)
+def test_a_holder_that_renewed_late_outranks_its_deputies():
+    fleet, _ = start_fleet(LICENSING, 28)
     world = fleet.world
     old = holder_of(fleet, "roster")
     fence = old.node.leases["roster"].fencing_token
@@ -580,8 +593,8 @@
     assert {host.node.roster.version[0] for host in fleet.routers.values()} == {held}
 
 
-def test_an_exchanged_holder_that_wakes_beside_its_successor_takes_no_duty():
-    fleet, faults = make(LICENSING, 29)
+def test_a_replaced_holder_that_resumes_beside_its_successor_takes_no_role():
+    fleet, faults = start_fleet(LICENSING, 29)
     world = fleet.world
     old = holder_of(fleet, "roster")
     seat = old.node.replica.replica_id
@@ -607,11 +620,13 @@
             "queue": {"requests": 1, "tokens": 20_000},
         },
     }
-    fleet, _ = make(LICENSING, 31, plan=plan)
+    fleet, _ = start_fleet(LICENSING, 31, plan=plan)
     router = [fleet.routers["edge-1"].address]
     asked = [fleet.ask("entitlement-check", router, key=f"form-{place}") for place in range(12)]
     fleet.world.run_for(SECOND)
-    place, refused = next((place, one) for place, one in enumerate(asked) if one.how == "refused")
+    place, refused = next(
+        (place, request) for place, request in enumerate(asked) if request.how == "refused"
+    )
     assert refused.code in ("credit_spent", "queue_full")
     fleet.world.run_for(9 * SECOND)
     again = fleet.ask("entitlement-check", [fleet.routers["edge-2"].address], key=f"form-{place}")
@@ -620,37 +635,37 @@
     third = fleet.ask("entitlement-check", [fleet.routers["edge-3"].address], key=f"form-{place}")
     fleet.world.run_for(SECOND)
     assert third.code == "key_used"
-    begun = {facts["asked"] for _, facts in noted(fleet, "begin")}
+    begun = {facts["asked"] for _, facts in recorded(fleet, "begin")}
     assert again.id in begun
     assert refused.id not in begun
 
 
-def test_a_holder_that_lost_the_platform_leaves_the_roster_to_another_seat():
-    fleet, faults = make(LICENSING, 31)
+def test_a_holder_that_lost_the_platform_leaves_the_runner_list_to_another_replica():
+    fleet, faults = start_fleet(LICENSING, 31)
     fleet.load(6.0)
-    begun_us = fleet.world.now_us
+    start_us = fleet.world.now_us
     faults.begin("cut_platform_from_holder")
     fleet.world.run_for(10 * SECOND)
     fleet.settle()
-    told = fleet.summary(begun_us)
-    assert told["served"] >= 0.85 * told["asked"]
+    summary = fleet.summary(start_us)
+    assert summary["served"] >= 0.85 * summary["asked"]
     assert {host.node.roster.version[0] > 1 for host in fleet.routers.values()} == {True}
 
 
 def test_runners_that_stop_reporting_go_on_serving_while_their_streams_do():
-    fleet, faults = make(LICENSING, 32)
+    fleet, faults = start_fleet(LICENSING, 32)
     fleet.load(6.0)
     fleet.world.run_for(2 * SECOND)
-    begun_us = fleet.world.now_us
+    start_us = fleet.world.now_us
     faults.begin("no_reports")
     fleet.world.run_for(8 * SECOND)
     fleet.settle()
-    told = fleet.summary(begun_us)
-    assert told["good"] >= 0.9 * told["asked"]
+    summary = fleet.summary(start_us)
+    assert summary["good"] >= 0.9 * summary["asked"]
 
 
 def test_a_runner_that_one_router_lost_is_closed_to_the_others_before_they_ask_it():
-    fleet, _ = make(LICENSING, 33)
+    fleet, _ = start_fleet(LICENSING, 33)
     world = fleet.world
     fleet.load(2.0)
     world.run_for(2 * SECOND)
@@ -664,24 +679,24 @@
     } == {True}
 
 
-def test_what_has_no_prospect_is_refused_at_once_and_what_can_wait_waits():
+def test_requests_that_cannot_be_served_in_time_are_refused_at_once_and_others_wait():
     plan = LICENSING.plan()
     plan["groups"] = {
         **plan["groups"],
         "audit": {"credit": {"tokens": 4_000, "period_us": 10 * SECOND}, "weight": 1.0},
     }
-    fleet, _ = make(LICENSING, 34, plan=plan)
+    fleet, _ = start_fleet(LICENSING, 34, plan=plan)
     router = [fleet.routers["edge-1"].address]
     first = [fleet.ask("audit-digest", router, tokens=2_000, answer=8) for _ in range(2)]
     fleet.world.run_for(3 * SECOND)
-    hopeless = [fleet.ask("audit-digest", router, tokens=12_000) for _ in range(12)]
+    unserved = [fleet.ask("audit-digest", router, tokens=12_000) for _ in range(12)]
     fleet.world.run_for(4 * SECOND)
-    refused = [one for one in hopeless if one.ended_us is not None]
-    assert {one.code for one in refused} == {"credit_spent"}
+    refused = [request for request in unserved if request.ended_us is not None]
+    assert {request.code for request in refused} == {"credit_spent"}
     assert len(refused) >= 8
     fleet.world.run_for(70 * SECOND)
-    assert "done" in {one.how for one in first + hopeless}
-    assert not [one for one in hopeless if one.code == "deadline_unserved"]
+    assert "done" in {request.how for request in first + unserved}
+    assert not [request for request in unserved if request.code == "deadline_unserved"]
 
 
 def test_more_routers_than_the_plan_counts_breach_neither_budget_nor_allowance():
@@ -697,29 +712,29 @@
 
 
 @pytest.mark.parametrize("fault", ["slow_pair", "slow_links"])
-def test_slow_links_show_in_t_and_in_the_choice_of_the_decode_runner(fault):
-    fleet, faults = make(LICENSING, 36)
+def test_slow_links_show_in_the_transfer_estimate_and_the_choice_of_the_decode_runner(fault):
+    fleet, faults = start_fleet(LICENSING, 36)
     fleet.load(8.0)
     fleet.world.run_for(3 * SECOND)
     faults.begin(fault)
     fleet.world.run_for(8 * SECOND)
     pairing = fleet.routers["edge-1"].node.pairing
-    reading, slow, good = (
+    prefill, slow, fast = (
         pairing.roster.runners[name] for name in ("runner-1", "runner-3", "runner-4")
     )
-    plain_us = pairing.estimator.transfer_us(4_000)
-    assert pairing.estimator.transfer_us(4_000, reading, slow) > 5 * plain_us
+    default_us = pairing.estimator.transfer_us(4_000)
+    assert pairing.estimator.transfer_us(4_000, prefill, slow) > 5 * default_us
     if fault == "slow_pair":
-        assert pairing.estimator.transfer_us(4_000, reading, good) < 4 * plain_us
-        assert pairing.choose_decode(source=reading, tokens=4_000) is not slow
+        assert pairing.estimator.transfer_us(4_000, prefill, fast) < 4 * default_us
+        assert pairing.choose_decode(source=prefill, tokens=4_000) is not slow
     faults.close()
     fleet.stop_load()
     fleet.world.run_for(120 * SECOND)
-    assert pairing.estimator.transfer_us(4_000, reading, slow) < 1.1 * plain_us
+    assert pairing.estimator.transfer_us(4_000, prefill, slow) < 1.1 * default_us
 
 
-def test_rolling_replacement_leaves_nothing_behind_in_any_table():
-    fleet, faults = make(LICENSING, 37)
+def test_rolling_replacement_leaks_no_table_entries():
+    fleet, faults = start_fleet(LICENSING, 37)
     fleet.load(4.0)
     fleet.world.run_for(5 * SECOND)
 
@@ -754,22 +769,22 @@
         assert last <= max(1.3 * seen[3][name], seen[3][name] + 3), (name, seen)
 
 
-def test_groups_and_kinds_are_changed_one_by_one_and_their_queued_work_hears_what_becomes_of_it():
-    fleet, _ = make(LICENSING, 38)
+def test_groups_and_kinds_are_changed_one_by_one_and_their_queued_requests_answered():
+    fleet, _ = start_fleet(LICENSING, 38)
     world, registry, operator = fleet.world, fleet.registries["a"].address, fleet.operators[0].node
     world.run_for(2 * SECOND)
 
     def call(method, path, **document):
-        told = []
+        answers = []
         operator._call(
             registry,
             method,
             path,
             document or None,
-            lambda status, answer: told.append((status, answer)),
+            lambda status, answer: answers.append((status, answer)),
         )
-        world.wait_for(lambda: told, 5 * SECOND, 1_000)
-        return told[0]
+        world.wait_for(lambda: answers, 5 * SECOND, 1_000)
+        return answers[0]
 
     router = fleet.routers["edge-1"]
     poor = {"credit": {"tokens": 100, "period_us": 10 * SECOND}}
@@ -792,14 +807,14 @@
         fleet.ask("audit-digest", [router.address], tokens=tokens, answer=8) for tokens in (90, 95)
     ]
     world.run_for(SECOND)
-    told = call("GET", "/v1/groups")[1]
-    assert told["mark"] == 3 and told["groups"]["poor"]["kinds"] == ["audit-digest"]
-    assert told["groups"]["poor"]["waiting"] + told["groups"]["poor"]["refused"] >= 1
-    left = [one for one in waiting if one.ended_us is None]
+    groups = call("GET", "/v1/groups")[1]
+    assert groups["mark"] == 3 and groups["groups"]["poor"]["kinds"] == ["audit-digest"]
+    assert groups["groups"]["poor"]["waiting"] + groups["groups"]["poor"]["refused"] >= 1
+    left = [request for request in waiting if request.ended_us is None]
     moved = {**kind, "group": "audit"}
     assert call("PUT", "/v1/kinds/audit-digest", expect=3, put_id="k3", kind=moved)[1]["mark"] == 4
     world.run_for(4 * SECOND)
-    assert {one.how for one in left} == {"done"}
+    assert {request.how for request in left} == {"done"}
     assert call("PUT", "/v1/kinds/audit-digest", expect=4, put_id="k4", kind=kind)[1]["mark"] == 5
     world.run_for(4 * SECOND)
     waiting = [
@@ -807,32 +822,33 @@
         for tokens in (90, 95, 96)
     ]
     world.run_for(SECOND)
-    left = [one for one in waiting if one.ended_us is None]
+    left = [request for request in waiting if request.ended_us is None]
     assert left
     assert call("DELETE", "/v1/kinds/audit-digest", expect=5, put_id="k5")[1]["mark"] == 6
     world.run_for(SECOND)
-    assert {one.code or one.how for one in left} <= {"unknown_kind", "done"} and "unknown_kind" in {
-        one.code for one in left
-    }
+    assert {request.code or request.how for request in left} <= {
+        "unknown_kind",
+        "done",
+    } and "unknown_kind" in {request.code for request in left}
 
 
-def test_any_router_explains_a_request_with_what_happened_around_it():
-    fleet, faults = make(LICENSING, 39)
+def test_any_router_explains_a_request_with_the_events_around_it():
+    fleet, faults = start_fleet(LICENSING, 39)
     fleet.world.run_for(2 * SECOND)
     asked = fleet.ask("audit-digest", [fleet.routers["edge-1"].address])
     fleet.put_plan(fleet.plan, 1)
     fleet.world.wait_for(lambda: asked.ended_us, 30 * SECOND)
-    told = []
+    answers = []
 
     def explain(router, id):
-        told.clear()
+        answers.clear()
         fleet.operators[0].node.get(
             fleet.routers[router].address,
             f"/v1/explain/{id}",
-            lambda status, document: told.append((status, document)),
+            lambda status, document: answers.append((status, document)),
         )
-        fleet.world.wait_for(lambda: told, 5 * SECOND, 10_000)
-        return told[0]
+        fleet.world.wait_for(lambda: answers, 5 * SECOND, 10_000)
+        return answers[0]
 
     status, record = explain("edge-5", asked.request)
     assert (status, record["router"], record["outcome"]) == (200, "edge-1", "done")
@@ -843,8 +859,8 @@
     assert explain("edge-5", asked.request)[1]["code"] == "no_such_request"
 
 
-def test_a_runner_that_starts_again_with_its_clock_set_back_is_used_again():
-    fleet, _ = make(LICENSING, 40)
+def test_a_runner_restarted_with_its_clock_set_back_is_used_again():
+    fleet, _ = start_fleet(LICENSING, 40)
     fleet.load(8.0)
     world, host = fleet.world, fleet.runners["runner-4"]
     world.run_for(2 * SECOND)
@@ -853,31 +869,31 @@
     world.run_for(SECOND)
     host.start()
     fleet.list_runners()
-    begun_us = world.now_us
+    start_us = world.now_us
     world.run_for(8 * SECOND)
     assert {
         router.node.roster.runners["runner-4"].incarnation for router in fleet.routers.values()
     } == {host.node.incarnation}
     assert [
         facts
-        for at_us, facts in noted(fleet, "begin")
-        if facts["runner"] == "runner-4" and at_us > begun_us
+        for at_us, facts in recorded(fleet, "begin")
+        if facts["runner"] == "runner-4" and at_us > start_us
     ]
     fleet.settle()
-    assert fleet.summary(begun_us + 4 * SECOND)["troubled"] == 0
+    assert fleet.summary(start_us + 4 * SECOND)["troubled"] == 0
 
 
-def test_a_seat_that_no_router_reaches_leaves_its_duties_to_the_others():
-    fleet, faults = make(LICENSING, 41)
+def test_a_replica_that_no_router_reaches_leaves_its_roles_to_the_others():
+    fleet, faults = start_fleet(LICENSING, 41)
     fleet.load(6.0)
     fleet.world.run_for(2 * SECOND)
-    begun_us = fleet.world.now_us
-    lone = next(
+    start_us = fleet.world.now_us
+    isolated = next(
         seat for seat, host in fleet.registries.items() if host.node.leases["roster"].is_held()
     )
-    faults.begin("cut_seat_from_edge", lone)
+    faults.begin("cut_seat_from_edge", isolated)
     fleet.world.run_for(12 * SECOND)
     fleet.settle()
-    told = fleet.summary(begun_us)
-    assert told["served"] >= 0.85 * told["asked"]
-    assert holder_of(fleet, "roster") is not fleet.registries[lone]
+    summary = fleet.summary(start_us)
+    assert summary["served"] >= 0.85 * summary["asked"]
+    assert holder_of(fleet, "roster") is not fleet.registries[isolated]
