--- a/packages/controller/src/linkhaven/controller/messages.py
+++ b/packages/controller/src/linkhaven/controller/messages.py
@@ -45,7 +45,7 @@
     def __post_init__(self) -> None:
         """Reject a record without a version when the message is decoded."""
         if type(self.record.get("mark")) is not int:
-            raise ValueError("the plan's mark is no whole number")
+            raise ValueError("the configuration record has no integer 'mark'")
 
     @property
     def version(self) -> int:
--- a/packages/controller/src/linkhaven/controller/storage.py
+++ b/packages/controller/src/linkhaven/controller/storage.py
@@ -85,7 +85,7 @@
     """Decode a stored value; raises ValueError if `pack_value` didn't write it under this key."""
     text = stored[CHECKSUM_DIGITS:]
     if stored[:CHECKSUM_DIGITS] != checksum_of(key, text):
-        raise ValueError(f"record {key.decode(errors='replace')} has another checksum")
+        raise ValueError(f"record {key.decode(errors='replace')} fails its checksum")
     return json.loads(text)
 
 
@@ -171,7 +171,7 @@
     def _check_not_empty(self) -> None:
         """Reject an empty file, which LMDB would treat as a new one."""
         if os.path.getsize(self._path(DATA_FILE)) == 0:
-            raise ServiceError("disk_corrupt", data=self.folder, why="data.mdb has no bytes")
+            raise ServiceError("disk_corrupt", data=self.folder, why="data.mdb is empty")
 
     def _verify(self) -> None:
         """Check length, header and records; reading a truncated file would crash the process."""
@@ -179,14 +179,14 @@
         held = os.path.getsize(self._path(DATA_FILE))
         try:
             if held < needed:
-                raise ValueError(f"data.mdb has {held} of {needed} bytes")
+                raise ValueError(f"data.mdb has {held} of {needed} bytes: it is truncated")
             self._check_header()
             if not all(
                 isinstance(value, list)
                 for key, value in self.load().items()
                 if key.startswith("cell/")
             ):
-                raise ValueError("a record is not one of this program's")
+                raise ValueError("a register record is not a list")
         except (lmdb.Error, ValueError) as fault:
             raise ServiceError("disk_corrupt", data=self.folder, why=str(fault)) from None
 
