--- a/packages/controller/src/linkhaven/controller/role_orders.py
+++ b/packages/controller/src/linkhaven/controller/role_orders.py
@@ -1,6 +1,6 @@
 """Role orders in flight: when this node may send them, their outcome, and notices to routers.
 
-Invariant: a runner carries out no order of an earlier lease holder after one of a later holder. A
+Invariant: no order of an earlier lease holder reaches a runner after an order of a later holder. A
 holder sends orders only while it holds the lease, after a quorum recorded that it will act, and
 once any earlier holder can no longer act. Each order carries the lease's fencing token, and a
 runner rejects one with a lower token than it has seen
--- a/packages/controller/src/linkhaven/controller/runner_discovery.py
+++ b/packages/controller/src/linkhaven/controller/runner_discovery.py
@@ -26,19 +26,19 @@
 """A request to the platform or a runner is abandoned after this time and sent again."""
 
 RETRY_INTERVAL_US = 250_000
-"""How often a runner is asked again whose answer is due or that is unresponsive."""
+"""How often the report of an unresponsive runner, or an unanswered report, is requested."""
 
 FIRST_REPORTS_WAIT_US = 200_000
 """How long to wait for the first reports after the first list arrived."""
 
 MIN_OUTDATED_US = 1_200_000
-"""The minimum age of an outdated list; otherwise it is outdated after three missed polls."""
+"""A list becomes outdated after three poll intervals, but never before this age."""
 
 UNKNOWN_INCARNATION = 0
 """The incarnation in the platform's list if the platform doesn't know it."""
 
 
-class NeedingLease(Protocol):
+class RunnerListLease(Protocol):
     """A lease whose holder needs the runner list."""
 
     def is_held(self) -> bool:
@@ -103,7 +103,7 @@
         node: Node,
         client: RunnerClient,
         platform: str,
-        leases: Sequence[NeedingLease],
+        leases: Sequence[RunnerListLease],
         observer: RunnerListObserver,
     ) -> None:
         """Poll the list at the address `platform` while one of `leases` needs it."""
