--- a/tests/test_data_folder_compatibility.py
+++ b/tests/test_data_folder_compatibility.py
@@ -2,8 +2,8 @@
 
 `recordings/data-6c079fa/` holds the compressed `data.mdb` files of three core members as 6c079fa
 left them, after a plan was put and patched, a key was claimed and all leases were won, together
-with the answers that the members gave. `python tests/test_data_folder_compatibility.py FOLDER` writes
-this recording; run it only on an unmodified 6c079fa.
+with the answers that the members gave. `python tests/test_data_folder_compatibility.py FOLDER`
+writes this recording; run it only on an unmodified 6c079fa.
 """
 
 import gzip
