--- a/packages/credit/src/linkhaven/credit/group_account.py
+++ b/packages/credit/src/linkhaven/credit/group_account.py
@@ -142,10 +142,10 @@
         It goes before requests of a lower rank and behind all of its own rank.
         """
         request.queued_us = now_us
-        place = len(self.queue)
-        while place and self._may_overtake(request, self.queue[place - 1], now_us):
-            place -= 1
-        self.queue.insert(place, request)
+        index = len(self.queue)
+        while index and self._may_overtake(request, self.queue[index - 1], now_us):
+            index -= 1
+        self.queue.insert(index, request)
         self.queued_tokens += request.prompt_tokens
         self.arrived_tokens += request.prompt_tokens + request.answer_tokens // 2
 
--- a/packages/credit/src/linkhaven/credit/quota_messages.py
+++ b/packages/credit/src/linkhaven/credit/quota_messages.py
@@ -38,6 +38,8 @@
 
     tenant: str
     granted: int
+    """Tokens granted, of those needed and wanted in advance."""
+
     life_us: int
     """How long the tokens may be spent after the request was sent, by the router's clock."""
 
--- a/packages/credit/src/linkhaven/credit/quota_owner.py
+++ b/packages/credit/src/linkhaven/credit/quota_owner.py
@@ -30,7 +30,11 @@
     """One tenant as reported to operators: its limit, and its use if it is granted here."""
 
     rate: int | float
+    """The limit in requests per second; 0 if there is none."""
+
     burst: int | float
+    """Requests allowed at once in addition to the rate."""
+
     owner: str | None
     """The address of the node that grants its tokens, None if none is known."""
 
--- a/packages/credit/src/linkhaven/credit/tenant_bucket.py
+++ b/packages/credit/src/linkhaven/credit/tenant_bucket.py
@@ -28,7 +28,7 @@
 """Seconds of the rate that the capacity holds at most, in addition to the burst."""
 
 MIN_FILL = 8
-"""The tokens beside the burst at a low rate, if the tolerance allows them. Poisson arrivals at 5/8
+"""The minimum tokens beside the burst, if the tolerance allows them. Poisson arrivals at 5/8
 of the rate lack more than 8 tokens in 1 of 1,000 cases (M/D/1 queue)."""
 
 PREFETCH_FLOOR_SHARE = 0.5
@@ -38,7 +38,8 @@
 """The minimum lifetime of a slice, even with no overage: it must outlast its delivery."""
 
 MIN_RATE_SHARE = 0.1
-"""The fraction of the rate at which a bucket fills if the bound has no room for one request."""
+"""The minimum fill rate as a fraction of the tenant's rate, used if the bound has no room for one
+request."""
 
 MAX_RETRY_WAIT_US = 250_000
 """The longest retry delay for denied routers, which are told to retry one after the other."""
--- a/packages/credit/src/linkhaven/credit/tenant_quota.py
+++ b/packages/credit/src/linkhaven/credit/tenant_quota.py
@@ -365,8 +365,8 @@
     def _relay_for(self, meter: TenantMeter) -> str | None:
         """Return the router that last responded, or the next one that wasn't tried yet."""
         addresses = self.directory.relay_addresses()
-        for place in range(len(addresses)):
-            address = addresses[(self.relay_index + place) % len(addresses)]
+        for offset in range(len(addresses)):
+            address = addresses[(self.relay_index + offset) % len(addresses)]
             if address not in meter.tried_addresses:
                 return address
         return None
--- a/packages/leases/src/linkhaven/leases/interfaces.py
+++ b/packages/leases/src/linkhaven/leases/interfaces.py
@@ -59,7 +59,10 @@
     """This node's replica of the registers."""
 
     is_voting: bool
+    """Whether the replica votes."""
+
     votes_from_us: int
+    """When the replica may vote on leases at the earliest, by the node's clock."""
 
     def register_state(self, key: str) -> Register:
         """Return the register of a key; its value is None if it was never written."""
