--- a/packages/runner/src/linkhaven/runner/__init__.py
+++ b/packages/runner/src/linkhaven/runner/__init__.py
@@ -1,4 +1,4 @@
-"""Runners: the adapter that calls them, the stream of their answers, and the list of them."""
+"""Runners: the client that calls them, the event stream of their answers, and the roster."""
 
 from .adapter import RunnerClient
 from .pieces import Piece, PieceReader, write_event
--- a/packages/runner/src/linkhaven/runner/adapter.py
+++ b/packages/runner/src/linkhaven/runner/adapter.py
@@ -1,4 +1,4 @@
-"""The client of the runners: prefill, decode, phase orders, reports, and the list of them."""
+"""The HTTP client of runners: prefill, decode, role orders, reports and the platform's list."""
 
 from linkhaven.api import ServiceError, read_error
 from linkhaven.runtime import ResponseHandler, read_json, write_json
@@ -6,27 +6,27 @@
 from .pieces import PieceReader
 
 ANSWER_BYTES = 1_000_000
-"""The longest JSON answer that is read, in bytes."""
+"""The longest JSON response that is accepted, in bytes."""
 
 OK = 200
-"""The HTTP status of an answer without an error."""
+"""The HTTP status of a response without an error."""
 
 HEADERS = {"content-type": "application/json"}
 
 TENANT = "x-tenant"
-"""The header that tells a runner the name of the tenant whose request it gets."""
+"""The header with the name of the tenant whose request a runner gets."""
 
 
 class Reply:
-    """One JSON answer awaited from a runner; `done(error, document, has_begun)` is called once.
+    """One pending JSON response of a runner; `done(error, document, has_begun)` is called once.
 
-    `has_begun` tells whether the runner may have begun the work; False only if it can't have.
+    `has_begun`: whether the runner may have begun the work; False only if it can't have.
     """
 
     __slots__ = ("done", "http_call", "status", "body", "is_done")
 
     def __init__(self, done):
-        """Await an answer; the caller sets `http_call`, the call that can be closed."""
+        """Await a response; the caller sets `http_call`, which can be closed."""
         self.done = done
         self.http_call = None
         self.status = 0
@@ -34,18 +34,18 @@
         self.is_done = False
 
     def on_head(self, status, headers):
-        """Note the status of the answer."""
+        """Note the status of the response."""
         self.status = status
 
     def on_data(self, data):
-        """Collect the body; one above `ANSWER_BYTES` ends as `runner_lost`."""
+        """Collect the body; one longer than `ANSWER_BYTES` ends as `runner_lost`."""
         self.body += data
         if len(self.body) > ANSWER_BYTES:
             self.close()
             self._end(ServiceError("runner_lost", why="an answer without end"), None, True)
 
     def on_end(self):
-        """Hand on the document, or the error that the runner told."""
+        """Pass on the document, or the error that the runner reported."""
         try:
             document = read_json(self.body)
         except ServiceError:
@@ -80,9 +80,9 @@
 
 
 class Stream:
-    """The event stream that answers a decode.
+    """The event stream of a decode.
 
-    Its handler hears `on_begin(run, after)` once, `on_piece(piece)` for each piece, and at last
+    Calls its handler's `on_begin(run, after)` once, `on_piece(piece)` for each piece, and finally
     either `on_done(piece)` or `on_error(error, has_begun)`.
     """
 
@@ -99,7 +99,7 @@
         self.is_over = False
 
     def on_head(self, status, headers):
-        """Check that the answer is this request's, and tell the run and the piece it follows."""
+        """Check that the response is to this request; pass on its run and the piece it follows."""
         self.status = status
         if status != OK:
             return
@@ -109,7 +109,7 @@
         self.handler.on_begin(headers.get("run", ""), int(after) if after.isdigit() else -1)
 
     def on_data(self, data):
-        """Hand on the pieces in the data; what is malformed ends as `stream_broken`."""
+        """Pass on the pieces in the data; malformed data ends as `stream_broken`."""
         if self.is_over:
             return
         if self.status != OK:
@@ -131,7 +131,7 @@
                 self._end(read_error(piece.document, "runner_lost"))
 
     def on_end(self):
-        """End as `runner_lost` if the stream was cut, else with the error that the runner told."""
+        """End as `runner_lost` if the stream was cut off, else with the runner's error."""
         if self.status == OK:
             return self._end(ServiceError("runner_lost", why="a stream without its end"))
         try:
@@ -153,16 +153,16 @@
         self.handler.on_error(error, has_begun)
 
     def abandon(self):
-        """Close the call; the handler hears nothing more."""
+        """Close the call without calling the handler again."""
         self.is_over = True
         if self.http_call is not None:
             self.http_call.close()
 
 
 class RunnerClient:
-    """The client of runners that speak our own protocol, which the OpenAPI file describes.
+    """The client of runners with linkhaven's own protocol, which the OpenAPI file describes.
 
-    Another protocol has a class with the same methods. `prefill_counts_as_begun`: a prompt that was
+    Other protocols have classes with the same methods. `prefill_counts_as_begun`: a prompt that was
     prefilled counts as begun work. `allows_run_change`: a new run may continue after the last piece
     of another.
     """
@@ -173,21 +173,25 @@
     allows_run_change = False
 
     def __init__(self, node):
-        """Call by the node's ports."""
+        """Call through the node's ports."""
         self.node = node
 
-    def _call(self, address, method, path, document, part, headers=HEADERS):
+    def _call(self, address, method, path, document, pending, headers=HEADERS):
         body = write_json(document) if document is not None else b""
-        handler = ResponseHandler(part.on_head, part.on_data, part.on_end, part.on_error)
-        part.http_call = self.node.ports.network.open(address, method, path, headers, body, handler)
-        return part
+        handler = ResponseHandler(
+            pending.on_head, pending.on_data, pending.on_end, pending.on_error
+        )
+        pending.http_call = self.node.ports.network.open(
+            address, method, path, headers, body, handler
+        )
+        return pending
 
     def _headers_of(self, request):
         if request.tenant is None:
             return HEADERS
         return {**HEADERS, TENANT: request.tenant}
 
-    def _ask(self, request):
+    def _body_of(self, request):
         return {
             "request": request.id,
             "shot": request.attempts,
@@ -197,7 +201,7 @@
         }
 
     def prefill(self, runner, request, done):
-        """Have a runner read the request's prompt; return the pending reply.
+        """Have a runner prefill the request's prompt; return the pending reply.
 
         `done(error, handle, has_begun)` gets the handle of the KV cache that the runner holds.
         """
@@ -211,46 +215,46 @@
                 )
             done(None, document["handle"], has_begun)
 
-        ask, headers = self._ask(request), self._headers_of(request)
-        return self._call(runner.address, "POST", "/v1/prefill", ask, Reply(check), headers)
+        body, headers = self._body_of(request), self._headers_of(request)
+        return self._call(runner.address, "POST", "/v1/prefill", body, Reply(check), headers)
 
     def is_answer_to(self, request, runner, document):
-        """Whether an answer names this request, attempt and incarnation of the runner."""
-        told = (document.get("request"), document.get("shot"), document.get("incarnation"))
-        return told == (request.id, request.attempts, runner.incarnation)
+        """Whether a response names this request, its attempt and the runner's incarnation."""
+        named = (document.get("request"), document.get("shot"), document.get("incarnation"))
+        return named == (request.id, request.attempts, runner.incarnation)
 
     def decode(self, runner, request, handle, handler):
-        """Have a runner decode; return the pending stream, which tells `handler` its pieces.
+        """Have a runner decode; return the pending stream, which passes its pieces to `handler`.
 
-        `handle` is the KV cache's handle with the runner that holds it, or None: then the runner
-        reads the prompt itself. A request that has a run is resumed after its last piece.
+        `handle` is the KV cache's handle and the runner that holds it; with None the runner
+        prefills the prompt itself. A request that has a run is resumed after its last piece.
         """
-        ask = self._ask(request)
-        ask["answer_tokens"] = request.answer_tokens
+        body = self._body_of(request)
+        body["answer_tokens"] = request.answer_tokens
         if handle:
-            ask["handle"] = handle[0]
-            ask["source"] = handle[1].address
+            body["handle"] = handle[0]
+            body["source"] = handle[1].address
         if request.run:
-            ask["resume"] = {"run": request.run, "after": request.written}
-        stream = Stream(ask["request"], handler)
+            body["resume"] = {"run": request.run, "after": request.written}
+        stream = Stream(body["request"], handler)
         headers = self._headers_of(request)
-        return self._call(runner.address, "POST", "/v1/decode", ask, stream, headers)
+        return self._call(runner.address, "POST", "/v1/decode", body, stream, headers)
 
     def follows(self, request, piece):
         """Whether a piece is the next one of its request."""
         return piece.run == request.run and piece.number == request.written + 1
 
     def free(self, runner, handle):
-        """Give up a handle that nobody will fetch; our runners free it by themselves."""
+        """Release a handle that won't be fetched; these runners free it by themselves."""
 
     def order_phase(self, runner, order, done):
-        """Order a runner to prefill or to decode; `done` as in `Reply`."""
+        """Order a runner to change its role to prefill or decode; `done` is as in `Reply`."""
         return self._call(runner.address, "POST", "/v1/phase", order, Reply(done))
 
     def report(self, address, done):
-        """Ask a runner for its report; `done` as in `Reply`."""
+        """Request a runner's report; `done` is as in `Reply`."""
         return self._call(address, "GET", "/v1/report", None, Reply(done))
 
     def list_runners(self, address, done):
-        """Ask the platform for its list of runners; `done` as in `Reply`."""
+        """Request the platform's list of runners; `done` is as in `Reply`."""
         return self._call(address, "GET", "/v1/runners", None, Reply(done))
--- a/packages/runner/src/linkhaven/runner/pieces.py
+++ b/packages/runner/src/linkhaven/runner/pieces.py
@@ -1,13 +1,13 @@
-"""Pieces of an answer as server-sent events: written by the router, read from runners."""
+"""Server-sent events of streamed answers: parsed from runners, written to callers."""
 
 from linkhaven.api import ServiceError
 from linkhaven.runtime import read_json, write_json
 
 EVENT_BYTES = 1_000_000
-"""The longest event that is read, in bytes."""
+"""The longest event that is accepted, in bytes."""
 
 RUN_CHARACTERS = 128
-"""The longest name of a run."""
+"""The longest run name that is accepted."""
 
 
 def write_event(event, document, id=None):
@@ -22,7 +22,7 @@
     __slots__ = ("event", "run", "number", "document")
 
     def __init__(self, event, run, number, document):
-        """Hold what an event says; without an id `run:number` the run is empty, the number 0."""
+        """Hold an event; without an id `run:number` the run is empty and the number 0."""
         self.event = event
         self.run = run
         self.number = number
@@ -30,7 +30,7 @@
 
 
 def parse_event_id(text):
-    """Read an id `run:number`; return both, or None where it is malformed."""
+    """Return run and number of an event id `run:number`, or None if it is malformed."""
     run, _, number = text.rpartition(":")
     if not run or not number.isascii() or not number.isdigit() or len(run) > RUN_CHARACTERS:
         return None
@@ -38,22 +38,22 @@
 
 
 class PieceReader:
-    """Reads the server-sent events of one stream, however their bytes are cut up."""
+    """Incremental parser of one stream of server-sent events; data may be split anywhere."""
 
-    __slots__ = ("rest",)
+    __slots__ = ("buffer",)
 
     def __init__(self):
-        """Start with nothing read."""
-        self.rest = b""
+        """Start with an empty buffer."""
+        self.buffer = b""
 
     def feed(self, data):
-        """Return the events that are complete with this data.
+        """Return the events that this data completes.
 
-        Raises `stream_broken` for an event that is too long or whose data is not JSON.
+        Raises ServiceError `stream_broken` if an event is too long or its data is not JSON.
         """
-        blocks = (self.rest + data).split(b"\n\n")
-        self.rest = blocks.pop()
-        if len(self.rest) > EVENT_BYTES:
+        blocks = (self.buffer + data).split(b"\n\n")
+        self.buffer = blocks.pop()
+        if len(self.buffer) > EVENT_BYTES:
             raise ServiceError("stream_broken", why="an event without end")
         return [self._read(block) for block in blocks if block.strip()]
 
@@ -62,8 +62,8 @@
         for line in block.split(b"\n"):
             name, _, value = line.partition(b": ")
             fields[name] = value
-        place = parse_event_id(fields.get(b"id", b"").decode("utf-8", "replace"))
-        run, number = place or ("", 0)
+        event_id = parse_event_id(fields.get(b"id", b"").decode("utf-8", "replace"))
+        run, number = event_id or ("", 0)
         event = fields.get(b"event", b"").decode("utf-8", "replace")
         try:
             document = read_json(fields.get(b"data", b"null"))
--- a/packages/runner/src/linkhaven/runner/roster.py
+++ b/packages/runner/src/linkhaven/runner/roster.py
@@ -1,27 +1,28 @@
-"""The list of runners at a node, and what the node itself saw of them."""
+"""The list of runners at a node, corrected by what the node itself observed."""
 
 from linkhaven.runtime import Table
 
 PREFILL, DECODE = "prefill", "decode"
 PLAIN = "plain"
-"""A runner without an engine: it reads no prompt, plays no phase and gives no report."""
+"""The phase of a runner without an engine: it prefills nothing, has no role and sends no report."""
 
 EVIDENCE_LIFETIME_US = 1_500_000
-"""How long this node's own evidence on a runner counts."""
+"""How long this node's own observation of a runner counts."""
 
-ALIVE_US = 500_000
-"""How long a byte from a runner outweighs the word of others that it is dark."""
+ALIVE_LIFETIME_US = 500_000
+"""How long a received byte outweighs other nodes' reports that a runner is unresponsive."""
 
 MAX_FORMER_INCARNATIONS = 8
-"""How many former incarnations of a runner are remembered."""
+"""The number of former incarnations that are remembered per runner."""
 
 
 class Runner:
-    """One incarnation of a runner, as its last report, the list and this node's evidence have it.
+    """The state of one incarnation of a runner, from its last report, the list and own evidence.
 
-    `kv_used` and `kv_total` are tokens of KV cache, `queued` and `running` counts of requests;
-    `num_orders` how many orders this incarnation has taken, None where its reports don't say;
-    `reported_us` and the other times are by this node's clock.
+    `kv_used` and `kv_total` are tokens of KV cache, `queued` and `running` counts of requests,
+    `mark` and `fence` the configuration's version and the fencing token that it last accepted.
+    `num_orders` is how many role orders this incarnation has accepted, None if its reports don't
+    say. `reported_us` and the other times are by this node's clock.
     """
 
     __slots__ = (
@@ -52,7 +53,7 @@
     )
 
     def __init__(self, name, address, zone, incarnation):
-        """Start as a decode runner that was not heard yet."""
+        """Start as a decode runner that has not reported yet."""
         self.name = name
         self.address = address
         self.zone = zone
@@ -81,7 +82,7 @@
         return self.phase == PLAIN
 
     def take_report(self, report, now_us):
-        """Take a runner's own report, whose `age_us` counts back from `now_us`."""
+        """Apply a runner's own report, whose `age_us` counts back from `now_us`."""
         if report["incarnation"] != self.incarnation:
             self.incarnation = report["incarnation"]
             self.is_leaving = False
@@ -98,7 +99,7 @@
         self.is_leaving = self.is_leaving or report["is_leaving"]
 
     def as_figures(self, now_us):
-        """Return what changes with each report, as a short row for the list's differences."""
+        """Return the figures that change with each report, as a row of a list delta."""
         age_us = now_us - self.reported_us
         return [
             self.name,
@@ -111,12 +112,12 @@
         ]
 
     def take_figures(self, figures, now_us):
-        """Take a row of `as_figures`."""
+        """Apply a row of `as_figures`."""
         _, _, self.queued, self.running, self.kv_used, self.kv_total, age_us = figures
         self.reported_us = now_us - age_us
 
     def may_stand_in(self, now_us):
-        """Whether it leaves, but still takes what nobody else can take."""
+        """Whether the runner is leaving but still takes work that no other runner can take."""
         return (
             self.is_leaving
             and now_us < self.serves_until_us
@@ -160,22 +161,22 @@
 
 
 class IncarnationHistory:
-    """Which incarnations of a runner are over.
+    """Remembers the former incarnations of each runner.
 
-    A runner's own report names its incarnation; after its clock was set back that number is lower
-    than before. A list that is behind may still name the former one.
+    A runner's own report names its incarnation. After its clock was set back, the number is lower
+    than before; a list that is behind may still name the former one.
     """
 
     __slots__ = ("former",)
 
     def __init__(self):
-        """Start without a former incarnation."""
+        """Start without former incarnations."""
         self.former = {}
 
     def is_new(self, runner, incarnation, is_reported):
-        """Whether another incarnation took the place of the one that is known; notes it if so.
+        """Whether `incarnation` replaces the known one of a runner; records it if so.
 
-        `is_reported` tells that the runner itself named it.
+        `is_reported`: the runner itself named it, so that a lower number counts too.
         """
         former = self.former.get(runner.name, ())
         if incarnation == runner.incarnation or incarnation in former:
@@ -192,15 +193,16 @@
 
 
 class Roster:
-    """A router's list of runners: told by the holder of the duty `roster`, corrected by evidence.
+    """A router's list of runners: published by the holder of the role `roster`, and corrected.
 
-    The evidence is what this router itself saw of a runner; it counts for `EVIDENCE_LIFETIME_US`.
+    The corrections are evidence: what this router itself observed of a runner, which counts for
+    `EVIDENCE_LIFETIME_US`. `version` is the list's (fence, serial).
     """
 
     __slots__ = ("node", "runners", "version", "taken_us", "evidence", "on_new", "incarnations")
 
     def __init__(self, node):
-        """Start empty, older than any list."""
+        """Start empty, with a version older than any list's."""
         self.node = node
         self.runners = Table()
         self.version = (0, 0)
@@ -210,45 +212,46 @@
         self.incarnations = IncarnationHistory()
 
     def is_fresh(self):
-        """Whether the list is recent enough to place work by it."""
+        """Whether the list is recent enough for placement."""
         stale_us = self.node.bounds.roster_stale_us
         return self.taken_us is not None and (
             stale_us is None or self.node.now_us() - self.taken_us <= stale_us
         )
 
     def take(self, document, sent_us):
-        """Take a whole list, the changes since the list that is held, or only that list's age.
+        """Apply a whole list, a delta from the present version, or only the list's age.
 
-        `sent_us` is when the list was asked for: ages count from then.
+        `sent_us` is when the list was requested; ages count back from then. Older versions and
+        deltas from another version are ignored.
         """
-        place = (document["fence"], document["serial"])
+        version = (document["fence"], document["serial"])
         if "runners" not in document:
-            if place == self.version:
+            if version == self.version:
                 self.taken_us = sent_us - document["age_us"]
             return
-        if place <= self.version:
+        if version <= self.version:
             return
         if "since" in document:
             if self.version == (document["fence"], document["since"]):
-                self._take_changes(document, sent_us)
+                self._apply_delta(document, sent_us)
             return
         now_us, before_us = self.node.now_us(), self.taken_us
-        self.version = place
+        self.version = version
         self.taken_us = sent_us - document["age_us"]
         named = set()
         for record in document["runners"]:
             named.add(record["name"])
-            self._take_record(record, now_us, before_us)
+            self._apply_record(record, now_us, before_us)
         for name in [name for name in self.runners if name not in named]:
             self.runners.drop(name)
-        self._end_taking()
+        self._notify_listeners()
 
-    def _take_changes(self, document, sent_us):
+    def _apply_delta(self, document, sent_us):
         now_us, before_us = self.node.now_us(), self.taken_us
         self.version = (document["fence"], document["serial"])
         self.taken_us = sent_us - document["age_us"]
         for record in document["runners"]:
-            self._take_record(record, now_us, before_us)
+            self._apply_record(record, now_us, before_us)
         for figures in document["figures"]:
             runner = self.runners.get(figures[0])
             if runner is not None and runner.incarnation == figures[1]:
@@ -257,14 +260,14 @@
             self.runners.drop(name)
         for runner in self.runners.values():
             self._update_unresponsive(runner, now_us)
-        self._end_taking()
+        self._notify_listeners()
 
-    def _end_taking(self):
+    def _notify_listeners(self):
         self.incarnations.forget(self.runners)
-        for hear in self.on_new:
-            hear()
+        for listener in self.on_new:
+            listener()
 
-    def _take_record(self, record, now_us, before_us):
+    def _apply_record(self, record, now_us, before_us):
         runner = self.runners.get(record["name"])
         was_known = runner is not None and not self.incarnations.is_new(
             runner, record["incarnation"], record["age_us"] is not None
@@ -300,7 +303,7 @@
         return seen is not None and now_us - seen <= EVIDENCE_LIFETIME_US
 
     def _is_alive_first_hand(self, runner, now_us):
-        return runner.alive_us is not None and now_us - runner.alive_us <= ALIVE_US
+        return runner.alive_us is not None and now_us - runner.alive_us <= ALIVE_LIFETIME_US
 
     def note_alive(self, runner):
         """Note that a runner sent a byte."""
@@ -310,7 +313,7 @@
             self.evidence.pop((runner.name, runner.incarnation, "silent"), None)
 
     def note_silent(self, runner):
-        """Note that a runner owes this router answers and sends no byte.
+        """Note that a runner has pending requests of this router and sends no byte.
 
         Other runners are preferred until it sends one, or for `EVIDENCE_LIFETIME_US`.
         """
@@ -325,14 +328,14 @@
         )
 
     def note_unresponsive(self, runner):
-        """Note that a runner can't be reached, or has been silent for too long."""
+        """Note that a runner can't be reached or has been silent for too long."""
         runner.alive_us = None
         self.evidence[(runner.name, runner.incarnation, "dark")] = self.node.now_us()
         runner.is_unresponsive = True
         self.node.ports.log(1601, runner=runner.name)
 
     def note_leaving(self, runner):
-        """Note that a runner said that it leaves."""
+        """Note that a runner answered that it is leaving."""
         if not runner.is_leaving:
             self.node.ports.log(1603, runner=runner.name)
         self.evidence[(runner.name, runner.incarnation, "leaving")] = self.node.now_us()
@@ -340,9 +343,10 @@
         runner.serves_until_us = 0
 
     def evidence_rows(self, is_keeping=True):
-        """Return rows of name, incarnation, what was seen and its age in microseconds.
+        """Return rows of name, incarnation, observation and its age in microseconds.
 
-        A seat that keeps no list (`is_keeping` is False) is told only who leaves.
+        A controller that doesn't keep the list (`is_keeping` is False) gets only those of leaving
+        runners.
         """
         now_us = self.node.now_us()
         for key, seen_us in list(self.evidence.items()):
@@ -362,26 +366,26 @@
         return [[*key, now_us - seen_us] for key, seen_us in self.evidence.items()] + alive
 
     def open_runners(self):
-        """Return the runners that take work.
+        """Return the runners that take new work.
 
-        A silent one is left out where another one of its pool and phase isn't silent. One that
-        leaves is in only while no other of its pool and phase is, and only for `stand_in_us` from
-        the last list that had it as serving, so that nothing reaches it after its notice.
+        A silent runner is left out if another one of its pool and phase isn't silent. A leaving
+        runner is included only while no other of its pool and phase is, and only for `stand_in_us`
+        from the last list that had it as serving, so that no work reaches it after its notice.
         Test: `test_leaving_runners_take_what_nobody_else_can_until_half_of_their_notice_is_over`.
         """
-        runners = self._without_silent_ones()
+        runners = self._without_silent()
         leaving = [runner for runner in self.runners.values() if runner.serves_until_us]
         if not leaving:
             return runners
         now_us = self.node.now_us()
-        played = {(runner.pool, runner.phase) for runner in runners}
+        covered = {(runner.pool, runner.phase) for runner in runners}
         return runners + [
             runner
             for runner in leaving
-            if (runner.pool, runner.phase) not in played and runner.may_stand_in(now_us)
+            if (runner.pool, runner.phase) not in covered and runner.may_stand_in(now_us)
         ]
 
-    def _without_silent_ones(self):
+    def _without_silent(self):
         runners = [runner for runner in self.runners.values() if runner.is_open()]
         silent = [
             runner for runner in runners if runner.silent_us is not None and self.is_silent(runner)
