--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -170,7 +170,7 @@
         self.node = Router()
         self.roster = Roster(self.node)
         listed(self.roster, 1, record("d-1"), record("d-2"), record("p-1", "prefill"))
-        self.extra = SimpleNamespace(has=lambda cost, pool=None: cost <= self.budget)
+        self.extra = SimpleNamespace(covers=lambda cost, pool=None: cost <= self.budget)
         self.budget = 2
         pairing = SimpleNamespace(
             estimator=SimpleNamespace(prefill_us=lambda tokens, runner: prefill_us),
