--- a/packages/consensus/src/linkhaven/consensus/__init__.py
+++ b/packages/consensus/src/linkhaven/consensus/__init__.py
@@ -1,7 +1,8 @@
-"""Registers that a majority of the core's replicas agrees on, one by Paxos for each key.
+"""Replicated registers: each key is one single-decree Paxos register of the controller group.
 
-`Proposer` changes registers, `Replica` votes on them and keeps them; `RegisterTable` is what it
-keeps. The other modules are their parts; `docs/control.md` describes the protocol.
+`Proposer` reads and updates registers. `Replica` votes on them and stores them in a
+`RegisterTable`. The other modules implement recovery, replica assignment and hand-over;
+`docs/control.md` describes the protocol.
 """
 
 from .claim_limits import ClaimLimits, default_claim_limits
--- a/packages/consensus/src/linkhaven/consensus/acceptor.py
+++ b/packages/consensus/src/linkhaven/consensus/acceptor.py
@@ -2,25 +2,26 @@
 
 | message | the register | what it does |
 | --- | --- | --- |
-| any | the replica may not vote on it | refuses, with the reason of the replica |
+| any | the replica may not vote on it | refuses, with the replica's reason |
 | `Prepare` | promised this ballot or a higher one | refuses as preempted |
-| `Prepare` | promised lower ones | promises it, and names what it accepted last |
+| `Prepare` | promised lower ones | promises it, and returns its last accepted ballot and value |
 | `Accept` | promised a higher ballot | refuses as preempted |
 | `Accept` | promised this ballot or lower ones | accepts the value |
-| `Chosen` | accepted this very ballot last | notes that its value is chosen |
+| `Chosen` | accepted this very ballot last | marks its value as chosen |
 | `Chosen` | any other | nothing |
 
 Invariant: no register accepts a ballot below its promise (`forget_promises` in
 `tests/test_explore.py`).
-Invariant: a ballot is promised once, as it names its proposer (`let_ballots_be_alike` there).
-Invariant: a vote leaves only once the disk has synced what it promises (`answer_before_the_sync`
+Invariant: a ballot is promised at most once, since it names its proposer (`let_ballots_be_alike`
 there).
-Invariant: a vote whose sync ends under another incarnation, or once the replica votes no more, is
-never sent: who read this replica since then relies on it
+Invariant: a vote is sent only after the register is synced to disk (`answer_before_the_sync`
+there).
+Invariant: a vote is never sent if its sync completes under another incarnation, or after the
+replica has stopped voting, since another replica may have read its state in between
 (`test_a_vote_is_never_sent_under_another_incarnation_or_by_one_that_ended_to_vote`).
 
-For the register of the configuration, `BlobGuard` (package configuration) stands before `on_accept`
-and has the documents that the value names written first.
+For the register of the configuration, `BlobGuard` (package configuration) is called before
+`on_accept` and first stores the documents that the value refers to.
 """
 
 from collections.abc import Callable
@@ -45,32 +46,32 @@
 
 
 class Voter(Protocol):
-    """The replica whose votes these are."""
+    """The replica that the acceptor votes for."""
 
     @property
     def replica_id(self) -> str:
-        """Which replica this node is; "" for a spare."""
+        """The id of the replica; "" for a spare."""
 
     @property
     def incarnation(self) -> int:
-        """Its incarnation, which votes name."""
+        """The incarnation that votes are given under."""
 
     @property
     def is_voting(self) -> bool:
-        """Whether it gives votes at all."""
+        """Whether the replica votes now."""
 
     def refusal_reason(self, request: Request) -> str | None:
-        """Return why it may not vote on a request, None where it may."""
+        """Return the reason to refuse a request, or None if the replica may vote on it."""
 
     def all_incarnations(self) -> dict[str, int]:
-        """Return the newest incarnation of each replica that it knows."""
+        """Return the newest known incarnation of each replica, including this one."""
 
     def on_vote_synced(self, is_synced: bool) -> None:
-        """Note whether the disk took a vote."""
+        """Record whether the disk synced the last vote."""
 
 
 class Acceptor:
-    """Gives a replica's votes; changes `registers`, and syncs each change before it answers."""
+    """Votes for a replica; syncs each change of `registers` to disk before it answers."""
 
     __slots__ = ("node", "voter", "registers", "on_change")
 
@@ -81,7 +82,7 @@
         registers: RegisterTable,
         on_change: Callable[[str], None],
     ) -> None:
-        """`on_change` is called with the key of a register after a vote, and once it is chosen."""
+        """`on_change` is called with a register's key after each vote, and when it is chosen."""
         self.node = node
         self.voter = voter
         self.registers = registers
@@ -91,7 +92,7 @@
         node.register_handler(Chosen, self.on_chosen)
 
     def on_prepare(self, message: Prepare) -> None:
-        """Promise a ballot that is higher than all before."""
+        """Promise a ballot that is higher than the register's promise."""
         reason = self.voter.refusal_reason(message)
         if reason is not None:
             return self._refuse(message, Promise, reason)
@@ -104,7 +105,7 @@
         self._vote(message, register, Promise, accepted=accepted, value=value)
 
     def on_accept(self, message: Accept) -> None:
-        """Accept a value, unless a higher ballot was promised."""
+        """Accept a value, unless a higher ballot is promised."""
         reason = self.voter.refusal_reason(message)
         if reason is not None:
             return self._refuse(message, Accepted, reason)
@@ -117,7 +118,7 @@
         self._vote(message, register, Accepted)
 
     def on_chosen(self, message: Chosen) -> None:
-        """Note that what this replica accepted last is chosen."""
+        """Mark the register's value as chosen if this ballot is the one accepted last."""
         register = self.registers.states.get(message.key)
         if register is None or register.accepted != message.ballot:
             return
@@ -131,7 +132,7 @@
         answer_type: type[Promise] | type[Accepted],
         **facts: Any,
     ) -> None:
-        """Sync the register, then answer yes."""
+        """Sync the register, then answer yes; answer no if the disk refuses the write."""
         self.registers.note_change(register)
 
         def on_synced(is_synced: bool) -> None:
--- a/packages/consensus/src/linkhaven/consensus/claim_limits.py
+++ b/packages/consensus/src/linkhaven/consensus/claim_limits.py
@@ -6,7 +6,7 @@
 
 
 class ClaimLimits(Protocol):
-    """What a replica needs to know of the configuration in force."""
+    """The limits of the configuration in force that apply to claims."""
 
     @property
     def retention_us(self) -> int:
@@ -14,7 +14,7 @@
 
     @property
     def max_claims(self) -> int:
-        """Where so many are kept, a replica refuses to accept a new one."""
+        """The number of claims from which on a replica refuses new ones."""
 
 
 class _DefaultClaimLimits(msgspec.Struct, frozen=True):
@@ -26,5 +26,5 @@
 
 
 def default_claim_limits() -> ClaimLimits:
-    """Return the limits that hold while no configuration is in force."""
+    """Return the limits that apply while no configuration is in force."""
     return _DEFAULT
--- a/packages/consensus/src/linkhaven/consensus/claims.py
+++ b/packages/consensus/src/linkhaven/consensus/claims.py
@@ -1,7 +1,7 @@
-"""How long a replica keeps the registers of claims, which win a one-time idempotency key once.
+"""Retention of claims: registers that grant a one-time idempotency key to its first user.
 
-Invariant: a claim is kept for the whole retention, counted in time that this replica lived through;
-where there is no room for more, new ones get no vote, and no old one is forgotten early
+Invariant: a claim is kept for the whole retention, counted in the run time of this replica. If the
+limit is reached, new claims get no vote, and no old one is deleted early
 (`test_full_means_that_new_claims_are_refused_and_no_old_one_is_forgotten`).
 """
 
@@ -11,23 +11,25 @@
 from .claim_limits import ClaimLimits
 
 CLAIM_PREFIX = "claim/"
-"""Registers of claims have keys that begin so."""
+"""Prefix of the keys of claim registers."""
 
 SWEEP_INTERVAL_US = 10_000_000
-"""How often expired claims are looked for, and the clock is recorded."""
+"""How often expired claims are deleted and the clock is written to disk."""
 
 SWEEP_BATCH_SIZE = 2_000
+"""The most records in one write of a sweep, including that of the clock."""
+
 MAX_TICK_STEP_US = 250_000
-"""The longest step between two ticks that counts as time lived through."""
+"""The longest time between two ticks that is counted; the rest counts as suspended."""
 
 
 class ClaimRetention:
-    """Which claims are kept, and since when; owns the clock by which they expire.
+    """The claims that are kept, and the clock by which they expire.
 
-    The clock counts time that all instances of this replica lived through, so that neither a
-    stopped process nor a clock that leaps lets a claim expire early. Only
-    `RegisterTable.drop_expired_claims` deletes a claim; a router that gives one back keeps the
-    register and clears its owner.
+    The clock counts the run time of all instances of this replica, so that neither a stopped
+    process nor a jump of the system clock lets a claim expire early. Only
+    `RegisterTable.drop_expired_claims` deletes a claim; a router that releases one clears its owner
+    and leaves the register.
     """
 
     __slots__ = ("limits", "clock_us", "swept_us", "kept")
@@ -39,41 +41,47 @@
         now_us: int,
         kept: Iterable[tuple[int, str]],
     ) -> None:
-        """`kept`: when each claim was first kept, by the recorded clock, and its key."""
+        """`kept`: creation time, by the stored clock, and key of each claim.
+
+        `clock_us` is the stored value of the clock, `now_us` the node's time.
+        """
         self.limits = limits
         self.clock_us = clock_us
         self.swept_us = now_us
         self.kept = deque(sorted(kept))
 
     def __len__(self) -> int:
-        """How many claims are kept."""
+        """The number of claims that are kept."""
         return len(self.kept)
 
     def has_room(self) -> bool:
-        """Whether a new claim may be kept."""
+        """Whether the number of claims is below its limit."""
         return len(self.kept) < self.limits().max_claims
 
     def add(self, key: str) -> None:
-        """Keep a new claim from now on."""
+        """Add a claim that is created now."""
         self.kept.append((self.clock_us, key))
 
     def clear(self) -> None:
-        """Keep none; the clock goes on."""
+        """Remove all claims; the clock isn't reset."""
         self.kept.clear()
 
     def advance(self, passed_us: int) -> None:
-        """Count the time since the last tick, as far as it was lived through."""
+        """Advance the clock by the time since the last tick, at most `MAX_TICK_STEP_US`."""
         self.clock_us += max(0, min(passed_us, MAX_TICK_STEP_US))
 
     def is_sweep_due(self, now_us: int) -> bool:
-        """Whether to look for expired claims now; a sweep that is due counts as done."""
+        """Whether a sweep is due; if so, the next one is due after `SWEEP_INTERVAL_US`."""
         if now_us - self.swept_us < SWEEP_INTERVAL_US:
             return False
         self.swept_us = now_us
         return True
 
     def pop_expired(self) -> list[str]:
-        """Take out the claims whose retention is over: the oldest, as many as one write takes."""
+        """Remove the claims whose retention has ended, oldest first, as many as fit one write.
+
+        Returns their keys.
+        """
         expired: list[str] = []
         expired_us = self.clock_us - self.limits().retention_us
         while self.kept and self.kept[0][0] < expired_us and len(expired) < SWEEP_BATCH_SIZE - 1:
--- a/packages/consensus/src/linkhaven/consensus/paxos_messages.py
+++ b/packages/consensus/src/linkhaven/consensus/paxos_messages.py
@@ -1,10 +1,10 @@
-"""Messages of the two Paxos rounds, and the one place that spells them on the wire.
+"""Messages of the two Paxos rounds, with their encoding on the wire.
 
 A proposer sends `Prepare`, then `Accept`, then `Chosen`; an acceptor answers the first two with
-`Promise` and `Accepted` (Lamport, Paxos Made Simple, 2.2). A refusal is an answer of the same kind
-whose `is_yes` is false, with its reason.
+`Promise` and `Accepted` (Lamport, Paxos Made Simple, 2.2). A refusal is an answer of the same type
+whose `is_yes` is false, with a reason.
 
-A field that only some answers have is UNSET in the others, and then not written.
+A field that applies only to some answers is UNSET in the others, and not encoded.
 """
 
 from typing import Any
@@ -15,40 +15,40 @@
 from linkhaven.runtime import Message
 
 Ballot = list[Any]
-"""Number and node name of a proposal; ballots compare element by element."""
+"""A counter and the proposer's node name; ballots are compared element by element."""
 
 PREEMPTED = "ballot"
-"""The reason of a refusal: the acceptor promised a higher ballot, which `highest` names."""
+"""Reason of a refusal: the acceptor promised a higher ballot, given in `highest`."""
 
 OTHER_REPLICA = "seat"
-"""The reason of a refusal: the message is meant for another replica than the one it reached."""
+"""Reason of a refusal: the message is addressed to another replica than the one it reached."""
 
 OLD_INCARNATION = "incarnation"
-"""The reason of a refusal: the proposer knows an older instance of a replica than the acceptor."""
+"""Reason of a refusal: the acceptor knows a newer instance of a replica than the proposer."""
 
 LEASES_WAIT = "grant"
-"""The reason of a refusal: leases that an earlier instance voted for may still run."""
+"""Reason of a refusal: leases that an earlier instance voted for may not have expired yet."""
 
 NO_CLAIMS = "claims"
-"""The reason of a refusal: no further one-time claim can be kept, or none yet."""
+"""Reason of a refusal: the replica has no room for another claim, or accepts none yet."""
 
 DISK_REFUSED = "disk"
-"""The reason of a refusal: the vote could not be synced."""
+"""Reason of a refusal: the vote could not be synced to disk."""
 
 
 class Request(Message, frozen=True, kw_only=True):
-    """What `Prepare` and `Accept` have in common."""
+    """The common fields of `Prepare` and `Accept`."""
 
     id: str
-    """Names the proposal at its proposer, through all its attempts."""
+    """Identifies the proposal at its proposer; the same for all its attempts."""
 
     key: str
     ballot: Ballot
     replica_id: str = msgspec.field(name="seat")
-    """The replica that is asked."""
+    """The replica that the request is addressed to."""
 
     incarnation: int
-    """The incarnation of that replica that the proposer knows."""
+    """The newest incarnation of that replica that the proposer knows."""
 
     known_incarnations: dict[str, int] = msgspec.field(name="known")
     """The newest incarnation of each replica that the proposer knows."""
@@ -58,7 +58,7 @@
     """Asks for a promise to accept nothing under a lower ballot (phase 1a)."""
 
     own_accepted: Ballot | None = msgspec.field(name="held", default=None)
-    """The ballot that the proposer's own replica accepted last: its value needn't be sent."""
+    """The ballot that the proposer's own replica accepted last; its value needn't be returned."""
 
 
 class Accept(Request, frozen=True, kw_only=True, tag="accept"):
@@ -68,7 +68,7 @@
 
 
 class Answer(Message, frozen=True, kw_only=True):
-    """What `Promise` and `Accepted` have in common."""
+    """The common fields of `Promise` and `Accepted`."""
 
     id: str
     ballot: Ballot
@@ -77,24 +77,24 @@
     incarnation: int
     known_incarnations: dict[str, int] = msgspec.field(name="known", default_factory=dict)
     reason: str | UnsetType = msgspec.field(name="why", default=UNSET)
-    """Why it refuses; a replica that doesn't vote names its state."""
+    """The reason of a refusal; the replica's state if it doesn't vote."""
 
     highest: Ballot | UnsetType = UNSET
-    """The ballot that it promised, where the proposal is preempted."""
+    """The promised ballot, if the proposal is preempted."""
 
 
 class Promise(Answer, frozen=True, kw_only=True, tag="promise"):
-    """Promises a ballot, or refuses to (phase 1b)."""
+    """Promises a ballot, or refuses it (phase 1b)."""
 
     accepted: Ballot | None | UnsetType = UNSET
     """The ballot that the acceptor accepted last; UNSET in a refusal."""
 
     value: Any | UnsetType = UNSET
-    """The value that it accepted last; None where the proposer holds it, UNSET in a refusal."""
+    """The value that it accepted last; None if the proposer has it, UNSET in a refusal."""
 
 
 class Accepted(Answer, frozen=True, kw_only=True, tag="accepted"):
-    """Accepted a value, or refuses to (phase 2b)."""
+    """Accepts a value, or refuses it (phase 2b)."""
 
 
 class Chosen(Message, frozen=True, kw_only=True, tag="chosen"):
--- a/packages/consensus/src/linkhaven/consensus/proposal.py
+++ b/packages/consensus/src/linkhaven/consensus/proposal.py
@@ -1,4 +1,4 @@
-"""One change of a register on its way through the two rounds of Paxos, and how it ends."""
+"""The state of one proposal in the two rounds of Paxos, and its possible outcomes."""
 
 from collections.abc import Callable
 from enum import Enum, StrEnum
@@ -8,16 +8,17 @@
 
 
 class UpdateAction(StrEnum):
-    """What the update function of a proposal decides, once it is given the register's value."""
+    """What the update function of a proposal decides, given the register's value."""
 
     SET = "set"
-    """Propose the new value that it gives."""
+    """Propose the new value that the function returned."""
 
     KEEP = "keep"
-    """Leave the value, but have a majority accept it: a read."""
+    """Propose the value as it is: a read."""
 
     STOP = "stop"
-    """Change nothing, and end with the result that it gives; see `Proposer` on when."""
+    """Change nothing and end with the result that the function returned, as soon as the value is
+    known to be chosen (see the module `proposer`)."""
 
 
 class Outcome(StrEnum):
@@ -30,30 +31,30 @@
     """The update function stopped it, on a value that is chosen."""
 
     REFUSED = "refused"
-    """It came to nothing: no accept was ever sent."""
+    """It had no effect: no accept was sent that could have changed the register."""
 
     UNKNOWN = "unknown"
-    """An accept was sent, so the value may be chosen now or later."""
+    """An accept was sent but not answered by a majority: the value may be chosen now or later."""
 
 
 class Phase(Enum):
-    """Which round a proposal is in."""
+    """The round that a proposal is in."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
     BACKING_OFF = "resting"
-    """Preempted, and waits for a random time before its next attempt."""
+    """Preempted, and waits a random time before its next attempt; also before the first one."""
 
 
 Update = Callable[[Any], tuple[str, Any]]
-"""Takes the register's value; returns an `UpdateAction` and the new value or the result."""
+"""Takes the register's value; returns an `UpdateAction` with the new value or the result."""
 
 OnResult = Callable[[str, Any], None]
-"""Takes an `Outcome` and the chosen value, the result of the stop, or the reason."""
+"""Takes an `Outcome` with the chosen value, the result of the stop, or the reason of a refusal."""
 
 
 class AcceptedValue(NamedTuple):
-    """What an acceptor accepted last for a key."""
+    """The last accepted ballot of a key, and its value."""
 
     ballot: Ballot | None
     value: Any
@@ -63,7 +64,7 @@
 
 
 class Proposal:
-    """The state of one proposal: its ballot, who has answered it, and what it found."""
+    """The state of one proposal: its ballot, the answers so far, and the value found."""
 
     __slots__ = (
         "id",
@@ -98,7 +99,10 @@
         last_majority_us: int,
         silence_bound_us: int | None,
     ) -> None:
-        """Nothing was sent yet."""
+        """Create a proposal before its first attempt.
+
+        `deadline_us` and `last_majority_us` are points in time; `silence_bound_us` is a duration.
+        """
         self.id = id
         self.key = key
         self.update = update
@@ -107,38 +111,38 @@
         self.phase = Phase.BACKING_OFF
         self.ballot: Ballot = [0, ""]
         self.votes: set[Any] = set()
-        """Who voted yes in this round; promises with the incarnation that gave them."""
+        """The replicas that voted yes in this round; in PREPARE with their incarnations."""
 
         self.accepted: dict[str, Ballot | None] = {}
-        """The ballot that each replica which promised had accepted last."""
+        """For each replica that promised, the ballot that it had accepted last."""
 
         self.own_accepted = NOTHING_ACCEPTED
-        """What this node's own replica had accepted when the attempt began."""
+        """What this node's own replica had accepted last when the attempt began."""
 
         self.highest: Ballot | None = None
-        """The highest ballot among `accepted`, whose value is `value`."""
+        """The highest ballot in `accepted`; `value` is its value."""
 
         self.value: Any = None
         self.stopped_with: tuple[Outcome, Any] | None = None
         self.attempt_until_us = 0
-        """The next attempt begins then: this one got no majority, or has rested."""
+        """When the attempt times out, or the backoff ends, and the next attempt begins."""
 
         self.num_attempts = 0
         self.has_sent_accept = False
         self.refusal: str | None = None
-        """The last reason of a refusal."""
+        """The reason of the last refusal."""
 
         self.answered: set[str] = set()
-        """Who answered in this round, be it that it was preempted."""
+        """The replicas that answered in this round, with a vote or because it was preempted."""
 
         self.last_majority_us = last_majority_us
         """When a majority had last answered."""
 
         self.silence_bound_us = silence_bound_us
-        """So long without a majority ends it; None where it waits for its deadline."""
+        """How long the proposal waits for an answer from a majority; None: until its deadline."""
 
     def begin_attempt(self, ballot: Ballot, attempt_until_us: int, own: AcceptedValue) -> None:
-        """Forget what the attempt before found, and prepare under this ballot."""
+        """Discard the results of the previous attempt, and prepare under this ballot."""
         self.num_attempts += 1
         self.phase = Phase.PREPARE
         self.ballot = ballot
@@ -151,16 +155,17 @@
         self.own_accepted = own
 
     def is_one_ballot_accepted(self) -> bool:
-        """Whether the majority that promised had accepted one and the same ballot.
+        """Whether all replicas of the majority that promised had accepted the same ballot.
 
-        A refusal may rest on nothing less: a value that only some replicas hold may lose to the
-        very change that it would refuse, which then would be in force though it was refused.
+        Only then may a proposal be stopped because of the value. A value that only some replicas
+        accepted may lose to the very change that was refused because of it, and that change would
+        be in force although it was reported as refused.
         """
         first, *rest = self.accepted.values()
         return all(accepted == first for accepted in rest)
 
     def is_silent(self, now_us: int) -> bool:
-        """Whether no majority answered for as long as it may wait for one."""
+        """Whether no majority has answered for `silence_bound_us`."""
         if self.silence_bound_us is None:
             return False
         return now_us - self.last_majority_us >= self.silence_bound_us
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -1,27 +1,27 @@
-"""The proposer: brings a change of a register through prepare and accept.
+"""The proposer: updates a register by a prepare round and an accept round.
 
-Each phase needs a majority of the replicas, and ballots rise (Lamport, Paxos Made Simple, 2.2 and
-2.4). Two concurrent updates of a register are ordered by their ballots: the later one is applied to
-the value that the earlier one left.
+Each round needs a majority of the replicas, and ballots increase (Lamport, Paxos Made Simple, 2.2
+and 2.4). Concurrent updates of a register are ordered by their ballots: the later one is applied to
+the value that the earlier one wrote.
 
 | phase | message or event | what it does | next |
 | --- | --- | --- | --- |
 | - | `propose` | sends `Prepare` under a new ballot | PREPARE |
-| PREPARE | `Promise` of a majority | gives the value of the highest ballot to the update | ACCEPT |
+| PREPARE | `Promise` from a majority | calls the update with the newest value | ACCEPT |
 | PREPARE | the update stops, and the value is chosen | ends: STOPPED | - |
 | PREPARE | a majority, and no value to write | ends: CHOSEN with None, or STOPPED | - |
-| ACCEPT | `Accepted` of a majority | sends `Chosen`, ends: CHOSEN or STOPPED | - |
+| ACCEPT | `Accepted` from a majority | sends `Chosen`, ends: CHOSEN or STOPPED | - |
 | PREPARE, ACCEPT | preempted | raises its counter, waits a random time | BACKING_OFF |
-| any | the attempt's time is over | sends `Prepare` under a new ballot | PREPARE |
-| any | deadline, or silence | ends: UNKNOWN once accepts were sent, else REFUSED | - |
+| any | end of the attempt's time or the backoff | sends `Prepare` under a new ballot | PREPARE |
+| any | deadline, or no majority answers | ends: UNKNOWN once accepts were sent, else REFUSED | - |
 
-Answers to another ballot or phase are ignored, but count as a sign of contact.
+Answers to another ballot or phase are ignored, except that they show that a replica is reachable.
 
-Invariant: a proposal that stops at a value which may not be chosen yet brings that value through
-its own accept first; else its sender would be refused for a version that nobody ever reads
+Invariant: a proposal that stops on a value which may not be chosen yet has that value accepted by a
+majority first; otherwise a caller could be refused because of a version that nobody ever reads
 (`test_no_order_is_refused_for_a_value_that_may_yet_lose_to_it`).
-Invariant: a promise that comes from an older instance than the proposer knows counts for nothing,
-and an accept names the instances whose promises it rests on
+Invariant: a promise from an older instance of a replica than the proposer knows isn't counted, and
+an accept names the incarnations whose promises it is based on
 (`test_a_replica_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts`).
 """
 
@@ -44,55 +44,56 @@
 )
 
 ATTEMPT_US = 400_000
-"""How long an attempt may take before the next one, under a higher ballot."""
+"""Timeout of an attempt in either round; the next one uses a higher ballot."""
 
 DEADLINE_US = 2_000_000
 BACKOFF_US = 30_000
-"""A preempted proposal rests up to this for each attempt it made, at random."""
+"""A preempted proposal waits a random time of up to this for each attempt it made."""
 
 BACKOFF_ATTEMPTS_MAX = 6
 MAX_TICK_STEP_US = 250_000
-"""The longest step between two ticks in which the others may have answered unread."""
+"""Longest time between two ticks that counts as waiting; beyond it the process was suspended, and
+answers may have arrived that aren't read yet."""
 
 NO_MAJORITY = "no_majority"
-"""The reason of a proposal that nobody refused and no majority answered."""
+"""Reason of a proposal that got no answer from a majority and no refusal."""
 
 
 class ReplicaDirectory(Protocol):
-    """Knows where the replicas are; the membership does."""
+    """Addresses and incarnations of the replicas; implemented by the membership."""
 
     def replicas(self) -> Mapping[str, tuple[str, int]]:
         """Return address and incarnation of the newest instance of each replica."""
 
     def learn_incarnations(self, known: Mapping[str, int]) -> None:
-        """Take over higher incarnations."""
+        """Raise the known incarnations to those given."""
 
 
 class AcceptedRegisters(Protocol):
-    """What this node's own replica has accepted."""
+    """The values that this node's own replica has accepted."""
 
     def accepted_of(self, key: str) -> AcceptedValue:
-        """Return the ballot that it accepted last for a key, and its value."""
+        """Return the last accepted ballot of a key, and its value."""
 
 
 class NoReplica:
-    """A node without a replica has accepted nothing."""
+    """`AcceptedRegisters` of a node that isn't a replica."""
 
     __slots__ = ()
 
     def accepted_of(self, key: str) -> AcceptedValue:
-        """Return that nothing was accepted."""
+        """Return `NOTHING_ACCEPTED`."""
         return NOTHING_ACCEPTED
 
 
 class Proposer:
-    """Changes registers by read-modify-write; owns this node's ballot counter and its proposals.
+    """Updates registers by read-modify-write; owns this node's ballot counter and its proposals.
 
-    A change to which no majority has answered for `silent_us` ends then; one that is contested or
-    slow goes on until its deadline (see `MajorityMonitor`).
+    A proposal ends early if no majority has answered for `silent_us` (see `MajorityMonitor`); one
+    that is preempted or slow goes on until its deadline.
 
-    `own_registers` says what this node's own replica, if it has one, accepted last. Promises then
-    name that ballot without the value: one ballot never has two values.
+    `own_registers` gives what this node's own replica, if it has one, accepted last. Promises of
+    the same ballot then omit the value, since a ballot never has two values.
     """
 
     __slots__ = (
@@ -115,10 +116,10 @@
         silent_us: int | None = None,
         own_registers: AcceptedRegisters | None = None,
     ) -> None:
-        """Nothing is proposed yet.
+        """Create a proposer without proposals.
 
-        `majority` None: of as many replicas as the deployment has; `silent_us` None: every change
-        waits for its deadline.
+        `majority` defaults to that of the deployment's number of replicas. If `silent_us` is None,
+        every proposal waits for its deadline.
         """
         self.node = node
         self.directory = directory
@@ -135,7 +136,7 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether the last word on the majority is that it doesn't answer."""
+        """Whether no majority has answered since a proposal last ended for that reason."""
         return self.monitor.is_cut_off
 
     def propose(
@@ -146,10 +147,10 @@
         deadline_us: int = DEADLINE_US,
         is_patient: bool = False,
     ) -> None:
-        """Change a register: `update` is called with its value, once for each attempt.
+        """Update a register: `update` is called with its current value, once for each attempt.
 
-        `on_result` is called once, with the outcome, no later than a tick after `deadline_us` from
-        now. A patient proposal waits for that though no majority answers.
+        `on_result` is called once with the outcome, at most one tick after `deadline_us` from now.
+        A proposal with `is_patient` waits until then even if no majority answers.
         """
         now_us = self.node.now_us()
         self.serial += 1
@@ -166,10 +167,10 @@
         self._prepare(proposal, now_us)
 
     def read(self, key: str, on_result: OnResult) -> None:
-        """Read a register: its value is accepted once more by a majority, and so chosen."""
+        """Read a register, linearizably: a majority accepts its value again under a new ballot."""
         self.propose(key, lambda value: (UpdateAction.KEEP, None), on_result)
 
-    # phase 1
+    # Phase 1: prepare
 
     def _prepare(self, proposal: Proposal, now_us: int) -> None:
         self.counter += 1
@@ -193,7 +194,7 @@
             self.node.send(address, request)
 
     def on_promise(self, message: Promise) -> None:
-        """Count a promise; with those of a majority, let the update decide."""
+        """Count a promise; once a majority has promised, call the update."""
         proposal = self._proposal_answered(message, Phase.PREPARE)
         if proposal is None:
             return
@@ -208,7 +209,7 @@
             self._update(proposal)
 
     def _update(self, proposal: Proposal) -> None:
-        """A majority has promised: ask the update what to do with the value that it found."""
+        """Call the update with the value that the majority's promises gave, and act on it."""
         action, result = proposal.update(proposal.value)
         is_stop = action == UpdateAction.STOP
         if is_stop and not proposal.has_sent_accept and self._is_chosen(proposal):
@@ -229,7 +230,7 @@
     def _is_chosen(self, proposal: Proposal) -> bool:
         return proposal.is_one_ballot_accepted()
 
-    # phase 2
+    # Phase 2: accept
 
     def _send_accept(self, proposal: Proposal, promised: set[tuple[str, int]]) -> None:
         replicas = self.directory.replicas()
@@ -249,7 +250,7 @@
             self.node.send(address, request)
 
     def on_accepted(self, message: Accepted) -> None:
-        """Count a vote; with those of a majority the value is chosen."""
+        """Count an accept; once a majority has accepted, the value is chosen."""
         proposal = self._proposal_answered(message, Phase.ACCEPT)
         if proposal is None:
             return
@@ -260,10 +261,10 @@
             self.node.send(address, Chosen(key=proposal.key, ballot=proposal.ballot))
         self._end(proposal, *(proposal.stopped_with or (Outcome.CHOSEN, proposal.value)))
 
-    # answers of both phases
+    # Answers of both phases
 
     def _proposal_answered(self, message: Answer, phase: Phase) -> Proposal | None:
-        """Return the proposal that a vote counts for, or None where it counts for nothing."""
+        """Return the proposal that a vote counts for, or None if it doesn't count."""
         self.directory.learn_incarnations(message.known_incarnations)
         proposal = self.proposals.get(message.id)
         is_voting = message.is_yes or message.reason == PREEMPTED
@@ -295,13 +296,13 @@
         self._back_off(proposal)
 
     def _back_off(self, proposal: Proposal) -> None:
-        """Wait at random, so that two proposers don't preempt each other for ever."""
+        """Wait a random time, so that two proposers don't preempt each other forever."""
         proposal.phase = Phase.BACKING_OFF
         reach_us = BACKOFF_US * min(proposal.num_attempts, BACKOFF_ATTEMPTS_MAX)
         rest_us = self.node.ports.random.randrange(reach_us // 4, reach_us)
         proposal.attempt_until_us = self.node.now_us() + rest_us
 
-    # the end
+    # End of a proposal
 
     def _end(self, proposal: Proposal, outcome: Outcome, value: Any) -> None:
         del self.proposals[proposal.id]
@@ -312,18 +313,19 @@
         self._end(proposal, outcome, proposal.refusal)
 
     def _on_silence(self, proposal: Proposal) -> None:
-        """No majority answered.
+        """End a proposal to which no majority answers.
 
-        The caller gets to know while it still listens, and may go on to another node.
+        The caller is told before its own deadline, so that it can try another node.
         """
         self.monitor.on_silence()
         proposal.refusal = proposal.refusal or NO_MAJORITY
         self._give_up(proposal)
 
     def tick(self, now_us: int) -> None:
-        """End the proposals whose time is over, and begin the next attempt of others.
+        """End proposals whose deadline has passed, and start the next attempt of others.
 
-        Time that this node slept through is no silence of others: their answers may wait unread.
+        Time in which this process was suspended isn't counted as silence of the replicas, since
+        their answers may not be read yet.
         """
         slept_us = max(0, now_us - self.ticked_us - MAX_TICK_STEP_US)
         self.ticked_us = now_us
--- a/packages/consensus/src/linkhaven/consensus/rebuild_rule.py
+++ b/packages/consensus/src/linkhaven/consensus/rebuild_rule.py
@@ -1,8 +1,8 @@
-"""From which reports a restarted replica may rebuild its state, or that they don't suffice.
+"""The rule by which a restarted replica decides whether it has enough reports to rebuild its state.
 
-Every chosen value is accepted by a majority. A replica that lost its disk may have been one of that
-majority, so it must read so many others that every majority without it is met among them. A replica
-whose disk is intact counts for itself and stands for what it accepted.
+Every chosen value is accepted by a majority. A replica that lost its disk may have been part of
+that majority, so it must read enough others to have one of every majority among them. A replica
+with an intact disk counts itself among the sources, with what it accepted.
 """
 
 from collections.abc import Collection
@@ -12,22 +12,22 @@
 
 
 class RebuildBasis(Enum):
-    """What makes the reports at hand enough."""
+    """The reason why the reports at hand are sufficient, or that they aren't."""
 
     VOTING_QUORUM = "voting_quorum"
-    """So many replicas vote that each majority of all has one of them besides this replica."""
+    """Enough other replicas vote that each majority includes one of them."""
 
     BOOTSTRAP = "bootstrap"
-    """All replicas are here and empty: the group starts anew."""
+    """All replicas reported and all are empty, so the group bootstraps."""
 
     ALL_INTACT = "all_intact"
-    """All replicas are here and none lost anything."""
+    """All replicas reported and all disks are intact, including this one's."""
 
     INTACT_MAJORITY = "intact_majority"
-    """This disk and others are an intact majority, and the rest has nothing or stays silent."""
+    """A majority of the disks, including this one, is intact; the rest is empty or silent."""
 
     INSUFFICIENT = "insufficient"
-    """More may have been lost than can be rebuilt from those that reported."""
+    """More may have been lost than can be rebuilt from the replicas that reported."""
 
 
 def rebuild_basis(
@@ -39,10 +39,11 @@
     are_all_accounted_for: bool,
     has_waited: bool,
 ) -> RebuildBasis:
-    """Weigh the reports of the other replicas; `is_empty` is about the asking replica.
+    """Decide from the reports of the other replicas whether this one may rebuild its state.
 
+    `is_empty`: whether this replica's own disk is incomplete.
     `are_all_accounted_for`: each other replica reported, or its disk is known to be lost.
-    `has_waited`: the silent ones had `Bounds.alone_us` to report.
+    `has_waited`: `Bounds.alone_us` have passed, so the others had time to report.
     """
     num_others = group_size - 1
     majority = group_size // 2 + 1
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -1,31 +1,32 @@
-"""Recovery: what each start of a replica goes through before it may vote.
+"""Recovery: the protocol that a started replica runs before it may vote.
 
-It collects reports of how the others stand, raises its incarnation, has the others record that, and
-only then reads what they accepted, page by page. So nothing that an older instance of this replica
-took part in can be chosen behind its back: whoever is read refuses the older incarnation by then
-(as the recovery protocol of Viewstamped Replication Revisited, section 4.3, for single registers).
+It collects reports of the state of the other replicas, raises its incarnation, has the others
+record that, and only then reads what they accepted, page by page. By then every replica that is
+read refuses the older incarnations, so a vote of an older instance can't lead to a value being
+chosen that this one doesn't know (as in the recovery protocol of Viewstamped Replication Revisited,
+section 4.3, here for single registers).
 
 | state | message or event | what it does | next |
 | --- | --- | --- | --- |
 | IDLE | `begin` | queries all replicas | COLLECTING |
-| COLLECTING | `ReplicaStateReport` | weighs the reports, see `rebuild_rule.py` | CATCHING_UP |
-| COLLECTING | report of a newer instance | yields to it: superseded, or a spare again | IDLE |
-| COLLECTING | `join_bootstrap`: another one found all empty | follows it | CATCHING_UP |
-| COLLECTING | too little after `Bounds.alone_us` | waits for more, or for `restore` | COLLECTING |
+| COLLECTING | the reports suffice, see `rebuild_rule.py` | raises its incarnation | CATCHING_UP |
+| COLLECTING | report of a newer instance | is superseded, or a spare again | IDLE |
+| COLLECTING | `join_bootstrap`: another one found all empty | joins its bootstrap | CATCHING_UP |
+| COLLECTING | too few after `Bounds.alone_us` | waits for more, or for `restore` | COLLECTING |
 | CATCHING_UP | one more replica is read | goes on, see `state_transfer.py` | CATCHING_UP |
 | CATCHING_UP | the last replica is read | syncs that its state is complete | VOTING |
-| CATCHING_UP | a replica started anew | what was read is void | COLLECTING |
+| CATCHING_UP | a replica was restarted | discards what was read | COLLECTING |
 | CATCHING_UP | no progress (`NO_PROGRESS_TIMEOUT_US`) | starts over | COLLECTING |
-| CATCHING_UP | the disk refuses a write | what isn't synced counts for nothing | COLLECTING |
+| CATCHING_UP | the disk refuses a write | starts over | COLLECTING |
 | COLLECTING, CATCHING_UP | no progress, and it never voted | a spare again | IDLE |
 | IDLE | `begin_with_state`, at the end of a hand-over | announces its incarnation | RECORDING |
-| RECORDING | a majority recorded it | it has the whole state and reads nothing | VOTING |
+| RECORDING | a majority recorded it | votes; it has the whole state already | VOTING |
 | RECORDING | no progress (`NO_PROGRESS_TIMEOUT_US`) | recovers from its disk | COLLECTING |
 | VOTING | `begin`: a bootstrap may have forgotten a newer incarnation | queries | COLLECTING |
 | any | `reset`, once it is a spare | | IDLE |
 
-What stands in no row of its state is ignored. What the others do for a recovering replica is in
-`recovery_responder.py`.
+Messages and events without a row in the current state are ignored. The other replicas' side of the
+protocol is in `recovery_responder.py`.
 
 Invariant: no vote is given before the last page is synced (`vote_without_reading` in
 `tests/test_explore.py`).
@@ -49,44 +50,46 @@
 from .succession import Succession
 
 QUERY_INTERVAL_US = 200_000
-"""Unanswered messages are sent again after this."""
+"""Interval at which unanswered messages are sent again."""
 
 STARTUP_QUERY_INTERVAL_US = 50_000
+"""The same interval in the first `STARTUP_QUERY_PERIOD_US` of a recovery."""
+
 STARTUP_QUERY_PERIOD_US = 1_500_000
-"""Queries are sent more often for this long after the start, so that a full restart is quick."""
+"""For this long queries are sent more often, so that a restart of the whole group is quick."""
 
 NO_PROGRESS_TIMEOUT_US = 1_000_000
-"""Without progress for this long, it begins again from the first query."""
+"""Recovery starts over after this long without progress."""
 
 WAITING_EVENT = 1203
 STORAGE_REFUSED_EVENT = 1205
 RESTORED_EVENT = 1206
 
 STORAGE_REFUSED_KEY = "rejoin"
-"""What `STORAGE_REFUSED_EVENT` names in place of a register's key."""
+"""The `key` of `STORAGE_REFUSED_EVENT` for writes of recovery."""
 
 
 class RecoveryState(Enum):
-    """Where a started replica stands before it may vote."""
+    """The progress of a replica's recovery."""
 
     IDLE = "idle"
-    """Nothing to recover: a spare, or a replica of the first start of all."""
+    """Nothing to recover: a spare, or a replica of a group's first start."""
 
     COLLECTING = "collecting"
-    """Asks the others how they stand."""
+    """Queries the state of the other replicas."""
 
     CATCHING_UP = "catching_up"
     """Has each other replica record the new incarnation, and reads those that did."""
 
     RECORDING = "recording"
-    """Took over the whole state of its predecessor; the others record the new incarnation."""
+    """Has the whole state of its predecessor; the others record the new incarnation."""
 
     VOTING = "voting"
-    """Recovered: its votes count."""
+    """Recovered and voting."""
 
 
 class RecoveringReplica(Protocol):
-    """What recovery reads, and asks of, the replica that it brings back."""
+    """The replica that recovers, as far as recovery uses it."""
 
     replica_id: str
     replica_ids: tuple[str, ...]
@@ -98,56 +101,56 @@
 
     @property
     def state(self) -> ReplicaState:
-        """Where it stands in its life cycle."""
+        """The state in the replica's life cycle."""
 
     @property
     def is_empty(self) -> bool:
-        """Whether its disk counts as lost."""
+        """Whether the registers on disk are incomplete and can't be recovered from."""
 
     @property
     def is_recovering(self) -> bool:
-        """Whether it recovers, or waits for an operator to let it."""
+        """Whether the replica recovers, or waits for an operator to allow that."""
 
     def begin_recovery(self) -> None:
-        """It may not vote until `begin_voting`."""
+        """Stop voting until `begin_voting`."""
 
     def await_operator(self) -> None:
-        """More is lost than can be rebuilt."""
+        """Wait for an operator: too few replicas are available to recover from."""
 
     def raise_incarnation(self, above: int, done: Callable[[bool], None]) -> None:
-        """Recover under the next incarnation above this one; `done` once synced, or not."""
+        """Recover under incarnation `above + 1`; `done` is called with whether that is synced."""
 
     def write_recovered(self, done: Callable[[bool], None]) -> None:
-        """Sync that its registers are all that it needs."""
+        """Record that the registers on disk are complete."""
 
     def narrow_claims(self, are_open: bool) -> None:
-        """Keep claims open only if they are there, too."""
+        """Close claims if they are closed at a replica whose state was read."""
 
     def on_storage_refused(self) -> None:
-        """The disk refused a write of recovery."""
+        """Record that a write of recovery failed."""
 
     def learn_incarnations(self, known: dict[str, int]) -> None:
-        """Take in the newest incarnations that another replica knows."""
+        """Raise the known incarnations of the other replicas to those given."""
 
     def merge(self, registers: Mapping[str, RegisterCopy]) -> dict[str, Any]:
-        """Take in the highest ballots of another replica; gives the records to write."""
+        """Merge copies of registers from another replica; return the records to write."""
 
     def begin_voting(self, *, wait_us: int | None = None) -> None:
-        """Vote from now on; grant no lease for `wait_us`, or a lease's time where None."""
+        """Start to vote; on leases `wait_us` later, by default a lease's length."""
 
     def yield_to(self, incarnation: int) -> None:
-        """Yield to a newer instance of this replica."""
+        """Stop voting, since a newer instance of this replica runs."""
 
     def retire(self) -> None:
         """Become a spare."""
 
 
 class Recovery:
-    """The recovering side; it owns what it collected and read, in memory only.
+    """The recovering side; owns the collected reports and the transfer's progress, in memory only.
 
-    A disk that was read is whole unless it lost what it had synced. So a replica with a disk needs
-    the others only to make good such a loss: a majority with disks goes on once the rest has
-    answered that it has none, and where the rest is silent, after `Bounds.alone_us`.
+    The disk of a replica is complete unless it lost writes that it had synced, and only such a loss
+    has to be restored from the others. So a majority of replicas with intact disks goes on as soon
+    as all others have reported empty disks, or after `Bounds.alone_us` if they don't answer.
     """
 
     __slots__ = (
@@ -176,7 +179,7 @@
         instances: ReplicaInstances,
         succession: Succession,
     ) -> None:
-        """`start` names this process start in all messages of recovery."""
+        """`start`, an id of this process start, is sent in all messages of recovery."""
         now_us = node.now_us()
         self.node = node
         self.replica = replica
@@ -194,13 +197,13 @@
         self.lease_wait_us = 0
         node.register_handler(ReplicaStateReport, self.on_replica_state_report)
 
-    # begin and end
+    # Start and end
 
     def begin(self, *, is_disputed: bool = False, is_core_lost: bool = False) -> None:
-        """Begin at the first query.
+        """Start recovery, or start it over, by querying the other replicas.
 
-        `is_disputed`: another replica knows a newer incarnation of this one, which a bootstrap may
-        have forgotten. `is_core_lost`: every disk was lost, so an empty group may bootstrap.
+        `is_disputed`: another replica knows a newer incarnation of this one, and a bootstrap may
+        have lost its record. `is_core_lost`: every disk was lost, so an empty group may bootstrap.
         """
         self.is_disputed = is_disputed or self.is_disputed
         self.is_core_lost = is_core_lost or self.is_core_lost
@@ -211,9 +214,10 @@
         self.started_us = self.node.now_us()
 
     def begin_with_state(self, wait_us: int) -> None:
-        """Begin where a hand-over brought the whole state of the sealed predecessor.
+        """Start recovery after a hand-over, with the whole state of the sealed predecessor.
 
-        The record of its seal at a majority stands in for reading the others.
+        The others aren't read: it is enough that a majority records the new incarnation. No votes
+        on leases are given for `wait_us` after the first vote.
         """
         self.begin()
         self.has_met_no_voter = False
@@ -225,14 +229,17 @@
         self.transfer.send_to_peers()
 
     def reset(self) -> None:
-        """Forget all, since this node is a spare now."""
+        """Discard all state, since this node is a spare now."""
         self.state = RecoveryState.IDLE
         self.transfer.end()
         self.reports = {}
         self.is_bootstrap = self.is_disputed = self.is_core_lost = False
 
     def restore(self) -> bool:
-        """Rebuild from what is there, at an operator's word; False where it doesn't wait for it."""
+        """Recover from the reports at hand on an operator's request.
+
+        Returns False, and does nothing, unless the replica waits for an operator.
+        """
         if self.replica.state is not ReplicaState.WAITING:
             return False
         self.node.ports.log(RESTORED_EVENT, seat=self.replica.replica_id)
@@ -240,32 +247,32 @@
         return True
 
     def _is_candidate(self) -> bool:
-        """Whether it was a spare that tries to become a replica on which it never voted."""
+        """Whether this node was a spare and has never voted as the replica that it recovers as."""
         replica = self.replica
         return replica.is_learned and replica.is_empty and bool(replica.replica_id)
 
     @property
     def is_rebuilding(self) -> bool:
-        """Whether it raised its incarnation and doesn't vote under it yet."""
+        """Whether the incarnation was raised, and there is no vote under it yet."""
         return self.state in (RecoveryState.CATCHING_UP, RecoveryState.RECORDING)
 
-    # collecting
+    # Collecting reports
 
     def is_collecting(self) -> bool:
-        """Whether reports are still awaited."""
+        """Whether reports of the other replicas are awaited."""
         return self.state is RecoveryState.COLLECTING and self.replica.is_recovering
 
     def may_join_bootstrap(self) -> bool:
-        """Whether this empty replica may follow another one that bootstraps the group."""
+        """Whether this empty replica may join another one that bootstraps the group."""
         return self.replica.is_empty and self.is_collecting()
 
     def join_bootstrap(self) -> None:
-        """Another replica found all empty before this one did."""
+        """Join the bootstrap of another replica, which found all replicas empty first."""
         self.is_bootstrap = True
         self._raise_incarnation(self.reports.values())
 
     def query_back(self, query: StateQuery) -> None:
-        """Query one that queried: it runs, and needn't wait for the next round of queries."""
+        """Query a replica that has just sent a query, ahead of the next round of queries."""
         if not self.is_collecting() or query.replica_id == self.replica.replica_id:
             return
         report = self.reports.get(query.replica_id)
@@ -279,7 +286,7 @@
         self.node.send(address, StateQuery(replica_id=self.replica.replica_id, start=self.start))
 
     def on_replica_state_report(self, report: ReplicaStateReport) -> None:
-        """Yield to a newer instance of this replica, else weigh what is known."""
+        """Stop if a newer instance of this replica exists; otherwise evaluate the reports."""
         replica = self.replica
         is_ours = report.queried_by == replica.replica_id and report.queried_start == self.start
         if not self.is_collecting() or not is_ours:
@@ -329,7 +336,7 @@
         self.node.ports.log(WAITING_EVENT, seat=self.replica.replica_id, heard=len(self.reports))
 
     def _raise_incarnation(self, reports: Collection[ReplicaStateReport]) -> None:
-        """Go above every incarnation that anybody knows, and sync that before it is announced."""
+        """Raise the incarnation above all known ones, and announce it once it is synced."""
         replica = self.replica
         self.has_met_no_voter = bool(reports) and not any(report.is_voting for report in reports)
         _, highest = replica.directory.replicas().get(replica.replica_id, ("", 0))
@@ -347,32 +354,32 @@
                 return self.on_storage_refused()
             if self._rebuilds_under(incarnation):
                 self.transfer.send_to_peers()
-                # Where an operator restores it without any report, there is nobody to read.
+                # After `restore` without any report there is no replica to read.
                 self.on_peer_read()
 
         replica.raise_incarnation(highest, on_synced)
 
     def _rebuilds_under(self, incarnation: int) -> bool:
-        """Whether a write of this incarnation still counts; a new begin raises it again."""
+        """Whether recovery is still under this incarnation; starting over raises it again."""
         is_same = self.replica.incarnation == incarnation
         return is_same and self.state is RecoveryState.CATCHING_UP
 
     def on_storage_refused(self) -> None:
-        """Begin again at collecting: what isn't synced counts for nothing."""
+        """Start over from collecting reports: what isn't synced can't be relied on."""
         self.replica.on_storage_refused()
         is_recovering = self.replica.is_recovering
         self.state = RecoveryState.COLLECTING if is_recovering else RecoveryState.IDLE
         self.transfer.end()
         self.node.ports.log(STORAGE_REFUSED_EVENT, key=STORAGE_REFUSED_KEY)
 
-    # what the transfer tells, and the first vote
+    # Progress of the transfer, and the first vote
 
     def on_transfer_void(self) -> None:
-        """A replica started anew while it was read: its state now may be another one."""
+        """Start over: a replica was restarted while it was read, and may have lost state."""
         self.begin()
 
     def on_incarnation_recorded(self) -> None:
-        """Vote once a majority, this replica among it, recorded the incarnation of a hand-over."""
+        """Vote once a majority, including this replica, recorded the hand-over's incarnation."""
         if self.transfer.num_recorded() < self.replica.majority - 1:
             return
         self.state = RecoveryState.VOTING
@@ -380,10 +387,10 @@
         self.replica.begin_voting(wait_us=self.lease_wait_us)
 
     def on_peer_read(self) -> None:
-        """Once no peer is left to read, sync that the state is complete, then vote.
+        """Once no peer is left to read, record that the state is complete, then vote.
 
-        This is the one way to the first vote after a restart; the other, after a hand-over, is
-        `on_incarnation_recorded`. From then on `Replica.refusal_reason` decides about each vote.
+        A replica gets to its first vote after a restart only here, and after a hand-over only in
+        `on_incarnation_recorded`. From then on `Replica.refusal_reason` decides on each vote.
         """
         if self.state is not RecoveryState.CATCHING_UP or self.transfer.peers:
             return
@@ -402,7 +409,7 @@
         replica.write_recovered(on_synced)
 
     def tick(self, now_us: int) -> None:
-        """Send again what was not answered, and begin again where nothing moves."""
+        """Send unanswered messages again, and start over if there is no progress."""
         is_first = now_us - self.started_us < STARTUP_QUERY_PERIOD_US
         if now_us - self.queried_us < (
             STARTUP_QUERY_INTERVAL_US if is_first else QUERY_INTERVAL_US
@@ -420,7 +427,10 @@
         self._weigh_reports(now_us)
 
     def _begin_again(self) -> None:
-        """Neither recorded nor read for too long: another instance may have been first."""
+        """Start over, or become a spare if this node never voted as the replica.
+
+        Without progress another instance may have been recorded first.
+        """
         if self.replica.is_learned and self.replica.is_empty:
             return self.replica.retire()
         self.begin()
--- a/packages/consensus/src/linkhaven/consensus/recovery_messages.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery_messages.py
@@ -1,4 +1,4 @@
-"""Messages of recovery and state transfer, and the one place that spells them on the wire.
+"""Messages of recovery and state transfer, with their encoding on the wire.
 
 A recovering replica sends `StateQuery`, `EpochAnnouncement` and `PageRequest`; the others answer
 each with `ReplicaStateReport`, `EpochRecorded` and `StatePage`. `PageRequest` and `StatePage` also
@@ -18,41 +18,41 @@
 
 
 class StateQuery(Message, frozen=True, tag="rejoin"):
-    """A recovering replica asks another one how it stands."""
+    """A recovering replica asks another one for its state."""
 
     replica_id: str = msgspec.field(name="seat")
     """The replica that the sender recovers as."""
 
     start: str = msgspec.field(name="asked")
-    """The sender's process start, so that an answer to an earlier start isn't taken."""
+    """The id of the sender's process start, so that answers to an earlier start are ignored."""
 
 
 class ReplicaStateReport(Message, frozen=True, tag="rejoin_state"):
-    """How a replica stands, and what it knows of the one that asks."""
+    """The state of a replica, and what it knows of the one that sent the query."""
 
     replica_id: str = msgspec.field(name="seat")
     queried_by: str = msgspec.field(name="for_seat")
-    """The replica that asked."""
+    """The replica that sent the query."""
 
     queried_start: str = msgspec.field(name="asked")
-    """The process start that asked."""
+    """The process start that sent the query."""
 
     is_voting: bool
     is_empty: bool
-    """Its disk can't be built on: lost, read in part, or fenced by a hand-over."""
+    """Whether its disk can't be recovered from: lost, read in part, or sealed by a hand-over."""
 
     incarnation: int
     known_incarnations: dict[str, int] = msgspec.field(name="known")
-    """The newest incarnation of each replica that it knows."""
+    """The newest incarnation of each replica that the sender knows."""
 
     start: str
-    """Its own process start."""
+    """The id of the sender's process start."""
 
     recorded_name: str = msgspec.field(name="occupant")
-    """The node that it recorded last as the asking replica; "" where none."""
+    """The node last recorded as the replica that sent the query; "" if there is none."""
 
     is_taken: bool
-    """Whether another node than the asking one runs as the asking replica."""
+    """Whether another node than the one that sent the query runs as that replica."""
 
 
 class EpochAnnouncement(Message, frozen=True, tag="rejoin_note"):
@@ -62,12 +62,12 @@
     incarnation: int
     start: str
     bootstrap_start: str | None = msgspec.field(name="genesis")
-    """Set where the sender found every replica empty and starts the group anew: the process start
-    that it met at the receiver."""
+    """Set if the sender found every replica empty and bootstraps the group: the process start that
+    the receiver had reported to it."""
 
 
 class EpochRecorded(Message, frozen=True, tag="rejoin_noted"):
-    """A replica has synced the announced incarnation and accepts nothing under older ones."""
+    """A replica has synced the announced incarnation, and refuses requests that name older ones."""
 
     replica_id: str = msgspec.field(name="seat")
     incarnation: int
@@ -80,13 +80,13 @@
     """The replica that the sender recovers as; "" for a successor that has none yet."""
 
     transfer: str = msgspec.field(name="asked")
-    """Names the transfer: the reader's process start, or the id of the hand-over."""
+    """Identifies the transfer: the reader's process start, or the id of the hand-over."""
 
     after: str
-    """The page cursor: the last key of the page before, "" for the first page."""
+    """The page cursor: the last key of the previous page, "" for the first page."""
 
     since: int
-    """Only registers that changed at this change count or later."""
+    """Only registers whose last change has this change count or a higher one are sent."""
 
 
 class StatePage(Message, frozen=True, tag="rejoin_page"):
@@ -94,19 +94,19 @@
 
     replica_id: str = msgspec.field(name="seat")
     start: str
-    """The sender's process start: pages of two starts don't make one state."""
+    """The id of the sender's process start; pages of different starts must not be combined."""
 
     transfer: str = msgspec.field(name="asked")
     after: str
     since: int
     change_count: int = msgspec.field(name="version")
-    """The sender's change count when the first page was asked for."""
+    """The sender's change count when the first page was requested."""
 
     num_remaining: int = msgspec.field(name="left")
-    """How many keys come after this page."""
+    """The number of keys after this page."""
 
     next_cursor: str | None = msgspec.field(name="last")
-    """The cursor of the next page; None where this is the last one."""
+    """The cursor of the next page; None if this is the last one."""
 
     are_claims_open: bool
     registers: dict[str, RegisterCopy] = msgspec.field(name="cells")
--- a/packages/consensus/src/linkhaven/consensus/recovery_responder.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery_responder.py
@@ -1,12 +1,12 @@
-"""What a replica does for another one that recovers or takes over from a departing one.
+"""The answers of a replica to one that recovers, or takes over from a departing replica.
 
 | message | what it does here |
 | --- | --- |
-| `StateQuery` | reports how this replica stands, in any state that has a replica id |
-| `EpochAnnouncement` | records the incarnation if it is the newest, syncs that, confirms it |
+| `StateQuery` | reports the state of this replica, unless this node is a spare |
+| `EpochAnnouncement` | records the incarnation if it is the newest, syncs and confirms it |
 | `PageRequest` | sends one page of the registers, in the order of their keys |
 
-Invariant: one instance for each incarnation of a replica is recorded here
+Invariant: at most one instance is recorded for each incarnation of a replica
 (`test_a_second_instance_is_not_recorded_at_the_same_incarnation`).
 Invariant: an incarnation is confirmed only after it is synced; from then on every proposal that
 names an older one is refused, also after a restart of this replica.
@@ -33,11 +33,12 @@
 
 PAGE_KEYS = 500
 MAX_TRANSFERS = 4
-"""The listings of more readers than this aren't kept; the oldest must begin again."""
+"""How many transfers are served at once. Beyond that the key list of the oldest is dropped; it is
+built again at that transfer's next request."""
 
 
 class ReportingReplica(Protocol):
-    """What the responder tells of its replica."""
+    """The responder's own replica."""
 
     replica_id: str
     incarnation: int
@@ -47,21 +48,21 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether it votes now."""
+        """Whether the replica votes now."""
 
     @property
     def is_empty(self) -> bool:
-        """Whether its disk counts as lost."""
+        """Whether the registers on disk are incomplete and can't be recovered from."""
 
     def all_incarnations(self) -> dict[str, int]:
-        """The newest incarnations that it knows, its own among them."""
+        """Return the newest known incarnation of each replica, including this one."""
 
     def learn_incarnations(self, known: dict[str, int]) -> None:
-        """Take in newer incarnations."""
+        """Raise the known incarnations of the other replicas to those given."""
 
 
 class RecoveryResponder:
-    """The answering side of recovery; it owns the listings of the transfers under way."""
+    """The answering side of recovery; owns the key lists of the transfers in progress."""
 
     __slots__ = ("node", "replica", "instances", "recovery", "departure", "listings")
 
@@ -73,7 +74,7 @@
         recovery: Recovery,
         departure: Departure,
     ) -> None:
-        """`recovery` is this replica's own: two may recover at once and meet."""
+        """`recovery` is this replica's own, since two replicas may recover at the same time."""
         self.node = node
         self.replica = replica
         self.instances = instances
@@ -85,11 +86,11 @@
         node.register_handler(PageRequest, self.on_page_request)
 
     def reset(self) -> None:
-        """Forget the transfers, since this node is a spare now and has no registers."""
+        """Discard the transfers, since this node is a spare now and has no registers."""
         self.listings = {}
 
     def on_state_query(self, query: StateQuery) -> None:
-        """Report how this replica stands, then ask back: who queries runs."""
+        """Report the state of this replica; if it recovers too, query the sender in turn."""
         replica = self.replica
         if not replica.replica_id:
             return
@@ -112,7 +113,10 @@
         self.recovery.query_back(query)
 
     def _incarnations_known_with(self, replica_id: str) -> dict[str, int]:
-        """A replica that began at the first start announced nothing: only the instances say it."""
+        """Return the known incarnations, for one replica also from the recorded instances.
+
+        A replica of the group's first start announced no incarnation, and is only recorded there.
+        """
         known = self.replica.all_incarnations()
         instance = self.instances.records.get(replica_id)
         if instance is not None and replica_id != self.replica.replica_id:
@@ -120,7 +124,10 @@
         return known
 
     def on_epoch_announcement(self, announcement: EpochAnnouncement) -> None:
-        """Record the incarnation, and confirm it once it is synced."""
+        """Record a newer incarnation of another replica, and confirm it once it is synced.
+
+        If the announcement bootstraps the group, an empty recovering replica joins it.
+        """
         replica, name = self.replica, announcement.replica_id
         if not replica.replica_id or name == replica.replica_id:
             return
@@ -145,7 +152,7 @@
         self.node.ports.storage.write(record.as_items(), on_synced)
 
     def on_page_request(self, request: PageRequest) -> None:
-        """Send one page; the keys are listed once, at the first page of a transfer."""
+        """Send one page; the keys are listed at the first page of a transfer."""
         replica, transfer = self.replica, request.transfer
         self.departure.on_transfer_progress(transfer)
         if transfer not in self.listings or not request.after:
--- a/packages/consensus/src/linkhaven/consensus/registers.py
+++ b/packages/consensus/src/linkhaven/consensus/registers.py
@@ -1,7 +1,7 @@
-"""The registers of a replica as its acceptor keeps them, in memory and in the form of its disk.
+"""The registers of a replica, in memory and in the format stored on disk.
 
-A register's record is a list of its promise, its accepted ballot, its accepted value and when it
-was created, under `cell/` and its key.
+A register is stored under the key `cell/KEY` as a list of its promised ballot, accepted ballot,
+accepted value and time of creation.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,11 +16,11 @@
 from .recovery_messages import RegisterCopy
 
 RECORD_PREFIX = "cell/"
-"""The records of registers have keys that begin so on disk."""
+"""Prefix of the keys under which registers are stored."""
 
 
 class RegisterState:
-    """What an acceptor keeps for one key (Lamport, Paxos Made Simple, 2.2)."""
+    """An acceptor's state for one key (Lamport, Paxos Made Simple, 2.2)."""
 
     __slots__ = ("promise", "accepted", "value", "chosen", "created_us", "version")
 
@@ -31,37 +31,37 @@
         value: Any = None,
         created_us: int = 0,
     ) -> None:
-        """In the order of its record."""
+        """Take the elements of a stored record, in its order."""
         self.promise: Ballot = promise or [0, ""]
-        """The highest ballot that it promised: lower ones get no vote."""
+        """The highest promised ballot; lower ones get no vote."""
 
         self.accepted = accepted
-        """The ballot that it accepted last, None where it never did; `value` is that one's."""
+        """The last accepted ballot, whose value is `value`; None if none was accepted."""
 
         self.value = value
         self.chosen: Ballot | None = None
-        """The accepted ballot, where it is known to be chosen; not on disk."""
+        """The accepted ballot if it is known to be chosen; not stored."""
 
         self.created_us = created_us
-        """When it was first kept, by the clock of `ClaimRetention`."""
+        """When the register was created, by the clock of `ClaimRetention`."""
 
         self.version = 0
-        """The change count of its last change; not on disk."""
+        """The table's change count at the last change of this register; not stored."""
 
     def as_copy(self) -> RegisterCopy:
-        """What another replica takes over of it."""
+        """Return the part of the state that other replicas merge."""
         return (self.promise, self.accepted, self.value)
 
     def as_record(self) -> list[Any]:
-        """The record that the disk keeps."""
+        """Return the record to store on disk."""
         return [self.promise, self.accepted, self.value, self.created_us]
 
 
 class RegisterTable:
-    """The registers of a replica and the count of their changes; acceptor and recovery write it.
+    """The registers of a replica and a count of their changes; written by acceptor and recovery.
 
-    Memory is ahead of the disk: whoever changes a register answers for it only once its record is
-    synced.
+    Changes are made in memory before they are on disk. Whoever changes a register must not confirm
+    the change to another node before its record is synced.
     """
 
     __slots__ = ("states", "change_count", "claims")
@@ -69,7 +69,7 @@
     def __init__(
         self, stored: Mapping[str, Any], claim_limits: Callable[[], ClaimLimits], now_us: int
     ) -> None:
-        """`stored`: all records of the disk; `claim_limits` gives those in force now."""
+        """`stored`: all records on disk; `claim_limits` returns the limits now in force."""
         self.states = {
             key[len(RECORD_PREFIX) :]: RegisterState(*record)
             for key, record in stored.items()
@@ -91,15 +91,15 @@
     def load(
         cls, node: Node, claim_limits: Callable[[], ClaimLimits] = default_claim_limits
     ) -> "RegisterTable":
-        """Read the registers of a node's disk."""
+        """Load the registers from a node's disk."""
         return cls(node.ports.storage.load(), claim_limits, node.now_us())
 
     def get(self, key: str) -> RegisterState:
-        """The register of a key; an empty one, which isn't kept, where there is none."""
+        """Return the register of a key; if there is none, an empty one that isn't added."""
         return self.states.get(key) or RegisterState()
 
     def get_or_create(self, key: str) -> RegisterState:
-        """The register of a key, kept from now on where there was none."""
+        """Return the register of a key; it is added if there is none."""
         register = self.states.get(key)
         if register is None:
             register = RegisterState(created_us=self.claims.clock_us)
@@ -109,26 +109,26 @@
         return register
 
     def note_change(self, register: RegisterState) -> None:
-        """Count the change, so that who read this register before is sent it again."""
+        """Count a change, so that transfers which already read this register send it again."""
         self.change_count += 1
         register.version = self.change_count
 
     def accepted_of(self, key: str) -> AcceptedValue:
-        """The ballot that was accepted last for a key, and its value."""
+        """Return the last accepted ballot of a key, and its value."""
         register = self.get(key)
         return AcceptedValue(register.accepted, register.value)
 
     def is_known_chosen(self, key: str) -> bool:
-        """Whether what was accepted last, if anything was, is known to be chosen."""
+        """Whether a key's last accepted ballot, if there is one, is known to be chosen."""
         register = self.states.get(key)
         if register is None or register.accepted is None:
             return True
         return register.chosen == register.accepted
 
     def merge(self, registers: Mapping[str, Any]) -> dict[str, Any]:
-        """Take over the highest promises and accepted ballots; return the records to be written.
+        """Keep the higher promise and accepted ballot of each key; return the records to write.
 
-        `registers` gives promise, accepted ballot and value of each key.
+        `registers` gives the promised ballot, accepted ballot and value by key (`RegisterCopy`).
         """
         records = {}
         for key, (promise, accepted, value) in registers.items():
@@ -141,18 +141,18 @@
         return records
 
     def drop_expired_claims(self) -> dict[str, None]:
-        """Forget the claims whose retention is over; return their records as removed ones."""
+        """Delete the claims whose retention has ended; return their records to delete."""
         expired = self.claims.pop_expired()
         for key in expired:
             self.states.pop(key, None)
         return {record_key(key): None for key in expired}
 
     def clear(self) -> None:
-        """Forget all registers."""
+        """Delete all registers from memory."""
         self.states = {}
         self.claims.clear()
 
 
 def record_key(key: str) -> str:
-    """The key of a register's record on disk."""
+    """Return the key under which a register is stored."""
     return f"{RECORD_PREFIX}{key}"
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -1,18 +1,18 @@
-"""A replica: when it votes, under which incarnation, and when it is one at all.
+"""A replica of the registers: its life cycle, its incarnation and its stored records.
 
-Its states and what leads from one to the next stand in `replica_state.py`; what its parts do in
-each of them, in `recovery.py`, `departure.py`, `succession.py` and `replica_assignment.py`. The
-parts read this replica and ask it to change; they assign nothing to it. On a message:
+The states and transitions are in `replica_state.py`. The components that act in them are in
+`recovery.py`, `departure.py`, `succession.py` and `replica_assignment.py`; they read this replica
+and call its methods, but never assign its attributes. Handling of messages by state:
 
 | state | `Prepare`, `Accept` | `Chosen`, `StateQuery`, `PageRequest` |
 | --- | --- | --- |
-| VOTING | votes, unless `refusal_reason` says why not | served |
+| VOTING | votes, unless `refusal_reason` returns a reason | served |
 | any other | refused, with the state as the reason | served, by a replica (not a spare) |
 
-Invariant: a replica votes under one incarnation at a time, and on disk before it votes under it
-(`vote_under_the_old_epoch` in `tests/test_explore.py`).
-Invariant: it votes on leases only once those that an earlier instance of it voted for have run out
-(`votes_from_us`).
+Invariant: a replica votes under one incarnation at a time, and that incarnation is synced to disk
+before the first vote under it (`vote_under_the_old_epoch` in `tests/test_explore.py`).
+Invariant: it votes on leases only after all leases that an earlier instance of it voted for have
+expired (`votes_from_us`).
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -48,7 +48,7 @@
 from .succession import Succession
 
 LEASE_PREFIX = "duty/"
-"""Registers of leases have keys that begin so."""
+"""Prefix of the keys of lease registers."""
 
 STARTED_EVENT = 1201
 VOTES_EVENT = 1202
@@ -58,14 +58,14 @@
 
 
 def _ignore(*_: Any) -> None:
-    """Nobody waits for this."""
+    """Do nothing: the default for callbacks."""
 
 
 class Replica:
-    """This node as a replica of the registers, or as a spare.
+    """This node's replica of the registers; a spare where no replica id is assigned.
 
-    Owns its life cycle, its incarnation, the incarnations that it knows, the seal and whether
-    claims are open, in memory and on disk.
+    Owns the life cycle, the incarnation, the known incarnations of the other replicas, the seal
+    record and whether claims are open, both in memory and on disk.
     """
 
     __slots__ = (
@@ -164,66 +164,72 @@
             self.directory.restore_replica(self.replica_id, self.incarnation)
             self.directory.add_seeds(self.instances.addresses())
 
-    # what others ask of it
+    # State and registers
 
     @property
     def state(self) -> ReplicaState:
-        """Where it stands in its life cycle."""
+        """The state in the replica's life cycle."""
         return self.life_cycle.state
 
     @property
     def is_voting(self) -> bool:
-        """Whether it gives votes."""
+        """Whether this replica votes now."""
         return self.life_cycle.may_vote
 
     @property
     def is_empty(self) -> bool:
-        """Whether its disk counts as lost."""
+        """Whether the registers on disk are incomplete and can't be recovered from."""
         return self.life_cycle.is_empty
 
     @property
     def is_recovering(self) -> bool:
-        """Whether it recovers, or waits for an operator to let it."""
+        """Whether the replica recovers, or waits for an operator to allow that."""
         return self.life_cycle.is_recovering
 
     @property
     def clock_us(self) -> int:
-        """Time lived through by all instances of this replica, by which claims expire."""
+        """Total run time of all instances of this replica, by which claims expire."""
         return self.registers.claims.clock_us
 
     def register_state(self, key: str) -> RegisterState:
-        """What it keeps for a key; empty where it keeps nothing."""
+        """Return the stored state of a register, an empty state where there is none."""
         return self.registers.get(key)
 
     def is_known_chosen(self, key: str) -> bool:
-        """Whether what it accepted last for a key, if anything, is known to be chosen."""
+        """Whether a key's last accepted ballot, if there is one, is known to be chosen."""
         return self.registers.is_known_chosen(key)
 
     def merge(self, registers: Mapping[str, Any]) -> dict[str, Any]:
-        """Take over the highest of registers read elsewhere; return the records to be written."""
+        """Merge copies of registers from another replica; return the records to write."""
         return self.registers.merge(registers)
 
     def all_incarnations(self) -> dict[str, int]:
-        """The newest incarnation of each replica that it knows, with its own."""
+        """Return the newest known incarnation of each replica, including this one."""
         if not self.replica_id:
             return dict(self.known_incarnations)
         return {**self.known_incarnations, self.replica_id: self.incarnation}
 
     def learn_incarnations(self, known: Mapping[str, int]) -> None:
-        """Take over higher incarnations of the other replicas."""
+        """Raise the known incarnations of the other replicas to those given."""
         for replica_id, incarnation in known.items():
             if replica_id != self.replica_id:
                 own = self.known_incarnations.get(replica_id, 0)
                 self.known_incarnations[replica_id] = max(incarnation, own)
 
     def restore(self) -> bool:
-        """Go on with less than recovery asks for, as an operator says; False unless it waits."""
+        """Recover from the available replicas on an operator's request.
+
+        Returns False, and does nothing, unless the replica is in state WAITING.
+        """
         return self.recovery.restore()
 
-    # votes
+    # Voting
 
     def refusal_reason(self, request: Request) -> str | None:
-        """Return why it may not vote on a request, None where it may."""
+        """Return the reason to refuse a request, or None if this replica may vote on it.
+
+        A request that names a newer incarnation of this replica supersedes this instance.
+        """
         if not self.is_voting:
             return self.state.wire_name
         if request.replica_id != self.replica_id:
@@ -240,7 +246,7 @@
         return None
 
     def _knows_newer(self, request: Request) -> bool:
-        """Whether it recorded a newer instance of another replica than the proposer knows."""
+        """Whether this replica knows a newer incarnation of another one than the proposer does."""
         return any(
             incarnation < self.known_incarnations.get(replica_id, 0)
             for replica_id, incarnation in request.known_incarnations.items()
@@ -253,26 +259,31 @@
         return key in self.registers.states or self.registers.claims.has_room()
 
     def on_vote_synced(self, is_synced: bool) -> None:
-        """Note whether the disk took a vote."""
+        """Record whether the disk synced the last vote."""
         self.is_failing = not is_synced
 
     def on_storage_refused(self) -> None:
-        """Note that the disk refused what recovery wrote."""
+        """Record that a write of recovery failed."""
         self.is_failing = True
 
     def narrow_claims(self, are_open: bool) -> None:
-        """Keep claims open only if they are at the one that is read, too."""
+        """Close claims if they are closed at a replica whose state was read."""
         self.are_claims_open = self.are_claims_open and are_open
 
     def open_claims(self) -> None:
-        """Those who won claims before this core began anew have reported them."""
+        """Accept new claims: those won before the group bootstrapped anew have been reported."""
         self.are_claims_open = True
         self._write(ReplicaRecord(are_claims_open=True), _ignore)
         claims = len(self.registers.claims)
         self.node.ports.log(CLAIMS_OPEN_EVENT, seat=self.replica_id, claims=claims)
 
     def begin_voting(self, is_first: bool = False, wait_us: int | None = None) -> None:
-        """Vote from now on; on leases after `wait_us`, a lease's length unless that is given."""
+        """Start to vote.
+
+        Votes on leases start `wait_us` later, by default a lease's length (`Bounds.lease_us`): by
+        then every lease that an earlier instance voted for has expired. In the first start of the
+        group (`is_first`) there are none, and votes on leases start at once.
+        """
         self.life_cycle.on(ReplicaEvent.BEGIN_VOTING)
         self.is_failing = False
         self.seal_record = None
@@ -285,10 +296,14 @@
         self.on_voting_started()
         self.succession.on_replica_voting()
 
-    # how it becomes a replica, and ends to be one
+    # Becoming a replica, and retiring
 
     def begin_first(self, replica_id: str, contacts: Iterable[str]) -> None:
-        """The first start of the whole system: nothing was ever chosen, so it votes at once."""
+        """Bootstrap a new group: nothing was ever chosen, so this replica votes once synced.
+
+        `contacts` are the addresses of the first replicas in the order of their replica ids. If
+        the disk refuses the write, this node is a spare again.
+        """
         self.life_cycle.on(ReplicaEvent.BOOTSTRAP)
         self.replica_id, self.incarnation = replica_id, 1
         self.instances.record_contacts(contacts)
@@ -305,22 +320,25 @@
         self._write(record, on_synced)
 
     def recover_as(self, replica_id: str, is_core_lost: bool = False) -> None:
-        """A spare tries to become this replica: what it needs to vote comes by recovery."""
+        """Start recovery as this replica, on a node that was a spare.
+
+        `is_core_lost`: all replicas lost their disks, so an empty group may bootstrap.
+        """
         self.life_cycle.on(ReplicaEvent.TAKE)
         self.replica_id = replica_id
         self.recovery.begin(is_core_lost=is_core_lost)
         self.node.ports.log(STARTED_EVENT, seat=replica_id, empty=self.is_empty)
 
     def begin_recovery(self) -> None:
-        """It may not vote until recovery has made good what it may have lost."""
+        """Stop voting until recovery has restored what this replica may have lost."""
         self.life_cycle.on(ReplicaEvent.RECOVER)
 
     def await_operator(self) -> None:
-        """More is lost than recovery can rebuild."""
+        """Wait for an operator: too few replicas are available to recover from."""
         self.life_cycle.on(ReplicaEvent.TOO_FEW_REPORTED)
 
     def raise_incarnation(self, above: int, done: Callable[[bool], None]) -> None:
-        """Recover under the next incarnation above this one; `done` once that is synced, or not."""
+        """Recover under incarnation `above + 1`; `done` is called with whether that is synced."""
         self.incarnation = above + 1
         record = ReplicaRecord(
             replica_id=self.replica_id,
@@ -332,22 +350,23 @@
         self._write(record, done)
 
     def write_recovered(self, done: Callable[[bool], None]) -> None:
-        """Sync that the registers on this disk are all that it needs; `done` says whether."""
+        """Record that the registers on disk are complete; `done` gets whether that is synced."""
         record = ReplicaRecord(is_partial=None, seal=None, are_claims_open=self.are_claims_open)
         self._write(record, done)
 
     def may_learn(self) -> bool:
-        """Whether it is a spare that may read a departing replica."""
+        """Whether this node is a spare that may read the state of a departing replica."""
         return self.life_cycle.may(ReplicaEvent.LEARN)
 
     def learn(self) -> None:
-        """Read a departing replica, and take no other replica meanwhile."""
+        """Start to read a departing replica's state; no other replica is assigned meanwhile."""
         self.life_cycle.on(ReplicaEvent.LEARN)
 
     def recover_after_group_loss(self, replica_id: str) -> None:
-        """The whole core lost its disks: this replica is taken without a vote.
+        """Recover as this replica after all replicas lost their disks.
 
-        It is announced as one that never voted.
+        There is no voting replica to confirm the assignment. It is announced with incarnation 0,
+        as one that never voted.
         """
         self.recover_as(replica_id, is_core_lost=True)
         self.directory.announce_replica(replica_id, 0)
@@ -355,7 +374,11 @@
     def take_over(
         self, seal: HandoverSeal, handover: HandoverRecord, done: Callable[[bool], None]
     ) -> None:
-        """The sealed instance's whole state is here: one write makes this node the next one."""
+        """Become the next instance of the sealed replica, whose whole state is on this disk.
+
+        Replica id, incarnation and outcome of the hand-over are one write; `done` is called with
+        whether it synced.
+        """
         incarnation = seal.incarnation + 1
         instances = {
             replica_id: instance
@@ -384,12 +407,15 @@
         self._write(record, on_synced)
 
     def begin_with_state(self, wait_us: int) -> None:
-        """Its state is that of the sealed instance: the others record it, and nothing is read."""
+        """Recover with the sealed instance's state: the others only record the new incarnation.
+
+        No votes on leases are given for `wait_us` after the first vote.
+        """
         self.node.ports.log(STARTED_EVENT, seat=self.replica_id, empty=False)
         self.recovery.begin_with_state(wait_us)
 
     def retire(self) -> None:
-        """Back to a spare that keeps nothing which votes."""
+        """Become a spare: delete everything on disk except the record of the last hand-over."""
         self.life_cycle.on(ReplicaEvent.RETIRE)
         dropped = [
             *(key for key in self.node.ports.storage.load() if key != HANDOVER_RECORD),
@@ -407,10 +433,13 @@
         self.directory.announce_replica("", 0)
         self.node.ports.log(SPARE_EVENT)
 
-    # how it stops to vote
+    # Stopping to vote
 
     def seal(self, record: SealRecord, done: Callable[[bool], None]) -> None:
-        """No vote under this incarnation from here on; the record says so to a later start, too."""
+        """Stop voting under this incarnation, also after a restart.
+
+        `done` is called with whether the record is synced; if not, the replica votes again.
+        """
         self.life_cycle.on(ReplicaEvent.SEAL)
         self.seal_record = record
 
@@ -423,7 +452,7 @@
         self._write(ReplicaRecord(seal=record), on_synced)
 
     def unseal(self) -> None:
-        """The successor never votes: this disk is whole, and goes on through ordinary recovery."""
+        """Remove the seal, since the successor never votes, and recover from the complete disk."""
         seal = self.seal_record
 
         def on_synced(is_synced: bool) -> None:
@@ -437,7 +466,7 @@
         self._write(ReplicaRecord(seal=None, is_partial=None), on_synced)
 
     def pause(self) -> None:
-        """No vote until `resume`, in this process only."""
+        """Stop voting until `resume`; not recorded on disk."""
         self.life_cycle.on(ReplicaEvent.PAUSE)
 
     def resume(self) -> None:
@@ -445,26 +474,30 @@
         self.life_cycle.on(ReplicaEvent.RESUME)
 
     def _on_newer_incarnation(self, incarnation: int) -> None:
-        """A newer instance supersedes this one.
+        """Handle a newer incarnation of this replica, which supersedes this instance.
 
-        A core that began anew may only have forgotten: it asks the others, and recovers above if
-        none of them recorded a newer instance.
+        A group that bootstrapped after a loss may have reused incarnations that were in use before.
+        Then this replica queries the others, and recovers under a higher incarnation unless one of
+        them recorded a newer instance.
         """
         if self.recovery.is_bootstrap:
             return self.recovery.begin(is_disputed=True)
         self.yield_to(incarnation)
 
     def yield_to(self, incarnation: int) -> None:
-        """A newer instance of this replica runs: this one votes no more."""
+        """Stop voting, since a newer instance of this replica runs."""
         self.life_cycle.on(ReplicaEvent.SUPERSEDE)
         self.node.ports.log(SUPERSEDED_EVENT, seat=self.replica_id, incarnation=incarnation)
         if self.is_learned:
             self.retire()
 
-    # time
+    # Periodic work
 
     def tick(self, now_us: int) -> None:
-        """Count the time lived through, then do what the state asks for."""
+        """Advance the claims' clock, then do the periodic work of the current state.
+
+        Time in which the process was suspended doesn't count toward `votes_from_us`.
+        """
         passed_us = now_us - self.ticked_us
         self.ticked_us = now_us
         self.registers.claims.advance(passed_us)
--- a/packages/consensus/src/linkhaven/consensus/replica_records.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_records.py
@@ -1,4 +1,4 @@
-"""What a replica keeps on disk about instances and hand-overs, as its bytes stand there."""
+"""Records on disk about the replica itself, other instances and hand-overs, and their encoding."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,31 +10,31 @@
 """The key of the record of the last hand-over."""
 
 CONTROLLER_KIND, ROUTER_KIND = "registry", "router"
-"""How membership spells the kinds of nodes that may become a replica and that ask one."""
+"""Membership's names for controllers, which may become replicas, and routers."""
 
 
 class ReplicaInstance(msgspec.Struct, array_like=True, frozen=True):
-    """The node that ran last as a replica, as far as it is recorded."""
+    """The last recorded instance of a replica: the node that ran as it."""
 
     incarnation: int
     start: str
-    """Its process start; "" where only its membership record is known."""
+    """The id of the node's process start; "" if only its membership record is known."""
 
     name: str
-    """Its node name; "" for the contact of a first start, which is known by address only."""
+    """The node's name; "" for a contact of the first start, of which only the address is known."""
 
     address: str
 
 
 class HandoverRecord(msgspec.Struct):
-    """The last hand-over that this disk agreed to take, and how it ended."""
+    """The last hand-over that this node agreed to, and whether it took over."""
 
     handover_id: str = msgspec.field(name="id")
     is_taken: bool
 
 
 class SealRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A departing replica gave its vote away under this incarnation."""
+    """A departing replica was sealed for a successor, and doesn't vote under this incarnation."""
 
     handover_id: str = msgspec.field(name="id")
     successor_name: str = msgspec.field(name="name")
@@ -43,19 +43,16 @@
 
 
 class ReplicaRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """The records of one write about the replica itself; what is unset stays as it is.
-
-    None removes a record.
-    """
+    """The replica's own records, as one write: UNSET leaves a record unchanged, None deletes it."""
 
     replica_id: str | UnsetType = msgspec.field(default=UNSET, name="seat")
     incarnation: int | UnsetType = UNSET
     known_incarnations: dict[str, int] | UnsetType = msgspec.field(default=UNSET, name="known")
     clock_us: int | UnsetType = UNSET
-    """Time lived through by all instances of this replica, by which claims expire."""
+    """Total run time of all instances of this replica, by which claims expire."""
 
     is_partial: bool | None | UnsetType = UNSET
-    """The registers on this disk are not all that the replica accepted."""
+    """Whether the registers on this disk are not all that the replica accepted."""
 
     seal: SealRecord | None | UnsetType = msgspec.field(default=UNSET, name="sealed")
     are_claims_open: bool | UnsetType = UNSET
@@ -65,12 +62,12 @@
     handover: HandoverRecord | UnsetType = msgspec.field(default=UNSET, name=HANDOVER_RECORD)
 
     def as_items(self) -> dict[str, Any]:
-        """Keys and values as the disk takes them."""
+        """Return the records to write, by their keys on disk."""
         return msgspec.to_builtins(self)
 
     @classmethod
     def load(cls, stored: Mapping[str, Any]) -> "ReplicaRecord":
-        """Take the replica's own records out of all that a disk holds."""
+        """Read the replica's own records from all records on disk."""
         return msgspec.convert(stored, cls)
 
 
@@ -79,4 +76,4 @@
     for field in msgspec.structs.fields(ReplicaRecord)
     if field.encode_name != HANDOVER_RECORD
 )
-"""The keys of these records on disk, but for the hand-over, for which a spare answers, too."""
+"""The keys of these records on disk, without that of the last hand-over, which a spare keeps."""
--- a/packages/consensus/src/linkhaven/consensus/replica_state.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_state.py
@@ -1,21 +1,21 @@
-"""The life cycle of a replica: its states, and the one table of what leads from each to the next.
+"""The life cycle of a replica: its states, and the table of all transitions between them.
 
-Start, recovery, service, hand-over, seal, return, retirement and a failing disk are rows of one
-table, `TRANSITIONS`. A replica changes its state by `LifeCycle.on` only, and an event that has no
-row in the state at hand raises `InvalidTransitionError` and changes nothing; so a way to a vote
-that isn't written down here doesn't exist (`test_what_stands_in_no_row_changes_nothing`,
+Start, recovery, voting, hand-over, seal, retirement and disk errors are rows of one table,
+`TRANSITIONS`. A replica changes its state only through `LifeCycle.on`; an event without a row for
+the current state raises `InvalidTransitionError` and changes nothing. So a replica can't get to
+vote in a way that isn't in the table (`test_what_stands_in_no_row_changes_nothing`,
 `test_only_the_life_cycle_changes_a_replicas_state`).
 
 | state | meaning |
 | --- | --- |
-| SPARE | this node is no replica |
-| BOOTSTRAPPING | the first start of all is being synced |
-| RECOVERING | a start that may not vote yet, see `recovery.py` |
-| WAITING | more is lost than recovery can rebuild: an operator must say so |
-| LEARNING | reads a departing replica, see `succession.py` |
-| VOTING | the only state in which it gives votes |
-| PAUSED | departs without a successor, and votes no more in this process, see `departure.py` |
-| SEALED | departs with a successor, and votes no more under this incarnation, see `departure.py` |
+| SPARE | this node isn't a replica |
+| BOOTSTRAPPING | the group's first start is being synced to disk |
+| RECOVERING | started, and may not vote yet, see `recovery.py` |
+| WAITING | too few replicas are available to recover from; an operator must decide |
+| LEARNING | reads the state of a departing replica, see `succession.py` |
+| VOTING | the only state in which it votes |
+| PAUSED | departs without a successor, and has stopped voting, see `departure.py` |
+| SEALED | departs with a successor; votes again only if that one gave up, see `departure.py` |
 | SUPERSEDED | a newer instance of this replica exists |
 """
 
@@ -25,9 +25,10 @@
 
 
 class ReplicaState(StrEnum):
-    """The values stand in refusals, in `GET /v1/core` and in `GET /v1/standing`, by `wire_name`.
+    """The state of a replica in its life cycle.
 
-    Their spelling is of earlier versions: what is written as "fenced" there is SUPERSEDED.
+    The values are written to refusals, `GET /v1/core` and `GET /v1/standing` through `wire_name`.
+    They are those of earlier versions, so some differ from the member's name, such as "fenced".
     """
 
     SPARE = "spare"
@@ -42,79 +43,79 @@
 
     @property
     def wire_name(self) -> str:
-        """The word for it on the wire, where a pause is spelled as a seal."""
+        """The name of the state outside the process, where PAUSED is reported as SEALED."""
         return ReplicaState.SEALED.value if self is ReplicaState.PAUSED else self.value
 
 
 class StoredState(Enum):
-    """What the registers on this replica's disk are worth to a recovery."""
+    """How complete the registers on this replica's disk are."""
 
     EMPTY = "empty"
-    """Nothing, or not all that the replica accepted."""
+    """None are stored, or not all that the replica accepted."""
 
     WHOLE = "whole"
-    """All that the replica ever accepted, unless the disk lost what it had synced."""
+    """All that the replica ever accepted are stored, unless the disk lost synced writes."""
 
     SEALED = "sealed"
-    """All of it up to a seal: its successor may have accepted more since."""
+    """Complete up to a seal; a successor may have accepted more since then."""
 
 
 class ReplicaEvent(Enum):
-    """What happens to a replica; each is a row of `TRANSITIONS`."""
+    """The events in a replica's life cycle; each is a row of `TRANSITIONS`."""
 
     BOOTSTRAP = auto()
-    """The first start of the whole system begins."""
+    """The group's first start begins."""
 
     BOOTSTRAP_REFUSED = auto()
     """The disk refused the record of the first start."""
 
     TAKE = auto()
-    """A spare tries to become a vacant replica."""
+    """A spare starts to recover as a vacant replica."""
 
     RECOVER = auto()
-    """Recovery begins at its first query, from the start or anew."""
+    """Recovery starts, or starts over."""
 
     TOO_FEW_REPORTED = auto()
-    """So few others could be heard that an operator must decide."""
+    """Too few other replicas answered, so an operator must decide."""
 
     BEGIN_VOTING = auto()
-    """All that a vote rests on is synced: a first start, a recovery or a hand-over is complete."""
+    """A first start, a recovery or a hand-over is complete and synced to disk."""
 
     LEARN = auto()
-    """A spare agrees to read a departing replica."""
+    """A spare agrees to read the state of a departing replica."""
 
     TAKE_OVER = auto()
     """The sealed predecessor's whole state is synced here, under the next incarnation."""
 
     PAUSE = auto()
-    """A departing replica without a successor stops to vote, to compare what changed since."""
+    """A departing replica without a successor stops voting, to replicate its latest changes."""
 
     RESUME = auto()
-    """It can't leave its state with a majority yet, and votes again."""
+    """The changes couldn't be replicated to a majority, so the replica votes again."""
 
     SEAL = auto()
-    """A departing replica gives its vote to its successor."""
+    """A departing replica stops voting for good, in favor of its successor."""
 
     SEAL_REFUSED = auto()
-    """The disk refused the seal, so nothing was given away."""
+    """The disk refused the seal, so the replica goes on voting."""
 
     UNSEAL = auto()
-    """The successor never took over, and that is synced: the disk is whole again."""
+    """The successor never took over, and that is synced: the disk is complete again."""
 
     SUPERSEDE = auto()
     """A newer instance of this replica was recorded."""
 
     RETIRE = auto()
-    """It is a spare that keeps nothing which votes."""
+    """The replica becomes a spare, and deletes its registers."""
 
 
 class Transition(NamedTuple):
-    """A row of the table: where an event may happen, and what follows."""
+    """A row of the table: the states in which an event may happen, and the state that follows."""
 
     sources: frozenset[ReplicaState]
     target: ReplicaState
     stored: StoredState | None = None
-    """What the disk is worth from then on; None where that doesn't change."""
+    """The completeness of the disk afterwards; None if it doesn't change."""
 
 
 IN_RECOVERY = frozenset((ReplicaState.RECOVERING, ReplicaState.WAITING))
@@ -128,10 +129,10 @@
     ReplicaEvent.BOOTSTRAP: _row(ReplicaState.SPARE, to=ReplicaState.BOOTSTRAPPING),
     ReplicaEvent.BOOTSTRAP_REFUSED: _row(ReplicaState.BOOTSTRAPPING, to=ReplicaState.SPARE),
     ReplicaEvent.TAKE: _row(ReplicaState.SPARE, to=ReplicaState.RECOVERING),
-    # From VOTING where a core that bootstrapped may have forgotten a newer incarnation.
+    # From VOTING if a bootstrap may have lost the record of a newer incarnation.
     ReplicaEvent.RECOVER: _row(*IN_RECOVERY, ReplicaState.VOTING, to=ReplicaState.RECOVERING),
     ReplicaEvent.TOO_FEW_REPORTED: _row(ReplicaState.RECOVERING, to=ReplicaState.WAITING),
-    # Not from SEALED or PAUSED: a seal is opened by its successor's word only.
+    # Not from SEALED or PAUSED: a seal is removed only if the successor says that it gave up.
     ReplicaEvent.BEGIN_VOTING: _row(
         *IN_RECOVERY,
         ReplicaState.BOOTSTRAPPING,
@@ -148,7 +149,7 @@
     ReplicaEvent.SEAL_REFUSED: _row(
         ReplicaState.SEALED, to=ReplicaState.VOTING, stored=StoredState.WHOLE
     ),
-    # In recovery where a sealed replica was started again, and asked its successor.
+    # From recovery if a sealed replica was restarted and has asked its successor.
     ReplicaEvent.UNSEAL: _row(
         ReplicaState.SEALED, *IN_RECOVERY, to=ReplicaState.RECOVERING, stored=StoredState.WHOLE
     ),
@@ -165,47 +166,47 @@
 
 
 class InvalidTransitionError(Exception):
-    """An event has no row in the state that a replica is in."""
+    """An event has no transition from a replica's current state."""
 
 
 class LifeCycle:
-    """Owns the state of a replica, and what its disk is worth; `may_vote` follows from it."""
+    """Owns the state of a replica and the completeness of its disk."""
 
     __slots__ = ("state", "stored")
 
     def __init__(self, state: ReplicaState, stored: StoredState) -> None:
-        """A start: SPARE or RECOVERING, with what the disk says."""
+        """Start in SPARE or RECOVERING, with the completeness of the disk."""
         self.state = state
         self.stored = stored
 
     @property
     def may_vote(self) -> bool:
-        """Whether votes are given at all; what may be voted on is `Replica.refusal_reason`."""
+        """Whether the replica votes; `Replica.refusal_reason` decides on each request."""
         return self.state is ReplicaState.VOTING
 
     @property
     def is_empty(self) -> bool:
-        """Whether the disk counts as lost: others must make good what this one accepted."""
+        """Whether the disk is incomplete, so that the state must be read from other replicas."""
         return self.stored is not StoredState.WHOLE
 
     @property
     def is_sealed(self) -> bool:
-        """Whether the vote was given away to a successor, in this process or an earlier one."""
+        """Whether the replica was sealed for a successor, in this process or an earlier one."""
         return self.stored is StoredState.SEALED
 
     @property
     def is_recovering(self) -> bool:
-        """Whether it is a replica that recovers, or waits for an operator to let it."""
+        """Whether the replica recovers, or waits for an operator to allow that."""
         return self.state in IN_RECOVERY
 
     def may(self, event: ReplicaEvent) -> bool:
-        """Whether the event has a row in this state."""
+        """Whether the event has a transition from the current state."""
         return self.state in TRANSITIONS[event].sources
 
     def on(self, event: ReplicaEvent) -> None:
-        """Go on to the next state.
+        """Apply the transition of an event.
 
-        Raises InvalidTransitionError, and changes nothing, where the table has no such row.
+        Raises InvalidTransitionError, and changes nothing, if there is none from the current state.
         """
         if not self.may(event):
             raise InvalidTransitionError(f"{event.name} in state {self.state.name}")
--- a/packages/consensus/src/linkhaven/consensus/state_transfer.py
+++ b/packages/consensus/src/linkhaven/consensus/state_transfer.py
@@ -1,20 +1,21 @@
-"""Brings the accepted values of the other replicas to a recovering one.
+"""Transfer of the other replicas' accepted values to a recovering replica.
 
 Each of the others is first asked to record the new incarnation, which fences the older ones, and is
-read only then, page by page; so what it accepts for an older instance later can't be missed.
+read page by page only afterwards. So it can't accept anything that is based on the vote of an older
+instance after it was read.
 
 | peer | message or event | what it does | next |
 | --- | --- | --- | --- |
-| FENCING | `EpochRecorded` | asks for the first page | READING |
+| FENCING | `EpochRecorded` | requests the first page | READING |
 | FENCING | `EpochRecorded`, after a hand-over | counts it, and reads nothing | RECORDED |
-| READING | `StatePage` that was asked for | merges and syncs it | STORING |
-| READING | `StatePage` of another start than the report's | all that was read is void | |
-| STORING | synced, and it was the last page | that replica is read | |
-| STORING | synced, and more pages follow | asks for the next one | READING |
-| STORING | the disk refuses it | | |
-| any | resend timeout | announces again, or asks for the page again | |
+| READING | `StatePage` that was requested | merges and syncs it | STORING |
+| READING | `StatePage` of another start than the report's | recovery starts over | |
+| STORING | synced, and it was the last page | the replica is read completely | |
+| STORING | synced, and more pages follow | requests the next one | READING |
+| STORING | the disk refuses it | recovery starts over | |
+| any | resend interval | announces or requests the page again | |
 
-What stands in no row is ignored: an answer that comes twice, or belongs to an earlier begin.
+Anything else is ignored, such as duplicates and answers to an earlier attempt.
 
 Invariant: a replica is read only after it synced the new incarnation
 (`test_a_replica_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts`).
@@ -37,19 +38,19 @@
 
 
 class PeerState(Enum):
-    """How far a recovering replica is with one of the others."""
+    """The progress of the transfer from one of the other replicas."""
 
     FENCING = "fencing"
     """It was asked to record the new incarnation, and so to refuse the older ones."""
 
     READING = "reading"
-    """The page after `cursor` was asked for."""
+    """The page after `cursor` was requested."""
 
     STORING = "storing"
-    """Its page is being synced here."""
+    """A received page is being synced to this replica's disk."""
 
     RECORDED = "recorded"
-    """It recorded the incarnation and, after a hand-over, needn't be read."""
+    """It recorded the incarnation; after a hand-over it isn't read."""
 
 
 class PeerTransfer:
@@ -58,7 +59,7 @@
     __slots__ = ("state", "cursor", "start")
 
     def __init__(self, start: str | None) -> None:
-        """`start`: the process start that the replica reported; None where it reported nothing."""
+        """`start`: the process start that the replica reported; None if it reported nothing."""
         self.state = PeerState.FENCING
         self.cursor = ""
         self.start = start
@@ -69,49 +70,49 @@
         self.cursor = cursor
 
     def expects(self, page: StatePage) -> bool:
-        """Whether this page is the one that was asked for."""
+        """Whether this page is the one that was requested."""
         return self.state is PeerState.READING and self.cursor == page.after
 
 
 class Directory(Protocol):
-    """Who runs as which replica, as membership knows it."""
+    """Addresses and incarnations of the replicas; implemented by the membership."""
 
     def replicas(self) -> Mapping[str, tuple[str, int]]:
-        """Address and newest incarnation of each replica."""
+        """Return address and newest incarnation of each replica."""
 
 
 class ReceivingReplica(Protocol):
-    """The replica that the state is brought to."""
+    """The replica that receives the state."""
 
     replica_id: str
     directory: Directory
     incarnation: int
 
     def narrow_claims(self, are_open: bool) -> None:
-        """Keep claims open only if they are there, too."""
+        """Close claims if they are closed at a replica whose state was read."""
 
     def merge(self, registers: Mapping[str, RegisterCopy]) -> dict[str, Any]:
-        """Take in the highest ballots of another replica; gives the records to write."""
+        """Merge copies of registers from another replica; return the records to write."""
 
 
 class TransferListener(Protocol):
-    """Hears how the transfer goes; recovery does."""
+    """Callbacks of a state transfer; implemented by recovery."""
 
     def on_incarnation_recorded(self) -> None:
-        """One more replica recorded the incarnation, and needn't be read."""
+        """Called when another replica recorded the incarnation after a hand-over."""
 
     def on_peer_read(self) -> None:
-        """One more replica is read to its end, and all of it is synced."""
+        """Called when another replica is read completely and all its pages are synced."""
 
     def on_transfer_void(self) -> None:
-        """A replica started anew while it was read: pages of two starts don't make one state."""
+        """Called when a replica was restarted while it was read, so its pages can't be combined."""
 
     def on_storage_refused(self) -> None:
-        """What was read couldn't be synced."""
+        """Called when a page couldn't be synced to disk."""
 
 
 class StateTransfer:
-    """Owns how far each other replica is fenced and read, in memory only."""
+    """Fences and reads the other replicas; owns the progress for each, in memory only."""
 
     __slots__ = (
         "node",
@@ -134,7 +135,10 @@
         listener: TransferListener,
         start: str,
     ) -> None:
-        """`start`: this process start, which names the transfer. A hand-over reads pages, too."""
+        """`start`: the id of this process start, which identifies the transfer.
+
+        `succession` gets the pages of a hand-over, which come as the same message type.
+        """
         self.node = node
         self.replica = replica
         self.succession = succession
@@ -151,10 +155,11 @@
     def begin(
         self, starts: Mapping[str, str | None], *, is_bootstrap: bool, is_reading: bool
     ) -> None:
-        """Fence these replicas, each known by the process start that it reported, then read them.
+        """Fence the replicas in `starts`, then read them.
 
-        `is_bootstrap`: they are asked to follow into a new beginning of the whole group.
-        `is_reading` False: the state came by a hand-over, and they only record the incarnation.
+        `starts`: the process start that each replica reported, None if it reported nothing.
+        `is_bootstrap`: the replicas are asked to join a bootstrap of the group.
+        `is_reading`: False after a hand-over, where they only record the incarnation.
         """
         self.peers = {name: PeerTransfer(start) for name, start in starts.items()}
         self.is_bootstrap = is_bootstrap
@@ -162,25 +167,25 @@
         self.progress_us = self.node.now_us()
 
     def end(self) -> None:
-        """Read nothing more; a page that is being synced counts for nothing."""
+        """Stop reading; a page that is being synced is ignored."""
         self.peers = {}
 
     def restart(self) -> None:
-        """Forget what was read, since recovery begins again."""
+        """Discard all progress, since recovery starts over."""
         self.peers = {}
         self.num_remaining = {}
         self.progress_us = self.node.now_us()
 
     def num_recorded(self) -> int:
-        """How many replicas recorded the incarnation of a hand-over."""
+        """Return how many other replicas recorded the incarnation of a hand-over."""
         return sum(peer.state is PeerState.RECORDED for peer in self.peers.values())
 
     def remaining_keys(self) -> dict[str, int | None]:
-        """For each replica that is still read, how many keys come after its last page."""
+        """Return the number of keys still to be read of each replica; None if not yet known."""
         return {name: self.num_remaining.get(name) for name in self.peers}
 
     def send_to_peers(self) -> None:
-        """Send again whatever each replica that is still to be read hasn't answered."""
+        """Send the pending announcement or page request to each replica still to be read."""
         for name, (address, _) in self.replica.directory.replicas().items():
             peer = self.peers.get(name)
             if peer is None:
@@ -206,7 +211,7 @@
         self.node.send(address, request)
 
     def on_epoch_recorded(self, message: EpochRecorded) -> None:
-        """Read a replica once it refuses our older incarnations, or count it after a hand-over."""
+        """Start to read a replica that recorded the incarnation, or count it after a hand-over."""
         peer = self.peers.get(message.replica_id)
         is_current = message.incarnation == self.replica.incarnation
         if peer is None or peer.state is not PeerState.FENCING or not is_current:
@@ -219,7 +224,7 @@
         self._send_page_request(message.reply_to, peer.cursor)
 
     def on_state_page(self, page: StatePage) -> None:
-        """Merge and sync one page, then ask for the next; a hand-over reads by the same pages."""
+        """Merge and sync one page, then request the next; pages of a hand-over are passed on."""
         if self.succession.expects(page):
             return self.succession.on_state_page(page)
         peer = self.peers.get(page.replica_id)
@@ -233,7 +238,11 @@
         self._store_page(page, peer)
 
     def _store_page(self, page: StatePage, peer: PeerTransfer) -> None:
-        """Ask for the next page only once this one is synced; `peers` tells a newer begin."""
+        """Sync a page, then request the next one.
+
+        The result is ignored if `peers` was replaced meanwhile, which is how a newer attempt is
+        detected.
+        """
         peers, replica = self.peers, self.replica
 
         def on_stored(is_kept: bool) -> None:
