--- a/packages/consensus/src/linkhaven/consensus/assignment_messages.py
+++ b/packages/consensus/src/linkhaven/consensus/assignment_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a spare learns which node runs as which replica, as on the wire."""
+"""Messages by which a spare learns which node runs as which replica, with their encoding."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class InstancesQuery(Message, frozen=True, tag="occupants"):
-    """A spare asks a replica who runs as which replica."""
+    """A spare asks a replica which node runs as which replica."""
 
 
 class InstanceStatus(msgspec.Struct, array_like=True, frozen=True):
-    """Who ran last as a replica, and whether it is gone for long enough to be replaced."""
+    """The last node of a replica, and whether it has been absent long enough to be replaced."""
 
     name: str
     address: str
@@ -18,7 +18,7 @@
 
 
 class InstancesReport(Message, frozen=True, tag="occupants_told"):
-    """What one voting replica recorded of all."""
+    """The last node of each replica, as one voting replica has recorded it."""
 
     replica_id: str = msgspec.field(name="seat")
     instances: dict[str, InstanceStatus] = msgspec.field(name="table")
--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -1,29 +1,29 @@
-"""How a voting replica departs: it hands its state to a spare, or sees that the others have it.
+"""Departure of a voting replica: it hands over to a spare, or replicates its state to the others.
 
 | state | message or event | what it does | next |
 | --- | --- | --- | --- |
 | STAYING | `begin` | | CHOOSING |
-| CHOOSING | a spare is known | offers its place, goes on voting | OFFERING |
+| CHOOSING | a spare is known | offers it the hand-over, goes on voting | OFFERING |
 | CHOOSING | no spare is known | compares with the others, goes on voting | REPLICATING |
-| OFFERING | `SuccessorReady` | votes no more, syncs the seal | SEALING |
-| OFFERING | no page asked for in `SILENCE_TIMEOUT_US` | goes on without this spare | CHOOSING |
-| SEALING | the seal is synced | seals the hand-over, answers the last pages | SEALED |
-| SEALING | the disk refuses the seal | nothing was said yet, so it votes again | CHOOSING |
-| SEALED | `HandoverOutcome`: taken | an empty spare from now on | DEPARTED |
+| OFFERING | `SuccessorReady` | stops voting, syncs the seal | SEALING |
+| OFFERING | no page request for `SILENCE_TIMEOUT_US` | rejects this spare | CHOOSING |
+| SEALING | the seal is synced | sends `HandoverSeal`, serves the last pages | SEALED |
+| SEALING | the disk refuses the seal | votes again, as no seal was sent | CHOOSING |
+| SEALED | `HandoverOutcome`: taken | becomes an empty spare | DEPARTED |
 | SEALED | `HandoverOutcome`: never taken | votes again after an ordinary recovery | CHOOSING |
-| REPLICATING | a majority without it has all | votes no more, compares the rest | PAUSED |
-| REPLICATING | a spare is known, or it votes no more | | CHOOSING |
+| REPLICATING | a majority without it has all | stops voting, compares the rest | PAUSED |
+| REPLICATING | a spare is known, or it doesn't vote anymore | | CHOOSING |
 | PAUSED | a majority without it has all | | DEPARTED |
-| PAUSED | a replica falls silent for `SILENCE_TIMEOUT_US` | votes again | REPLICATING |
+| PAUSED | not done after `SILENCE_TIMEOUT_US` | votes again | REPLICATING |
 | any | `Bounds.drain_us` have passed | | DEPARTED |
 
-What stands in no row of its state is ignored.
+Messages and events without a row in the current state are ignored.
 
-Invariant: what a successor votes with has everything that the departing replica ever accepted,
-since the pages after the seal are read when it votes no more
+Invariant: a successor votes only with everything that the departing replica ever accepted, since
+the last pages are read after the seal, when the departing replica has stopped voting
 (`test_what_only_the_departing_replica_and_one_other_accepted_is_with_the_successor`).
 Invariant: a sealed replica counts as one that lost its disk, also after a restart, unless its
-successor says that it never took its place
+successor says that it never took over
 (`test_a_sealed_replica_that_starts_again_counts_as_one_without_a_disk`).
 """
 
@@ -47,14 +47,16 @@
 
 RESEND_INTERVAL_US = 100_000
 SILENCE_TIMEOUT_US = 1_500_000
+"""How long a hand-over, or the last round of replication, may go on without progress."""
+
 REJECTED_SPARE_RETRY_US = 2_000_000
-"""A spare that gave up is offered the place again after this."""
+"""Time after which a spare that gave up or didn't answer is offered a hand-over again."""
 
 OFFERED_EVENT = 1210
 
 
 class DepartureState(Enum):
-    """Where a replica stands on its way out; the values stand in `GET /v1/core`."""
+    """The progress of a departure; the values are written to `GET /v1/core`."""
 
     STAYING = "staying"
     CHOOSING = "choosing"
@@ -77,7 +79,7 @@
 
     @property
     def clock_us(self) -> int:
-        """Time lived through by all instances of the replica."""
+        """Total run time of all instances of the replica, by which claims expire."""
 
     votes_from_us: int
     is_learned: bool
@@ -86,20 +88,20 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether it votes now."""
+        """Whether the replica votes now."""
 
     @property
     def is_recovering(self) -> bool:
-        """Whether it recovers, or waits for an operator to let it."""
+        """Whether the replica recovers, or waits for an operator to allow that."""
 
     def seal(self, record: SealRecord, done: Callable[[bool], None]) -> None:
-        """Vote no more under this incarnation, also after a restart."""
+        """Stop voting under this incarnation, also after a restart."""
 
     def unseal(self) -> None:
-        """Recover with the disk as it is, since no successor votes."""
+        """Remove the seal, since the successor never votes, and recover from the complete disk."""
 
     def pause(self) -> None:
-        """Vote no more until `resume`, in this process only."""
+        """Stop voting until `resume`; not recorded on disk."""
 
     def resume(self) -> None:
         """Vote again after `pause`."""
@@ -136,7 +138,7 @@
         recovery: Recovery,
         replication: ReplicationCheck,
     ) -> None:
-        """`replication` compares this replica with the others where no spare is there."""
+        """`replication` replicates this replica's state to the others if there is no spare."""
         self.node = node
         self.replica = replica
         self.instances = instances
@@ -152,7 +154,7 @@
         node.register_handler(HandoverOutcome, self.on_handover_outcome)
 
     def begin(self, on_departed: Callable[[], None]) -> None:
-        """Depart; `on_departed` is called once, when the process may end."""
+        """Start to depart; `on_departed` is called once, when the process may exit."""
         self.on_departed = on_departed
         self.began_us = self.node.now_us()
         self.state = DepartureState.CHOOSING
@@ -163,7 +165,7 @@
         return self.state not in (DepartureState.STAYING, DepartureState.DEPARTED)
 
     def on_drain_timeout(self) -> None:
-        """Go, by a timer of its own: a tick after the bound would be late by up to a tick."""
+        """End the departure at `Bounds.drain_us`; a timer, since `tick` could be a tick late."""
         is_due = self.node.now_us() - self.began_us >= self.node.bounds.drain_us
         if self._is_under_way() and is_due:
             self._finish()
@@ -175,7 +177,7 @@
             on_departed()
 
     def tick(self, now_us: int) -> None:
-        """Choose again, give up who is silent, or send again what was not answered."""
+        """Choose a spare, reject one that doesn't answer, or send unanswered messages again."""
         if not self._is_under_way():
             return
         if self.state is DepartureState.CHOOSING:
@@ -188,10 +190,14 @@
         if now_us - self.sent_us >= RESEND_INTERVAL_US:
             self._resend(now_us)
 
-    # choosing
+    # Choosing a successor
 
     def _choose(self, now_us: int) -> None:
-        """A recovery in progress is waited for; who gives no votes has nothing to hand over."""
+        """Offer a hand-over to a spare, or replicate to the others if there is none.
+
+        A recovery in progress is waited for. A replica that neither votes nor recovers has nothing
+        to hand over, and departs at once.
+        """
         replica = self.replica
         is_sealed = replica.seal_record is not None
         if not is_sealed and not replica.is_voting and not replica.is_recovering:
@@ -214,22 +220,22 @@
         return sorted(spares, key=lambda member: member.name)
 
     def _was_rejected(self, name: str) -> bool:
-        """A spare that gave up, or fell silent, may be well again later."""
+        """Whether a spare gave up or didn't answer recently; it may be available again later."""
         rejected_us = self.rejected_us.get(name)
         return (
             rejected_us is not None and self.node.now_us() - rejected_us < REJECTED_SPARE_RETRY_US
         )
 
     def _is_alone(self) -> bool:
-        """So many others left in order that no majority remains without this replica.
+        """Whether so many others left that there is no majority without this replica.
 
-        Then there's nobody to wait for.
+        Then no hand-over or replication can complete, and waiting is useless.
         """
         members = self.replica.directory.replica_members()
         others = [member for name, member in members.items() if name != self.replica.replica_id]
         return sum(not member.has_left for member in others) < self.replica.majority
 
-    # with a successor
+    # Departure with a successor
 
     def _offer(self, spare: Any, now_us: int) -> None:
         self.state = DepartureState.OFFERING
@@ -273,12 +279,12 @@
         self.state = DepartureState.CHOOSING
 
     def on_transfer_progress(self, transfer: str) -> None:
-        """Note that the successor goes on reading."""
+        """Record that the successor requested another page."""
         if transfer == self.handover_id:
             self.progress_us = self.node.now_us()
 
     def on_successor_ready(self, ready: SuccessorReady) -> None:
-        """The successor has read every page: seal this replica, so that the rest is final."""
+        """Seal this replica: the successor has read every page, and the rest is final now."""
         if self.state is not DepartureState.OFFERING or ready.handover_id != self.handover_id:
             return
         if not self.replica.is_voting:
@@ -303,7 +309,7 @@
         self._resend(self.node.now_us())
 
     def query_outcome(self, now_us: int) -> None:
-        """A sealed replica that was started again asks whether its successor took its place."""
+        """Ask the successor for the outcome, after a restart of this sealed replica."""
         seal = self.replica.seal_record
         if seal is None or now_us - self.queried_us < RESEND_INTERVAL_US:
             return
@@ -311,7 +317,7 @@
         self.node.send(seal.successor_address, HandoverQuery(handover_id=seal.handover_id))
 
     def on_handover_outcome(self, outcome: HandoverOutcome) -> None:
-        """The successor took this replica's place, or says that it never will."""
+        """Retire if the successor took over; otherwise recover, since it never will."""
         seal = self.replica.seal_record
         if seal is None or outcome.handover_id != seal.handover_id:
             return
@@ -319,13 +325,13 @@
             self.replica.retire()
             return self._finish()
         self.rejected_us[seal.successor_name] = self.node.now_us()
-        # A start that already reads the others goes on as one without a disk.
+        # A restarted replica that already reads the others goes on as one without a disk.
         if not self.recovery.is_rebuilding:
             self.replica.unseal()
         if self.state is DepartureState.SEALED:
             self.state = DepartureState.CHOOSING
 
-    # without a successor
+    # Departure without a successor
 
     def _begin_replication(self, now_us: int) -> None:
         self.state = DepartureState.REPLICATING
@@ -348,7 +354,10 @@
         self.replication.tick(now_us)
 
     def _end_round(self, now_us: int) -> None:
-        """Pause before the last round: what is accepted while it runs would be missed."""
+        """Depart after the final round, or pause and begin it.
+
+        The replica is paused because values accepted during the final round would be missed.
+        """
         if self.state is DepartureState.PAUSED:
             return self._finish()
         self.state = DepartureState.PAUSED
--- a/packages/consensus/src/linkhaven/consensus/replica_assignment.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_assignment.py
@@ -1,10 +1,11 @@
-"""How a spare finds the replica that it may become.
+"""Assignment of a spare to a replica that it may recover as.
 
-It asks all replicas which nodes run as what (`InstancesQuery`), and of those that voted answered
-lately (`InstancesReport`) it takes a replica which all of them call its own or vacant. Where every
-disk of the group is lost, nobody votes and nobody answers: then the spares begin the group anew.
+The spare asks all replicas which node runs as which replica (`InstancesQuery`). From the recent
+answers of voting replicas (`InstancesReport`) it chooses a replica that all of them report as its
+own former one, or as vacant. If all replicas have lost their disks, none votes or answers; then the
+spares bootstrap the group again.
 
-Two spares may still choose the same replica; recovery lets only one of them vote, since each
+Two spares may still choose the same replica. Recovery lets only one of them vote, since each
 incarnation is recorded for one instance (`test_two_newcomers_never_vote_as_one_replica`).
 """
 
@@ -18,27 +19,27 @@
 
 QUERY_INTERVAL_US = 200_000
 REPORT_MAX_AGE_US = 700_000
-"""An answer older than this no longer counts."""
+"""Age from which on an answer isn't used anymore."""
 
 GROUP_LOST_PERIODS, GROUP_LOST_PERIODS_WITH_PEER = 4, 2
-"""For how many `vacant_us` the whole group must look lost before it begins anew; the lower bound
-holds where another spare has taken a replica without a vote, and so has waited already."""
+"""For how many `Bounds.vacant_us` the whole group must appear lost before spares bootstrap it. The
+second number applies if another node already recovers as a replica, since it has waited already."""
 
 
 class AssignmentDirectory(Protocol):
-    """The members that membership knows."""
+    """The members that the membership knows."""
 
     peers: dict[str, Any]
 
     def replicas(self) -> dict[str, tuple[str, int]]:
-        """Address and newest incarnation of each replica."""
+        """Return address and newest incarnation of each replica."""
 
     def live_members(self, kind: str) -> list[Any]:
-        """The members of a kind that are up."""
+        """Return the members of a kind that are up."""
 
 
 class SpareReplica(Protocol):
-    """The replica to be, on a node that is a spare."""
+    """The replica of a node that is a spare."""
 
     replica_id: str
     replica_ids: tuple[str, ...]
@@ -47,17 +48,17 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether its disk counts as lost."""
+        """Whether the registers on disk are incomplete and can't be recovered from."""
 
     def recover_as(self, replica_id: str) -> None:
-        """Recover as this replica."""
+        """Start recovery as this replica."""
 
     def recover_after_group_loss(self, replica_id: str) -> None:
-        """Begin as this replica where the whole group lost its disks."""
+        """Start recovery as this replica after all replicas lost their disks."""
 
 
 class ReplicaAssignment:
-    """The spare's side; it owns the answers that it heard, in memory only."""
+    """Chooses a replica for a spare; owns the answers that it received, in memory only."""
 
     __slots__ = (
         "node",
@@ -72,7 +73,7 @@
     def __init__(
         self, node: Node, replica: SpareReplica, succession: Succession, contact: str
     ) -> None:
-        """`contact`: the address under which the others were told of this node."""
+        """`contact`: the address of this node that the other nodes were configured with."""
         self.node = node
         self.replica = replica
         self.succession = succession
@@ -83,7 +84,7 @@
         node.register_handler(InstancesReport, self.on_instances_report)
 
     def tick(self, now_us: int) -> None:
-        """Ask all replicas again, and see whether the whole group is lost."""
+        """Query all replicas, and check whether the whole group is lost."""
         if now_us - self.queried_us < QUERY_INTERVAL_US:
             return
         self.queried_us = now_us
@@ -92,14 +93,14 @@
         self._bootstrap_if_group_lost(now_us)
 
     def on_instances_report(self, report: InstancesReport) -> None:
-        """Choose once enough replicas answered; a successor to be takes no other replica."""
+        """Choose a replica once enough answers are in, unless a hand-over is in progress."""
         if self.replica.replica_id or self.succession.is_active():
             return
         self.reports[report.replica_id] = (report.instances, self.node.now_us())
         self._choose()
 
     def _choose(self) -> None:
-        """Its own former replica first, else the vacant one of its rank among the spares."""
+        """Choose this node's former replica, else the vacant one at its rank among the spares."""
         now_us, replica = self.node.now_us(), self.replica
         fresh = [
             instances
@@ -134,9 +135,10 @@
         self.replica.recover_as(replica_id)
 
     def _bootstrap_if_group_lost(self, now_us: int) -> None:
-        """Every disk of the group is lost: the spares take the replicas in order of their names.
+        """Recover as a replica if all disks of the group are lost.
 
-        Then they begin as a first start does, and a router's configuration is taken over.
+        The spares are assigned to the replicas in the order of their names. They bootstrap the
+        group as in a first start, and the configuration is restored from a router.
         """
         directory = self.replica.directory
         if not self._is_group_lost():
@@ -157,7 +159,11 @@
             self.replica.recover_after_group_loss(self.replica.replica_ids[rank])
 
     def _is_group_lost(self) -> bool:
-        """As many spares as replicas, and a router, and nobody knows of one that ever voted."""
+        """Whether all replicas appear to have lost their disks.
+
+        This is assumed if there are as many spares as replicas and a router, no replica answers,
+        and no member is known as a replica that ever voted.
+        """
         directory = self.replica.directory
         if self.reports or not self.replica.is_empty or not directory.live_members(ROUTER_KIND):
             return False
--- a/packages/consensus/src/linkhaven/consensus/replica_instances.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_instances.py
@@ -1,14 +1,14 @@
-"""Which node ran last as each replica, as this voting replica has recorded it.
+"""Records of the node that last ran as each replica, kept by every replica.
 
 | message | what it does here |
 | --- | --- |
-| `EpochAnnouncement` | `record`: takes a newer incarnation, refuses any other instance of one |
-| `InstancesQuery` | a voting replica tells a spare who runs as what, and who is gone |
+| `EpochAnnouncement` | `record`: takes a newer incarnation, refuses a second instance of one |
+| `InstancesQuery` | a voting replica reports which node runs as which replica, and who is absent |
 
-What membership says of another replica is taken in, too, where it is as new: so a spare that asks
-is told the node that runs now. The records are on disk under one key, written here and with each
-`EpochAnnouncement`; how long a node has been gone is known in memory only, so a restarted replica
-waits the whole `Bounds.vacant_us` again before it calls another one vacant.
+The records are also updated from membership where it is at least as new, so that a spare gets the
+node that runs now. They are on disk under one key, written here and with each `EpochAnnouncement`.
+How long a node has been absent is known in memory only, so a restarted replica waits the whole
+`Bounds.vacant_us` again before it reports another one as vacant.
 """
 
 from collections.abc import Iterable
@@ -25,16 +25,16 @@
 
 
 class InstanceDirectory(Protocol):
-    """The members that membership knows."""
+    """The members that the membership knows."""
 
     peers: dict[str, Any]
 
     def replica_members(self) -> dict[str, Any]:
-        """The newest member that is known of each replica."""
+        """Return the newest known member of each replica."""
 
 
 class RecordingReplica(Protocol):
-    """The replica that records the others' instances."""
+    """The replica that records the instances of the others."""
 
     replica_id: str
     replica_ids: tuple[str, ...]
@@ -42,18 +42,18 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether it votes now."""
+        """Whether the replica votes now."""
 
 
 class ReplicaInstances:
-    """Owns the record of each replica's last instance, and since when that one is gone."""
+    """Owns the record of each replica's last instance, and since when that one is absent."""
 
     __slots__ = ("node", "replica", "records", "absent_since_us", "checked_us")
 
     def __init__(
         self, node: Node, replica: RecordingReplica, records: dict[str, ReplicaInstance]
     ) -> None:
-        """`records`: as the disk has them."""
+        """`records`: those stored on disk."""
         self.node = node
         self.replica = replica
         self.records = records
@@ -62,11 +62,11 @@
         node.register_handler(InstancesQuery, self.on_instances_query)
 
     def addresses(self) -> list[str]:
-        """Where the recorded instances were last."""
+        """Return the last known addresses of the recorded instances."""
         return [instance.address for instance in self.records.values()]
 
     def replicas_now_spare(self) -> set[str]:
-        """Replicas whose last node runs as a spare: its disk is lost, no more comes from it."""
+        """Return the replicas whose last node now runs as a spare: their disks are lost."""
         return {
             replica_id
             for replica_id, instance in self.records.items()
@@ -83,17 +83,17 @@
         )
 
     def recorded_name(self, replica_id: str) -> str:
-        """The node that ran last as a replica; "" where none is known by name."""
+        """Return the name of the node recorded last as a replica; "" if none is known."""
         return self.records.get(replica_id, UNKNOWN_INSTANCE).name
 
     def record_contacts(self, contacts: Iterable[str]) -> None:
-        """Record a first start, in which the contacts become the first replicas in their order."""
+        """Record the contacts of a first start, which become the first replicas in their order."""
         for replica_id, contact in zip(self.replica.replica_ids, contacts, strict=False):
             if replica_id != self.replica.replica_id:
                 self.records[replica_id] = ReplicaInstance(1, "", "", contact)
 
     def record(self, announcement: EpochAnnouncement) -> bool:
-        """Record one instance for each incarnation; False where this isn't the one."""
+        """Record the announced instance; False if another one has this or a newer incarnation."""
         replica_id, incarnation = announcement.replica_id, announcement.incarnation
         known = self.records.get(replica_id)
         if known is not None and not self._may_replace(known, announcement):
@@ -105,7 +105,10 @@
         return True
 
     def _may_replace(self, known: ReplicaInstance, announcement: EpochAnnouncement) -> bool:
-        """A start counts as another instance; one known from membership only, by its name."""
+        """Whether an announcement may replace the recorded instance.
+
+        Instances are told apart by their process starts; one known from membership only, by name.
+        """
         if announcement.incarnation != known.incarnation:
             return announcement.incarnation > known.incarnation
         if known.start:
@@ -113,7 +116,7 @@
         return known.name in ("", announcement.sender)
 
     def tick(self, now_us: int) -> None:
-        """Look who is gone, so that its absence is counted from now on, and who is new."""
+        """Update since when instances are absent, and store those that membership newly reports."""
         if now_us - self.checked_us < CHECK_INTERVAL_US:
             return
         self.checked_us = now_us
@@ -124,7 +127,7 @@
             self.node.ports.storage.write(record.as_items(), lambda is_kept: None)
 
     def _learn_from_membership(self) -> bool:
-        """Take in what members say of themselves; whether anything was new."""
+        """Update the records from what members report; return whether any record changed."""
         is_new = False
         for replica_id, member in self.replica.directory.replica_members().items():
             known = self.records.get(replica_id, UNKNOWN_INSTANCE)
@@ -142,9 +145,10 @@
         return is_new
 
     def _update_vacancy(self, replica_id: str, now_us: int) -> bool:
-        """Note since when nobody runs as this replica; whether it is vacant.
+        """Update since when a replica's instance is absent; return whether the replica is vacant.
 
-        It is where nobody ever ran as it, or who did left or is gone for `Bounds.vacant_us`.
+        It is vacant if no instance was ever recorded, or if the last one has left or has been
+        absent for `Bounds.vacant_us`.
         """
         known = self.records.get(replica_id)
         if known is None:
@@ -160,7 +164,7 @@
         return absent_us >= self.node.bounds.vacant_us
 
     def is_taken(self, replica_id: str, name: str, address: str) -> bool:
-        """Whether another node than this one runs as the replica."""
+        """Whether another node than the one with this name and address runs as the replica."""
         if replica_id == self.replica.replica_id:
             return True
         known = self.records.get(replica_id, UNKNOWN_INSTANCE)
@@ -168,7 +172,7 @@
         return is_other and not self._update_vacancy(replica_id, self.node.now_us())
 
     def on_instances_query(self, query: InstancesQuery) -> None:
-        """Tell a spare who runs as what; only a voting replica knows."""
+        """Report which node runs as which replica to a spare; only if this replica votes."""
         if not self.replica.is_voting:
             return
         now_us = self.node.now_us()
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -1,20 +1,20 @@
-"""Which other replicas have everything that this one accepted; those that miss a value are sent it.
+"""Replicates everything that a departing replica accepted to the other replicas.
 
-A departing replica without a successor compares in rounds: it sends each other replica its accepted
-ballots, page by page (`BallotPage`); a replica answers which of them it misses (`MissingValues`),
-and is sent those values as late accepts of the same ballots (`LateAccepts`). A replica that
-promised a higher ballot meanwhile can't take them: then the register is read anew, which writes its
-value under a higher ballot at a majority. The last round covers only what changed since the one
-before began.
+A departing replica without a successor compares its registers with the others in rounds. It sends
+each other replica its accepted ballots, page by page (`BallotPage`). A replica answers which of
+them it misses (`MissingValues`), and gets these values as late accepts of the same ballots
+(`LateAccepts`). A replica that has promised a higher ballot can't accept them. Then the register is
+read again, which writes its value under a higher ballot at a majority. The final round covers only
+what changed since the previous one began.
 
-| message | who gets it | what it does there |
+| message | received by | what it does there |
 | --- | --- | --- |
-| `BallotPage` | a voting replica | answers what it misses |
-| `MissingValues` | the departing one, of its round and page | sends values, or the next page |
-| `LateAccepts` | a voting replica | accepts what it hasn't promised away |
+| `BallotPage` | a voting replica | answers which values it misses |
+| `MissingValues` | the departing one, for its current page | sends values, or the next page |
+| `LateAccepts` | a voting replica | accepts values whose ballots aren't below its promises |
 
-Invariant: only a voting replica counts, and only for an instance that it doesn't refuse
-(`test_without_a_spare_all_is_replicated_before_a_replica_departs`).
+Invariant: only voting replicas are counted, and only those that don't know a newer instance of the
+departing one (`test_without_a_spare_all_is_replicated_before_a_replica_departs`).
 """
 
 from bisect import bisect_right
@@ -33,7 +33,7 @@
 
 
 class ComparedReplica(Protocol):
-    """The replica whose registers are compared."""
+    """The replica whose registers are compared with those of the others."""
 
     replica_id: str
     majority: int
@@ -44,17 +44,17 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether it votes now."""
+        """Whether the replica votes now."""
 
     def register_state(self, key: str) -> Any:
-        """The state of a register, an empty one where it was never written."""
+        """Return the state of a register, an empty one if it was never written."""
 
     def merge(self, registers: Mapping[str, RegisterCopy]) -> dict[str, Any]:
-        """Take in the highest ballots of another replica; gives the records to write."""
+        """Merge copies of registers from another replica; return the records to write."""
 
 
 class ReplicationCheck:
-    """The rounds of a departing replica, and the answers of those that stay."""
+    """The rounds of a departing replica, and the answers of the remaining ones."""
 
     __slots__ = (
         "node",
@@ -84,7 +84,7 @@
         node.register_handler(LateAccepts, self.on_late_accepts)
 
     def begin_round(self, is_final: bool) -> None:
-        """The final round looks only at what changed since the round before it began."""
+        """Start a round; the final one covers only changes since the previous round began."""
         replica = self.replica
         since = self.began_at_change if is_final else NO_ROUND
         self.began_at_change = replica.registers.change_count
@@ -99,12 +99,12 @@
         self._send_all()
 
     def is_replicated(self) -> bool:
-        """A majority of all replicas, this one not among them, has all of this round."""
+        """Whether a majority of all replicas, not counting this one, has all of this round."""
         num_complete = sum(cursor is None for cursor in self.cursors.values())
         return num_complete >= self.replica.majority
 
     def tick(self, now_us: int) -> None:
-        """Send the open pages again: messages and their answers may be lost."""
+        """Send unanswered pages again, since messages may be lost."""
         if now_us - self.sent_us >= RESEND_INTERVAL_US:
             self._send_all()
 
@@ -134,12 +134,12 @@
         self.node.send(found[0], page)
 
     def _accepts_from(self, message: BallotPage | LateAccepts) -> bool:
-        """A replica that doesn't vote counts for nothing; an older instance is fenced."""
+        """Whether this replica votes and knows no newer instance than the sender's."""
         newest = self.replica.known_incarnations.get(message.replica_id, 0)
         return self.replica.is_voting and message.incarnation >= newest
 
     def on_ballot_page(self, page: BallotPage) -> None:
-        """Say which values this replica misses."""
+        """Answer which values of the page this replica misses."""
         if not self._accepts_from(page):
             return
         missing: list[str] = []
@@ -159,7 +159,7 @@
         self.node.send(page.reply_to, answer)
 
     def on_missing_values(self, answer: MissingValues) -> None:
-        """Send what is missing; go on to the next page once nothing is."""
+        """Send the missing values, or the next page if none is missing."""
         name, cursor = answer.replica_id, answer.after
         if answer.round_number != self.round_number or self.cursors.get(name) != cursor:
             return
@@ -187,9 +187,10 @@
         self.node.send(address, accepts)
 
     def on_late_accepts(self, accepts: LateAccepts) -> None:
-        """Keep an accept that comes late as one that came in time, unless it was promised away.
+        """Accept the values whose ballots aren't below the register's promise.
 
-        The next page asks again what is missing, so a write that fails needs no answer.
+        There is no answer, also if the write fails: the page is sent again and shows what is still
+        missing.
         """
         if not self._accepts_from(accepts):
             return
--- a/packages/consensus/src/linkhaven/consensus/replication_messages.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_messages.py
@@ -1,6 +1,6 @@
-"""Messages by which a departing replica compares what it accepted with the others, as on the wire.
+"""Messages by which a departing replica replicates what it accepted, with their encoding.
 
-`BallotPage` is answered by `MissingValues`, that by `LateAccepts`, until nothing is missing.
+`BallotPage` is answered by `MissingValues`, and that by `LateAccepts`, until nothing is missing.
 """
 
 from typing import Any
@@ -17,7 +17,7 @@
 
     round_number: int = msgspec.field(name="round")
     after: str
-    """The page cursor: the last key of the page before, "" for the first page."""
+    """The page cursor: the last key of the previous page, "" for the first page."""
 
     replica_id: str = msgspec.field(name="seat")
     incarnation: int
@@ -25,18 +25,18 @@
 
 
 class MissingValues(Message, frozen=True, tag="holders_lack"):
-    """Which registers of a page the sender has under a lower ballot or not at all."""
+    """The registers of a page that the sender has under a lower ballot or not at all."""
 
     replica_id: str = msgspec.field(name="seat")
     round_number: int = msgspec.field(name="round")
     after: str
     missing: list[str] = msgspec.field(name="lacking")
     preempted: list[str] = msgspec.field(name="stuck")
-    """Missing, and promised to a higher ballot: a late accept of theirs would be refused."""
+    """Missing, and the sender has promised a higher ballot, so it would refuse a late accept."""
 
 
 class LateAccepts(Message, frozen=True, tag="holders_late"):
-    """The values that were missing, each with the ballot under which it was accepted."""
+    """The missing values, each with the ballot under which it was accepted."""
 
     replica_id: str = msgspec.field(name="seat")
     incarnation: int
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -1,21 +1,21 @@
-"""How a spare succeeds a departing replica: it reads first, and votes only with the whole state.
+"""Succession of a spare to a departing replica: it votes only once it has read the whole state.
 
 | state | message or event | what it does | next |
 | --- | --- | --- | --- |
-| IDLE | `HandoverOffer`, and it is a spare | syncs the offer, reads page by page | READING |
-| IDLE | `HandoverOffer`, `HandoverSeal`, `HandoverQuery` of its last one | outcome | IDLE |
-| READING | last `StatePage` | probes whether the other replicas hear it | PROBING |
-| PROBING | `ReachabilityReply` of f replicas that vote | says that it is ready | READY |
+| IDLE | `HandoverOffer`, on a spare | syncs the offer, reads page by page | READING |
+| IDLE | any message about its last hand-over | sends the outcome | IDLE |
+| READING | last `StatePage` | probes whether the other replicas can be reached | PROBING |
+| PROBING | `ReachabilityReply` of f voting replicas | sends `SuccessorReady` | READY |
 | READY | `HandoverSeal` | reads what changed since the first page | READING_REST |
-| READING_REST | last `StatePage` | syncs replica, incarnation and state in one write | SYNCING |
-| SYNCING | synced | it has a disk; once the others recorded it, it votes | IDLE |
-| SYNCING | the disk refuses | a spare again | IDLE |
-| READING to READING_REST | silence, or `HandoverQuery` | a spare again, says so | IDLE |
+| READING_REST | last `StatePage` | syncs replica id and incarnation in one write | SYNCING |
+| SYNCING | synced | votes once a majority has recorded its incarnation | IDLE |
+| SYNCING | the disk refuses | is a spare again | IDLE |
+| READING to READING_REST | timeout, `HandoverQuery` | is a spare again, sends the outcome | IDLE |
 
-What stands in no row of its state is ignored.
+Messages and events without a row in the current state are ignored.
 
-Invariant: it answers "not taken" only to a hand-over that it accepted and synced, and never takes
-that one later (`test_a_successor_that_gave_up_never_takes_over_later`).
+Invariant: the outcome "not taken" is sent only for a hand-over that was agreed to and synced, and
+that hand-over is never taken later (`test_a_successor_that_gave_up_never_takes_over_later`).
 """
 
 from collections.abc import Callable, Mapping
@@ -43,7 +43,7 @@
 
 
 class SuccessionState(Enum):
-    """Where a spare stands between the offer of a replica and its first vote."""
+    """The progress of a spare from the offer of a hand-over to its takeover."""
 
     IDLE = "idle"
     READING = "reading"
@@ -54,7 +54,7 @@
 
 
 class SucceedingReplica(Protocol):
-    """The replica to be, on a node that is a spare."""
+    """The replica of the succeeding node, which is a spare at first."""
 
     replica_id: str
     majority: int
@@ -62,16 +62,16 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether it votes now."""
+        """Whether the replica votes now."""
 
     def may_learn(self) -> bool:
-        """Whether it is a spare that may read a departing replica."""
+        """Whether this node is a spare that may read the state of a departing replica."""
 
     def learn(self) -> None:
-        """Read a departing replica, and take no other replica meanwhile."""
+        """Start to read a departing replica's state; no other replica is assigned meanwhile."""
 
     def merge(self, registers: Mapping[str, RegisterCopy]) -> dict[str, Any]:
-        """Take in the highest ballots of another replica; gives the records to write."""
+        """Merge copies of registers from another replica; return the records to write."""
 
     def take_over(
         self, seal: HandoverSeal, handover: HandoverRecord, done: Callable[[bool], None]
@@ -79,14 +79,14 @@
         """Become the next instance of the departing replica, in one write."""
 
     def begin_with_state(self, wait_us: int) -> None:
-        """Have the others record the new instance, then vote."""
+        """Have the others record the new instance, then vote; on leases `wait_us` later."""
 
     def retire(self) -> None:
         """Become a spare."""
 
 
 class Succession:
-    """The succeeding side of a hand-over; it owns `last_handover`, which is on disk."""
+    """The succeeding side of a hand-over; owns `last_handover`, which is stored on disk."""
 
     __slots__ = (
         "node",
@@ -108,7 +108,7 @@
     def __init__(
         self, node: Node, replica: SucceedingReplica, last_handover: HandoverRecord | None
     ) -> None:
-        """`last_handover`: the last one that this disk agreed to, and how it ended."""
+        """`last_handover`: the stored record of the last hand-over that this node agreed to."""
         self.node = node
         self.replica = replica
         self.last_handover = last_handover
@@ -121,11 +121,11 @@
         node.register_handler(ReachabilityReply, self.on_reachability_reply)
 
     def is_active(self) -> bool:
-        """Whether a hand-over is under way; it takes no other replica meanwhile."""
+        """Whether a hand-over is in progress; no other replica is assigned meanwhile."""
         return self.state is not SuccessionState.IDLE
 
     def remaining_keys(self) -> dict[str, int | None]:
-        """The departing replica's address and how many keys come after its last page."""
+        """Return the number of keys still to be read, by the departing replica's address."""
         if not self.departing_address:
             return {}
         return {self.departing_address: self.num_remaining}
@@ -141,19 +141,20 @@
         self.progress_us = self.sent_us = 0
 
     def _handover(self) -> HandoverRecord:
-        """The hand-over that is under way, or that ended last."""
+        """Return the hand-over that is in progress, or the last one that ended."""
         assert self.last_handover is not None, "no hand-over was agreed to"
         return self.last_handover
 
     def _is_last_handover(self, handover_id: str) -> bool:
         return self.last_handover is not None and self.last_handover.handover_id == handover_id
 
-    # reading while the departing replica votes
+    # Reading while the departing replica votes
 
     def on_handover_offer(self, offer: HandoverOffer) -> None:
-        """Begin to read; the offer is synced first, so that it can be answered for after a restart.
+        """Agree to a hand-over: sync the offer, then start to read.
 
-        An offer that comes again was given up here, or taken: it is answered, not taken up.
+        The record allows this node to answer queries about the hand-over after a restart. If the
+        last hand-over is offered again, it has ended here, and its outcome is sent instead.
         """
         if not self.replica.may_learn() or self.is_active():
             return
@@ -188,7 +189,7 @@
         self.node.send(self.departing_address, request)
 
     def expects(self, page: StatePage) -> bool:
-        """Whether this page is the one that was asked for."""
+        """Whether this page is the one that was requested."""
         return (
             self.state in (SuccessionState.READING, SuccessionState.READING_REST)
             and self._is_last_handover(page.transfer)
@@ -197,7 +198,7 @@
         )
 
     def on_state_page(self, page: StatePage) -> None:
-        """Sync one page, then ask for the next; pages of two starts don't make one state."""
+        """Sync one page, then request the next; give up if the departing replica was restarted."""
         if self.departing_start not in (None, page.start):
             return self._give_up()
         self.departing_start = page.start
@@ -225,10 +226,13 @@
         self.state = SuccessionState.PROBING
         self._send_probes()
 
-    # being heard by those that must record it
+    # Probing the replicas that must record the new instance
 
     def _send_probes(self) -> None:
-        """Who can't reach those that must record it would leave the replica without a vote."""
+        """Probe the other replicas.
+
+        A successor that can't reach those that must record it couldn't vote after the seal.
+        """
         self.sent_us = self.node.now_us()
         probe = ReachabilityProbe(handover_id=self._handover().handover_id)
         for address, _ in self.replica.directory.replicas().values():
@@ -236,7 +240,7 @@
                 self.node.send(address, probe)
 
     def on_reachability_probe(self, probe: ReachabilityProbe) -> None:
-        """A voting replica answers a successor to be."""
+        """Answer the probe of a successor, if this replica votes."""
         if self.replica.is_voting:
             reply = ReachabilityReply(
                 handover_id=probe.handover_id, replica_id=self.replica.replica_id
@@ -244,7 +248,7 @@
             self.node.send(probe.reply_to, reply)
 
     def on_reachability_reply(self, reply: ReachabilityReply) -> None:
-        """Be ready once enough replicas to record it hear it, and are heard."""
+        """Become ready once enough replicas to record the new instance have answered."""
         is_awaited = self.state is SuccessionState.PROBING
         if not is_awaited or not self._is_last_handover(reply.handover_id):
             return
@@ -261,7 +265,7 @@
         self.node.send(self.departing_address, ready)
 
     def on_handover_seal(self, seal: HandoverSeal) -> None:
-        """The departing replica votes no more: read what it accepted since the first page."""
+        """Read what the departing replica accepted since the first page; it has stopped voting."""
         if not self._is_last_handover(seal.handover_id):
             return
         if self.state is SuccessionState.IDLE:
@@ -292,7 +296,7 @@
         self.replica.take_over(seal, handover, on_synced)
 
     def on_handover_query(self, query: HandoverQuery) -> None:
-        """The departing replica was started again, and asks how it ended; so it can't go on."""
+        """Send the outcome to a restarted departing replica; give up a hand-over in progress."""
         if not self._is_last_handover(query.handover_id):
             return
         if self.state is SuccessionState.SYNCING:
@@ -307,7 +311,7 @@
         self.node.send(address, outcome)
 
     def on_replica_voting(self) -> None:
-        """The new instance votes: the departing one may go."""
+        """Send the outcome to the departing replica, since the new instance votes now."""
         handover = self.last_handover
         if handover is not None and handover.is_taken and self.seal is not None:
             self._send_outcome(self.seal.reply_to)
@@ -320,7 +324,7 @@
             self._send_outcome(address)
 
     def tick(self, now_us: int) -> None:
-        """Send again what was not answered; give up a departing replica that fell silent."""
+        """Send unanswered messages again; give up if the departing replica doesn't answer."""
         if self.state in (SuccessionState.IDLE, SuccessionState.SYNCING):
             return
         if now_us - self.progress_us >= SILENCE_TIMEOUT_US:
