--- a/packages/consensus/src/linkhaven/consensus/acceptor.py
+++ b/packages/consensus/src/linkhaven/consensus/acceptor.py
@@ -130,7 +130,7 @@
         message: Request,
         register: RegisterState,
         answer_type: type[Promise] | type[Accepted],
-        **facts: Any,
+        **fields: Any,
     ) -> None:
         """Sync the register, then answer yes; answer no if the disk refuses the write."""
         self.registers.note_change(register)
@@ -142,7 +142,7 @@
                 return self._refuse(message, answer_type, DISK_REFUSED)
             if not self.voter.is_voting or message.incarnation != self.voter.incarnation:
                 return
-            self._answer(message, answer_type, is_yes=True, **facts)
+            self._answer(message, answer_type, is_yes=True, **fields)
             self.on_change(message.key)
 
         self.node.ports.storage.write({record_key(message.key): register.as_record()}, on_synced)
@@ -152,12 +152,12 @@
         message: Request,
         answer_type: type[Promise] | type[Accepted],
         reason: str,
-        **facts: Ballot,
+        **fields: Ballot,
     ) -> None:
-        self._answer(message, answer_type, is_yes=False, reason=reason, **facts)
+        self._answer(message, answer_type, is_yes=False, reason=reason, **fields)
 
     def _answer(
-        self, message: Request, answer_type: type[Promise] | type[Accepted], **facts: Any
+        self, message: Request, answer_type: type[Promise] | type[Accepted], **fields: Any
     ) -> None:
         answer = answer_type(
             id=message.id,
@@ -165,6 +165,6 @@
             replica_id=self.voter.replica_id,
             incarnation=self.voter.incarnation,
             known_incarnations=self.voter.all_incarnations(),
-            **facts,
+            **fields,
         )
         self.node.send(message.reply_to, answer)
--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -46,6 +46,8 @@
 from .replication_check import ReplicationCheck
 
 RESEND_INTERVAL_US = 100_000
+"""Interval at which unanswered messages are sent again."""
+
 SILENCE_TIMEOUT_US = 1_500_000
 """How long a hand-over, or the last round of replication, may go on without progress."""
 
@@ -82,7 +84,7 @@
         """Total run time of all instances of the replica, by which claims expire."""
 
     votes_from_us: int
-    is_learned: bool
+    is_dynamically_assigned: bool
     are_claims_open: bool
     seal_record: SealRecord | None
 
@@ -203,14 +205,14 @@
         if not is_sealed and not replica.is_voting and not replica.is_recovering:
             return self._finish()
         if not replica.is_voting:
-            return self._finish() if self._is_alone() else None
+            return self._finish() if self._is_majority_gone() else None
         spares = self._spares()
         if spares:
             return self._offer(spares[0], now_us)
         self._begin_replication(now_us)
 
     def _spares(self) -> list[Any]:
-        if not self.replica.is_learned:
+        if not self.replica.is_dynamically_assigned:
             return []
         spares = [
             member
@@ -226,7 +228,7 @@
             rejected_us is not None and self.node.now_us() - rejected_us < REJECTED_SPARE_RETRY_US
         )
 
-    def _is_alone(self) -> bool:
+    def _is_majority_gone(self) -> bool:
         """Whether so many others left that there is no majority without this replica.
 
         Then no hand-over or replication can complete, and waiting is useless.
@@ -339,7 +341,7 @@
         self.replication.begin_round(is_final=False)
 
     def _check_replication(self, now_us: int) -> None:
-        if self._is_alone():
+        if self._is_majority_gone():
             return self._finish()
         is_replicating = self.state is DepartureState.REPLICATING
         if is_replicating and (not self.replica.is_voting or self._spares()):
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -298,9 +298,9 @@
     def _back_off(self, proposal: Proposal) -> None:
         """Wait a random time, so that two proposers don't preempt each other forever."""
         proposal.phase = Phase.BACKING_OFF
-        reach_us = BACKOFF_US * min(proposal.num_attempts, BACKOFF_ATTEMPTS_MAX)
-        rest_us = self.node.ports.random.randrange(reach_us // 4, reach_us)
-        proposal.attempt_until_us = self.node.now_us() + rest_us
+        max_backoff_us = BACKOFF_US * min(proposal.num_attempts, BACKOFF_ATTEMPTS_MAX)
+        backoff_us = self.node.ports.random.randrange(max_backoff_us // 4, max_backoff_us)
+        proposal.attempt_until_us = self.node.now_us() + backoff_us
 
     # End of a proposal
 
@@ -327,10 +327,10 @@
         Time in which this process was suspended isn't counted as silence of the replicas, since
         their answers may not be read yet.
         """
-        slept_us = max(0, now_us - self.ticked_us - MAX_TICK_STEP_US)
+        suspended_us = max(0, now_us - self.ticked_us - MAX_TICK_STEP_US)
         self.ticked_us = now_us
         for proposal in list(self.proposals.values()):
-            proposal.last_majority_us += slept_us
+            proposal.last_majority_us += suspended_us
             if now_us >= proposal.deadline_us:
                 self._give_up(proposal)
             elif proposal.is_silent(now_us):
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -22,7 +22,7 @@
 | IDLE | `begin_with_state`, at the end of a hand-over | announces its incarnation | RECORDING |
 | RECORDING | a majority recorded it | votes; it has the whole state already | VOTING |
 | RECORDING | no progress (`NO_PROGRESS_TIMEOUT_US`) | recovers from its disk | COLLECTING |
-| VOTING | `begin`: a bootstrap may have forgotten a newer incarnation | queries | COLLECTING |
+| VOTING | `begin`: may have lost a newer incarnation | queries all replicas | COLLECTING |
 | any | `reset`, once it is a spare | | IDLE |
 
 Messages and events without a row in the current state are ignored. The other replicas' side of the
@@ -96,7 +96,7 @@
     majority: int
     directory: Directory
     incarnation: int
-    is_learned: bool
+    is_dynamically_assigned: bool
     are_claims_open: bool
 
     @property
@@ -123,7 +123,7 @@
     def write_recovered(self, done: Callable[[bool], None]) -> None:
         """Record that the registers on disk are complete."""
 
-    def narrow_claims(self, are_open: bool) -> None:
+    def close_claims_unless(self, are_open: bool) -> None:
         """Close claims if they are closed at a replica whose state was read."""
 
     def on_storage_refused(self) -> None:
@@ -249,7 +249,7 @@
     def _is_candidate(self) -> bool:
         """Whether this node was a spare and has never voted as the replica that it recovers as."""
         replica = self.replica
-        return replica.is_learned and replica.is_empty and bool(replica.replica_id)
+        return replica.is_dynamically_assigned and replica.is_empty and bool(replica.replica_id)
 
     @property
     def is_rebuilding(self) -> bool:
@@ -296,19 +296,19 @@
             self.state = RecoveryState.IDLE
             return replica.yield_to(newest)
         self.reports[report.replica_id] = report
-        self._weigh_reports(self.node.now_us())
+        self._evaluate_reports(self.node.now_us())
 
     def _is_superseded(self, report: ReplicaStateReport, newest: int) -> bool:
         if self.is_disputed and newest > self.replica.incarnation:
             return True
-        if not self.replica.is_learned:
+        if not self.replica.is_dynamically_assigned:
             return False
         if self._is_candidate():
             return report.is_taken
         is_recorded = report.recorded_name not in ("", self.node.name)
         return newest >= self.replica.incarnation and is_recorded
 
-    def _weigh_reports(self, now_us: int) -> None:
+    def _evaluate_reports(self, now_us: int) -> None:
         replica, reports = self.replica, list(self.reports.values())
         accounted_for = {*self.reports, *self.instances.replicas_now_spare()} - {replica.replica_id}
         has_waited = now_us - self.started_us >= self.node.bounds.alone_us
@@ -316,7 +316,7 @@
             reports,
             group_size=len(replica.replica_ids),
             is_empty=replica.is_empty,
-            may_bootstrap=self.is_core_lost or not replica.is_learned,
+            may_bootstrap=self.is_core_lost or not replica.is_dynamically_assigned,
             are_all_accounted_for=len(accounted_for) == len(replica.replica_ids) - 1,
             has_waited=has_waited,
         )
@@ -395,7 +395,7 @@
         if self.state is not RecoveryState.CATCHING_UP or self.transfer.peers:
             return
         replica, incarnation = self.replica, self.replica.incarnation
-        replica.narrow_claims(not self.is_bootstrap)
+        replica.close_claims_unless(not self.is_bootstrap)
 
         def on_synced(is_kept: bool) -> None:
             if not is_kept:
@@ -424,13 +424,13 @@
         for name, (address, _) in self.replica.directory.replicas().items():
             if name != self.replica.replica_id:
                 self._send_state_query(address)
-        self._weigh_reports(now_us)
+        self._evaluate_reports(now_us)
 
     def _begin_again(self) -> None:
         """Start over, or become a spare if this node never voted as the replica.
 
         Without progress another instance may have been recorded first.
         """
-        if self.replica.is_learned and self.replica.is_empty:
+        if self.replica.is_dynamically_assigned and self.replica.is_empty:
             return self.replica.retire()
         self.begin()
--- a/packages/consensus/src/linkhaven/consensus/recovery_responder.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery_responder.py
@@ -31,7 +31,9 @@
 from .replica_instances import ReplicaInstances
 from .replica_records import ReplicaRecord
 
-PAGE_KEYS = 500
+KEYS_PER_PAGE = 500
+"""The most registers in one page."""
+
 MAX_TRANSFERS = 4
 """How many transfers are served at once. Beyond that the key list of the oldest is dropped; it is
 built again at that transfer's next request."""
@@ -104,7 +106,7 @@
             is_voting=replica.is_voting,
             is_empty=replica.is_empty,
             incarnation=replica.incarnation,
-            known_incarnations=self._incarnations_known_with(query.replica_id),
+            known_incarnations=self._incarnations_including(query.replica_id),
             start=self.recovery.start,
             recorded_name=self.instances.recorded_name(query.replica_id),
             is_taken=is_taken,
@@ -112,7 +114,7 @@
         self.node.send(query.reply_to, report)
         self.recovery.query_back(query)
 
-    def _incarnations_known_with(self, replica_id: str) -> dict[str, int]:
+    def _incarnations_including(self, replica_id: str) -> dict[str, int]:
         """Return the known incarnations, for one replica also from the recorded instances.
 
         A replica of the group's first start announced no incarnation, and is only recorded there.
@@ -159,7 +161,7 @@
             self._list_keys(transfer, request.since)
         keys, change_count = self.listings[transfer]
         first = bisect_right(keys, request.after)
-        page = keys[first : first + PAGE_KEYS]
+        page = keys[first : first + KEYS_PER_PAGE]
         states = replica.registers.states
         answer = StatePage(
             replica_id=replica.replica_id,
@@ -169,7 +171,7 @@
             since=request.since,
             change_count=change_count,
             num_remaining=len(keys) - first - len(page),
-            next_cursor=page[-1] if len(keys) > first + PAGE_KEYS else None,
+            next_cursor=page[-1] if len(keys) > first + KEYS_PER_PAGE else None,
             are_claims_open=replica.are_claims_open,
             registers={key: states[key].as_copy() for key in page if key in states},
         )
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -87,7 +87,7 @@
         "recovery_responder",
         "are_claims_open",
         "ticked_us",
-        "is_learned",
+        "is_dynamically_assigned",
         "instances",
         "assignment",
         "seal_record",
@@ -118,7 +118,7 @@
         can be replicated only under a higher ballot.
         """
         self.node = node
-        self.is_learned = replica_id is None
+        self.is_dynamically_assigned = replica_id is None
         self.replica_ids = replica_ids
         self.majority = len(replica_ids) // 2 + 1
         self.directory = directory
@@ -132,7 +132,7 @@
         self.seal_record: SealRecord | None = stored.seal or None
         self.are_claims_open = stored.are_claims_open is not False
         self.is_failing = False
-        self.life_cycle = self._begin_life(stored)
+        self.life_cycle = self._initial_life_cycle(stored)
         self.votes_from_us = 0
         self.ticked_us = node.now_us()
         self.instances = ReplicaInstances(node, self, stored.instances or {})
@@ -148,19 +148,19 @@
         node.systems.append(self.tick)
         self._announce_start()
 
-    def _begin_life(self, stored: ReplicaRecord) -> LifeCycle:
+    def _initial_life_cycle(self, stored: ReplicaRecord) -> LifeCycle:
         state = ReplicaState.RECOVERING if self.replica_id else ReplicaState.SPARE
         if self.seal_record is not None:
             return LifeCycle(state, StoredState.SEALED)
-        is_whole = bool(self.incarnation and not stored.is_partial)
-        return LifeCycle(state, StoredState.WHOLE if is_whole else StoredState.EMPTY)
+        is_complete = bool(self.incarnation and not stored.is_partial)
+        return LifeCycle(state, StoredState.COMPLETE if is_complete else StoredState.EMPTY)
 
     def _announce_start(self) -> None:
         if self.replica_id:
             self.node.ports.log(STARTED_EVENT, seat=self.replica_id, empty=self.is_empty)
         else:
             self.node.ports.log(SPARE_EVENT)
-        if self.is_learned:
+        if self.is_dynamically_assigned:
             self.directory.restore_replica(self.replica_id, self.incarnation)
             self.directory.add_seeds(self.instances.addresses())
 
@@ -266,7 +266,7 @@
         """Record that a write of recovery failed."""
         self.is_failing = True
 
-    def narrow_claims(self, are_open: bool) -> None:
+    def close_claims_unless(self, are_open: bool) -> None:
         """Close claims if they are closed at a replica whose state was read."""
         self.are_claims_open = self.are_claims_open and are_open
 
@@ -289,7 +289,7 @@
         self.seal_record = None
         wait_us = self.node.bounds.lease_us if wait_us is None else wait_us
         self.votes_from_us = 0 if is_first else self.node.now_us() + wait_us
-        if self.is_learned:
+        if self.is_dynamically_assigned:
             self.directory.announce_replica(self.replica_id, self.incarnation)
         self.directory.learn_incarnations(self.all_incarnations())
         self.node.ports.log(VOTES_EVENT, seat=self.replica_id, incarnation=self.incarnation)
@@ -324,7 +324,7 @@
 
         `is_core_lost`: all replicas lost their disks, so an empty group may bootstrap.
         """
-        self.life_cycle.on(ReplicaEvent.TAKE)
+        self.life_cycle.on(ReplicaEvent.ASSIGN)
         self.replica_id = replica_id
         self.recovery.begin(is_core_lost=is_core_lost)
         self.node.ports.log(STARTED_EVENT, seat=replica_id, empty=self.is_empty)
@@ -488,7 +488,7 @@
         """Stop voting, since a newer instance of this replica runs."""
         self.life_cycle.on(ReplicaEvent.SUPERSEDE)
         self.node.ports.log(SUPERSEDED_EVENT, seat=self.replica_id, incarnation=incarnation)
-        if self.is_learned:
+        if self.is_dynamically_assigned:
             self.retire()
 
     # Periodic work
--- a/packages/consensus/src/linkhaven/consensus/replica_state.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_state.py
@@ -53,7 +53,7 @@
     EMPTY = "empty"
     """None are stored, or not all that the replica accepted."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     """All that the replica ever accepted are stored, unless the disk lost synced writes."""
 
     SEALED = "sealed"
@@ -69,7 +69,7 @@
     BOOTSTRAP_REFUSED = auto()
     """The disk refused the record of the first start."""
 
-    TAKE = auto()
+    ASSIGN = auto()
     """A spare starts to recover as a vacant replica."""
 
     RECOVER = auto()
@@ -128,7 +128,7 @@
 TRANSITIONS: Mapping[ReplicaEvent, Transition] = {
     ReplicaEvent.BOOTSTRAP: _row(ReplicaState.SPARE, to=ReplicaState.BOOTSTRAPPING),
     ReplicaEvent.BOOTSTRAP_REFUSED: _row(ReplicaState.BOOTSTRAPPING, to=ReplicaState.SPARE),
-    ReplicaEvent.TAKE: _row(ReplicaState.SPARE, to=ReplicaState.RECOVERING),
+    ReplicaEvent.ASSIGN: _row(ReplicaState.SPARE, to=ReplicaState.RECOVERING),
     # From VOTING if a bootstrap may have lost the record of a newer incarnation.
     ReplicaEvent.RECOVER: _row(*IN_RECOVERY, ReplicaState.VOTING, to=ReplicaState.RECOVERING),
     ReplicaEvent.TOO_FEW_REPORTED: _row(ReplicaState.RECOVERING, to=ReplicaState.WAITING),
@@ -137,21 +137,21 @@
         *IN_RECOVERY,
         ReplicaState.BOOTSTRAPPING,
         to=ReplicaState.VOTING,
-        stored=StoredState.WHOLE,
+        stored=StoredState.COMPLETE,
     ),
     ReplicaEvent.LEARN: _row(ReplicaState.SPARE, to=ReplicaState.LEARNING),
     ReplicaEvent.TAKE_OVER: _row(
-        ReplicaState.LEARNING, to=ReplicaState.RECOVERING, stored=StoredState.WHOLE
+        ReplicaState.LEARNING, to=ReplicaState.RECOVERING, stored=StoredState.COMPLETE
     ),
     ReplicaEvent.PAUSE: _row(ReplicaState.VOTING, to=ReplicaState.PAUSED),
     ReplicaEvent.RESUME: _row(ReplicaState.PAUSED, to=ReplicaState.VOTING),
     ReplicaEvent.SEAL: _row(ReplicaState.VOTING, to=ReplicaState.SEALED, stored=StoredState.SEALED),
     ReplicaEvent.SEAL_REFUSED: _row(
-        ReplicaState.SEALED, to=ReplicaState.VOTING, stored=StoredState.WHOLE
+        ReplicaState.SEALED, to=ReplicaState.VOTING, stored=StoredState.COMPLETE
     ),
     # From recovery if a sealed replica was restarted and has asked its successor.
     ReplicaEvent.UNSEAL: _row(
-        ReplicaState.SEALED, *IN_RECOVERY, to=ReplicaState.RECOVERING, stored=StoredState.WHOLE
+        ReplicaState.SEALED, *IN_RECOVERY, to=ReplicaState.RECOVERING, stored=StoredState.COMPLETE
     ),
     ReplicaEvent.SUPERSEDE: _row(*IN_RECOVERY, ReplicaState.VOTING, to=ReplicaState.SUPERSEDED),
     ReplicaEvent.RETIRE: _row(
@@ -187,7 +187,7 @@
     @property
     def is_empty(self) -> bool:
         """Whether the disk is incomplete, so that the state must be read from other replicas."""
-        return self.stored is not StoredState.WHOLE
+        return self.stored is not StoredState.COMPLETE
 
     @property
     def is_sealed(self) -> bool:
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -27,9 +27,14 @@
 from .registers import RegisterTable
 from .replication_messages import BallotPage, LateAccepts, MissingValues
 
-PAGE_KEYS = 500
+KEYS_PER_PAGE = 500
+"""The most registers in one page."""
+
 RESEND_INTERVAL_US = 100_000
+"""Interval at which unanswered messages are sent again."""
+
 NO_ROUND = -1
+"""Below all change counts: the first round covers every register."""
 
 
 class ComparedReplica(Protocol):
@@ -116,7 +121,7 @@
 
     def _page(self, after: str) -> list[str]:
         first = bisect_right(self.keys, after)
-        return self.keys[first : first + PAGE_KEYS]
+        return self.keys[first : first + KEYS_PER_PAGE]
 
     def _send_ballot_page(self, name: str, cursor: str) -> None:
         replica = self.replica
--- a/packages/consensus/src/linkhaven/consensus/state_transfer.py
+++ b/packages/consensus/src/linkhaven/consensus/state_transfer.py
@@ -88,7 +88,7 @@
     directory: Directory
     incarnation: int
 
-    def narrow_claims(self, are_open: bool) -> None:
+    def close_claims_unless(self, are_open: bool) -> None:
         """Close claims if they are closed at a replica whose state was read."""
 
     def merge(self, registers: Mapping[str, RegisterCopy]) -> dict[str, Any]:
@@ -254,7 +254,7 @@
                 peer.read_after(page.next_cursor)
                 return self._send_page_request(page.reply_to, peer.cursor)
             peers.pop(page.replica_id, None)
-            replica.narrow_claims(page.are_claims_open)
+            replica.close_claims_unless(page.are_claims_open)
             self.listener.on_peer_read()
 
         self.node.ports.storage.write(replica.merge(page.registers), on_stored)
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -37,7 +37,10 @@
 from .replica_records import HandoverRecord, ReplicaRecord
 
 RESEND_INTERVAL_US = 100_000
+"""Interval at which unanswered messages are sent again."""
+
 SILENCE_TIMEOUT_US = 2_000_000
+"""How long a hand-over may go on without progress before it is given up."""
 
 READING_EVENT = 1211
 
--- a/tests/test_control_many_changes.py
+++ b/tests/test_control_many_changes.py
@@ -31,7 +31,7 @@
 
 
 def vote_before_reading(monkeypatch):
-    weigh = Recovery._weigh_reports
+    weigh = Recovery._evaluate_reports
 
     def hasty(self, now_us):
         weigh(self, now_us)
@@ -45,7 +45,7 @@
             end(self)
 
     end = Recovery.on_peer_read
-    monkeypatch.setattr(Recovery, "_weigh_reports", hasty)
+    monkeypatch.setattr(Recovery, "_evaluate_reports", hasty)
     monkeypatch.setattr(Recovery, "on_peer_read", vote_once)
 
 
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -22,31 +22,43 @@
 )
 WAITING, LEARNING, VOTING = ReplicaState.WAITING, ReplicaState.LEARNING, ReplicaState.VOTING
 PAUSED, SEALED, SUPERSEDED = ReplicaState.PAUSED, ReplicaState.SEALED, ReplicaState.SUPERSEDED
-EMPTY, WHOLE, GIVEN_AWAY = StoredState.EMPTY, StoredState.WHOLE, StoredState.SEALED
+EMPTY, COMPLETE, GIVEN_AWAY = StoredState.EMPTY, StoredState.COMPLETE, StoredState.SEALED
 
 LIVES = {
-    "first start": ("BOOTSTRAP BEGIN_VOTING", SPARE, EMPTY, VOTING, WHOLE),
+    "first start": ("BOOTSTRAP BEGIN_VOTING", SPARE, EMPTY, VOTING, COMPLETE),
     "first start, disk refuses": ("BOOTSTRAP BOOTSTRAP_REFUSED", SPARE, EMPTY, SPARE, EMPTY),
-    "restart": ("RECOVER BEGIN_VOTING", RECOVERING, WHOLE, VOTING, WHOLE),
-    "restart without a disk": ("RECOVER BEGIN_VOTING", RECOVERING, EMPTY, VOTING, WHOLE),
-    "operator restores": ("TOO_FEW_REPORTED BEGIN_VOTING", RECOVERING, EMPTY, VOTING, WHOLE),
+    "restart": ("RECOVER BEGIN_VOTING", RECOVERING, COMPLETE, VOTING, COMPLETE),
+    "restart without a disk": ("RECOVER BEGIN_VOTING", RECOVERING, EMPTY, VOTING, COMPLETE),
+    "operator restores": ("TOO_FEW_REPORTED BEGIN_VOTING", RECOVERING, EMPTY, VOTING, COMPLETE),
     "others come after all": ("TOO_FEW_REPORTED RECOVER BEGIN_VOTING",)
-    + (RECOVERING, EMPTY, VOTING, WHOLE),
-    "newcomer": ("TAKE RECOVER BEGIN_VOTING", SPARE, EMPTY, VOTING, WHOLE),
-    "newcomer that was second": ("TAKE RECOVER RETIRE", SPARE, EMPTY, SPARE, EMPTY),
-    "successor": ("LEARN TAKE_OVER RECOVER BEGIN_VOTING", SPARE, EMPTY, VOTING, WHOLE),
+    + (RECOVERING, EMPTY, VOTING, COMPLETE),
+    "newcomer": ("ASSIGN RECOVER BEGIN_VOTING", SPARE, EMPTY, VOTING, COMPLETE),
+    "newcomer that was second": ("ASSIGN RECOVER RETIRE", SPARE, EMPTY, SPARE, EMPTY),
+    "successor": ("LEARN TAKE_OVER RECOVER BEGIN_VOTING", SPARE, EMPTY, VOTING, COMPLETE),
     "successor that gave up": ("LEARN RETIRE", SPARE, EMPTY, SPARE, EMPTY),
-    "departed": ("SEAL RETIRE", VOTING, WHOLE, SPARE, EMPTY),
-    "seal refused": ("SEAL SEAL_REFUSED", VOTING, WHOLE, VOTING, WHOLE),
-    "sealed": ("SEAL", VOTING, WHOLE, SEALED, GIVEN_AWAY),
-    "sealed, successor gave up": ("SEAL UNSEAL RECOVER BEGIN_VOTING", VOTING, WHOLE, VOTING, WHOLE),
-    "sealed, restarted": ("RECOVER BEGIN_VOTING", RECOVERING, GIVEN_AWAY, VOTING, WHOLE),
-    "sealed, restarted, given back": ("UNSEAL RECOVER", RECOVERING, GIVEN_AWAY, RECOVERING, WHOLE),
+    "departed": ("SEAL RETIRE", VOTING, COMPLETE, SPARE, EMPTY),
+    "seal refused": ("SEAL SEAL_REFUSED", VOTING, COMPLETE, VOTING, COMPLETE),
+    "sealed": ("SEAL", VOTING, COMPLETE, SEALED, GIVEN_AWAY),
+    "sealed, successor gave up": (
+        "SEAL UNSEAL RECOVER BEGIN_VOTING",
+        VOTING,
+        COMPLETE,
+        VOTING,
+        COMPLETE,
+    ),
+    "sealed, restarted": ("RECOVER BEGIN_VOTING", RECOVERING, GIVEN_AWAY, VOTING, COMPLETE),
+    "sealed, restarted, given back": (
+        "UNSEAL RECOVER",
+        RECOVERING,
+        GIVEN_AWAY,
+        RECOVERING,
+        COMPLETE,
+    ),
     "sealed, restarted, departed": ("RETIRE", RECOVERING, GIVEN_AWAY, SPARE, EMPTY),
-    "departs without a successor": ("PAUSE", VOTING, WHOLE, PAUSED, WHOLE),
-    "can't depart yet": ("PAUSE RESUME", VOTING, WHOLE, VOTING, WHOLE),
-    "superseded": ("SUPERSEDE RETIRE", VOTING, WHOLE, SPARE, EMPTY),
-    "a bootstrap that forgot": ("RECOVER SUPERSEDE RETIRE", VOTING, WHOLE, SPARE, EMPTY),
+    "departs without a successor": ("PAUSE", VOTING, COMPLETE, PAUSED, COMPLETE),
+    "can't depart yet": ("PAUSE RESUME", VOTING, COMPLETE, VOTING, COMPLETE),
+    "superseded": ("SUPERSEDE RETIRE", VOTING, COMPLETE, SPARE, EMPTY),
+    "a bootstrap that forgot": ("RECOVER SUPERSEDE RETIRE", VOTING, COMPLETE, SPARE, EMPTY),
 }
 
 
@@ -57,7 +69,7 @@
         life.on(ReplicaEvent[event])
     assert (life.state, life.stored) == (last, worth)
     assert life.may_vote is (last is VOTING)
-    assert life.is_empty is (worth is not WHOLE)
+    assert life.is_empty is (worth is not COMPLETE)
 
 
 def test_each_row_of_the_table_is_part_of_a_life():
@@ -69,14 +81,14 @@
 @pytest.mark.parametrize("state", ReplicaState)
 @pytest.mark.parametrize("event", ReplicaEvent)
 def test_what_stands_in_no_row_changes_nothing(event, state):
-    life = LifeCycle(state, WHOLE)
+    life = LifeCycle(state, COMPLETE)
     if state in TRANSITIONS[event].sources:
         life.on(event)
         assert life.state is TRANSITIONS[event].target
         return
     with pytest.raises(InvalidTransitionError, match=f"{event.name} in state {state.name}"):
         life.on(event)
-    assert (life.state, life.stored) == (state, WHOLE)
+    assert (life.state, life.stored) == (state, COMPLETE)
 
 
 def test_the_ways_to_a_vote_are_these():
