--- a/packages/consensus/src/linkhaven/consensus/acceptor.py
+++ b/packages/consensus/src/linkhaven/consensus/acceptor.py
@@ -18,7 +18,7 @@
 there).
 Invariant: a vote is never sent if its sync completes under another incarnation, or after the
 replica has stopped voting, since another replica may have read its state in between
-(`test_a_vote_is_never_sent_under_another_incarnation_or_by_one_that_ended_to_vote`).
+(`test_a_vote_is_never_sent_under_another_incarnation_or_after_voting_ended`).
 
 For the register of the configuration, `BlobGuard` (package configuration) is called before
 `on_accept` and first stores the documents that the value refers to.
--- a/packages/consensus/src/linkhaven/consensus/claims.py
+++ b/packages/consensus/src/linkhaven/consensus/claims.py
@@ -2,7 +2,7 @@
 
 Invariant: a claim is kept for the whole retention, counted in the run time of this replica. If the
 limit is reached, new claims get no vote, and no old one is deleted early
-(`test_full_means_that_new_claims_are_refused_and_no_old_one_is_forgotten`).
+(`test_at_the_limit_new_claims_are_refused_and_no_old_one_is_deleted`).
 """
 
 from collections import deque
--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -21,7 +21,7 @@
 
 Invariant: a successor votes only with everything that the departing replica ever accepted, since
 the last pages are read after the seal, when the departing replica has stopped voting
-(`test_what_only_the_departing_replica_and_one_other_accepted_is_with_the_successor`).
+(`test_a_successor_has_what_only_the_departing_replica_and_one_other_accepted`).
 Invariant: a sealed replica counts as one that lost its disk, also after a restart, unless its
 successor says that it never took over
 (`test_a_sealed_replica_that_starts_again_counts_as_one_without_a_disk`).
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -22,7 +22,7 @@
 | IDLE | `begin_with_state`, at the end of a hand-over | announces its incarnation | RECORDING |
 | RECORDING | a majority recorded it | votes; it has the whole state already | VOTING |
 | RECORDING | no progress (`NO_PROGRESS_TIMEOUT_US`) | recovers from its disk | COLLECTING |
-| VOTING | `begin`: may have lost a newer incarnation | queries all replicas | COLLECTING |
+| VOTING | `begin` after a bootstrap, see `is_disputed` | queries all replicas | COLLECTING |
 | any | `reset`, once it is a spare | | IDLE |
 
 Messages and events without a row in the current state are ignored. The other replicas' side of the
--- a/packages/consensus/src/linkhaven/consensus/replica_state.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_state.py
@@ -3,7 +3,7 @@
 Start, recovery, voting, hand-over, seal, retirement and disk errors are rows of one table,
 `TRANSITIONS`. A replica changes its state only through `LifeCycle.on`; an event without a row for
 the current state raises `InvalidTransitionError` and changes nothing. So a replica can't get to
-vote in a way that isn't in the table (`test_what_stands_in_no_row_changes_nothing`,
+vote in a way that isn't in the table (`test_an_event_without_a_transition_changes_nothing`,
 `test_only_the_life_cycle_changes_a_replicas_state`).
 
 | state | meaning |
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -63,7 +63,7 @@
         on_request[message_type](message)
 
 
-def test_a_vote_is_sent_once_the_disk_has_it():
+def test_a_vote_is_sent_only_once_it_is_synced():
     voter = Voter()
     voter.request(Accept, [1, "x"], value="text")
     ((records, _),) = voter.writes
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("change", [{"incarnation": INCARNATION + 1}, {"is_voting": False}])
-def test_a_vote_is_never_sent_under_another_incarnation_or_by_one_that_ended_to_vote(change):
+def test_a_vote_is_never_sent_under_another_incarnation_or_after_voting_ended(change):
     voter = Voter()
     voter.request(Accept, [1, "x"], value="text")
     for name, value in change.items():
@@ -84,7 +84,7 @@
     assert not voter.sent and not voter.changed
 
 
-def test_a_disk_that_refuses_a_vote_makes_it_a_refusal():
+def test_a_vote_that_the_disk_refuses_is_sent_as_a_refusal():
     voter = Voter()
     voter.request(Prepare, [1, "x"])
     voter.sync(is_synced=False)
@@ -104,7 +104,7 @@
         (Accept, [3, "a"], True),
     ],
 )
-def test_a_promise_binds_lower_ballots_and_the_same_one_is_promised_once(
+def test_lower_ballots_are_refused_after_a_promise_and_the_same_one_is_promised_once(
     message_type, ballot, is_yes
 ):
     voter = Voter()
@@ -129,7 +129,7 @@
     assert voter.registers.is_known_chosen(KEY)
 
 
-def test_who_is_cut_off_waits_a_third_until_a_majority_answers():
+def test_a_node_that_is_cut_off_waits_a_third_as_long_until_a_majority_answers():
     monitor = MajorityMonitor(600_000)
     assert monitor.silence_bound_us() == 600_000
     monitor.on_silence()
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -37,7 +37,7 @@
     return fleet.registries[seat].node.replica.state
 
 
-def test_two_operators_at_once_one_wins_and_the_other_learns_the_mark():
+def test_of_two_concurrent_puts_one_wins_and_the_other_gets_the_current_revision():
     fleet, _ = make_core()
     told = []
     for operator, seat in ((0, "a"), (1, "b")):
@@ -60,7 +60,7 @@
     assert (status, document["code"], document["done"]) == (503, "core_unready", "no")
 
 
-def test_a_put_that_loses_its_majority_between_the_rounds_says_it_does_not_know():
+def test_a_put_that_loses_its_majority_between_the_rounds_has_an_unknown_outcome():
     fleet, _ = make_core()
     world = fleet.world
     lone = fleet.registries["a"]
@@ -144,7 +144,7 @@
     assert show(fleet, "a")[1]["mark"] == 1
 
 
-def test_a_woken_former_instance_of_a_replica_has_no_vote():
+def test_a_former_instance_of_a_replica_that_wakes_up_has_no_vote():
     fleet, faults = make_core()
     old = fleet.registries["a"]
     faults.begin("exchange_awake_core", "a")
@@ -268,7 +268,7 @@
     return [one.code or one.how for one in asked]
 
 
-def test_full_means_that_new_claims_are_refused_and_no_old_one_is_forgotten():
+def test_at_the_limit_new_claims_are_refused_and_no_old_one_is_deleted():
     plan = LICENSING.plan(claims={"keep_us": 60 * SECOND, "most": 3})
     fleet = SimFleet(LICENSING, 51, plan=plan).start()
     fleet.world.run_for(3 * SECOND)
@@ -283,7 +283,7 @@
     assert ask_with_keys(fleet, ["d", "a"], "edge-3") == ["done"] * 2
 
 
-def test_a_kind_may_demand_a_key():
+def test_a_request_kind_may_require_a_key():
     plan = LICENSING.plan()
     plan["kinds"] = {
         **plan["kinds"],
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -89,7 +89,7 @@
         (forget_grants, "duties"),
     ],
 )
-def test_each_mechanism_of_a_cut_is_needed(monkeypatch, sabotage, breach):
+def test_each_mechanism_against_a_cut_is_needed(monkeypatch, sabotage, breach):
     sabotage(monkeypatch)
     assert breach in judge_cut(CutCourse(4, 3, HOLDER, BOTH, SILENT).run(HOLDER))
 
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("direction", [BOTH, OUT, IN])
 @pytest.mark.parametrize("stale_us", [None, 1_500_000])
-def test_a_router_cut_off_from_the_core_goes_on_or_closes_as_its_terms_say(stale_us, direction):
+def test_a_router_cut_off_from_the_core_goes_on_or_closes_as_its_bounds_say(stale_us, direction):
     core = core_with_plan(3)
     router = add_router(core, "edge-1", Bounds(plan_stale_us=stale_us))
     router.start()
@@ -246,7 +246,7 @@
     assert told.took_us <= Bounds().silent_us + 3 * TICK_US
 
 
-def test_a_key_isn_t_granted_by_a_router_that_hears_no_majority():
+def test_a_key_is_not_granted_by_a_router_that_hears_no_majority():
     fleet = SimFleet(LICENSING, 7, routers=2).start()
     fleet.world.run_for(3 * SECOND)
     cores = [host.name for host in fleet.registries.values()]
@@ -256,7 +256,7 @@
     assert (one.how, one.code) == ("refused", "claim_unavailable")
 
 
-def test_links_on_which_both_rounds_take_longer_than_a_shot_still_carry_an_order():
+def test_an_order_succeeds_where_both_rounds_take_longer_than_an_attempt():
     core = core_with_plan(3)
     for one in core.machines:
         for other in core.machines:
@@ -280,7 +280,7 @@
     assert core.put(4, 9, "later", PLAN, "core-1")[0][0] is None
 
 
-def test_a_member_that_slept_through_the_bound_hears_the_answers_that_wait():
+def test_a_member_suspended_beyond_the_silence_bound_still_reads_pending_answers():
     core = core_with_plan(3)
     host = core.machines["core-1"]
     told = core.put(4, 9, "later", PLAN, "core-1", wait=False)
--- a/tests/test_control_races.py
+++ b/tests/test_control_races.py
@@ -16,7 +16,9 @@
 
 
 @pytest.mark.parametrize("seats, racers, seed", CASES)
-def test_of_orders_under_one_number_one_is_taken_however_often_they_are_sent(seats, racers, seed):
+def test_only_one_of_several_orders_under_one_revision_is_taken_however_often_sent(
+    seats, racers, seed
+):
     course = RaceCourse(seed, seats, racers).run(2)
     late = course.send_late()
     assert judge_race(course) == {}
@@ -45,7 +47,7 @@
 
 
 @pytest.mark.parametrize("sabotage", [choose_alone, overlook_what_was_accepted])
-def test_without_ballots_at_a_majority_two_are_confirmed(monkeypatch, sabotage):
+def test_without_a_majority_of_ballots_two_orders_are_confirmed(monkeypatch, sabotage):
     sabotage(monkeypatch)
     core = SimCore(1).bootstrap()
     core.world.run_for(3 * SECOND)
@@ -98,7 +100,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_who_is_refused_for_a_version_finds_it_in_force(seed):
+def test_an_order_is_refused_only_for_a_version_that_is_in_force_afterwards(seed):
     """Else an order that builds on the newest version would be refused for one that nobody ever
     reads."""
     core, operators = leave_an_order_at_a_minority(seed)
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_what_only_the_departing_replica_and_one_other_accepted_is_with_the_successor(seed):
+def test_a_successor_has_what_only_the_departing_replica_and_one_other_accepted(seed):
     """The order comes after the successor's first page and before the seal; then that other is
     lost."""
     core = started(seed, 3, ["core-9"])
@@ -365,7 +365,7 @@
     return call.document
 
 
-def test_core_status_tells_members_epochs_and_the_loss_that_could_be_borne():
+def test_core_status_reports_members_and_how_many_losses_are_tolerated():
     core = started(4, 5, ["core-9"])
     told = status_of(core, "core-9")
     assert {name: member["standing"] for name, member in told["members"].items()} == {
@@ -380,7 +380,7 @@
     assert "b" not in told["voting"]
 
 
-def test_core_status_tells_who_reads_state_and_how_far():
+def test_core_status_reports_who_reads_state_and_how_far():
     core = started(4, 3, ["core-9"])
     acked(core, 0, 3)
     core.world.slow.update({("core-2", "core-9"): 100_000, ("core-9", "core-2"): 100_000})
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("events, state, stored, last, worth", LIVES.values(), ids=LIVES)
-def test_each_life_runs_through_its_states(events, state, stored, last, worth):
+def test_each_life_cycle_passes_through_its_states(events, state, stored, last, worth):
     life = LifeCycle(state, stored)
     for event in events.split():
         life.on(ReplicaEvent[event])
@@ -72,7 +72,7 @@
     assert life.is_empty is (worth is not COMPLETE)
 
 
-def test_each_row_of_the_table_is_part_of_a_life():
+def test_each_event_is_part_of_a_life_cycle():
     assert {event for events, *_ in LIVES.values() for event in events.split()} == {
         event.name for event in ReplicaEvent
     }
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("state", ReplicaState)
 @pytest.mark.parametrize("event", ReplicaEvent)
-def test_what_stands_in_no_row_changes_nothing(event, state):
+def test_an_event_without_a_transition_changes_nothing(event, state):
     life = LifeCycle(state, COMPLETE)
     if state in TRANSITIONS[event].sources:
         life.on(event)
@@ -91,7 +91,7 @@
     assert (life.state, life.stored) == (state, COMPLETE)
 
 
-def test_the_ways_to_a_vote_are_these():
+def test_only_these_transitions_lead_to_voting():
     """A seal is opened by its successor's word alone, and then by a recovery."""
     ways = {
         (event.name, source)
@@ -108,7 +108,7 @@
     }
 
 
-def test_a_pause_is_spelled_as_a_seal_on_the_wire():
+def test_paused_is_reported_as_sealed_on_the_wire():
     assert {state.wire_name for state in ReplicaState} == {
         *("spare", "beginning", "rejoining", "waiting", "learning", "voting", "sealed", "fenced")
     }
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("name", GOOD)
-def test_a_history_of_one_register_is_explained(name):
+def test_a_linearizable_history_is_accepted(name):
     order = find_update(GOOD[name])
     assert order is not None
     state = RegisterState()
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_a_history_of_no_register_is_told(name):
+def test_a_history_that_is_not_linearizable_is_reported(name):
     assert find_update(BAD[name]) is None
 
 
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_drawn_histories_of_one_register_hold_and_a_false_read_at_the_end_does_not(seed):
+def test_generated_histories_are_linearizable_and_a_false_read_at_the_end_is_not(seed):
     operations = drawn_history(seed)
     assert is_linearizable(operations)
     assert not is_linearizable([*operations, read(1_000, 1_001, 999, "never ordered")])
--- a/tests/test_recovery_speed.py
+++ b/tests/test_recovery_speed.py
@@ -35,7 +35,7 @@
     return next((host for host in nodes if host.node and host.node.leases[role].is_held()), None)
 
 
-def test_a_page_that_is_being_written_is_not_asked_for_again():
+def test_a_page_that_is_being_synced_is_not_requested_again():
     core = started(1)
     assert core.put(0, 3, "text", PLAN)[0][0] is None
     host = core.machines["core-2"]
@@ -48,14 +48,14 @@
 
 @pytest.mark.parametrize("seed", range(1, 6))
 @pytest.mark.parametrize("gap_us", [0, 70 * MS, 190 * MS])
-def test_after_all_were_killed_the_seats_vote_soon_after_the_last_start(seed, gap_us):
+def test_after_all_were_killed_the_replicas_vote_soon_after_the_last_start(seed, gap_us):
     core = started(seed)
     kill_all(core, gap_us)
     assert core.world.wait_for(lambda: len(core.voting()) == 3, 200 * MS, 5 * MS), core.voting()
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_majority_with_disks_waits_no_longer_once_the_wiped_one_is_heard(seed):
+def test_a_majority_with_disks_stops_waiting_once_the_wiped_replica_answers(seed):
     core = started(seed)
     assert core.put(0, 3, "text", PLAN)[0][0] is None
     core.machines["core-3"].disk.wipe()
@@ -67,7 +67,7 @@
     assert core.read()[1]["revision"] == 3
 
 
-def test_a_silent_seat_is_waited_for_as_long_as_the_terms_say():
+def test_a_silent_replica_is_waited_for_as_long_as_the_bounds_say():
     core = started(2)
     for host in core.machines.values():
         host.kill()
@@ -79,7 +79,7 @@
     assert core.world.wait_for(lambda: len(core.voting()) == 2, 300 * MS, 5 * MS)
 
 
-def test_a_core_that_began_to_vote_tells_the_runners_without_a_holder():
+def test_a_core_that_starts_to_vote_publishes_the_runners_without_a_lease_holder():
     fleet = SimFleet(LICENSING, 5).start()
     world = fleet.world
     world.run_for(3 * SECOND)
@@ -118,7 +118,7 @@
     assert oldest_us <= 2 * SECOND
 
 
-def test_a_holder_that_stops_releases_its_duties():
+def test_a_lease_holder_that_stops_releases_its_leases():
     core = started(4)
     assert core.world.wait_for(lambda: holder_of(core.machines.values(), "roster"), 8 * SECOND)
     core.world.run_for(2 * SECOND)
@@ -137,7 +137,7 @@
         assert holder_of(others, name).node.leases[name].fencing_token > fences[name]
 
 
-def test_a_successor_gives_no_orders_until_a_grant_has_passed():
+def test_a_new_lease_holder_gives_no_orders_until_a_lease_time_has_passed():
     core = started(4)
     assert core.world.wait_for(lambda: holder_of(core.machines.values(), "steward"), 8 * SECOND)
     core.world.run_for(2 * SECOND)
--- a/tests/test_sealed_replica.py
+++ b/tests/test_sealed_replica.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_late_record_of_a_successors_incarnation_reads_nothing(seed):
+def test_a_successor_reads_nothing_when_a_replica_records_its_incarnation_late(seed):
     """The successor has the whole state of the sealed instance, so nothing is left to read."""
     core = started(seed)
     acked(core, 0, 3)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_late_record_does_not_open_a_seal(seed):
+def test_a_late_record_of_an_incarnation_does_not_remove_a_seal(seed):
     """A successor is sealed itself before the last replica recorded its own incarnation.
 
     The record of the first replica comes a second time, since messages may be doubled.
