--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -1,4 +1,4 @@
-"""The votes of an acceptor, driven by hand."""
+"""Tests of the acceptor's votes, with a fake node and disk."""
 
 from types import SimpleNamespace
 
@@ -13,7 +13,7 @@
 
 
 class Voter:
-    """An acceptor with a disk that syncs when it is told to."""
+    """An acceptor with a fake disk that syncs on `sync`."""
 
     def __init__(self):
         self.replica_id, self.incarnation, self.is_voting = "a", INCARNATION, True
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -9,43 +9,47 @@
 SECOND = 1_000_000
 
 
-def make_core(seed=1):
+def make_fleet(seed=1):
     fleet = SimFleet(LICENSING, seed, routers=1).start()
     fleet.world.is_tracing = True
     return fleet, Faults(fleet)
 
 
-def put(fleet, expect, seat, most_s=5):
-    told = []
+def put(fleet, expect, seat, timeout_s=5):
+    answers = []
     fleet.put_plan(
-        fleet.plan, expect, seat, 0, lambda status, document: told.append((status, document))
+        fleet.plan, expect, seat, 0, lambda status, document: answers.append((status, document))
     )
-    fleet.world.wait_for(lambda: told, most_s * SECOND, 10_000)
-    return told[0] if told else None
+    fleet.world.wait_for(lambda: answers, timeout_s * SECOND, 10_000)
+    return answers[0] if answers else None
 
 
 def show(fleet, seat):
-    told = []
+    answers = []
     fleet.operators[0].node.show(
-        fleet.registries[seat].address, lambda status, document: told.append((status, document))
+        fleet.registries[seat].address, lambda status, document: answers.append((status, document))
     )
-    fleet.world.wait_for(lambda: told, 5 * SECOND, 10_000)
-    return told[0]
+    fleet.world.wait_for(lambda: answers, 5 * SECOND, 10_000)
+    return answers[0]
 
 
-def standing(fleet, seat):
+def replica_state(fleet, seat):
     return fleet.registries[seat].node.replica.state
 
 
 def test_of_two_concurrent_puts_one_wins_and_the_other_gets_the_current_revision():
-    fleet, _ = make_core()
-    told = []
+    fleet, _ = make_fleet()
+    answers = []
     for operator, seat in ((0, "a"), (1, "b")):
         fleet.put_plan(
-            fleet.plan, 1, seat, operator, lambda status, document: told.append((status, document))
+            fleet.plan,
+            1,
+            seat,
+            operator,
+            lambda status, document: answers.append((status, document)),
         )
-    assert fleet.world.wait_for(lambda: len(told) == 2)
-    (won, _), (lost, conflict) = sorted(told, key=lambda answer: answer[0])
+    assert fleet.world.wait_for(lambda: len(answers) == 2)
+    (won, _), (lost, conflict) = sorted(answers, key=lambda answer: answer[0])
     assert (won, lost) == (200, 409)
     assert conflict["code"] == "mark_conflict"
     assert conflict["done"] == "no"
@@ -53,7 +57,7 @@
 
 
 def test_a_put_without_a_majority_is_refused_before_any_accept():
-    fleet, _ = make_core()
+    fleet, _ = make_fleet()
     fleet.registries["b"].kill()
     fleet.registries["c"].kill()
     status, document = put(fleet, 1, "a")
@@ -61,12 +65,12 @@
 
 
 def test_a_put_that_loses_its_majority_between_the_rounds_has_an_unknown_outcome():
-    fleet, _ = make_core()
+    fleet, _ = make_fleet()
     world = fleet.world
     lone = fleet.registries["a"]
     others = [fleet.registries[seat] for seat in "bc"]
     proposer = lone.node.proposer
-    told = []
+    answers = []
     hear = proposer.node.handlers[Promise]
 
     def cut_before_accepts(message):
@@ -77,79 +81,83 @@
         hear(message)
 
     proposer.node.handlers[Promise] = cut_before_accepts
-    fleet.put_plan(fleet.plan, 1, "a", 0, lambda status, document: told.append((status, document)))
-    assert world.wait_for(lambda: told, 5 * SECOND, 10_000)
-    status, document = told[0]
+    fleet.put_plan(
+        fleet.plan, 1, "a", 0, lambda status, document: answers.append((status, document))
+    )
+    assert world.wait_for(lambda: answers, 5 * SECOND, 10_000)
+    status, document = answers[0]
     assert (status, document["code"], document["done"]) == (504, "put_unknown", "unknown")
 
 
 @pytest.mark.parametrize("seat", ["a", "b", "c"])
 @pytest.mark.parametrize("after_us", [0, 500, 1_500, 3_000, 6_000, 12_000])
 def test_one_core_loss_at_any_point_of_a_put_keeps_what_was_acknowledged(seat, after_us):
-    fleet, faults = make_core(seed=after_us + ord(seat))
-    told = []
-    fleet.put_plan(fleet.plan, 1, "a", 0, lambda status, document: told.append((status, document)))
+    fleet, faults = make_fleet(seed=after_us + ord(seat))
+    answers = []
+    fleet.put_plan(
+        fleet.plan, 1, "a", 0, lambda status, document: answers.append((status, document))
+    )
     fleet.world.run_for(after_us)
     faults.empty_core(seat)
     fleet.world.run_for(8 * SECOND)
-    assert all(standing(fleet, name) == "voting" for name in "abc")
+    assert all(replica_state(fleet, name) == "voting" for name in "abc")
     shown = show(fleet, "b")[1]
-    if told and told[0][0] == 200:
+    if answers and answers[0][0] == 200:
         assert shown["mark"] == 2
-        assert shown["put_id"] == told[0][1]["put_id"]
+        assert shown["put_id"] == answers[0][1]["put_id"]
     assert put(fleet, shown["mark"], "c")[0] == 200
 
 
 def test_an_empty_replica_gives_no_vote_while_it_cannot_hear_both_others():
-    fleet, _ = make_core()
+    fleet, _ = make_fleet()
     lost = fleet.registries["a"]
     lost.kill()
     lost.disk.wipe()
     fleet.registries["b"].kill()
     lost.start()
     fleet.world.run_for(10 * SECOND)
-    assert standing(fleet, "a") == "waiting"
+    assert replica_state(fleet, "a") == "waiting"
     assert put(fleet, 1, "c")[1]["code"] == "core_unready"
     fleet.registries["b"].start()
-    assert fleet.world.wait_for(lambda: standing(fleet, "b") == "voting", 12 * SECOND)
-    assert fleet.world.wait_for(lambda: standing(fleet, "a") == "voting", 12 * SECOND)
+    assert fleet.world.wait_for(lambda: replica_state(fleet, "b") == "voting", 12 * SECOND)
+    assert fleet.world.wait_for(lambda: replica_state(fleet, "a") == "voting", 12 * SECOND)
     assert show(fleet, "a")[1]["mark"] == 1
 
 
 def test_the_operator_restores_a_replica_when_more_was_lost_than_recovery_rebuilds():
-    fleet, _ = make_core()
+    fleet, _ = make_fleet()
     for seat in "ab":
         fleet.registries[seat].kill()
         fleet.registries[seat].disk.wipe()
     fleet.registries["a"].start()
     fleet.world.run_for(8 * SECOND)
-    assert standing(fleet, "a") == "waiting"
-    told = []
+    assert replica_state(fleet, "a") == "waiting"
+    answers = []
     operator = fleet.operators[0].node
     operator.post(
         fleet.registries["c"].address,
         "/v1/core/restore",
         {},
-        lambda status, document: told.append(document["code"]),
+        lambda status, document: answers.append(document["code"]),
     )
     operator.post(
         fleet.registries["a"].address,
         "/v1/core/restore",
         {},
-        lambda status, document: told.append(status),
+        lambda status, document: answers.append(status),
     )
     fleet.world.run_for(2 * SECOND)
-    assert sorted(told, key=str) == [200, "seat_not_waiting"]
-    assert standing(fleet, "a") == "voting"
+    assert sorted(answers, key=str) == [200, "seat_not_waiting"]
+    assert replica_state(fleet, "a") == "voting"
     assert show(fleet, "a")[1]["mark"] == 1
 
 
 def test_a_former_instance_of_a_replica_that_wakes_up_has_no_vote():
-    fleet, faults = make_core()
+    fleet, faults = make_fleet()
     old = fleet.registries["a"]
     faults.begin("exchange_awake_core", "a")
     fleet.world.run_for(6 * SECOND)
-    assert standing(fleet, "a") == "voting"
+    assert replica_state(fleet, "a") == "voting"
     assert put(fleet, 1, "a")[0] == 200
     faults.close()
     fleet.world.run_for(3 * SECOND)
@@ -164,21 +172,23 @@
 
 
 def test_a_replica_that_lost_acknowledged_writes_rebuilds_them_before_it_votes():
-    fleet, faults = make_core()
+    fleet, faults = make_fleet()
     assert put(fleet, 1, "a")[0] == 200
     replica = fleet.registries["b"]
     faults.begin("lossy_core", "b")
     assert replica.disk.synced.get("cell/plan", [0, 0, {"mark": 0}])[2]["mark"] < 2
     faults.close()
-    assert fleet.world.wait_for(lambda: standing(fleet, "b") == "voting", 10 * SECOND)
+    assert fleet.world.wait_for(lambda: replica_state(fleet, "b") == "voting", 10 * SECOND)
     assert replica.node.replica.register_state("plan").value["mark"] == 2
 
 
 @pytest.mark.parametrize("fault, own", [("is_full", "c"), ("is_stalled", "a")])
 def test_a_failing_disk_gives_no_vote_and_two_good_ones_go_on(fault, own):
-    """A replica with a full disk still takes a put to the others; a stalled one stands still with
-    its whole process."""
-    fleet, _ = make_core()
+    """A replica with a full disk still proposes puts to the others.
+
+    A stalled disk blocks the whole process, so there the put is sent to another replica.
+    """
+    fleet, _ = make_fleet()
     setattr(fleet.registries["c"].disk, fault, True)
     assert put(fleet, 1, own)[0] == 200
     assert "cell/plan" in fleet.registries["a"].disk.synced
@@ -189,19 +199,19 @@
 
 
 def test_the_whole_core_restarted_serves_the_highest_plan_of_its_disks():
-    fleet, faults = make_core()
+    fleet, faults = make_fleet()
     assert put(fleet, 1, "a")[0] == 200
     faults.begin("restart_core")
     fleet.world.run_for(SECOND)
     faults.close()
     assert fleet.world.wait_for(
-        lambda: all(standing(fleet, seat) == "voting" for seat in "abc"), 10 * SECOND
+        lambda: all(replica_state(fleet, seat) == "voting" for seat in "abc"), 10 * SECOND
     )
     assert show(fleet, "c")[1]["mark"] == 2
 
 
 def test_after_the_loss_of_the_whole_core_the_plan_comes_back_from_the_routers():
-    fleet, _ = make_core()
+    fleet, _ = make_fleet()
     assert put(fleet, 1, "a")[0] == 200
     fleet.world.run_for(SECOND)
     for host in fleet.registries.values():
@@ -221,29 +231,29 @@
         world.run_for(pause_us)
         fleet.registries[seat].start()
     assert world.wait_for(
-        lambda: all(standing(fleet, seat) == "voting" for seat in "abc"), 10 * SECOND
+        lambda: all(replica_state(fleet, seat) == "voting" for seat in "abc"), 10 * SECOND
     )
 
 
 def test_a_put_repeated_under_its_id_is_one_put():
-    fleet, _ = make_core()
+    fleet, _ = make_fleet()
     node = fleet.operators[0].node
     first = put(fleet, 1, "a")
-    told = []
+    answers = []
     body = {"expect": 1, "put_id": first[1]["put_id"], "plan": fleet.plan}
     node._call(
         fleet.registries["b"].address,
         "PUT",
         "/v1/plan",
         body,
-        lambda status, document: told.append((status, document)),
+        lambda status, document: answers.append((status, document)),
     )
     fleet.world.run_for(SECOND)
-    assert told == [first]
+    assert answers == [first]
 
 
 def test_hosts_of_one_name_at_two_addresses_are_told_apart():
-    fleet, _ = make_core()
+    fleet, _ = make_fleet()
     replica = fleet.registries["a"]
     replica.kill()
     host = Host(
@@ -256,7 +266,7 @@
     )
     fleet.registries["a"] = host
     host.start()
-    assert fleet.world.wait_for(lambda: standing(fleet, "a") == "voting", 10 * SECOND)
+    assert fleet.world.wait_for(lambda: replica_state(fleet, "a") == "voting", 10 * SECOND)
     assert fleet.registries["b"].node.membership.replicas()["a"][0] == "10.0.9.9:7000"
 
 
@@ -295,7 +305,7 @@
 
 
 def test_a_replica_with_many_thousand_keys_recovers_by_pages_within_its_time():
-    fleet, _ = make_core()
+    fleet, _ = make_fleet()
     cells = {
         f"claim/g/{place:06d}": [[1, "r"], [1, "r"], {"by": f"r-{place}"}]
         for place in range(20_000)
@@ -307,15 +317,17 @@
     lost.disk.wipe()
     lost.start()
     begun_us = fleet.world.now_us
-    assert fleet.world.wait_for(lambda: standing(fleet, "c") == "voting", 10 * SECOND, 10_000)
+    assert fleet.world.wait_for(lambda: replica_state(fleet, "c") == "voting", 10 * SECOND, 10_000)
     assert fleet.world.now_us - begun_us < 2 * SECOND
     assert len(lost.node.replica.registers.claims) == 20_000
     assert len(lost.disk.synced) > 20_000
 
 
 def test_a_replica_is_read_only_after_it_recorded_the_newcomer_so_no_late_vote_counts(monkeypatch):
-    """An accept that names the older instance may still be on its way: whoever is read refuses it
-    by then."""
+    """An accept that names the older instance may still be in flight; it must be refused.
+
+    Every replica that is read has recorded the newer incarnation before.
+    """
     seen, old = [], []
     on_page_request = RecoveryResponder.on_page_request
 
@@ -337,11 +349,11 @@
         on_page_request(self, message)
 
     monkeypatch.setattr(RecoveryResponder, "on_page_request", spy)
-    fleet, _ = make_core()
+    fleet, _ = make_fleet()
     lost = fleet.registries["c"]
     old.append(lost.node.replica.incarnation)
     lost.kill()
     lost.disk.wipe()
     lost.start()
-    assert fleet.world.wait_for(lambda: standing(fleet, "c") == "voting", 10 * SECOND)
+    assert fleet.world.wait_for(lambda: replica_state(fleet, "c") == "voting", 10 * SECOND)
     assert seen and set(seen) == {1}
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -1,4 +1,4 @@
-"""Point 1 of docs/control.md: a core member that is cut off from the others for twenty seconds."""
+"""Tests of point 1 of docs/control.md: a member is cut off from the others for twenty seconds."""
 
 import json
 
@@ -95,7 +95,7 @@
 
 
 def add_router(core, name, bounds):
-    """A router that knows every core member, and may not reach them."""
+    """Return a router that is configured with the addresses of all core members."""
     seeds = [host.address for host in core.machines.values()]
 
     def build(host, ports):
@@ -116,8 +116,10 @@
 
 
 def meet_a_fresh_router(seats):
-    """The router hears a member that is cut off, and no other; answers the router's node, then
-    the core."""
+    """Start a router that reaches only a member which is cut off from the others.
+
+    Returns the router's node and the core.
+    """
     core = core_with_plan(seats)
     others = [name for name in core.machines if name != "core-1"]
     core.world.cut(["core-1"], others)
@@ -167,7 +169,7 @@
 
 
 class Answered(Call):
-    """A call to a node's own HTTP door, and when it was answered."""
+    """A call to a node's HTTP interface that records its answer and duration."""
 
     __slots__ = ("world", "status", "headers_out", "document", "took_us", "begun_us")
 
--- a/tests/test_control_races.py
+++ b/tests/test_control_races.py
@@ -1,4 +1,4 @@
-"""Point 2 of docs/control.md: operators race under one number, and answers get lost."""
+"""Tests of point 2 of docs/control.md: concurrent orders under one revision, and lost answers."""
 
 import pytest
 from msgspec.structs import replace
@@ -67,8 +67,10 @@
 
 
 def leave_an_order_at_a_minority(seed):
-    """Two of five hold an order whose sender's member then dies; answers the core and its
-    operators."""
+    """Have two of five replicas accept an order, then kill its proposer.
+
+    Returns the core and its operators.
+    """
     core = SimCore(seed, seats=5).bootstrap(3, 2)
     assert core.wait_voting(5)
     core.world.run_for(2 * SECOND)
@@ -101,8 +103,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_an_order_is_refused_only_for_a_version_that_is_in_force_afterwards(seed):
-    """Else an order that builds on the newest version would be refused for one that nobody ever
-    reads."""
+    """Otherwise an order based on the newest version could be refused for one that nobody reads."""
     core, operators = leave_an_order_at_a_minority(seed)
     core.world.cut(["core-3"], ["core-4"])
     refused = operators.put("core-3", Order(0, 7, "later", PLAN))
--- a/tests/test_control_replacement.py
+++ b/tests/test_control_replacement.py
@@ -1,4 +1,4 @@
-"""Point 3 of docs/control.md: a member is replaced, and something more goes wrong meanwhile."""
+"""Tests of point 3 of docs/control.md: a second fault while a member is replaced."""
 
 from functools import lru_cache
 
@@ -66,12 +66,12 @@
 
 
 def leave_at_once(monkeypatch):
-    """As before the hand-over: a member that is told to stop goes, whoever holds what it holds."""
+    """Have a member exit as soon as it is told to stop, without a hand-over or replication."""
     monkeypatch.setattr(Departure, "begin", lambda self, done: done())
 
 
 def leave_without_successor(monkeypatch):
-    """A leaving member looks for no successor, and compares nothing with the others."""
+    """Have a departing member look for no successor, and replicate nothing to the others."""
     monkeypatch.setattr(Departure, "_spares", lambda self: [])
     monkeypatch.setattr(Departure, "_begin_replication", lambda self, now_us: self._finish())
 
--- a/tests/test_life_cycle.py
+++ b/tests/test_life_cycle.py
@@ -1,4 +1,4 @@
-"""The one table of a replica's life cycle: what stands in it happens, and nothing else does."""
+"""Tests of a replica's life cycle: its table of transitions is complete and nothing bypasses it."""
 
 import ast
 from pathlib import Path
@@ -92,7 +92,10 @@
 
 
 def test_only_these_transitions_lead_to_voting():
-    """A seal is opened by its successor's word alone, and then by a recovery."""
+    """There is no transition from a seal to voting, except when the disk refused the seal.
+
+    A sealed replica votes again only if its successor gave up, and then after a recovery.
+    """
     ways = {
         (event.name, source)
         for event, (sources, target, _) in TRANSITIONS.items()
@@ -125,7 +128,7 @@
 
 @pytest.mark.parametrize("path", sorted(CONSENSUS.glob("*.py")), ids=lambda path: path.name)
 def test_only_the_life_cycle_changes_a_replicas_state(path):
-    """The parts of a replica ask it to change; none of them assigns a field of it."""
+    """The components of a replica call its methods; none of them assigns its attributes."""
     assigned = set(assigned_attributes(ast.parse(path.read_text())))
     assert not [name for name in assigned if name.startswith(("self.replica.", "replica."))]
     is_owner = path.name == "replica_state.py"
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checker over histories of orders and reads: what one register could have given, and not."""
+"""Tests of the linearizability checker, over histories of orders and reads of one register."""
 
 import random
 
@@ -87,7 +87,7 @@
 
 
 def drawn_history(seed, count=14):
-    """What a real register would answer to orders and reads that overlap, some answers lost."""
+    """Generate what a register answers to overlapping orders and reads, with some answers lost."""
     dice = random.Random(seed)
     state, operations, moment = RegisterState(), [], 0
     for number in range(count):
--- a/tests/test_recovery_speed.py
+++ b/tests/test_recovery_speed.py
@@ -11,7 +11,7 @@
 }
 
 
-def started(seed=1, count=3, **bounds):
+def started_core(seed=1, count=3, **bounds):
     core = SimCore(seed, **bounds).bootstrap(count)
     assert core.wait_voting(count), core.voting()
     core.world.run_for(SECOND)
@@ -36,7 +36,7 @@
 
 
 def test_a_page_that_is_being_synced_is_not_requested_again():
-    core = started(1)
+    core = started_core(1)
     assert core.put(0, 3, "text", PLAN)[0][0] is None
     host = core.machines["core-2"]
     host.kill()
@@ -49,14 +49,14 @@
 @pytest.mark.parametrize("seed", range(1, 6))
 @pytest.mark.parametrize("gap_us", [0, 70 * MS, 190 * MS])
 def test_after_all_were_killed_the_replicas_vote_soon_after_the_last_start(seed, gap_us):
-    core = started(seed)
+    core = started_core(seed)
     kill_all(core, gap_us)
     assert core.world.wait_for(lambda: len(core.voting()) == 3, 200 * MS, 5 * MS), core.voting()
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
 def test_a_majority_with_disks_stops_waiting_once_the_wiped_replica_answers(seed):
-    core = started(seed)
+    core = started_core(seed)
     assert core.put(0, 3, "text", PLAN)[0][0] is None
     core.machines["core-3"].disk.wipe()
     kill_all(core)
@@ -68,7 +68,7 @@
 
 
 def test_a_silent_replica_is_waited_for_as_long_as_the_bounds_say():
-    core = started(2)
+    core = started_core(2)
     for host in core.machines.values():
         host.kill()
     core.world.run_for(SECOND)
@@ -90,13 +90,13 @@
     for host in [*fleet.registries.values(), *fleet.routers.values()]:
         host.start()
 
-    def told():
+    def have_routers_caught_up():
         return all(
             host.node.roster.taken_us is not None and host.node.snapshot.configuration
             for host in fleet.routers.values()
         )
 
-    assert world.wait_for(told, 600 * MS, 5 * MS)
+    assert world.wait_for(have_routers_caught_up, 600 * MS, 5 * MS)
     assert not any(host.node.leases["roster"].is_held() for host in fleet.registries.values())
 
 
@@ -119,26 +119,26 @@
 
 
 def test_a_lease_holder_that_stops_releases_its_leases():
-    core = started(4)
+    core = started_core(4)
     assert core.world.wait_for(lambda: holder_of(core.machines.values(), "roster"), 8 * SECOND)
     core.world.run_for(2 * SECOND)
     old = holder_of(core.machines.values(), "roster")
     fences = {name: lease.record().fencing_token for name, lease in old.node.leases.items()}
-    held = {name for name, lease in old.node.leases.items() if lease.is_held()}
+    held_leases = {name for name, lease in old.node.leases.items() if lease.is_held()}
     left = []
     old.node.drain(lambda: left.append(core.world.now_us))
     assert core.world.wait_for(lambda: left, 200 * MS, 5 * MS)
     old.kill()
     others = [host for host in core.machines.values() if host is not old]
     assert core.world.wait_for(
-        lambda: all(holder_of(others, name) for name in held), 600 * MS, 5 * MS
+        lambda: all(holder_of(others, name) for name in held_leases), 600 * MS, 5 * MS
     )
-    for name in held:
+    for name in held_leases:
         assert holder_of(others, name).node.leases[name].fencing_token > fences[name]
 
 
 def test_a_new_lease_holder_gives_no_orders_until_a_lease_time_has_passed():
-    core = started(4)
+    core = started_core(4)
     assert core.world.wait_for(lambda: holder_of(core.machines.values(), "steward"), 8 * SECOND)
     core.world.run_for(2 * SECOND)
     old = holder_of(core.machines.values(), "steward")
