--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -67,18 +67,18 @@
 def test_a_put_that_loses_its_majority_between_the_rounds_has_an_unknown_outcome():
     fleet, _ = make_fleet()
     world = fleet.world
-    lone = fleet.registries["a"]
+    proposing = fleet.registries["a"]
     others = [fleet.registries[seat] for seat in "bc"]
-    proposer = lone.node.proposer
+    proposer = proposing.node.proposer
     answers = []
-    hear = proposer.node.handlers[Promise]
+    handle_promise = proposer.node.handlers[Promise]
 
     def cut_before_accepts(message):
         change = proposer.proposals.get(message.id)
         if change is not None and change.key == "plan" and message.replica_id != "a":
             for other in others:
-                world.cuts.add((lone.name, other.name))
-        hear(message)
+                world.cuts.add((proposing.name, other.name))
+        handle_promise(message)
 
     proposer.node.handlers[Promise] = cut_before_accepts
     fleet.put_plan(
@@ -271,11 +271,13 @@
 
 
 def ask_with_keys(fleet, keys, router="edge-1"):
-    asked = [
+    requests = [
         fleet.ask("entitlement-check", [fleet.routers[router].address], key=key) for key in keys
     ]
-    fleet.world.wait_for(lambda: all(one.ended_us is not None for one in asked), 12 * SECOND)
-    return [one.code or one.how for one in asked]
+    fleet.world.wait_for(
+        lambda: all(request.ended_us is not None for request in requests), 12 * SECOND
+    )
+    return [request.code or request.how for request in requests]
 
 
 def test_at_the_limit_new_claims_are_refused_and_no_old_one_is_deleted():
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -47,9 +47,9 @@
     course = CutCourse(seats + len(how), seats, who, direction, how).run(who)
     assert judge_cut(course) == {}
     history = History(course.operators.calls)
-    others = [told for told in history.orders(TAKEN) if told.member != course.lone]
+    others = [result for result in history.orders(TAKEN) if result.member != course.lone]
     assert len(others) >= 6
-    assert [told.revision for told in history.reads(TAKEN)[-seats:]] == [course.newest] * seats
+    assert [result.revision for result in history.reads(TAKEN)[-seats:]] == [course.newest] * seats
 
 
 def confirm_alone(monkeypatch):
@@ -66,15 +66,15 @@
     monkeypatch.setattr(MajorityMonitor, "silence_bound_us", lambda self: None)
 
 
-def forget_that_nobody_answered(monkeypatch):
+def ignore_silence_of_the_majority(monkeypatch):
     monkeypatch.setattr(MajorityMonitor, "silence_bound_us", lambda self: self.silent_us)
 
 
-def serve_without_contact(monkeypatch):
+def serve_without_quorum_contact(monkeypatch):
     monkeypatch.setattr(QuorumContact, "is_held", lambda self: True)
 
 
-def forget_grants(monkeypatch):
+def ignore_lease_expiry(monkeypatch):
     monkeypatch.setattr(Lease, "is_held", lambda self: self.fencing_token is not None)
     monkeypatch.setattr(Lease, "_lapse", lambda self: None)
 
@@ -84,9 +84,9 @@
     [
         (confirm_alone, "not_unclear"),
         (wait_for_the_deadline, "late"),
-        (forget_that_nobody_answered, "late_though_known"),
-        (serve_without_contact, "current"),
-        (forget_grants, "duties"),
+        (ignore_silence_of_the_majority, "late_though_known"),
+        (serve_without_quorum_contact, "current"),
+        (ignore_lease_expiry, "duties"),
     ],
 )
 def test_each_mechanism_against_a_cut_is_needed(monkeypatch, sabotage, breach):
@@ -115,7 +115,7 @@
     return core
 
 
-def meet_a_fresh_router(seats):
+def start_a_router_at_a_cut_off_member(seats):
     """Start a router that reaches only a member which is cut off from the others.
 
     Returns the router's node and the core.
@@ -134,15 +134,15 @@
 
 @pytest.mark.parametrize("seats", [3, 5])
 def test_a_fresh_router_is_not_given_an_old_configuration_by_a_member_that_is_cut_off(seats):
-    router, core = meet_a_fresh_router(seats)
+    router, core = start_a_router_at_a_cut_off_member(seats)
     assert (router.snapshot.configuration, router.is_ready()) == (None, False)
     core.world.heal()
     assert core.world.wait_for(lambda: router.snapshot.version == 2, 2 * SECOND, TICK_US)
 
 
 def test_without_contact_a_fresh_router_is_given_an_old_configuration(monkeypatch):
-    serve_without_contact(monkeypatch)
-    router, _ = meet_a_fresh_router(3)
+    serve_without_quorum_contact(monkeypatch)
+    router, _ = start_a_router_at_a_cut_off_member(3)
     assert router.snapshot.version == 1
 
 
@@ -168,7 +168,7 @@
     assert core.world.wait_for(lambda: router.node.watcher.is_fresh(), SECOND, TICK_US)
 
 
-class Answered(Call):
+class RecordedCall(Call):
     """A call to a node's HTTP interface that records its answer and duration."""
 
     __slots__ = ("world", "status", "headers_out", "document", "took_us", "begun_us")
@@ -186,10 +186,10 @@
 
 
 def call(core, name, method, path, document=None):
-    one = Answered(core.world, method, path, document)
-    core.machines[name].node.serve(one)
-    core.world.wait_for(lambda: one.is_ended, 5 * SECOND, ROUND_US)
-    return one
+    pending = RecordedCall(core.world, method, path, document)
+    core.machines[name].node.serve(pending)
+    core.world.wait_for(lambda: pending.is_ended, 5 * SECOND, ROUND_US)
+    return pending
 
 
 PUT = {"expect": 1, "put_id": "p", "plan": PLAN}
@@ -218,11 +218,11 @@
     first = call(core, "core-1", "GET", "/v1/plan")
     assert first.status == 503 and first.took_us <= Bounds().silent_us + 2 * TICK_US
     for method, path, document, status, most_us in CALLS:
-        told = call(core, "core-1", method, path, document)
-        assert (path, told.status) == (path, status) and told.took_us <= most_us
+        answer = call(core, "core-1", method, path, document)
+        assert (path, answer.status) == (path, status) and answer.took_us <= most_us
         if status == 503:
-            assert told.headers_out["retry-after"] == "1"
-            assert told.document["detail"]["why"] == "no_majority"
+            assert answer.headers_out["retry-after"] == "1"
+            assert answer.document["detail"]["why"] == "no_majority"
     standing = call(core, "core-1", "GET", "/v1/standing").document
     assert standing["is_current"] is False
     leases = call(core, "core-1", "GET", "/v1/core").document["duties"]
@@ -234,18 +234,18 @@
     core = core_with_plan(seats)
     others = [name for name in core.machines if name != "core-1"]
     proposer = core.machines["core-1"].node.proposer
-    take = proposer.node.handlers[Promise]
+    handle_promise = proposer.node.handlers[Promise]
 
     def cut_after(message):
-        take(message)
+        handle_promise(message)
         if any(change.has_sent_accept for change in proposer.proposals.values()):
             core.world.cut(["core-1"], others, how=RESET)
 
     proposer.node.handlers[Promise] = cut_after
-    told = call(core, "core-1", "PUT", "/v1/plan", PUT)
-    assert (told.status, told.document["code"]) == (504, "put_unknown")
-    assert told.document["done"] == "unknown" and told.headers_out["retry-after"] == "1"
-    assert told.took_us <= Bounds().silent_us + 3 * TICK_US
+    answer = call(core, "core-1", "PUT", "/v1/plan", PUT)
+    assert (answer.status, answer.document["code"]) == (504, "put_unknown")
+    assert answer.document["done"] == "unknown" and answer.headers_out["retry-after"] == "1"
+    assert answer.took_us <= Bounds().silent_us + 3 * TICK_US
 
 
 def test_a_key_is_not_granted_by_a_router_that_hears_no_majority():
@@ -253,9 +253,9 @@
     fleet.world.run_for(3 * SECOND)
     cores = [host.name for host in fleet.registries.values()]
     fleet.world.cut(["edge-1"], cores)
-    one = fleet.ask("entitlement-check", [fleet.routers["edge-1"].address], key="k")
+    request = fleet.ask("entitlement-check", [fleet.routers["edge-1"].address], key="k")
     fleet.world.run_for(4 * SECOND)
-    assert (one.how, one.code) == ("refused", "claim_unavailable")
+    assert (request.how, request.code) == ("refused", "claim_unavailable")
 
 
 def test_an_order_succeeds_where_both_rounds_take_longer_than_an_attempt():
@@ -285,9 +285,9 @@
 def test_a_member_suspended_beyond_the_silence_bound_still_reads_pending_answers():
     core = core_with_plan(3)
     host = core.machines["core-1"]
-    told = core.put(4, 9, "later", PLAN, "core-1", wait=False)
+    answers = core.put(4, 9, "later", PLAN, "core-1", wait=False)
     host.freeze()
     core.world.run_for(SECOND)
     host.wake()
     core.world.run_for(SECOND)
-    assert told and told[0][0] is None
+    assert answers and answers[0][0] is None
--- a/tests/test_control_races.py
+++ b/tests/test_control_races.py
@@ -20,33 +20,38 @@
     seats, racers, seed
 ):
     course = RaceCourse(seed, seats, racers).run(2)
-    late = course.send_late()
+    late_results = course.send_late()
     assert judge_race(course) == {}
-    assert {told.outcome for told in late if course.is_winner(told.order)} <= {TAKEN, UNCLEAR}
+    assert {result.outcome for result in late_results if course.is_winner(result.order)} <= {
+        TAKEN,
+        UNCLEAR,
+    }
     assert set(course.winners) == {0, 3}
-    clear = History(course.operators.calls).orders()
-    assert any(told.outcome == REFUSED for told in clear)
+    results = History(course.operators.calls).orders()
+    assert any(result.outcome == REFUSED for result in results)
 
 
-def choose_alone(monkeypatch):
+def use_a_majority_of_one(monkeypatch):
     init = Proposer.__init__
 
-    def lone(self, node, directory, majority=None, silent_us=None, own_registers=None):
+    def init_with_majority_of_one(
+        self, node, directory, majority=None, silent_us=None, own_registers=None
+    ):
         init(self, node, directory, 1, silent_us, own_registers)
 
-    monkeypatch.setattr(Proposer, "__init__", lone)
+    monkeypatch.setattr(Proposer, "__init__", init_with_majority_of_one)
 
 
-def overlook_what_was_accepted(monkeypatch):
-    hear = Proposer.on_promise
+def ignore_accepted_values(monkeypatch):
+    on_promise = Proposer.on_promise
     monkeypatch.setattr(
         Proposer,
         "on_promise",
-        lambda self, message: hear(self, replace(message, accepted=None, value=None)),
+        lambda self, message: on_promise(self, replace(message, accepted=None, value=None)),
     )
 
 
-@pytest.mark.parametrize("sabotage", [choose_alone, overlook_what_was_accepted])
+@pytest.mark.parametrize("sabotage", [use_a_majority_of_one, ignore_accepted_values])
 def test_without_a_majority_of_ballots_two_orders_are_confirmed(monkeypatch, sabotage):
     sabotage(monkeypatch)
     core = SimCore(1).bootstrap()
@@ -76,17 +81,17 @@
     core.world.run_for(2 * SECOND)
     operators = Operators(core, core.world.dice)
     first = core.machines["core-1"]
-    hear = first.node.handlers[Promise]
+    handle_promise = first.node.handlers[Promise]
 
     def cut_before_the_accept(message):
         core.world.cut(["core-1"], ["core-3", "core-4", "core-5"])
-        hear(message)
+        handle_promise(message)
 
     def cut_at_the_third_promise(message):
         change = first.node.proposer.proposals.get(message.id)
         if change is not None and change.key == "plan" and len(change.votes) == 2:
             return cut_before_the_accept(message)
-        hear(message)
+        handle_promise(message)
 
     first.node.handlers[Promise] = cut_at_the_third_promise
     operators.put("core-1", Order(0, 5, "left behind", PLAN))
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -355,7 +355,7 @@
     put_revision(core, 3, 4, "core-9")
 
 
-class Asked:
+class RecordedCall:
     """A call that records its answer."""
 
     def __init__(self):
@@ -366,7 +366,7 @@
 
 
 def status_of(core, name):
-    call = Asked()
+    call = RecordedCall()
     core.machines[name].node.status.serve(call)
     assert core.world.wait_for(lambda: call.document, SECOND, STEP)
     return call.document
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -58,7 +58,7 @@
     "an acknowledged order that a later read misses": [put(1, 2, 0, 3), read(3, 4, 0)],
     "reads that go back": [put(1, 6, 0, 3), read(2, 3, 3, "0-3"), read(4, 5, 0)],
     "both of a race": [put(1, 4, 0, 3), put(2, 3, 0, 5)],
-    "both under one number": [put(1, 4, 0, 3, document="x"), put(2, 3, 0, 3, document="y")],
+    "both under one revision": [put(1, 4, 0, 3, document="x"), put(2, 3, 0, 3, document="y")],
     "a refusal with nothing in its way": [put(1, 2, 0, 3, REFUSED), read(3, 4, 0)],
     "refused after it was taken": [put(1, 2, 0, 3), put(3, 4, 3, 5), put(5, 6, 0, 3, REFUSED)],
     "a value that nobody ordered": [read(1, 2, 7, "0-7")],
@@ -86,22 +86,22 @@
     assert find_update(BAD[name]) is None
 
 
-def drawn_history(seed, count=14):
+def generated_history(seed, count=14):
     """Generate what a register answers to overlapping orders and reads, with some answers lost."""
-    dice = random.Random(seed)
-    state, operations, moment = RegisterState(), [], 0
+    generator = random.Random(seed)
+    state, operations, time = RegisterState(), [], 0
     for number in range(count):
-        moment += 3
-        begun, ended = moment - dice.randrange(0, 9), moment + dice.randrange(1, 9)
-        if dice.random() < 0.4:
+        time += 3
+        begun, ended = time - generator.randrange(0, 9), time + generator.randrange(1, 9)
+        if generator.random() < 0.4:
             operations.append(read(begun, ended, state.revision, state.document))
             continue
-        base = dice.choice((state.revision, state.revision, max(0, state.revision - 1)))
+        base = generator.choice((state.revision, state.revision, max(0, state.revision - 1)))
         operation = put(begun, ended, base, base + 1, document=f"d{number}")
         following = state.after(operation)
         if following is None:
             operation.answer = REFUSED
-        elif dice.random() < 0.3:
+        elif generator.random() < 0.3:
             operation.end(float("inf"), "unclear")
         state = following or state
         operations.append(operation)
@@ -110,6 +110,6 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_generated_histories_are_linearizable_and_a_false_read_at_the_end_is_not(seed):
-    operations = drawn_history(seed)
+    operations = generated_history(seed)
     assert is_linearizable(operations)
     assert not is_linearizable([*operations, read(1_000, 1_001, 999, "never ordered")])
--- a/tests/test_sealed_replica.py
+++ b/tests/test_sealed_replica.py
@@ -72,8 +72,8 @@
     replica = succeeded(core)
     pages = []
     node = core.machines["core-9"].node
-    hear = node.handlers[StatePage]
-    node.handlers[StatePage] = lambda page: (pages.append(page), hear(page))
+    handle_page = node.handlers[StatePage]
+    node.handlers[StatePage] = lambda page: (pages.append(page), handle_page(page))
     core.world.run_for(2 * SECOND)
     assert replica.is_voting
     assert not pages
