--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -138,7 +138,7 @@
     def begin_voting(self, *, wait_us: int | None = None) -> None:
         """Start to vote; on leases `wait_us` later, by default a lease's length."""
 
-    def yield_to(self, incarnation: int) -> None:
+    def on_superseded(self, incarnation: int) -> None:
         """Stop voting, since a newer instance of this replica runs."""
 
     def retire(self) -> None:
@@ -165,7 +165,7 @@
         "started_us",
         "is_bootstrap",
         "is_disputed",
-        "is_core_lost",
+        "is_group_lost",
         "has_met_no_voter",
         "wait_reason",
         "queried_back_start",
@@ -190,7 +190,7 @@
         self.transfer = StateTransfer(node, replica, succession, self, self.start)
         self.queried_us = 0
         self.started_us = now_us
-        self.is_bootstrap = self.is_disputed = self.is_core_lost = False
+        self.is_bootstrap = self.is_disputed = self.is_group_lost = False
         self.has_met_no_voter = False
         self.wait_reason: str | None = None
         self.queried_back_start: str | None = None
@@ -199,14 +199,14 @@
 
     # Start and end
 
-    def begin(self, *, is_disputed: bool = False, is_core_lost: bool = False) -> None:
+    def begin(self, *, is_disputed: bool = False, is_group_lost: bool = False) -> None:
         """Start recovery, or start it over, by querying the other replicas.
 
         `is_disputed`: another replica knows a newer incarnation of this one, and a bootstrap may
-        have lost its record. `is_core_lost`: every disk was lost, so an empty group may bootstrap.
+        have lost its record. `is_group_lost`: every disk was lost, so an empty group may bootstrap.
         """
         self.is_disputed = is_disputed or self.is_disputed
-        self.is_core_lost = is_core_lost or self.is_core_lost
+        self.is_group_lost = is_group_lost or self.is_group_lost
         self.replica.begin_recovery()
         self.state = RecoveryState.COLLECTING
         self.transfer.restart()
@@ -233,7 +233,7 @@
         self.state = RecoveryState.IDLE
         self.transfer.end()
         self.reports = {}
-        self.is_bootstrap = self.is_disputed = self.is_core_lost = False
+        self.is_bootstrap = self.is_disputed = self.is_group_lost = False
 
     def restore(self) -> bool:
         """Recover from the reports at hand on an operator's request.
@@ -294,7 +294,7 @@
         newest = report.known_incarnations.get(replica.replica_id, 0)
         if self._is_superseded(report, newest):
             self.state = RecoveryState.IDLE
-            return replica.yield_to(newest)
+            return replica.on_superseded(newest)
         self.reports[report.replica_id] = report
         self._evaluate_reports(self.node.now_us())
 
@@ -316,7 +316,7 @@
             reports,
             group_size=len(replica.replica_ids),
             is_empty=replica.is_empty,
-            may_bootstrap=self.is_core_lost or not replica.is_dynamically_assigned,
+            may_bootstrap=self.is_group_lost or not replica.is_dynamically_assigned,
             are_all_accounted_for=len(accounted_for) == len(replica.replica_ids) - 1,
             has_waited=has_waited,
         )
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -298,7 +298,7 @@
 
     # Becoming a replica, and retiring
 
-    def begin_first(self, replica_id: str, contacts: Iterable[str]) -> None:
+    def bootstrap(self, replica_id: str, contacts: Iterable[str]) -> None:
         """Bootstrap a new group: nothing was ever chosen, so this replica votes once synced.
 
         `contacts` are the addresses of the first replicas in the order of their replica ids. If
@@ -319,14 +319,14 @@
         )
         self._write(record, on_synced)
 
-    def recover_as(self, replica_id: str, is_core_lost: bool = False) -> None:
+    def recover_as(self, replica_id: str, is_group_lost: bool = False) -> None:
         """Start recovery as this replica, on a node that was a spare.
 
-        `is_core_lost`: all replicas lost their disks, so an empty group may bootstrap.
+        `is_group_lost`: all replicas lost their disks, so an empty group may bootstrap.
         """
         self.life_cycle.on(ReplicaEvent.ASSIGN)
         self.replica_id = replica_id
-        self.recovery.begin(is_core_lost=is_core_lost)
+        self.recovery.begin(is_group_lost=is_group_lost)
         self.node.ports.log(STARTED_EVENT, seat=replica_id, empty=self.is_empty)
 
     def begin_recovery(self) -> None:
@@ -368,7 +368,7 @@
         There is no voting replica to confirm the assignment. It is announced with incarnation 0,
         as one that never voted.
         """
-        self.recover_as(replica_id, is_core_lost=True)
+        self.recover_as(replica_id, is_group_lost=True)
         self.directory.announce_replica(replica_id, 0)
 
     def take_over(
@@ -482,9 +482,9 @@
         """
         if self.recovery.is_bootstrap:
             return self.recovery.begin(is_disputed=True)
-        self.yield_to(incarnation)
+        self.on_superseded(incarnation)
 
-    def yield_to(self, incarnation: int) -> None:
+    def on_superseded(self, incarnation: int) -> None:
         """Stop voting, since a newer instance of this replica runs."""
         self.life_cycle.on(ReplicaEvent.SUPERSEDE)
         self.node.ports.log(SUPERSEDED_EVENT, seat=self.replica_id, incarnation=incarnation)
--- a/packages/controller/src/linkhaven/controller/bootstrap.py
+++ b/packages/controller/src/linkhaven/controller/bootstrap.py
@@ -17,4 +17,4 @@
         return
     index = contacts.index(contact)
     if index < len(replica.replica_ids):
-        replica.begin_first(replica.replica_ids[index], contacts)
+        replica.bootstrap(replica.replica_ids[index], contacts)
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -108,7 +108,7 @@
             listener = NullLeaseListener()
             self.lease = Lease(self, DUTY, self.proposer, self.replica, self.membership, listener)
         if contacts and self.replica.is_empty and not self.replica.replica_id:
-            self.replica.begin_first(seats[contacts.index(address)], contacts)
+            self.replica.bootstrap(seats[contacts.index(address)], contacts)
 
     def drain(self, done):
         """Departs; `done` hears when the process may end."""
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -256,7 +256,7 @@
     assert is_taken(put(core, 1))
     host = core.machines["core-3"]
     assert host.node.blobs.synced
-    host.node.replica.yield_to(host.node.replica.incarnation + 1)
+    host.node.replica.on_superseded(host.node.replica.incarnation + 1)
     assert not host.node.blobs.synced
     core.world.run_for(10 * MS)
     assert not bodies_on_disk(host)
