--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,3 +1,5 @@
+"""Tests of the replicated registers in a simulated fleet: puts, recovery, lost disks and claims."""
+
 import pytest
 
 from linkhaven.consensus import Accept, Promise
--- a/tests/test_late_newcomer.py
+++ b/tests/test_late_newcomer.py
@@ -1,3 +1,5 @@
+"""Test of a replacement that starts long after the loss of a replica."""
+
 from test_replica_instances import SECOND, put_revision, read_revision, started_core
 
 
--- a/tests/test_recovery_speed.py
+++ b/tests/test_recovery_speed.py
@@ -1,3 +1,5 @@
+"""Tests of how soon replicas vote again, and runners and leases are known, after restarts."""
+
 import pytest
 
 from linkhaven.stage.core import SimCore
--- a/tests/test_replica_instances.py
+++ b/tests/test_replica_instances.py
@@ -1,3 +1,5 @@
+"""Tests of which node runs as which replica: first starts, replacements and lost disks."""
+
 import pytest
 from msgspec.structs import replace
 
