--- a/packages/consensus/src/linkhaven/consensus/departure.py
+++ b/packages/consensus/src/linkhaven/consensus/departure.py
@@ -302,10 +302,10 @@
         )
         self.replica.seal(record, self._on_seal_synced)
 
-    def _on_seal_synced(self, is_kept: bool) -> None:
+    def _on_seal_synced(self, is_synced: bool) -> None:
         if self.state is not DepartureState.SEALING:
             return
-        if not is_kept:
+        if not is_synced:
             return self._reject_successor()
         self.state = DepartureState.SEALED
         self._resend(self.node.now_us())
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -349,8 +349,8 @@
         self.transfer.begin(starts, is_bootstrap=self.is_bootstrap, is_reading=True)
         incarnation = highest + 1
 
-        def on_synced(is_kept: bool) -> None:
-            if not is_kept:
+        def on_synced(is_synced: bool) -> None:
+            if not is_synced:
                 return self.on_storage_refused()
             if self._rebuilds_under(incarnation):
                 self.transfer.send_to_peers()
@@ -397,8 +397,8 @@
         replica, incarnation = self.replica, self.replica.incarnation
         replica.close_claims_unless(not self.is_bootstrap)
 
-        def on_synced(is_kept: bool) -> None:
-            if not is_kept:
+        def on_synced(is_synced: bool) -> None:
+            if not is_synced:
                 return self.on_storage_refused()
             if not self._rebuilds_under(incarnation):
                 return
--- a/packages/consensus/src/linkhaven/consensus/recovery_responder.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery_responder.py
@@ -137,8 +137,8 @@
             return
         replica.learn_incarnations({name: announcement.incarnation})
 
-        def on_synced(is_kept: bool) -> None:
-            if not is_kept:
+        def on_synced(is_synced: bool) -> None:
+            if not is_synced:
                 return
             recorded = EpochRecorded(
                 replica_id=replica.replica_id, incarnation=announcement.incarnation
--- a/packages/consensus/src/linkhaven/consensus/replica_instances.py
+++ b/packages/consensus/src/linkhaven/consensus/replica_instances.py
@@ -124,7 +124,7 @@
             self._update_vacancy(replica_id, now_us)
         if self._learn_from_membership():
             record = ReplicaRecord(instances=self.records)
-            self.node.ports.storage.write(record.as_items(), lambda is_kept: None)
+            self.node.ports.storage.write(record.as_items(), lambda is_synced: None)
 
     def _learn_from_membership(self) -> bool:
         """Update the records from what members report; return whether any record changed."""
--- a/packages/consensus/src/linkhaven/consensus/replication_check.py
+++ b/packages/consensus/src/linkhaven/consensus/replication_check.py
@@ -204,4 +204,4 @@
             for key, (ballot, value) in accepts.registers.items()
             if self.replica.register_state(key).promise <= ballot
         }
-        self.node.ports.storage.write(self.replica.merge(registers), lambda is_kept: None)
+        self.node.ports.storage.write(self.replica.merge(registers), lambda is_synced: None)
--- a/packages/consensus/src/linkhaven/consensus/state_transfer.py
+++ b/packages/consensus/src/linkhaven/consensus/state_transfer.py
@@ -245,10 +245,10 @@
         """
         peers, replica = self.peers, self.replica
 
-        def on_stored(is_kept: bool) -> None:
+        def on_stored(is_synced: bool) -> None:
             if self.peers is not peers:
                 return
-            if not is_kept:
+            if not is_synced:
                 return self.listener.on_storage_refused()
             if page.next_cursor is not None:
                 peer.read_after(page.next_cursor)
--- a/packages/consensus/src/linkhaven/consensus/succession.py
+++ b/packages/consensus/src/linkhaven/consensus/succession.py
@@ -171,10 +171,10 @@
         self.progress_us = self.node.now_us()
         self.node.ports.log(READING_EVENT, seat=offer.replica_id, leaver=offer.sender)
 
-        def on_synced(is_kept: bool) -> None:
+        def on_synced(is_synced: bool) -> None:
             if self.last_handover is not handover or self.state is not SuccessionState.READING:
                 return
-            if not is_kept:
+            if not is_synced:
                 return self._give_up()
             self._send_page_request("")
 
@@ -212,10 +212,10 @@
         self.num_remaining = page.num_remaining
         handover = self.last_handover
 
-        def on_synced(is_kept: bool) -> None:
+        def on_synced(is_synced: bool) -> None:
             if self.last_handover is not handover or self.cursor is not None:
                 return
-            if not is_kept:
+            if not is_synced:
                 return self._give_up()
             if page.next_cursor is None:
                 return self._on_last_page()
@@ -287,10 +287,10 @@
         self.state = SuccessionState.SYNCING
         handover.is_taken = True
 
-        def on_synced(is_kept: bool) -> None:
+        def on_synced(is_synced: bool) -> None:
             if self.state is not SuccessionState.SYNCING:
                 return
-            if not is_kept:
+            if not is_synced:
                 handover.is_taken = False
                 return self._give_up()
             self._reset()
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -445,7 +445,7 @@
     departing = core.machines["core-2"].node
     departing.registers.claims.clock_us += 10**12 * (1 if seed % 2 else -1)
     claim = {"claim/g/1": ([1, "x"], [1, "x"], {"by": "x"})}
-    departing.ports.storage.write(departing.replica.merge(claim), lambda is_kept: None)
+    departing.ports.storage.write(departing.replica.merge(claim), lambda is_synced: None)
     leave(core, "core-2")
     replica = core.machines["core-9"].node.replica
     assert core.world.wait_for(lambda: replica.is_voting, 3 * SECOND, STEP)
