--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -24,14 +24,14 @@
 class Attempts:
     """Attempts of requests at runners: the read, the hand-over, the decode, and what follows when one fails."""
 
-    __slots__ = ("node", "pairing", "desk", "roster", "extra", "silence")
+    __slots__ = ("node", "placement", "runner_client", "roster", "retry_budget", "silence")
 
-    def __init__(self, node, pairing, desk, roster, extra):
+    def __init__(self, node, placement, runner_client, roster, retry_budget):
         self.node = node
-        self.pairing = pairing
-        self.desk = desk
+        self.placement = placement
+        self.runner_client = runner_client
         self.roster = roster
-        self.extra = extra
+        self.retry_budget = retry_budget
         self.silence = SilenceWatch(self)
         node.systems.append(self.tick)
 
@@ -59,7 +59,7 @@
         now_us = self.node.now_us()
         ttft_us = request.kind.ttft_us - self._spent_us(request, now_us)
         work = self.work_of(request)
-        decision = self.pairing.choose(
+        decision = self.placement.choose(
             work,
             ttft_us,
             room_us=self.node.rooms.get(request.group, NO_BOUND_US),
@@ -84,7 +84,7 @@
         """
         is_bounded = not self._has_waited_half(request, now_us)
         room_us = self.node.rooms.get(request.group, NO_BOUND_US) if is_bounded else NO_BOUND_US
-        decision = self.pairing.choose_best_effort(work, ttft_us, why, room_us=room_us)
+        decision = self.placement.choose_best_effort(work, ttft_us, why, room_us=room_us)
         if decision.winner is None:
             is_held_out = decision.candidates and self._has_waited_its_share(request, now_us)
             if not is_held_out:
@@ -126,7 +126,7 @@
         if request.pool is None:
             return True
         pause_us = request.kind.max_gap_us or request.kind.tpot_us
-        return self.pairing.estimator.answer_us(request.answer_tokens) > pause_us
+        return self.placement.estimator.answer_us(request.answer_tokens) > pause_us
 
     def _spent_us(self, request, now_us):
         """Where a caller isn't held for long, the target counts from its arrival."""
@@ -143,7 +143,7 @@
         """Whether the answer, or where it is enough its beginning, would come after the deadline."""
         soonest_us = now_us + decision.winner.total_us
         if self.node.bounds.hold_share is None:
-            soonest_us += self.pairing.estimator.answer_us(request.answer_tokens)
+            soonest_us += self.placement.estimator.answer_us(request.answer_tokens)
         return soonest_us > request.deadline_us
 
     def _exception_for(self, request, decision, now_us):
@@ -180,7 +180,7 @@
 
     def _begin_decode(self, request):
         """What goes on elsewhere, or has no prompt to read, starts at a decode runner."""
-        runner = self.pairing.choose_decode(without=request.failed, pool=request.pool)
+        runner = self.placement.choose_decode(without=request.failed, pool=request.pool)
         if runner is not None:
             self._start(request, runner)
             return True
@@ -196,10 +196,10 @@
         request.runner = runner
         request.progress_us = now_us
         request.had_begun = request.has_begun
-        request.has_begun = request.has_begun or self.desk.prefill_counts_as_begun
+        request.has_begun = request.has_begun or self.runner_client.prefill_counts_as_begun
         request.handle = None
         if request.prompt_tokens:
-            self.pairing.begin_prefill(runner, request.attempt, self.work_of(request))
+            self.placement.begin_prefill(runner, request.attempt, self.work_of(request))
         request.note(
             now_us, "attempt", runner=runner.name, phase=runner.phase, number=request.attempts
         )
@@ -215,9 +215,9 @@
         def done(error, handle, has_begun):
             if request.attempt != attempt or request.state != states.READING:
                 if handle is not None:
-                    self.desk.free(runner, handle)
+                    self.runner_client.free(runner, handle)
                 return
-            self.pairing.end_prefill(runner, attempt, is_seen=error is None)
+            self.placement.end_prefill(runner, attempt, is_seen=error is None)
             request.part = None
             if error is not None:
                 return self.fail(request, runner, error, has_begun)
@@ -225,7 +225,7 @@
             self.roster.note_alive(runner)
             self._hand_over(request)
 
-        request.part = self.desk.prefill(runner, request, done)
+        request.part = self.runner_client.prefill(runner, request, done)
 
     def _hand_over(self, request):
         self.node.wake_queue()
@@ -235,9 +235,9 @@
             return self._park(request, self._hand_over)
         request.parked = None
         source, tokens = request.handle[1], request.prompt_tokens
-        runner = self.pairing.choose_decode(
+        runner = self.placement.choose_decode(
             request.failed, source, tokens, request.pool
-        ) or self.pairing.choose_decode((), source, tokens, request.pool)
+        ) or self.placement.choose_decode((), source, tokens, request.pool)
         if runner is None:
             return self.fail(
                 request, request.runner, ServiceError("no_runner", done="unknown"), True
@@ -255,19 +255,21 @@
         now_us = self.node.now_us()
         request.progress_us = now_us
         request.has_begun = True
-        self.pairing.begin_decode(runner, request.attempt, request.prompt_tokens)
-        request.part = self.desk.decode(runner, request, handle, Relay(self, request, runner))
+        self.placement.begin_decode(runner, request.attempt, request.prompt_tokens)
+        request.part = self.runner_client.decode(
+            runner, request, handle, Relay(self, request, runner)
+        )
 
     def leave_runner(self, request):
         if request.runner is not None and request.attempt is not None:
             for runner in [request.runner, *([request.handle[1]] if request.handle else [])]:
-                self.pairing.end_prefill(runner, request.attempt)
-                self.pairing.end_decode(runner, request.attempt)
+                self.placement.end_prefill(runner, request.attempt)
+                self.placement.end_decode(runner, request.attempt)
         if request.part is not None:
             request.part.abandon()
             request.part = None
         if request.handle is not None:
-            self.desk.free(request.handle[1], request.handle[0])
+            self.runner_client.free(request.handle[1], request.handle[0])
         request.handle = None
 
     def fail(self, request, runner, error, has_begun):
@@ -277,7 +279,7 @@
         and may have begun is never sent again. Test: `forget_what_was_begun` in the model test.
         """
         if error.code in FAILED_HAND_OVERS and request.handle:
-            self.pairing.backoff.eject(request.handle[1])
+            self.placement.backoff.eject(request.handle[1])
         self.leave_runner(request)
         self._note_failed(request, runner, error, has_begun)
         self._tell_of_runner(runner, error, has_begun)
@@ -304,29 +306,29 @@
         """What the failure says of the runner, for all later choices."""
         code = error.code
         if runner.is_plain() and code not in NO_FAILURE:
-            self.pairing.plain.note_failed(runner)
+            self.placement.plain.note_failed(runner)
         if not has_begun:
             self.roster.note_unresponsive(runner)
         elif code in TURNED_AWAY:
             self.roster.note_alive(runner)
         if code in GONE:
             self.roster.note_leaving(runner)
-        if code == "phase_wrong" and not self.desk.prefill_counts_as_begun:
+        if code == "phase_wrong" and not self.runner_client.prefill_counts_as_begun:
             runner.is_switching = True
         if code in FULL:
-            self.pairing.backoff.note_turned_away(runner)
+            self.placement.backoff.note_turned_away(runner)
         if code == "mark_old":
             self.node.snapshot.observe_version(error.detail.get("mark", 0))
 
     def note_unanswered(self, request):
         """The deadline passed while a runner owed an answer."""
         if request.state == states.DECODING and request.runner.is_plain():
-            self.pairing.plain.note_failed(request.runner)
+            self.placement.plain.note_failed(request.runner)
 
     def _take_back_begun(self, request):
         """This attempt did not run; whether an earlier one may have is kept."""
         had_read = any(step["step"] == "hand-over" for step in request.steps)
-        if not request.written and not (had_read and self.desk.prefill_counts_as_begun):
+        if not request.written and not (had_read and self.runner_client.prefill_counts_as_begun):
             request.has_begun = request.had_begun
 
     def _unknown(self, error):
@@ -349,11 +351,11 @@
         self._read_again(request, error)
 
     def _decode_again(self, request, error):
-        runner = self.pairing.choose_decode(
+        runner = self.placement.choose_decode(
             without=request.failed, pool=request.pool
-        ) or self.pairing.choose_decode(pool=request.pool)
+        ) or self.placement.choose_decode(pool=request.pool)
         if runner is None or not self._has_time_for(
-            request, self.pairing.load.prefill_wait_us(runner)
+            request, self.placement.load.prefill_wait_us(runner)
         ):
             return self.node.end_with_error(request, self._spent(request, error))
         if not self._may_try_again(request, 1):
@@ -363,16 +365,16 @@
 
     def _read_again(self, request, error):
         work, ttft_us = self.work_of(request), request.kind.ttft_us
-        decision = self.pairing.choose_best_effort(work, ttft_us, "retry", request.failed)
+        decision = self.placement.choose_best_effort(work, ttft_us, "retry", request.failed)
         if decision.winner is None:
-            decision = self.pairing.choose_best_effort(work, ttft_us, "retry")
+            decision = self.placement.choose_best_effort(work, ttft_us, "retry")
         winner = decision.winner
         if winner is None or not self._has_time_for(request, winner.total_us):
             return self.node.end_with_error(request, self._spent(request, error))
         is_second_read = (
             decision.winner.runner.phase == PREFILL
             and request.reads > 0
-            and not self.desk.prefill_counts_as_begun
+            and not self.runner_client.prefill_counts_as_begun
         )
         if not self._may_try_again(request, 2 if is_second_read else 1):
             return self.node.end_with_error(request, self._spent(request, error))
@@ -388,10 +390,12 @@
 
     def try_elsewhere(self, request, runner, status):
         """The runner answered that it failed; answers whether another attempt was begun."""
-        others = [other for other in self.pairing.open_runners(request.pool) if other is not runner]
+        others = [
+            other for other in self.placement.open_runners(request.pool) if other is not runner
+        ]
         if (
             not others
-            or not self.extra.covers(1, request.pool)
+            or not self.retry_budget.covers(1, request.pool)
             or not self._has_attempts(request, 1)
         ):
             return False
@@ -403,7 +407,7 @@
         return not most or request.arrivals + cost <= most
 
     def _may_try_again(self, request, cost):
-        if not self._has_attempts(request, cost) or not self.extra.spend(
+        if not self._has_attempts(request, cost) or not self.retry_budget.spend(
             "retry", cost=cost, pool=request.pool
         ):
             return False
@@ -416,8 +420,8 @@
         return ServiceError("extra_spent", retry_us=1_000_000, after=error.code)
 
     def move(self, request, target, why):
-        if not self.node.may_start() or not self.extra.spend(
-            "move", self.extra.reserve_for_retries(), pool=request.pool
+        if not self.node.may_start() or not self.retry_budget.spend(
+            "move", self.retry_budget.reserve_for_retries(), pool=request.pool
         ):
             return False
         now_us = self.node.now_us()
@@ -451,12 +455,14 @@
         cost = 2 if self.is_read_again(request) else 1
         if (
             not self.node.may_start()
-            or not self.extra.covers(cost, request.pool)
+            or not self.retry_budget.covers(cost, request.pool)
             or not self._has_attempts(request, cost)
         ):
             return False
         runner = request.runner
-        others = [other for other in self.pairing.open_runners(request.pool) if other is not runner]
+        others = [
+            other for other in self.placement.open_runners(request.pool) if other is not runner
+        ]
         return any(other.phase != PREFILL for other in others)
 
     def may_be_repeated(self, request):
@@ -471,5 +477,5 @@
             request.prompt_tokens
             and not request.written
             and request.reads > 0
-            and not self.desk.prefill_counts_as_begun
+            and not self.runner_client.prefill_counts_as_begun
         )
--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -99,14 +99,14 @@
         kind = request.kind
         request.group = kind.group
         request.pool = self.node.choose_pool(kind)
-        if self.node.pairing.is_plain(request.pool):
+        if self.node.placement.is_plain(request.pool):
             request.prompt_tokens, request.parts = 0, ()
         request.admitted_mark = self.node.snapshot.version
         request.answer_tokens = request.answer_tokens or kind.max_output_tokens
         request.deadline_us = request.arrived_us + min(
             kind.deadline_us, request.patience_us or kind.deadline_us
         )
-        self.node.extra.earn(request.pool)
+        self.node.retry_budget.earn(request.pool)
         if (
             request.prompt_tokens > kind.max_prompt_tokens
             or request.answer_tokens > kind.max_output_tokens
--- a/packages/router/src/linkhaven/router/invariants.py
+++ b/packages/router/src/linkhaven/router/invariants.py
@@ -21,18 +21,18 @@
 class PlacementInvariants:
     """Counts violations by name, and logs event 1902 for the first of each in a while."""
 
-    __slots__ = ("node", "pairing", "violations", "told_us")
+    __slots__ = ("node", "placement", "violations", "told_us")
 
-    def __init__(self, node, pairing):
+    def __init__(self, node, placement):
         """Nothing was violated yet."""
         self.node = node
-        self.pairing = pairing
+        self.placement = placement
         self.violations = Counter()
         self.told_us = {}
 
     def check_refusal(self, request, decision):
         """A request is about to be refused for want of a runner."""
-        runners = self.pairing.open_runners(request.pool)
+        runners = self.placement.open_runners(request.pool)
         can_serve = [runner for runner in runners if self._can_decode(runner, request)]
         soonest_us = min((each.total_us for each in decision.candidates), default=None)
         has_prospect = (
@@ -41,7 +41,7 @@
         if (
             has_prospect
             and can_serve
-            and not any(self.pairing.load.work_at(runner).total().count for runner in runners)
+            and not any(self.placement.load.work_at(runner).total().count for runner in runners)
         ):
             names = [runner.name for runner in can_serve]
             self._violate("refused_beside_idle_runners", request=request.id, runners=names)
@@ -68,9 +68,9 @@
             self._violate("held_too_long", request=request.id, held_us=held_us)
 
     def _can_decode(self, runner, request):
-        if runner.phase != DECODE or not self.pairing.fits(runner, request.prompt_tokens):
+        if runner.phase != DECODE or not self.placement.fits(runner, request.prompt_tokens):
             return False
-        streams = self.pairing.load.work_at(runner).total().streams
+        streams = self.placement.load.work_at(runner).total().streams
         return not runner.slots or streams < runner.slots
 
     def _violate(self, name, **facts):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -59,13 +59,13 @@
         "snapshot",
         "watcher",
         "roster",
-        "desk",
-        "pairing",
-        "extra",
-        "credit",
+        "runner_client",
+        "placement",
+        "retry_budget",
+        "admission",
         "attempts",
         "authenticator",
-        "flow",
+        "rebalancer",
         "requests",
         "chain",
         "explainer",
@@ -108,7 +108,7 @@
         requests_at_most=2_000,
         bounds=None,
         callers=None,
-        desk_of=RunnerClient,
+        make_runner_client=RunnerClient,
     ):
         super().__init__(name, address, ports, bounds)
         majority = self.bounds.seats // 2 + 1
@@ -131,13 +131,13 @@
         )
         self.authenticator = Authenticator(self.watcher, self.bounds)
         self.roster = Roster(self)
-        self.desk = desk_of(self)
+        self.runner_client = make_runner_client(self)
         self.keys = Keys(self, self.proposer, self._failed_routers)
-        self.pairing = PlacementPolicy(
+        self.placement = PlacementPolicy(
             self, self.roster, lambda: self.membership.live_members("router")
         )
-        self.extra = RetryBudget(self)
-        self.credit = AdmissionQueues(self, self._pace_at_first, self.end_with_error)
+        self.retry_budget = RetryBudget(self)
+        self.admission = AdmissionQueues(self, self._pace_at_first, self.end_with_error)
         self.tenant_quotas = TenantQuotas(
             self,
             QuotaDirectory(self.membership),
@@ -147,15 +147,17 @@
             self.end_with_error,
         )
         self.requests = Table()
-        self.attempts = Attempts(self, self.pairing, self.desk, self.roster, self.extra)
-        self.flow = StreamMigrator(
-            self, self.pairing, self.roster, self.requests.rows, self.attempts.move
+        self.attempts = Attempts(
+            self, self.placement, self.runner_client, self.roster, self.retry_budget
+        )
+        self.rebalancer = StreamMigrator(
+            self, self.placement, self.roster, self.requests.rows, self.attempts.move
         )
         self.chain = Filters(self).chain(self.end_with_error)
         self.explainer = Explainer(self, self.membership, self.requests)
         self.readmission = Readmission(self)
-        self.refusals = RefusalReport(self, self.roster, self.pairing)
-        self.invariants = PlacementInvariants(self, self.pairing)
+        self.refusals = RefusalReport(self, self.roster, self.placement)
+        self.invariants = PlacementInvariants(self, self.placement)
         self.calm_since_us = self.now_us()
         self.on_late.append(self._note_disturbance)
         self.requests_at_most = requests_at_most
@@ -193,9 +195,9 @@
 
     def _take_plan(self):
         configuration = self.snapshot.configuration
-        self.pairing.apply_configuration(configuration)
-        self.extra.apply_configuration(configuration)
-        self.credit.apply_configuration(configuration)
+        self.placement.apply_configuration(configuration)
+        self.retry_budget.apply_configuration(configuration)
+        self.admission.apply_configuration(configuration)
         self.keys.apply_configuration(configuration)
         self.doors.apply_configuration(configuration)
         self.authenticator.apply_configuration(configuration)
@@ -206,7 +208,7 @@
         withdrawn = self.readmission.withdraw(configuration)
         self.tenant_quotas.apply_configuration(configuration)
         self.readmission.settle(withdrawn)
-        self.credit.apply_configuration(configuration)
+        self.admission.apply_configuration(configuration)
 
     def _go_on_with_token(self, request):
         """Let a request go on that was held for a token.
@@ -233,7 +235,7 @@
 
     def _pace_at_first(self):
         """This router's even part of what all runners read, until its own queue has shown its pace."""
-        return self.pairing.prefill_rate() // (1 + len(self.membership.live_members("router")))
+        return self.placement.prefill_rate() // (1 + len(self.membership.live_members("router")))
 
     def _failed_routers(self):
         """Name and address of each other router that is held for failed."""
@@ -248,27 +250,27 @@
 
     def is_short_of_shares(self):
         """Whether this router waits for a larger share than it has."""
-        return self.extra.was_refused_recently() or self.credit.is_waiting()
+        return self.retry_budget.was_refused_recently() or self.admission.is_waiting()
 
     def add_watch_facts(self, facts, seat):
         """What a seat is told: its duties' holders hear what only these need."""
         now_us, pace = self.now_us(), self.watcher.hold
         is_roster = pace.is_sender(seat, "roster", now_us)
         if pace.is_sender(seat, "shares", now_us):
-            facts["credit"] = self.credit.demand_reports()
-            facts["extra"] = self.extra.demand_report()
-        facts["usage"] = self.credit.usage_reports()
+            facts["credit"] = self.admission.demand_reports()
+            facts["extra"] = self.retry_budget.demand_report()
+        facts["usage"] = self.admission.usage_reports()
         is_keeping = is_roster or pace.is_sender(seat, "steward", now_us)
         facts["evidence"] = self.roster.evidence_rows(is_keeping)
-        facts["rates"] = [*self.rates, self.pairing.estimator.learned_prefill_rate()]
+        facts["rates"] = [*self.rates, self.placement.estimator.learned_prefill_rate()]
         facts["roster"] = self.roster.version
         facts["steward"] = self.steward_place
-        if is_roster and self.pairing.is_large():
-            facts["views"] = self.pairing.load.own_rows()
-            facts["lines"] = self.pairing.estimator.own_rows()
+        if is_roster and self.placement.is_large():
+            facts["views"] = self.placement.load.own_rows()
+            facts["lines"] = self.placement.estimator.own_rows()
         if is_roster:
-            facts["outcomes"] = self.pairing.plain.own_rows()
-        newest_grant = max(self.extra.grant_number, self.credit.newest_grant())
+            facts["outcomes"] = self.placement.plain.own_rows()
+        newest_grant = max(self.retry_budget.grant_number, self.admission.newest_grant())
         facts["fences"] = {
             "roster": self.roster.version[0],
             "steward": self.steward_place[0],
@@ -286,17 +288,17 @@
                 is_behind = runner.phase != steward["settled"].get(runner.name, runner.phase)
                 runner.is_changing = runner.name in steward["changing"] or is_behind
         if "views" in message:
-            self.pairing.load.take_fleet_sums(message["views"])
+            self.placement.load.take_fleet_sums(message["views"])
         if "lines" in message:
-            self.pairing.estimator.take_others(message["lines"])
+            self.placement.estimator.take_others(message["lines"])
         if "outcomes" in message:
-            self.pairing.plain.take_others(message["outcomes"])
+            self.placement.plain.take_others(message["outcomes"])
         shares = message.get("shares")
         if shares is not None:
             for group, (rate, grant) in shares["rates"].items():
-                self.credit.apply_grant(group, rate, grant, sent_us + self.bounds.lease_us)
+                self.admission.apply_grant(group, rate, grant, sent_us + self.bounds.lease_us)
             if "extra" in shares:
-                self.extra.apply_grant(*shares["extra"], sent_us + self.bounds.lease_us)
+                self.retry_budget.apply_grant(*shares["extra"], sent_us + self.bounds.lease_us)
         self.wake_queue()
 
     def _hear_want_image(self, message):
@@ -369,9 +371,9 @@
         self.chain.walk(request)
 
     def enqueue(self, request):
-        self.credit.enqueue(request.group, request)
+        self.admission.enqueue(request.group, request)
         request.state = states.QUEUED
-        unread = self.pairing.least_uncached_tokens(request)
+        unread = self.placement.least_uncached_tokens(request)
         self.arrived += unread
         typical = self.typical_tokens.get(request.kind_name, unread)
         self.typical_tokens[request.kind_name] = typical + TYPICAL_GAIN * (unread - typical)
@@ -382,14 +384,14 @@
         """Requests that wait are looked at with each short tick; all else is moved by what comes in.
 
         In a small fleet all requests are, also those that run."""
-        if not self.is_open or self.credit.is_waiting() or self.is_draining:
+        if not self.is_open or self.admission.is_waiting() or self.is_draining:
             return 0
-        if self.requests and not self.pairing.is_large():
+        if self.requests and not self.placement.is_large():
             return 0
         return REST_US
 
     def wake_queue(self):
-        self.credit.serve(self.attempts.begin)
+        self.admission.serve(self.attempts.begin)
 
     def relay_piece(self, request, piece, tokens, now_us):
         call = request.call
@@ -402,7 +404,7 @@
         request.written = piece.number
         request.tokens += tokens
         self.produced += tokens
-        self.credit.charge(request.group, tokens)
+        self.admission.charge(request.group, tokens)
         has_room = self.callers.piece(request, piece)
         if not has_room and request.part is not None and not call.is_ended:
             request.is_held = True
@@ -422,7 +424,7 @@
         self.callers.finish(request)
         self.counts["served"] += 1
         if request.first_us is not None:
-            self.pairing.estimator.note_answer(
+            self.placement.estimator.note_answer(
                 request.answer_tokens, self.now_us() - request.first_us
             )
         self.ports.log(
@@ -481,7 +483,7 @@
         else:
             self.ports.log(2102, **{**request.times(self.now_us()), **told})
         if is_refused and request.group:
-            self.credit.count_refusal(request.group)
+            self.admission.count_refusal(request.group)
         if is_refused and request.claim_key:
             self.keys.give_back(request)
         call = request.call
@@ -494,7 +496,7 @@
 
     def _close(self, request, outcome):
         if request.state == states.QUEUED:
-            self.credit.remove(request.group, request)
+            self.admission.remove(request.group, request)
         if request.state == states.AWAITING_QUOTA:
             self.tenant_quotas.cancel(request)
         request.state = states.ENDED
@@ -522,14 +524,15 @@
             if request.has_begun:
                 self.attempts.note_unanswered(request)
                 self.end_with_error(
-                    request, ServiceError("deadline", retry_us=self.credit.wait_us(request.group))
+                    request,
+                    ServiceError("deadline", retry_us=self.admission.wait_us(request.group)),
                 )
                 continue
             cause = self._find_cause(request)
             if request.state == states.QUEUED and cause != "credit":
                 self.invariants.check_hold(request)
             self.unserved[cause] = self.unserved.get(cause, 0) + 1
-            retry_us = max(1_000_000, self.credit.wait_us(request.group))
+            retry_us = max(1_000_000, self.admission.wait_us(request.group))
             self.end_with_error(
                 request, ServiceError("deadline_unserved", retry_us=retry_us, cause=cause)
             )
@@ -541,7 +544,7 @@
             return "claim"
         if request.state == states.AWAITING_QUOTA:
             return "quota"
-        if self.credit.lacks_credit(request.group):
+        if self.admission.lacks_credit(request.group):
             return "credit"
         return "no_runner" if not self.roster.open_runners() else "no_room"
 
@@ -641,15 +644,15 @@
                         "credit": int(account.bucket.refill(now_us)),
                         "rate": account.bucket.rate,
                     }
-                    for account in self.credit.accounts.values()
+                    for account in self.admission.accounts.values()
                 },
                 "extra": {
-                    "left": self.extra.default_bucket.level,
-                    "spent": self.extra.spent,
-                    "refused": self.extra.refused,
+                    "left": self.retry_budget.default_bucket.level,
+                    "spent": self.retry_budget.spent,
+                    "refused": self.retry_budget.refused,
                 },
-                "moves": self.flow.moves,
-                "exceptions": self.pairing.exceptions,
+                "moves": self.rebalancer.moves,
+                "exceptions": self.placement.exceptions,
                 "violations": dict(self.invariants.violations),
                 "counts": self.counts,
                 "unserved": self.unserved,
--- a/packages/router/src/linkhaven/router/readmission.py
+++ b/packages/router/src/linkhaven/router/readmission.py
@@ -73,7 +73,7 @@
         for verdict in changed:
             request = verdict.request
             if request.state == states.QUEUED:
-                self.node.credit.remove(request.group, request)
+                self.node.admission.remove(request.group, request)
         return changed
 
     def _judge(self, request: Any, configuration: Configuration) -> Verdict:
@@ -116,6 +116,6 @@
         self._follow_kind(request, kind)
         request.rank = self.node.snapshot.configuration.rank_of(request.kind, request.tenant)
         try:
-            self.node.credit.enqueue(request.group, request)
+            self.node.admission.enqueue(request.group, request)
         except ServiceError as error:
             self.node.end_with_error(request, error)
--- a/packages/router/src/linkhaven/router/refusals.py
+++ b/packages/router/src/linkhaven/router/refusals.py
@@ -17,13 +17,13 @@
     request filled. A router that refuses nothing for want of a runner logs nothing.
     """
 
-    __slots__ = ("node", "roster", "pairing", "causes", "told_us")
+    __slots__ = ("node", "roster", "placement", "causes", "told_us")
 
-    def __init__(self, node, roster, pairing):
+    def __init__(self, node, roster, placement):
         """Nothing is counted yet."""
         self.node = node
         self.roster = roster
-        self.pairing = pairing
+        self.placement = placement
         self.causes = Counter()
         self.told_us = node.now_us()
         node.systems.append(self.tick)
@@ -44,13 +44,13 @@
 
     def _look_at(self, runner):
         """Name, phase, prompts waiting, prompt tokens to read, streams, share of its memory."""
-        waiting, tokens, _, streams = self.pairing.load.work_at(runner).total()
+        waiting, tokens, _, streams = self.placement.load.work_at(runner).total()
         return [
             runner.name,
             runner.phase,
             waiting,
             tokens,
-            int(self.pairing.load.queued_tokens(runner)),
+            int(self.placement.load.queued_tokens(runner)),
             streams,
-            round(self.pairing.load.kv_share(runner), 2),
+            round(self.placement.load.kv_share(runner), 2),
         ]
--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -27,19 +27,23 @@
         if self.is_over():
             return
         self.attempts.roster.note_alive(self.runner)
-        request, now_us, pairing = self.request, self.attempts.node.now_us(), self.attempts.pairing
+        request, now_us, placement = (
+            self.request,
+            self.attempts.node.now_us(),
+            self.attempts.placement,
+        )
         if request.handle:
-            pairing.note_decode_start(
+            placement.note_decode_start(
                 request.handle[1], self.runner, request.prompt_tokens, now_us - request.progress_us
             )
-            pairing.backoff.note_transfer_done(request.handle[1])
+            placement.backoff.note_transfer_done(request.handle[1])
             request.handle = None
         request.progress_us = now_us
         if request.run is None:
             request.run = run
         if not request.call.is_begun:
             request.head = head
-        is_same_run = request.run == run or self.attempts.desk.allows_run_change
+        is_same_run = request.run == run or self.attempts.runner_client.allows_run_change
         if not run or not is_same_run or after != request.written:
             self._break("another run or place than asked for")
 
@@ -51,18 +55,18 @@
         if self.is_over():
             return
         request, node = self.request, self.attempts.node
-        if not self.attempts.desk.follows(request, piece):
+        if not self.attempts.runner_client.follows(request, piece):
             return self._break("a gap, a repeat or a foreign run")
         now_us = node.now_us()
         request.progress_us = now_us
         self.attempts.roster.note_alive(self.runner)
-        self.attempts.pairing.end_prefill(
+        self.attempts.placement.end_prefill(
             self.runner, self.attempt, is_seen=self.runner.phase == DECODE and not self.is_handed
         )
         tokens = piece.document.get("tokens", 1)
         if not isinstance(tokens, int) or tokens < 0:
             return self._break("a piece without its tokens")
-        self.attempts.pairing.grow_decode(self.runner, self.attempt, tokens)
+        self.attempts.placement.grow_decode(self.runner, self.attempt, tokens)
         node.relay_piece(request, piece, tokens, now_us)
 
     def on_done(self, piece):
@@ -93,7 +97,7 @@
 
     def _note_plain_answer(self, status):
         """Tell the choice among runners without an engine how this one did."""
-        plain, request = self.attempts.pairing.plain, self.request
+        plain, request = self.attempts.placement.plain, self.request
         if status >= FAILURES:
             return plain.note_failed(self.runner)
         plain.note_answered(self.runner, self.attempts.node.now_us() - request.progress_us)
--- a/packages/router/src/linkhaven/router/silence.py
+++ b/packages/router/src/linkhaven/router/silence.py
@@ -50,7 +50,7 @@
         return owing
 
     def _queued_us(self, runner):
-        return self.attempts.pairing.load.prefill_wait_us(runner)
+        return self.attempts.placement.load.prefill_wait_us(runner)
 
     def _is_lost(self, request, now_us):
         """Its runner is dark and sent nothing for a moment, and it can go on elsewhere."""
@@ -66,7 +66,7 @@
             return False
         patience_us = QUIET_US
         if request.first_us is None or request.attempts > 1:
-            estimator = self.attempts.pairing.estimator
+            estimator = self.attempts.placement.estimator
             patience_us += 2 * estimator.prefill_us(request.prompt_tokens, request.runner)
         is_late = now_us - request.progress_us > patience_us
         return is_late and is_suspect(request.runner, now_us)
--- a/packages/simulator/src/linkhaven/simulator/answer.py
+++ b/packages/simulator/src/linkhaven/simulator/answer.py
@@ -111,7 +111,9 @@
         "prefill_runners": sum(phase == "prefill" for phase in phases.values()),
         "runners": len(phases),
         "extra_shots": sum(
-            sum(host.node.extra.spent.values()) for host in fleet.routers.values() if host.node
+            sum(host.node.retry_budget.spent.values())
+            for host in fleet.routers.values()
+            if host.node
         ),
         "broken_rules": sorted(
             judge(
--- a/packages/stage/src/linkhaven/stage/measure.py
+++ b/packages/stage/src/linkhaven/stage/measure.py
@@ -49,7 +49,7 @@
     fleet = SimFleet(DEPLOYMENTS[deployment], seed, **given)
     fleet.start()
     for host in fleet.routers.values():
-        host.node.pairing.__class__ = POLICIES[policy]
+        host.node.placement.__class__ = POLICIES[policy]
     return fleet
 
 
@@ -390,8 +390,8 @@
             seen = run_load(fleet, DEPLOYMENTS[deployment].rate, 40, 120)
             shares.append(seen["goodput_share"])
             served.append(seen["served"] / seen["asked"])
-            shed += sum(host.node.flow.moves["shed"] for host in fleet.routers.values())
-            back += sum(host.node.flow.moves["back"] for host in fleet.routers.values())
+            shed += sum(host.node.rebalancer.moves["shed"] for host in fleet.routers.values())
+            back += sum(host.node.rebalancer.moves["back"] for host in fleet.routers.values())
         tell(
             {
                 "moves": moves,
--- a/packages/stage/src/linkhaven/stage/scenario.py
+++ b/packages/stage/src/linkhaven/stage/scenario.py
@@ -25,9 +25,9 @@
         for name, terms in fleet.plan["groups"].items():
             allowance = terms["credit"]["tokens"] * SECOND / terms["credit"]["period_us"]
             held = sum(
-                host.node.credit.accounts[name].bucket.rate
+                host.node.admission.accounts[name].bucket.rate
                 for host in fleet.routers.values()
-                if host.node and name in host.node.credit.accounts and not host.is_frozen
+                if host.node and name in host.node.admission.accounts and not host.is_frozen
             )
             groups[name] = (held, allowance)
         fleet.world.note("shares", groups=groups)
--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -625,7 +625,7 @@
             1,
             bounds=place.bounds,
             callers=PlatformCallers(),
-            desk_of=PlatformRunners,
+            make_runner_client=PlatformRunners,
         )
         self.door = HttpServer(
             DOOR_ADDRESS, self.node.serve_request, ServerLimits(), self.poller, self.clock
@@ -653,8 +653,8 @@
         service = {"name": "pool-1", "health_path": "/health", "max_connections": 360}
         document = {"revision": 1, "route_rules": routes, "services": [service]}
         self.node.snapshot.take({"mark": 1, "plan": translate_configuration(document, 0.2, 50)})
-        self.node.extra.attempts_per_request = 1.0
-        self.node.extra.apply_grant(50, 1, 1 << 60)
+        self.node.retry_budget.attempts_per_request = 1.0
+        self.node.retry_budget.apply_grant(50, 1, 1 << 60)
 
     def renew_runners(self):
         """The platform's list as it is now: each address with the runner that stands there."""
--- a/tests/keyed_router.py
+++ b/tests/keyed_router.py
@@ -211,7 +211,7 @@
             host.wall_us() + host.starts,
             bounds=Bounds(**self.bounds),
             callers=PlatformCallers(),
-            desk_of=PlatformRunners,
+            make_runner_client=PlatformRunners,
         )
 
     def start(self):
@@ -229,7 +229,7 @@
 
     def allow_tries(self):
         """Let the router make a few attempts beyond the first."""
-        extra = self.node.extra
+        extra = self.node.retry_budget
         extra.apply_grant(10, 1, self.node.now_us() + 60 * SECOND)
         for _ in range(20):
             extra.earn("pool-1")
--- a/tests/test_api_keys.py
+++ b/tests/test_api_keys.py
@@ -139,10 +139,10 @@
 def test_a_request_that_is_turned_away_earns_no_extra_tries_and_fills_no_group():
     world = KeyedRouter()
     world.ask(NO_KEY)
-    assert world.node.extra.earned_us is None
-    assert world.node.credit.usage_reports() == {}
+    assert world.node.retry_budget.earned_us is None
+    assert world.node.admission.usage_reports() == {}
     world.ask(KEY)
-    assert world.node.extra.earned_us is not None
+    assert world.node.retry_budget.earned_us is not None
 
 
 def test_no_tenants_at_all_let_nobody_in():
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -341,7 +341,7 @@
 
     def rates():
         return {
-            name: host.node.credit.accounts["seats"].bucket.rate
+            name: host.node.admission.accounts["seats"].bucket.rate
             for name, host in fleet.routers.items()
             if host.node
         }
@@ -450,7 +450,7 @@
     fleet.load(6.0)
     fleet.world.run_for(40 * SECOND)
     fleet.settle(120)
-    moves = sum(host.node.flow.moves["shed"] for host in fleet.routers.values())
+    moves = sum(host.node.rebalancer.moves["shed"] for host in fleet.routers.values())
     assert moves >= 1
     assert {request.how for request in fleet.caller.node.asked.values()} <= {
         "done",
@@ -708,7 +708,10 @@
     assert {"extra_shots_keep_to_the_budget", "shares_stay_within_the_allowance"} & set(
         found
     ) == set()
-    assert sum(sum(host.node.extra.spent.values()) for host in scenario.fleet.routers.values()) >= 5
+    assert (
+        sum(sum(host.node.retry_budget.spent.values()) for host in scenario.fleet.routers.values())
+        >= 5
+    )
 
 
 @pytest.mark.parametrize("fault", ["slow_pair", "slow_links"])
@@ -718,7 +721,7 @@
     fleet.world.run_for(3 * SECOND)
     faults.begin(fault)
     fleet.world.run_for(8 * SECOND)
-    pairing = fleet.routers["edge-1"].node.pairing
+    pairing = fleet.routers["edge-1"].node.placement
     prefill, slow, fast = (
         pairing.roster.runners[name] for name in ("runner-1", "runner-3", "runner-4")
     )
@@ -741,11 +744,11 @@
     def sizes():
         router, core = fleet.routers["edge-2"].node, holder_of(fleet, "roster").node
         return {
-            "books": len(router.pairing.load.outstanding),
-            "factors": len(router.pairing.estimator.factors),
+            "books": len(router.placement.load.outstanding),
+            "factors": len(router.placement.estimator.factors),
             "runners": len(router.roster.runners),
             "evidence": len(router.roster.evidence),
-            "shunned": len(router.pairing.backoff.ejected),
+            "shunned": len(router.placement.backoff.ejected),
             "heard": len(core.runner_discovery.health.seen_us),
             "leaving": len(core.runner_discovery.health.leaving),
             "out": sum(map(len, core.quota_allocator.grants.values())),
@@ -763,7 +766,7 @@
         fleet.world.run_for(8 * SECOND)
         seen.append(sizes())
         router = fleet.routers["edge-2"].node
-        linked = {name for pair in router.pairing.estimator.links.pairs for name in pair}
+        linked = {name for pair in router.placement.estimator.links.pairs for name in pair}
         assert linked <= set(router.roster.runners)
     for name, last in seen[-1].items():
         assert last <= max(1.3 * seen[3][name], seen[3][name] + 3), (name, seen)
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -96,7 +96,7 @@
     assert node.ended == {"r-1": done}
     assert node.ports.log.events[0][0] == 1005
     assert bad in node.ports.log.events[0][1]["fault"]
-    tries.pairing.bad = tries.desk.bad = None
+    tries.placement.bad = tries.runner_client.bad = None
     assert tries.begin(queued("r-2", tokens=0))
     assert "r-2" not in node.ended
 
@@ -170,7 +170,7 @@
         self.node = Router()
         self.roster = Roster(self.node)
         listed(self.roster, 1, record("d-1"), record("d-2"), record("p-1", "prefill"))
-        self.extra = SimpleNamespace(covers=lambda cost, pool=None: cost <= self.budget)
+        self.retry_budget = SimpleNamespace(covers=lambda cost, pool=None: cost <= self.budget)
         self.budget = 2
         pairing = SimpleNamespace(
             estimator=SimpleNamespace(prefill_us=lambda tokens, runner: prefill_us),
@@ -184,7 +184,7 @@
             pairing,
             SimpleNamespace(prefill_counts_as_begun=False),
             self.roster,
-            self.extra,
+            self.retry_budget,
         )
         self.failed = self.tries.failed = []
 
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -248,10 +248,11 @@
     assert fleet.summary()["served"] == 20
     routers = [host.node for host in fleet.routers.values()]
     assert all(
-        "seats" not in node.credit.demand_reports() and "audit" in node.credit.demand_reports()
+        "seats" not in node.admission.demand_reports()
+        and "audit" in node.admission.demand_reports()
         for node in routers
     )
-    assert sum(node.credit.accounts["seats"].spent_tokens for node in routers) > 0
+    assert sum(node.admission.accounts["seats"].spent_tokens for node in routers) > 0
 
 
 def test_a_spare_tells_the_groups_of_the_plan_in_force():
--- a/tests/test_late_work.py
+++ b/tests/test_late_work.py
@@ -52,7 +52,7 @@
     one.world.run_for(5 * SECOND)
     true_us = read_in_place_us(12_000)
     taken_us = {
-        name: host.node.pairing.estimator.prefill_us(12_000, host.node.roster.runners[LAST])
+        name: host.node.placement.estimator.prefill_us(12_000, host.node.roster.runners[LAST])
         for name, host in one.routers.items()
     }
     assert max(taken_us.values()) < 1.5 * true_us, (true_us, taken_us)
@@ -65,11 +65,11 @@
     tokens = 12_000
     assert read_in_place_us(tokens) < 0.7 * POOLED.kinds["digest"]["ttft_us"]
     for host in one.routers.values():
-        host.node.pairing.exceptions.clear()
+        host.node.placement.exceptions.clear()
     for host in one.routers.values():
         one.ask("digest", routers=[host.address], tokens=tokens)
         one.world.run_for(10 * SECOND)
-    beyond = {name: dict(host.node.pairing.exceptions) for name, host in one.routers.items()}
+    beyond = {name: dict(host.node.placement.exceptions) for name, host in one.routers.items()}
     assert not any("prompt_beyond_target" in each for each in beyond.values()), beyond
 
 
@@ -77,7 +77,7 @@
     """`evaluate_candidates` leaves shunned readers out, but `has_prefill` counts them."""
     one = calm_fleet(1)
     node = one.routers["edge-1"].node
-    pairing, now_us = node.pairing, one.world.now_us
+    pairing, now_us = node.placement, one.world.now_us
     readers = [each for each in node.roster.open_runners() if each.phase == "prefill"]
     assert readers
     for runner in readers:
@@ -96,7 +96,7 @@
     host = one.routers["edge-1"]
     runner = host.node.roster.runners[LAST]
     for name in ("a", "b"):
-        host.node.pairing.begin_prefill(runner, name, PrefillWork(3_000, (), POOL))
+        host.node.placement.begin_prefill(runner, name, PrefillWork(3_000, (), POOL))
     one.world.run_for(SECOND)
     ended = {}
     for tokens in (16_500, 20_000):
@@ -148,7 +148,7 @@
     one = calm_fleet(1, resumable)
     leave_only(one)
     host = one.routers["edge-1"]
-    assert not host.node.pairing.open_runners(POOL)
+    assert not host.node.placement.open_runners(POOL)
     asked = one.caller.node.ask(
         "question", one.prompt(600, "question"), 96, [host.address], last_event_id="r-1-1:3"
     )
@@ -169,7 +169,7 @@
     asked = one.ask("digest", routers=[host.address], tokens=12_000)
     one.world.run_for(200_000)
     (request,) = [each for each in host.node.requests.rows() if each.state == states.DECODING]
-    assert host.node.extra.covers(1, POOL)
+    assert host.node.retry_budget.covers(1, POOL)
     attempts, runner = request.attempts, request.runner
     request.deadline_us = one.world.now_us + 5_000
     host.node.attempts.fail(request, runner, ServiceError("runner_full", done="no"), True)
@@ -219,7 +219,7 @@
         one.ask("question", routers=[deaf.address], tokens=size, answer=4)
         one.world.run_for(120_000)
     one.settle()
-    pairing, runner = deaf.node.pairing, deaf.node.roster.runners[LAST]
+    pairing, runner = deaf.node.placement, deaf.node.roster.runners[LAST]
     taken_us = {tokens: pairing.estimator.prefill_us(tokens, runner) for tokens in (600, 12_000)}
     for tokens, each_us in taken_us.items():
         assert each_us < 3 * read_in_place_us(tokens), taken_us
--- a/tests/test_plain_requests.py
+++ b/tests/test_plain_requests.py
@@ -87,7 +87,7 @@
 def test_a_request_without_a_prompt_goes_to_a_decode_runner_at_once():
     tries, request = attempts(), asked()
     assert tries.begin(request)
-    assert tries.desk.sent == [("decode-1", None)] and tries.pairing.reads == []
+    assert tries.runner_client.sent == [("decode-1", None)] and tries.placement.reads == []
     assert request.has_begun
 
 
@@ -96,4 +96,4 @@
     tries.begin(request)
     request.state = PARKED
     tries._retry(request, ServiceError("runner_lost"))
-    assert tries.desk.sent == [("decode-1", None)] * 2 and tries.pairing.reads == []
+    assert tries.runner_client.sent == [("decode-1", None)] * 2 and tries.placement.reads == []
--- a/tests/test_resumed_head.py
+++ b/tests/test_resumed_head.py
@@ -17,9 +17,9 @@
     roster = SimpleNamespace(note_alive=lambda runner: None)
     attempts = SimpleNamespace(
         node=SimpleNamespace(now_us=lambda: 5),
-        pairing=None,
+        placement=None,
         roster=roster,
-        desk=SimpleNamespace(allows_run_change=True),
+        runner_client=SimpleNamespace(allows_run_change=True),
     )
     return Relay(attempts, request, "runner")
 
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -66,8 +66,8 @@
         is_open=told["is_open"],
         is_draining=told["is_draining"],
         requests=["request"] * told.get("requests", 0),
-        credit=SimpleNamespace(is_waiting=lambda: told["is_waiting"]),
-        pairing=SimpleNamespace(is_large=lambda: told["is_large"]),
+        admission=SimpleNamespace(is_waiting=lambda: told["is_waiting"]),
+        placement=SimpleNamespace(is_large=lambda: told["is_large"]),
     )
     assert RouterNode.rest_us(router) == rest_us
     assert REST_US <= TRANSIT_US // 4
