--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -73,7 +73,7 @@
     def kind(self, request):
         configuration = self.node.snapshot.configuration
         if request.kind_name is None:
-            request.kind_name = self.node.doors.find(request.host, request.path)
+            request.kind_name = self.node.route_table.find(request.host, request.path)
         kind = configuration.kinds.get(request.kind_name)
         if kind is None:
             raise self._unknown_kind(request)
--- a/packages/router/src/linkhaven/router/doors.py
+++ b/packages/router/src/linkhaven/router/doors.py
@@ -1,7 +1,7 @@
 from linkhaven.configuration import Configuration
 
 
-class Doors:
+class RouteTable:
     """Kinds by host and path: of the doors of a host, the longest prefix that begins the path wins."""
 
     __slots__ = ("hosts",)
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -16,7 +16,7 @@
 from .attempts import Attempts
 from .authentication import Authenticator
 from .chain import Filters
-from .doors import Doors
+from .doors import RouteTable
 from .explain import Explainer
 from .invariants import PlacementInvariants
 from .keys import Keys
@@ -89,7 +89,7 @@
         "keys",
         "tenant_quotas",
         "callers",
-        "doors",
+        "route_table",
         "readmission",
         "refusals",
         "invariants",
@@ -113,7 +113,7 @@
         super().__init__(name, address, ports, bounds)
         majority = self.bounds.seats // 2 + 1
         self.callers = callers or NativeCallers()
-        self.doors = Doors()
+        self.route_table = RouteTable()
         self.incarnation = incarnation
         self.snapshot = ConfigurationSnapshot()
         self.membership = Membership(
@@ -199,7 +199,7 @@
         self.retry_budget.apply_configuration(configuration)
         self.admission.apply_configuration(configuration)
         self.keys.apply_configuration(configuration)
-        self.doors.apply_configuration(configuration)
+        self.route_table.apply_configuration(configuration)
         self.authenticator.apply_configuration(configuration)
         self.rooms = rooms_for_others(configuration)
         for kind in [kind for kind in self.typical_tokens if kind not in configuration.kinds]:
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -5,7 +5,7 @@
 from msgspec.structs import replace
 
 from linkhaven.platform.translation import translate_configuration
-from linkhaven.router.doors import Doors
+from linkhaven.router.doors import RouteTable
 from linkhaven.wire import listener, tcp_connection
 
 LINGER_MS = 2_400
@@ -124,7 +124,7 @@
 
 
 def test_with_the_doors_of_the_first_plan_a_later_route_is_denied(world, monkeypatch):
-    monkeypatch.setattr(Doors, "apply_configuration", lambda self, plan: None)
+    monkeypatch.setattr(RouteTable, "apply_configuration", lambda self, plan: None)
     plan_with(world, 2, "safe", "later")
     assert status_of(world, "/safe/x") == 200
     check_denied(world, "/later/x")
