--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -142,7 +142,7 @@
             raise ServiceError("key_missing", kind=request.kind_name)
         if not request.is_one_time or not request.key:
             return PASS
-        self.node.keys.claim(request, self.node.chain.walk)
+        self.node.idempotency_keys.claim(request, self.node.chain.walk)
         return HOLD
 
     def queue(self, request):
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -8,7 +8,7 @@
 
 from . import request as states
 
-PAGE = 500
+PAGE_KEYS = 500
 SWEEP_US = 5_000_000
 HANDOVERS_AT_MOST = 5
 """So many replicas may read the won keys at once; the listing of the oldest is dropped."""
@@ -24,7 +24,7 @@
     return f"claim/{request.group}/{digest}"
 
 
-class Keys:
+class IdempotencyKeys:
     """Keys of one-time requests: each is won at a majority of the core before its request goes on, and kept here for
     the whole retention, so that a core that lost everything can be told. Full means that new ones are refused."""
 
@@ -39,7 +39,7 @@
         self.handovers: OrderedDict[str, list[list[str]]] = OrderedDict()
         self.swept_us = node.now_us()
         self.settings: ClaimSettings | None = None
-        node.map_handlers["want_keys"] = self.hear_want
+        node.map_handlers["want_keys"] = self.on_claims_request
         node.systems.append(self.sweep)
 
     def apply_configuration(self, configuration: Configuration) -> None:
@@ -109,7 +109,7 @@
         while self.won and now_us - next(iter(self.won.values()))[1] > self.settings.retention_us:
             self.won.popitem(last=False)
 
-    def hear_want(self, message):
+    def on_claims_request(self, message):
         """A replica that began empty asks for what was won before, a page at a time.
 
         The pages are cut from one listing, since keys may expire between two of them. Routers that
@@ -127,8 +127,8 @@
             "keys",
             start=start,
             place=place,
-            is_last=place + PAGE >= len(won),
-            keys=won[place : place + PAGE],
+            is_last=place + PAGE_KEYS >= len(won),
+            keys=won[place : place + PAGE_KEYS],
             **more,
         )
 
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -19,7 +19,7 @@
 from .doors import RouteTable
 from .explain import Explainer
 from .invariants import PlacementInvariants
-from .keys import Keys
+from .keys import IdempotencyKeys
 from .native import NativeCallers
 from .quota_directory import QuotaDirectory
 from .readmission import Readmission
@@ -86,7 +86,7 @@
         "on_end",
         "closed_us",
         "unserved",
-        "keys",
+        "idempotency_keys",
         "tenant_quotas",
         "callers",
         "route_table",
@@ -132,7 +132,7 @@
         self.authenticator = Authenticator(self.watcher, self.bounds)
         self.roster = Roster(self)
         self.runner_client = make_runner_client(self)
-        self.keys = Keys(self, self.proposer, self._failed_routers)
+        self.idempotency_keys = IdempotencyKeys(self, self.proposer, self._failed_routers)
         self.placement = PlacementPolicy(
             self, self.roster, lambda: self.membership.live_members("router")
         )
@@ -198,7 +198,7 @@
         self.placement.apply_configuration(configuration)
         self.retry_budget.apply_configuration(configuration)
         self.admission.apply_configuration(configuration)
-        self.keys.apply_configuration(configuration)
+        self.idempotency_keys.apply_configuration(configuration)
         self.route_table.apply_configuration(configuration)
         self.authenticator.apply_configuration(configuration)
         self.rooms = rooms_for_others(configuration)
@@ -485,7 +485,7 @@
         if is_refused and request.group:
             self.admission.count_refusal(request.group)
         if is_refused and request.claim_key:
-            self.keys.give_back(request)
+            self.idempotency_keys.give_back(request)
         call = request.call
         self._close(request, error.code)
         if call.is_ended:
@@ -656,7 +656,7 @@
                 "violations": dict(self.invariants.violations),
                 "counts": self.counts,
                 "unserved": self.unserved,
-                "keys": len(self.keys.won),
+                "keys": len(self.idempotency_keys.won),
                 "running": len(self.requests),
             },
         )
--- a/tests/test_claim_admission.py
+++ b/tests/test_claim_admission.py
@@ -9,7 +9,7 @@
 
 from linkhaven.controller.claim_admission import ClaimAdmission
 from linkhaven.controller.messages import ClaimsResponse
-from linkhaven.router.keys import PAGE, Keys
+from linkhaven.router.keys import PAGE_KEYS, IdempotencyKeys
 from linkhaven.stage.checkers import judge
 from linkhaven.stage.fleet import LICENSING, SimFleet
 
@@ -93,18 +93,18 @@
     """The disk takes longer than the interval at which a router is asked."""
     core = Core(["router-1"])
     core.run_for(3 * SECOND)
-    core.respond("router-1", 0, [f"claim/g/{number}" for number in range(PAGE)], False)
+    core.respond("router-1", 0, [f"claim/g/{number}" for number in range(PAGE_KEYS)], False)
     core.sent.clear()
     core.run_for(SECOND)
     assert not core.sent
     core.complete_writes()
-    assert [message.offset for _, message in core.sent] == [PAGE]
+    assert [message.offset for _, message in core.sent] == [PAGE_KEYS]
 
 
 def test_a_response_at_an_offset_that_was_not_requested_is_ignored():
     core = Core(["router-1"])
     core.run_for(3 * SECOND)
-    core.respond("router-1", 0, [f"claim/g/{number}" for number in range(PAGE)], False)
+    core.respond("router-1", 0, [f"claim/g/{number}" for number in range(PAGE_KEYS)], False)
     core.respond("router-1", -1, ["claim/g/x"], True)
     core.complete_writes()
     core.run_for(SECOND)
@@ -179,19 +179,19 @@
         systems=[],
         send_untyped=lambda address, kind, **facts: sent.append(facts),
     )
-    keys = Keys(node, None, lambda: [])
+    keys = IdempotencyKeys(node, None, lambda: [])
     for place in range(number):
         keys.won[f"claim/g/{place}"] = (f"r-{place}", 0)
     return keys, sent
 
 
 def test_no_claim_is_skipped_when_others_expire_between_two_pages():
-    keys, sent = router_with_claims(2 * PAGE)
+    keys, sent = router_with_claims(2 * PAGE_KEYS)
     ask = {"start": "s", "back": "core"}
-    keys.hear_want({**ask, "place": 0})
+    keys.on_claims_request({**ask, "place": 0})
     for _ in range(10):
         keys.won.popitem(last=False)
-    keys.hear_want({**ask, "place": PAGE})
+    keys.on_claims_request({**ask, "place": PAGE_KEYS})
     received = {key for page in sent for key, _ in page["keys"]}
     assert received >= set(keys.won)
     assert [page["is_last"] for page in sent] == [False, True]
@@ -200,14 +200,14 @@
 @pytest.mark.parametrize("place", [5, 10_000])
 def test_an_offset_beyond_what_was_won_gets_an_empty_last_page(place):
     keys, sent = router_with_claims(3)
-    keys.hear_want({"start": "s", "back": "core", "place": place})
+    keys.on_claims_request({"start": "s", "back": "core", "place": place})
     assert [page["keys"] for page in sent] == [[]]
 
 
 def test_the_offset_that_an_earlier_version_sends_while_it_syncs_gets_no_answer():
     """That version would take the answer for the last page."""
     keys, sent = router_with_claims(3)
-    keys.hear_want({"start": "s", "back": "core", "place": -1})
+    keys.on_claims_request({"start": "s", "back": "core", "place": -1})
     assert not sent
 
 
--- a/tests/test_native_api_keys.py
+++ b/tests/test_native_api_keys.py
@@ -109,7 +109,7 @@
     assert core.put(0, 1, "text", document)
     core.world.run_for(30_000_000)
     router.node.roster.taken_us = router.node.now_us() + 60_000_000
-    held = router.node.keys.proposer = HeldProposals()
+    held = router.node.idempotency_keys.proposer = HeldProposals()
     ask(router, "once", x_api_key=KEY, idempotency_key="same")
     (request,) = router.node.requests.rows()
     assert core.put(1, 2, "text 2", {**document, "tenants": {"t-2": mine}})
@@ -124,7 +124,7 @@
     assert step({"by": request.id}) == (UpdateAction.SET, {"by": None})
     won(Outcome.CHOSEN, {"by": request.id})
     assert request.state == "queued"
-    assert list(router.node.keys.won) == [key]
+    assert list(router.node.idempotency_keys.won) == [key]
 
 
 @pytest.mark.parametrize("tenant", [None, "t-1"])
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -17,7 +17,7 @@
 from linkhaven.leases import Lease
 from linkhaven.router.attempts import Attempts
 from linkhaven.router.chain import Chain
-from linkhaven.router.keys import Keys
+from linkhaven.router.keys import IdempotencyKeys
 from linkhaven.router.relay import Relay
 from linkhaven.router.request import Request
 from linkhaven.runner import Roster, RunnerClient
@@ -50,7 +50,7 @@
 
 
 def let_keys_pass(monkeypatch):
-    monkeypatch.setattr(Keys, "claim", lambda self, request, go_on: go_on(request))
+    monkeypatch.setattr(IdempotencyKeys, "claim", lambda self, request, go_on: go_on(request))
 
 
 def one_key_through_two_routers(fleet_of):
