--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -62,7 +62,7 @@
         decision = self.placement.choose(
             work,
             ttft_us,
-            room_us=self.node.rooms.get(request.group, NO_BOUND_US),
+            room_us=self.node.queue_limits_us.get(request.group, NO_BOUND_US),
             is_overdue=now_us - request.queued_us > request.kind.ttft_us,
         )
         if decision.winner is not None:
@@ -83,7 +83,9 @@
         fill the queues and keep out what could be answered in time.
         """
         is_bounded = not self._has_waited_half(request, now_us)
-        room_us = self.node.rooms.get(request.group, NO_BOUND_US) if is_bounded else NO_BOUND_US
+        room_us = (
+            self.node.queue_limits_us.get(request.group, NO_BOUND_US) if is_bounded else NO_BOUND_US
+        )
         decision = self.placement.choose_best_effort(work, ttft_us, why, room_us=room_us)
         if decision.winner is None:
             is_held_out = decision.candidates and self._has_waited_its_share(request, now_us)
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -34,7 +34,7 @@
 """How much each new prompt counts in what is typical of its kind."""
 
 
-def rooms_for_others(configuration: Configuration) -> dict[str, int]:
+def queue_limits_by_group(configuration: Configuration) -> dict[str, int]:
     """How long a queue at a runner each group may join, so that tight targets can still be met.
 
     That is the tightest target of the other groups, or of its own kinds where there is no other.
@@ -82,7 +82,7 @@
         "rated_us",
         "steward_place",
         "is_open",
-        "rooms",
+        "queue_limits_us",
         "on_end",
         "closed_us",
         "unserved",
@@ -173,7 +173,7 @@
         self.is_open = False
         self.closed_us = self.now_us()
         self.unserved = {}
-        self.rooms = {}
+        self.queue_limits_us = {}
         self.typical_tokens = {}
         self.on_end = []
         self.snapshot.on_new.append(self._take_plan)
@@ -201,7 +201,7 @@
         self.idempotency_keys.apply_configuration(configuration)
         self.route_table.apply_configuration(configuration)
         self.authenticator.apply_configuration(configuration)
-        self.rooms = rooms_for_others(configuration)
+        self.queue_limits_us = queue_limits_by_group(configuration)
         for kind in [kind for kind in self.typical_tokens if kind not in configuration.kinds]:
             del self.typical_tokens[kind]
         self.ports.log(2001, mark=self.snapshot.version)
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -43,7 +43,7 @@
         self.ended = {}
         self.queue = deque()
         self.systems = []
-        self.rooms = {}
+        self.queue_limits_us = {}
         self.bounds = SimpleNamespace(hold_share=None, retry_least_us=1_000_000)
         self.ports = SimpleNamespace(log=Logged())
 
--- a/tests/test_large_plans.py
+++ b/tests/test_large_plans.py
@@ -6,7 +6,7 @@
 from linkhaven.configuration import decode_configuration, validation
 from linkhaven.credit import AdmissionQueues
 from linkhaven.pairing import NO_BOUND_US
-from linkhaven.router.node import rooms_for_others
+from linkhaven.router.node import queue_limits_by_group
 
 MANY = 1_440
 
@@ -66,7 +66,7 @@
 
 
 def slow_rooms(configuration):
-    """What `rooms_for_others` says, kind by kind."""
+    """What `queue_limits_by_group` says, kind by kind."""
     rooms = {}
     for group in configuration.groups:
         own = [one.ttft_us for one in configuration.kinds.values()]
@@ -88,7 +88,7 @@
     configuration = decode_configuration(
         {"groups": {"a": {}, "b": {}, "c": {}, "d": {}}, "kinds": kinds}
     )
-    assert rooms_for_others(configuration) == slow_rooms(configuration)
+    assert queue_limits_by_group(configuration) == slow_rooms(configuration)
 
 
 class Asked:
--- a/tests/test_placement_invariants.py
+++ b/tests/test_placement_invariants.py
@@ -25,7 +25,9 @@
         return decision
 
     def weigh_by_room(self, work, ttft_us, without=(), room_us=0, is_overdue=False):
-        return plain_weigh(self, work, ttft_us, without, self.node.rooms["digests"], is_overdue)
+        return plain_weigh(
+            self, work, ttft_us, without, self.node.queue_limits_us["digests"], is_overdue
+        )
 
     plain_weigh = PlacementPolicy.evaluate_candidates
     monkeypatch.setattr(PlacementPolicy, "evaluate_candidates", weigh_by_room)
