--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -5,7 +5,7 @@
 PASS, HOLD = "pass", "hold"
 
 
-class Chain:
+class FilterChain:
     """The filters a request goes through. Each may pass it on, hold it and pass it on later, or
     answer it by raising a ServiceError."""
 
@@ -15,16 +15,16 @@
         self.filters = filters
         self.answer = answer
 
-    def walk_again(self, request, name):
+    def rerun_from(self, request, name):
         """Send a request through the chain anew, from the filter of this name on."""
         names = [step.__name__ for step in self.filters]
-        request.place = names.index(name)
-        self.walk(request)
+        request.next_filter = names.index(name)
+        self.run(request)
 
-    def walk(self, request):
-        while request.place < len(self.filters):
-            step = self.filters[request.place]
-            request.place += 1
+    def run(self, request):
+        while request.next_filter < len(self.filters):
+            step = self.filters[request.next_filter]
+            request.next_filter += 1
             try:
                 if step(request) is HOLD:
                     return
@@ -38,8 +38,8 @@
     def __init__(self, node):
         self.node = node
 
-    def chain(self, answer):
-        return Chain(
+    def build_chain(self, answer):
+        return FilterChain(
             [
                 self.bound,
                 self.read,
@@ -142,7 +142,7 @@
             raise ServiceError("key_missing", kind=request.kind_name)
         if not request.is_one_time or not request.key:
             return PASS
-        self.node.idempotency_keys.claim(request, self.node.chain.walk)
+        self.node.idempotency_keys.claim(request, self.node.chain.run)
         return HOLD
 
     def queue(self, request):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -153,7 +153,7 @@
         self.rebalancer = StreamMigrator(
             self, self.placement, self.roster, self.requests.rows, self.attempts.move
         )
-        self.chain = Filters(self).chain(self.end_with_error)
+        self.chain = Filters(self).build_chain(self.end_with_error)
         self.explainer = Explainer(self, self.membership, self.requests)
         self.readmission = Readmission(self)
         self.refusals = RefusalReport(self, self.roster, self.placement)
@@ -228,10 +228,10 @@
             return self.end_with_error(request, error)
         request.kind, request.group, request.admitted_mark = kind, kind.group, self.snapshot.version
         if tenant == request.tenant:
-            return self.chain.walk(request)
+            return self.chain.run(request)
         self.tenant_quotas.give_back(request)
         request.tenant = tenant
-        self.chain.walk_again(request, "quota")
+        self.chain.rerun_from(request, "quota")
 
     def _pace_at_first(self):
         """This router's even part of what all runners read, until its own queue has shown its pace."""
@@ -368,7 +368,7 @@
         self.requests[request.id] = request
         call.on_client_disconnect = lambda: self._lose_caller(request)
         call.on_writable = lambda: self._release(request)
-        self.chain.walk(request)
+        self.chain.run(request)
 
     def enqueue(self, request):
         self.admission.enqueue(request.group, request)
--- a/packages/router/src/linkhaven/router/readmission.py
+++ b/packages/router/src/linkhaven/router/readmission.py
@@ -110,7 +110,7 @@
         self._follow_kind(request, verdict.kind)
         request.tenant = verdict.tenant
         request.state = states.WAITING
-        self.node.chain.walk_again(request, "quota")
+        self.node.chain.rerun_from(request, "quota")
 
     def _change_group(self, request: Any, kind: RequestKind | None) -> None:
         self._follow_kind(request, kind)
--- a/packages/router/src/linkhaven/router/request.py
+++ b/packages/router/src/linkhaven/router/request.py
@@ -26,7 +26,7 @@
         "rank",
         "quota_slice",
         "state",
-        "place",
+        "next_filter",
         "arrived_us",
         "deadline_us",
         "admitted_mark",
@@ -78,7 +78,7 @@
         self.rank = 0
         self.prompt_tokens = self.answer_tokens = 0
         self.state = WAITING
-        self.place = 0
+        self.next_filter = 0
         self.deadline_us = None
         self.admitted_mark = 0
         self.run = None
--- a/tests/test_late_work.py
+++ b/tests/test_late_work.py
@@ -107,7 +107,7 @@
 
 
 def test_long_prompts_keep_room_for_short_ones_of_their_own_group():
-    """`rooms_for_others` knows no bound where all kinds are of one group, nor on a site of one
+    """`queue_limits_by_group` knows no bound where all kinds are of one group, nor on a site of one
     route.
     """
     shared = Deployment(
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -16,7 +16,7 @@
 from linkhaven.credit import QuotaAllocator, RetryBudget
 from linkhaven.leases import Lease
 from linkhaven.router.attempts import Attempts
-from linkhaven.router.chain import Chain
+from linkhaven.router.chain import FilterChain
 from linkhaven.router.keys import IdempotencyKeys
 from linkhaven.router.relay import Relay
 from linkhaven.router.request import Request
@@ -451,7 +451,9 @@
         raise ServiceError("queue_full")
 
     class Walker:
-        place = 0
+        next_filter = 0
 
-    Chain([refuse, walked.append], lambda request, error: answers.append(error.code)).walk(Walker())
+    FilterChain([refuse, walked.append], lambda request, error: answers.append(error.code)).run(
+        Walker()
+    )
     assert (answers, walked) == (["queue_full"], [])
