--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -193,16 +193,16 @@
     def _start(self, request, runner):
         now_us = self.node.now_us()
         request.attempts += 1
-        request.arrivals += 1
+        request.sends += 1
         request.attempt = f"{request.id}/{request.attempts}"
         request.runner = runner
         request.progress_us = now_us
-        request.had_begun = request.has_begun
+        request.had_begun_before = request.has_begun
         request.has_begun = request.has_begun or self.runner_client.prefill_counts_as_begun
         request.handle = None
         if request.prompt_tokens:
             self.placement.begin_prefill(runner, request.attempt, self.work_of(request))
-        request.note(
+        request.add_step(
             now_us, "attempt", runner=runner.name, phase=runner.phase, number=request.attempts
         )
         if runner.phase == PREFILL and not request.run:
@@ -211,7 +211,7 @@
 
     def _read(self, request, runner):
         request.state = states.READING
-        request.reads += 1
+        request.prefill_attempts += 1
         attempt = request.attempt
 
         def done(error, handle, has_begun):
@@ -220,14 +220,14 @@
                     self.runner_client.free(runner, handle)
                 return
             self.placement.end_prefill(runner, attempt, is_seen=error is None)
-            request.part = None
+            request.runner_call = None
             if error is not None:
                 return self.fail(request, runner, error, has_begun)
             request.handle = (handle, runner)
             self.roster.note_alive(runner)
             self._hand_over(request)
 
-        request.part = self.runner_client.prefill(runner, request, done)
+        request.runner_call = self.runner_client.prefill(runner, request, done)
 
     def _hand_over(self, request):
         self.node.wake_queue()
@@ -244,13 +244,13 @@
             return self.fail(
                 request, request.runner, ServiceError("no_runner", done="unknown"), True
             )
-        request.note(self.node.now_us(), "hand-over", runner=runner.name)
+        request.add_step(self.node.now_us(), "hand-over", runner=runner.name)
         request.runner = runner
         self._decode(request, runner, request.handle)
 
     def _park(self, request, go_on):
         request.parked = go_on
-        request.note(self.node.now_us(), "parked until the plan is confirmed")
+        request.add_step(self.node.now_us(), "parked until the plan is confirmed")
 
     def _decode(self, request, runner, handle):
         request.state = states.DECODING
@@ -258,7 +258,7 @@
         request.progress_us = now_us
         request.has_begun = True
         self.placement.begin_decode(runner, request.attempt, request.prompt_tokens)
-        request.part = self.runner_client.decode(
+        request.runner_call = self.runner_client.decode(
             runner, request, handle, Relay(self, request, runner)
         )
 
@@ -267,9 +267,9 @@
             for runner in [request.runner, *([request.handle[1]] if request.handle else [])]:
                 self.placement.end_prefill(runner, request.attempt)
                 self.placement.end_decode(runner, request.attempt)
-        if request.part is not None:
-            request.part.abandon()
-            request.part = None
+        if request.runner_call is not None:
+            request.runner_call.abandon()
+            request.runner_call = None
         if request.handle is not None:
             self.runner_client.free(request.handle[1], request.handle[0])
         request.handle = None
@@ -298,7 +298,7 @@
 
     def _note_failed(self, request, runner, error, has_begun):
         now_us, code = self.node.now_us(), error.code
-        request.note(now_us, "failed", runner=runner.name, code=code, number=request.attempts)
+        request.add_step(now_us, "failed", runner=runner.name, code=code, number=request.attempts)
         request.failed.append(runner.name)
         self.node.ports.log(
             2106, request=request.id, runner=runner.name, code=code, has_begun=has_begun
@@ -331,7 +331,7 @@
         """This attempt did not run; whether an earlier one may have is kept."""
         had_read = any(step["step"] == "hand-over" for step in request.steps)
         if not request.written and not (had_read and self.runner_client.prefill_counts_as_begun):
-            request.has_begun = request.had_begun
+            request.has_begun = request.had_begun_before
 
     def _unknown(self, error):
         return (
@@ -375,7 +375,7 @@
             return self.node.end_with_error(request, self._spent(request, error))
         is_second_read = (
             decision.winner.runner.phase == PREFILL
-            and request.reads > 0
+            and request.prefill_attempts > 0
             and not self.runner_client.prefill_counts_as_begun
         )
         if not self._may_try_again(request, 2 if is_second_read else 1):
@@ -406,14 +406,14 @@
 
     def _has_attempts(self, request, cost):
         most = request.kind.max_attempts
-        return not most or request.arrivals + cost <= most
+        return not most or request.sends + cost <= most
 
     def _may_try_again(self, request, cost):
         if not self._has_attempts(request, cost) or not self.retry_budget.spend(
             "retry", cost=cost, pool=request.pool
         ):
             return False
-        request.arrivals += cost - 1
+        request.sends += cost - 1
         return True
 
     def _spent(self, request, error):
@@ -435,7 +435,7 @@
         self.node.ports.log(
             2105, request=request.id, why=why, source=origin.name, target=target.name
         )
-        request.note(now_us, "moved", why=why, runner=target.name)
+        request.add_step(now_us, "moved", why=why, runner=target.name)
         self._start(request, target)
         return True
 
@@ -478,6 +478,6 @@
         return bool(
             request.prompt_tokens
             and not request.written
-            and request.reads > 0
+            and request.prefill_attempts > 0
             and not self.runner_client.prefill_counts_as_begun
         )
--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -101,10 +101,10 @@
         request.pool = self.node.choose_pool(kind)
         if self.node.placement.is_plain(request.pool):
             request.prompt_tokens, request.parts = 0, ()
-        request.admitted_mark = self.node.snapshot.version
+        request.admitted_version = self.node.snapshot.version
         request.answer_tokens = request.answer_tokens or kind.max_output_tokens
         request.deadline_us = request.arrived_us + min(
-            kind.deadline_us, request.patience_us or kind.deadline_us
+            kind.deadline_us, request.caller_timeout_us or kind.deadline_us
         )
         self.node.retry_budget.earn(request.pool)
         if (
--- a/packages/router/src/linkhaven/router/native.py
+++ b/packages/router/src/linkhaven/router/native.py
@@ -64,7 +64,11 @@
     def begin(self, request, head):
         request.call.begin(
             200,
-            {**STREAM_HEADERS, "request-id": request.id, "plan-mark": str(request.admitted_mark)},
+            {
+                **STREAM_HEADERS,
+                "request-id": request.id,
+                "plan-mark": str(request.admitted_version),
+            },
         )
 
     def piece(self, request, piece):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -226,7 +226,11 @@
             tenant = self.authenticator.authenticate(kind, request.key_digest)
         except ServiceError as error:
             return self.end_with_error(request, error)
-        request.kind, request.group, request.admitted_mark = kind, kind.group, self.snapshot.version
+        request.kind, request.group, request.admitted_version = (
+            kind,
+            kind.group,
+            self.snapshot.version,
+        )
         if tenant == request.tenant:
             return self.chain.run(request)
         self.tenant_quotas.give_back(request)
@@ -377,7 +381,7 @@
         self.arrived += unread
         typical = self.typical_tokens.get(request.kind_name, unread)
         self.typical_tokens[request.kind_name] = typical + TYPICAL_GAIN * (unread - typical)
-        request.note(self.now_us(), "queued")
+        request.add_step(self.now_us(), "queued")
         self.wake_queue()
 
     def rest_us(self):
@@ -406,17 +410,17 @@
         self.produced += tokens
         self.admission.charge(request.group, tokens)
         has_room = self.callers.piece(request, piece)
-        if not has_room and request.part is not None and not call.is_ended:
+        if not has_room and request.runner_call is not None and not call.is_ended:
             request.is_held = True
-            request.part.http_call.hold()
+            request.runner_call.http_call.hold()
 
     def _release(self, request):
         if not request.is_held:
             return
         request.is_held = False
         request.progress_us = self.now_us()
-        if request.part is not None:
-            request.part.http_call.release()
+        if request.runner_call is not None:
+            request.runner_call.http_call.release()
 
     def end_done(self, request):
         if not request.call.is_begun:
@@ -433,8 +437,8 @@
             kind=request.kind_name,
             tokens=request.tokens,
             shots=request.attempts,
-            **request.owner(),
-            **request.times(self.now_us()),
+            **request.tenant_facts(),
+            **request.timing_facts(self.now_us()),
         )
         self._close(request, "done")
 
@@ -448,7 +452,7 @@
                 kind=request.kind_name,
                 tokens=0,
                 shots=request.attempts,
-                **request.owner(),
+                **request.tenant_facts(),
             )
         else:
             self.ports.log(
@@ -456,7 +460,7 @@
                 request=request.id,
                 kind=request.kind_name,
                 code=f"status {status}",
-                **request.owner(),
+                **request.tenant_facts(),
             )
         if request.call.is_begun:
             request.call.cut()
@@ -472,7 +476,7 @@
         self.counts["refused" if is_refused else "troubled"] += 1
         told = {
             **error.detail,
-            **request.owner(),
+            **request.tenant_facts(),
             "request": request.id,
             "kind": request.kind_name,
             "code": error.code,
@@ -481,7 +485,7 @@
             self.refusals.note(error)
             self.ports.log(2103, **told)
         else:
-            self.ports.log(2102, **{**request.times(self.now_us()), **told})
+            self.ports.log(2102, **{**request.timing_facts(self.now_us()), **told})
         if is_refused and request.group:
             self.admission.count_refusal(request.group)
         if is_refused and request.claim_key:
@@ -505,7 +509,7 @@
         request.prompt = request.body = request.fields = None
         self.explainer.keep(request)
         self.requests.drop(request.id)
-        request.note(self.now_us(), outcome)
+        request.add_step(self.now_us(), outcome)
         for hear in self.on_end:
             hear(request, self.now_us())
         if request.quota_slice is not None and not request.attempts:
@@ -603,7 +607,7 @@
 
     def _refuse_waiting(self):
         for request in self.requests.rows():
-            if not request.has_begun and request.part is None:
+            if not request.has_begun and request.runner_call is None:
                 self.end_with_error(request, ServiceError("draining", retry_us=self.away_us()))
 
     def _drain(self, now_us):
--- a/packages/router/src/linkhaven/router/readmission.py
+++ b/packages/router/src/linkhaven/router/readmission.py
@@ -102,7 +102,7 @@
     def _follow_kind(self, request: Any, kind: RequestKind | None) -> None:
         assert kind is not None
         request.kind, request.group = kind, kind.group
-        request.admitted_mark = self.node.snapshot.version
+        request.admitted_version = self.node.snapshot.version
 
     def _change_tenant(self, request: Any, verdict: Verdict) -> None:
         """Its token was the former tenant's, so it needs another one."""
--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -48,7 +48,7 @@
             self._break("another run or place than asked for")
 
     def _break(self, why):
-        self.request.part.abandon()
+        self.request.runner_call.abandon()
         self.attempts.node.end_with_error(self.request, ServiceError("stream_broken", why=why))
 
     def on_piece(self, piece):
--- a/packages/router/src/linkhaven/router/request.py
+++ b/packages/router/src/linkhaven/router/request.py
@@ -29,12 +29,12 @@
         "next_filter",
         "arrived_us",
         "deadline_us",
-        "admitted_mark",
+        "admitted_version",
         "run",
         "written",
         "resume",
         "attempts",
-        "part",
+        "runner_call",
         "runner",
         "attempt",
         "has_begun",
@@ -59,14 +59,14 @@
         "path",
         "fields",
         "body",
-        "outside_id",
+        "caller_request_id",
         "parts",
         "pool",
-        "patience_us",
-        "reads",
+        "caller_timeout_us",
+        "prefill_attempts",
         "head",
-        "had_begun",
-        "arrivals",
+        "had_begun_before",
+        "sends",
     )
 
     def __init__(self, id, call, now_us):
@@ -80,13 +80,13 @@
         self.state = WAITING
         self.next_filter = 0
         self.deadline_us = None
-        self.admitted_mark = 0
+        self.admitted_version = 0
         self.run = None
         self.written = 0
         self.resume = None
         self.attempts = 0
         self.attempt = None
-        self.part = None
+        self.runner_call = None
         self.runner = None
         self.has_begun = False
         self.failed = []
@@ -105,15 +105,15 @@
         self.is_held = False
         self.claim_key = None
         self.queued_us = 0
-        self.host = self.method = self.path = self.fields = self.body = self.outside_id = (
+        self.host = self.method = self.path = self.fields = self.body = self.caller_request_id = (
             self.head
         ) = None
         self.parts = ()
         self.pool = None
-        self.patience_us = 0
-        self.reads = 0
-        self.had_begun = False
-        self.arrivals = 0
+        self.caller_timeout_us = 0
+        self.prefill_attempts = 0
+        self.had_begun_before = False
+        self.sends = 0
 
     @property
     def is_one_time(self):
@@ -135,15 +135,15 @@
     def pace_us(self, now_us):
         return (now_us - self.pace_from_us) / max(1, self.pace_tokens)
 
-    def note(self, now_us, step, **facts):
+    def add_step(self, now_us, step, **facts):
         if len(self.steps) < 64:
             self.steps.append({"at_us": now_us - self.arrived_us, "step": step, **facts})
 
-    def owner(self):
+    def tenant_facts(self):
         """The tenant whose request it is, as a fact of log events; none where there is no tenant."""
         return {} if self.tenant is None else {"tenant": self.tenant}
 
-    def times(self, now_us):
+    def timing_facts(self, now_us):
         """When it was placed, handed over and first answered, since it came; and what was predicted for its read."""
         seen = {
             "prompt": self.prompt_tokens,
@@ -171,10 +171,10 @@
     def as_record(self):
         record = {
             "request": self.id,
-            "outside": self.outside_id,
+            "outside": self.caller_request_id,
             "kind": self.kind_name,
             "group": self.group,
-            "mark": self.admitted_mark,
+            "mark": self.admitted_version,
             "prompt_tokens": self.prompt_tokens,
             "state": self.state,
             "attempts": self.attempts,
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -192,7 +192,7 @@
         request = queued(id, **{"is_resumable": True, **kind})
         request.state, request.runner, request.written = state, self.roster.runners[name], written
         request.has_begun = state == DECODING
-        request.reads = 1
+        request.prefill_attempts = 1
         request.progress_us = self.node.us
         self.node.held.append(request)
         return request
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -186,7 +186,12 @@
         deadline_remaining="8000",
     )
     PlatformCallers().read(request)
-    assert (request.host, request.prompt_tokens, request.answer_tokens, request.patience_us) == (
+    assert (
+        request.host,
+        request.prompt_tokens,
+        request.answer_tokens,
+        request.caller_timeout_us,
+    ) == (
         "one.example",
         1460,
         80,
@@ -310,7 +315,7 @@
 
 def stream(written=0):
     handler = ResponseHandler()
-    request = SimpleNamespace(written=written, attempt="a/1", outside_id="r-1")
+    request = SimpleNamespace(written=written, attempt="a/1", caller_request_id="r-1")
     part = Stream(request, handler, False, "i-1")
     part.http_call = SimpleNamespace(close=lambda: handler.heard.append(("closed",)))
     return part, handler
@@ -379,7 +384,7 @@
     return SimpleNamespace(
         call=SimpleNamespace(headers={}),
         tenant=None,
-        outside_id="r-1",
+        caller_request_id="r-1",
         fields=[],
         method="POST",
         path="/",
--- a/tests/test_resumed_head.py
+++ b/tests/test_resumed_head.py
@@ -9,7 +9,7 @@
 
 
 def relay_of(request, attempt):
-    request.state, request.attempt, request.part = (
+    request.state, request.attempt, request.runner_call = (
         DECODING,
         attempt,
         SimpleNamespace(abandon=lambda: None),
