--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -57,8 +57,8 @@
 
     def bound(self, request):
         if self.node.is_draining and not self.node.is_lingering():
-            raise ServiceError("draining", retry_us=self.node.away_us())
-        if len(self.node.requests) > self.node.requests_at_most:
+            raise ServiceError("draining", retry_us=self.node.drain_retry_us())
+        if len(self.node.requests) > self.node.max_requests:
             raise ServiceError("too_busy", retry_us=1_000_000)
         return PASS
 
--- a/packages/router/src/linkhaven/router/invariants.py
+++ b/packages/router/src/linkhaven/router/invariants.py
@@ -63,7 +63,7 @@
         hold_share = self.node.bounds.hold_share
         if hold_share is None or not request.kind:
             return
-        held_us = self.node.now_us() - max(request.arrived_us, self.node.calm_since_us)
+        held_us = self.node.now_us() - max(request.arrived_us, self.node.undisturbed_since_us)
         if held_us > request.kind.ttft_us * hold_share + HELD_MARGIN_US:
             self._violate("held_too_long", request=request.id, held_us=held_us)
 
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -26,11 +26,11 @@
 from .refusals import RefusalReport
 from .request import Request
 
-RATE_US = 1_000_000
-CLOSED_US = 1_000_000
-CLOSED_MOST_US = 30_000_000
-REST_US = 50_000
-TYPICAL_GAIN = 0.1
+RATE_INTERVAL_US = 1_000_000
+CLOSED_HOLD_US = 1_000_000
+MAX_CLOSED_RETRY_US = 30_000_000
+IDLE_TICK_US = 50_000
+TYPICAL_TOKENS_GAIN = 0.1
 """How much each new prompt counts in what is typical of its kind."""
 
 
@@ -74,17 +74,17 @@
         "on_drained",
         "serial",
         "counts",
-        "requests_at_most",
+        "max_requests",
         "incarnation",
-        "arrived",
-        "produced",
-        "rates",
+        "arrived_tokens",
+        "produced_tokens",
+        "token_rates",
         "rated_us",
-        "steward_place",
+        "steward_position",
         "is_open",
         "queue_limits_us",
         "on_end",
-        "closed_us",
+        "closed_since_us",
         "unserved",
         "idempotency_keys",
         "tenant_quotas",
@@ -93,7 +93,7 @@
         "readmission",
         "refusals",
         "invariants",
-        "calm_since_us",
+        "undisturbed_since_us",
         "typical_tokens",
     )
 
@@ -105,7 +105,7 @@
         zone,
         seeds,
         incarnation,
-        requests_at_most=2_000,
+        max_requests=2_000,
         bounds=None,
         callers=None,
         make_runner_client=RunnerClient,
@@ -137,13 +137,13 @@
             self, self.roster, lambda: self.membership.live_members("router")
         )
         self.retry_budget = RetryBudget(self)
-        self.admission = AdmissionQueues(self, self._pace_at_first, self.end_with_error)
+        self.admission = AdmissionQueues(self, self._initial_read_rate, self.end_with_error)
         self.tenant_quotas = TenantQuotas(
             self,
             QuotaDirectory(self.membership),
             self.bounds.seats,
             incarnation,
-            self._go_on_with_token,
+            self._resume_with_token,
             self.end_with_error,
         )
         self.requests = Table()
@@ -158,34 +158,34 @@
         self.readmission = Readmission(self)
         self.refusals = RefusalReport(self, self.roster, self.placement)
         self.invariants = PlacementInvariants(self, self.placement)
-        self.calm_since_us = self.now_us()
+        self.undisturbed_since_us = self.now_us()
         self.on_late.append(self._note_disturbance)
-        self.requests_at_most = requests_at_most
+        self.max_requests = max_requests
         self.is_draining = False
         self.drain_us = None
         self.on_drained = None
         self.serial = 0
         self.counts = {"asked": 0, "served": 0, "refused": 0, "troubled": 0}
-        self.arrived = self.produced = 0
-        self.rates = [0.0, 0.0]
+        self.arrived_tokens = self.produced_tokens = 0
+        self.token_rates = [0.0, 0.0]
         self.rated_us = self.now_us()
-        self.steward_place = (0, 0)
+        self.steward_position = (0, 0)
         self.is_open = False
-        self.closed_us = self.now_us()
+        self.closed_since_us = self.now_us()
         self.unserved = {}
         self.queue_limits_us = {}
         self.typical_tokens = {}
         self.on_end = []
-        self.snapshot.on_new.append(self._take_plan)
+        self.snapshot.on_new.append(self._apply_configuration)
         self.roster.on_new.append(self.wake_queue)
-        self.map_handlers["want_image"] = self._hear_want_image
+        self.map_handlers["want_image"] = self._on_configuration_request
         self.systems += [
-            self._keep_deadlines,
+            self._enforce_deadlines,
             self._serve_queue,
-            self._rate,
-            self._watch_openness,
-            self._give_up_closed,
-            self._drain,
+            self._update_token_rates,
+            self._update_open_state,
+            self._fail_waiting_while_closed,
+            self._continue_drain,
         ]
         self.routes = {
             ("POST", "/v1/requests"): self.serve_request,
@@ -193,7 +193,7 @@
             ("GET", "/v1/standing"): self.serve_standing,
         }
 
-    def _take_plan(self):
+    def _apply_configuration(self):
         configuration = self.snapshot.configuration
         self.placement.apply_configuration(configuration)
         self.retry_budget.apply_configuration(configuration)
@@ -210,7 +210,7 @@
         self.readmission.settle(withdrawn)
         self.admission.apply_configuration(configuration)
 
-    def _go_on_with_token(self, request):
+    def _resume_with_token(self, request):
         """Let a request go on that was held for a token.
 
         Its key may have been taken away meanwhile, and its kind may be gone or another one.
@@ -237,7 +237,7 @@
         request.tenant = tenant
         self.chain.rerun_from(request, "quota")
 
-    def _pace_at_first(self):
+    def _initial_read_rate(self):
         """This router's even part of what all runners read, until its own queue has shown its pace."""
         return self.placement.prefill_rate() // (1 + len(self.membership.live_members("router")))
 
@@ -266,9 +266,9 @@
         facts["usage"] = self.admission.usage_reports()
         is_keeping = is_roster or pace.is_sender(seat, "steward", now_us)
         facts["evidence"] = self.roster.evidence_rows(is_keeping)
-        facts["rates"] = [*self.rates, self.placement.estimator.learned_prefill_rate()]
+        facts["rates"] = [*self.token_rates, self.placement.estimator.learned_prefill_rate()]
         facts["roster"] = self.roster.version
-        facts["steward"] = self.steward_place
+        facts["steward"] = self.steward_position
         if is_roster and self.placement.is_large():
             facts["views"] = self.placement.load.own_rows()
             facts["lines"] = self.placement.estimator.own_rows()
@@ -277,7 +277,7 @@
         newest_grant = max(self.retry_budget.grant_number, self.admission.newest_grant())
         facts["fences"] = {
             "roster": self.roster.version[0],
-            "steward": self.steward_place[0],
+            "steward": self.steward_position[0],
             "bursar": newest_grant // GRANT_NUMBERS_PER_FENCE,
         }
 
@@ -286,8 +286,8 @@
         if roster is not None:
             self.roster.take(roster, sent_us)
         steward = message.get("steward")
-        if steward is not None and (steward["fence"], steward["serial"]) >= self.steward_place:
-            self.steward_place = (steward["fence"], steward["serial"])
+        if steward is not None and (steward["fence"], steward["serial"]) >= self.steward_position:
+            self.steward_position = (steward["fence"], steward["serial"])
             for runner in self.roster.runners.values():
                 is_behind = runner.phase != steward["settled"].get(runner.name, runner.phase)
                 runner.is_changing = runner.name in steward["changing"] or is_behind
@@ -305,7 +305,7 @@
                 self.retry_budget.apply_grant(*shares["extra"], sent_us + self.bounds.lease_us)
         self.wake_queue()
 
-    def _hear_want_image(self, message):
+    def _on_configuration_request(self, message):
         held = self.watcher.packed_configuration()
         if held is not None:
             value, body = held
@@ -322,11 +322,11 @@
         ):
             raise ServiceError("plan_absent", retry_us=2_000_000)
         if not self.may_start():
-            raise self.say_closed()
+            raise self.closed_error()
 
-    def say_closed(self, done=None):
+    def closed_error(self, done=None):
         """A router that takes no work is expected to be closed for as long again as it has been."""
-        retry_us = min(CLOSED_MOST_US, max(1_000_000, self.now_us() - self.closed_us))
+        retry_us = min(MAX_CLOSED_RETRY_US, max(1_000_000, self.now_us() - self.closed_since_us))
         if not self.watcher.is_fresh():
             return ServiceError(
                 "plan_stale", done=done, retry_us=retry_us, mark=self.snapshot.version
@@ -361,7 +361,7 @@
         """Stopping, but those who send callers here may not know yet."""
         return self.now_us() - self.drain_us < self.bounds.linger_us
 
-    def away_us(self):
+    def drain_retry_us(self):
         return self.bounds.retry_least_us
 
     def serve_request(self, call):
@@ -370,17 +370,17 @@
         request = Request(f"{self.name}-{self.incarnation}-{self.serial}", call, now_us)
         self.counts["asked"] += 1
         self.requests[request.id] = request
-        call.on_client_disconnect = lambda: self._lose_caller(request)
-        call.on_writable = lambda: self._release(request)
+        call.on_client_disconnect = lambda: self._on_client_disconnect(request)
+        call.on_writable = lambda: self._resume_reading(request)
         self.chain.run(request)
 
     def enqueue(self, request):
         self.admission.enqueue(request.group, request)
         request.state = states.QUEUED
         unread = self.placement.least_uncached_tokens(request)
-        self.arrived += unread
+        self.arrived_tokens += unread
         typical = self.typical_tokens.get(request.kind_name, unread)
-        self.typical_tokens[request.kind_name] = typical + TYPICAL_GAIN * (unread - typical)
+        self.typical_tokens[request.kind_name] = typical + TYPICAL_TOKENS_GAIN * (unread - typical)
         request.add_step(self.now_us(), "queued")
         self.wake_queue()
 
@@ -392,7 +392,7 @@
             return 0
         if self.requests and not self.placement.is_large():
             return 0
-        return REST_US
+        return IDLE_TICK_US
 
     def wake_queue(self):
         self.admission.serve(self.attempts.begin)
@@ -407,14 +407,14 @@
             request.pace_tokens += tokens
         request.written = piece.number
         request.tokens += tokens
-        self.produced += tokens
+        self.produced_tokens += tokens
         self.admission.charge(request.group, tokens)
         has_room = self.callers.piece(request, piece)
         if not has_room and request.runner_call is not None and not call.is_ended:
             request.is_held = True
             request.runner_call.http_call.hold()
 
-    def _release(self, request):
+    def _resume_reading(self, request):
         if not request.is_held:
             return
         request.is_held = False
@@ -517,11 +517,11 @@
         if not self.is_draining:
             self.wake_queue()
 
-    def _lose_caller(self, request):
+    def _on_client_disconnect(self, request):
         if request.state != states.ENDED:
             self.end_with_error(request, ServiceError("caller_gone"))
 
-    def _keep_deadlines(self, now_us):
+    def _enforce_deadlines(self, now_us):
         for request in self.requests.rows():
             if request.deadline_us is None or now_us < request.deadline_us:
                 continue
@@ -532,7 +532,7 @@
                     ServiceError("deadline", retry_us=self.admission.wait_us(request.group)),
                 )
                 continue
-            cause = self._find_cause(request)
+            cause = self._unserved_cause(request)
             if request.state == states.QUEUED and cause != "credit":
                 self.invariants.check_hold(request)
             self.unserved[cause] = self.unserved.get(cause, 0) + 1
@@ -541,7 +541,7 @@
                 request, ServiceError("deadline_unserved", retry_us=retry_us, cause=cause)
             )
 
-    def _find_cause(self, request):
+    def _unserved_cause(self, request):
         if not self.may_start():
             return "closed"
         if request.state == states.CLAIMING:
@@ -552,16 +552,16 @@
             return "credit"
         return "no_runner" if not self.roster.open_runners() else "no_room"
 
-    def _give_up_closed(self, now_us):
+    def _fail_waiting_while_closed(self, now_us):
         """Cut off for longer than a moment: what waits here is better told to go elsewhere."""
-        if self.is_open or now_us - self.closed_us < CLOSED_US:
+        if self.is_open or now_us - self.closed_since_us < CLOSED_HOLD_US:
             return
         for request in self.requests.rows():
             if request.state == states.QUEUED:
-                self.end_with_error(request, self.say_closed())
+                self.end_with_error(request, self.closed_error())
             elif request.parked:
                 self.end_with_error(
-                    request, self.say_closed("unknown" if request.has_begun else None)
+                    request, self.closed_error("unknown" if request.has_begun else None)
                 )
 
     def _serve_queue(self, now_us):
@@ -569,15 +569,15 @@
 
     def _note_disturbance(self, now_us):
         """This process slept, or was closed: what was held meanwhile was not held by choice."""
-        self.calm_since_us = now_us
+        self.undisturbed_since_us = now_us
 
-    def _watch_openness(self, now_us):
+    def _update_open_state(self, now_us):
         is_open = self.may_start()
         if is_open == self.is_open:
             return
         self._note_disturbance(now_us)
         self.is_open = is_open
-        self.closed_us = now_us
+        self.closed_since_us = now_us
         if is_open:
             return self.ports.log(2003, mark=self.snapshot.version)
         why = "roster" if self.watcher.is_fresh() else "plan"
@@ -585,13 +585,15 @@
             2002, why=why, mark=self.snapshot.version, highest=self.snapshot.highest_version
         )
 
-    def _rate(self, now_us):
+    def _update_token_rates(self, now_us):
         passed_us = now_us - self.rated_us
-        if passed_us < RATE_US:
+        if passed_us < RATE_INTERVAL_US:
             return
-        for place, amount in enumerate((self.arrived, self.produced)):
-            self.rates[place] += 0.4 * (amount * 1_000_000 / passed_us - self.rates[place])
-        self.arrived = self.produced = 0
+        for place, amount in enumerate((self.arrived_tokens, self.produced_tokens)):
+            self.token_rates[place] += 0.4 * (
+                amount * 1_000_000 / passed_us - self.token_rates[place]
+            )
+        self.arrived_tokens = self.produced_tokens = 0
         self.rated_us = now_us
 
     def drain(self, on_drained):
@@ -602,15 +604,17 @@
         self.drain_us = self.now_us()
         self.ports.log(1002, running=len(self.requests))
         if not self.bounds.linger_us:
-            self._refuse_waiting()
+            self._refuse_unsent()
             self.membership.send_leave()
 
-    def _refuse_waiting(self):
+    def _refuse_unsent(self):
         for request in self.requests.rows():
             if not request.has_begun and request.runner_call is None:
-                self.end_with_error(request, ServiceError("draining", retry_us=self.away_us()))
+                self.end_with_error(
+                    request, ServiceError("draining", retry_us=self.drain_retry_us())
+                )
 
-    def _drain(self, now_us):
+    def _continue_drain(self, now_us):
         if not self.is_draining or self.on_drained is None:
             return
         if self.is_lingering():
--- a/tests/test_callers_that_leave.py
+++ b/tests/test_callers_that_leave.py
@@ -66,7 +66,7 @@
 
 def test_a_runner_works_on_where_its_callers_leaving_is_not_noticed(monkeypatch):
     """The sabotage: the router doesn't hear that the connection was closed."""
-    monkeypatch.setattr(RouterNode, "_lose_caller", lambda self, request: None)
+    monkeypatch.setattr(RouterNode, "_on_client_disconnect", lambda self, request: None)
     fleet = started(61)
     asked = fleet.ask(KIND, [fleet.routers["edge-1"].address], tokens=3_000, answer=380)
     fleet.world.run_for(400 * MILLISECOND)
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -428,7 +428,7 @@
 
 
 def forget_deadlines(monkeypatch):
-    monkeypatch.setattr(node.RouterNode, "_keep_deadlines", lambda self, now_us: None)
+    monkeypatch.setattr(node.RouterNode, "_enforce_deadlines", lambda self, now_us: None)
 
 
 def forget_to_close(monkeypatch):
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -436,7 +436,7 @@
 def test_a_full_queue_and_a_busy_node_refuse_at_once():
     fleet = SimFleet(LICENSING, 11).start()
     router = fleet.routers["edge-1"]
-    router.node.requests_at_most = 3
+    router.node.max_requests = 3
     asked = [fleet.ask("audit-digest", [router.address]) for _ in range(8)]
     fleet.world.run_for(100_000)
     assert [one.code for one in asked if one.code] == ["too_busy"] * 5
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -5,7 +5,7 @@
 import pytest
 
 from linkhaven.router import RouterNode
-from linkhaven.router.node import REST_US
+from linkhaven.router.node import IDLE_TICK_US
 from linkhaven.wire import timer as timer_module
 from linkhaven.wire.timer import TICK_US, Timer
 
@@ -50,12 +50,12 @@
 @pytest.mark.parametrize(
     "changed, rest_us",
     [
-        ({}, REST_US),
+        ({}, IDLE_TICK_US),
         ({"is_waiting": True}, 0),
         ({"is_open": False}, 0),
         ({"is_draining": True}, 0),
         ({"requests": 1}, 0),
-        ({"requests": 1, "is_large": True}, REST_US),
+        ({"requests": 1, "is_large": True}, IDLE_TICK_US),
         ({"requests": 1, "is_large": True, "is_waiting": True}, 0),
     ],
 )
@@ -70,4 +70,4 @@
         placement=SimpleNamespace(is_large=lambda: told["is_large"]),
     )
     assert RouterNode.rest_us(router) == rest_us
-    assert REST_US <= TRANSIT_US // 4
+    assert IDLE_TICK_US <= TRANSIT_US // 4
