--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -6,25 +6,25 @@
 
 from . import request as states
 from .relay import Relay
-from .silence import SilenceWatch
+from .silence import StallDetector
 
-FAILED_HAND_OVERS = {"handle_lapsed", "handle_foreign", "hand_over_failed"}
-GONE = {"runner_leaving", "incarnation_other"}
-FULL = {"runner_full", "connections_taken"}
-SWITCH_US = 1_000_000
+HAND_OVER_ERRORS = {"handle_lapsed", "handle_foreign", "hand_over_failed"}
+RUNNER_GONE_ERRORS = {"runner_leaving", "incarnation_other"}
+RUNNER_FULL_ERRORS = {"runner_full", "connections_taken"}
+DEFAULT_SWITCH_US = 1_000_000
 """When to come back where no runner is open and the plan doesn't say how long a switch takes."""
 BEYOND_TARGET = "prompt_beyond_target"
 NO_OPEN_RUNNER = "no_open_runner"
-NO_FAILURE = GONE | FULL
+NO_RUNNER_FAULT = RUNNER_GONE_ERRORS | RUNNER_FULL_ERRORS
 """Errors that say nothing of how well a runner answers."""
 
-TURNED_AWAY = FAILED_HAND_OVERS | {"runner_full", "runner_leaving", "phase_wrong"}
+REJECTIONS = HAND_OVER_ERRORS | {"runner_full", "runner_leaving", "phase_wrong"}
 
 
 class Attempts:
     """Attempts of requests at runners: the read, the hand-over, the decode, and what follows when one fails."""
 
-    __slots__ = ("node", "placement", "runner_client", "roster", "retry_budget", "silence")
+    __slots__ = ("node", "placement", "runner_client", "roster", "retry_budget", "stall_detector")
 
     def __init__(self, node, placement, runner_client, roster, retry_budget):
         self.node = node
@@ -32,7 +32,7 @@
         self.runner_client = runner_client
         self.roster = roster
         self.retry_budget = retry_budget
-        self.silence = SilenceWatch(self)
+        self.stall_detector = StallDetector(self)
         node.systems.append(self.tick)
 
     def begin(self, request):
@@ -57,7 +57,7 @@
         if request.resume or not request.prompt_tokens:
             return self._begin_decode(request)
         now_us = self.node.now_us()
-        ttft_us = request.kind.ttft_us - self._spent_us(request, now_us)
+        ttft_us = request.kind.ttft_us - self._target_time_used_us(request, now_us)
         work = self.work_of(request)
         decision = self.placement.choose(
             work,
@@ -68,21 +68,21 @@
         if decision.winner is not None:
             self._place(request, decision)
             return True
-        why = self._exception_for(request, decision, now_us)
+        why = self._late_reason(request, decision, now_us)
         if why is None:
             return False
         if not decision.candidates:
-            return self._give_up(request, decision, why, self._switch_us(request))
-        return self._begin_anyway(request, work, ttft_us, why, now_us)
+            return self._refuse(request, decision, why, self._role_switch_us(request))
+        return self._begin_late(request, work, ttft_us, why, now_us)
 
-    def _begin_anyway(self, request, work, ttft_us, why, now_us):
+    def _begin_late(self, request, work, ttft_us, why, now_us):
         """Places what no runner can answer in time, or ends it at once where it has no prospect.
 
         What no runner at all could answer in time waits for room like everything else, as long as
         anything may be held here: placed at once whatever waits there, the longest prompts would
         fill the queues and keep out what could be answered in time.
         """
-        is_bounded = not self._has_waited_half(request, now_us)
+        is_bounded = not self._exceeds_half_deadline(request, now_us)
         room_us = (
             self.node.queue_limits_us.get(request.group, NO_BOUND_US) if is_bounded else NO_BOUND_US
         )
@@ -91,20 +91,20 @@
             is_held_out = decision.candidates and self._has_waited_its_share(request, now_us)
             if not is_held_out:
                 return False
-            return self._give_up(request, decision, why, self._room_us(decision, ttft_us))
+            return self._refuse(request, decision, why, self._retry_after_us(decision, ttft_us))
         if not self._is_hopeless(request, decision, now_us):
             self.node.invariants.check_placement(request, decision, room_us)
             self._place(request, decision)
             return True
-        return self._give_up(request, decision, why, self._room_us(decision, ttft_us))
+        return self._refuse(request, decision, why, self._retry_after_us(decision, ttft_us))
 
-    def _switch_us(self, request):
+    def _role_switch_us(self, request):
         """How long a runner takes to play another part: sooner, none is open again."""
         configuration = self.node.snapshot.configuration
         pool = configuration.pools.get(request.pool) if configuration is not None else None
-        return pool.role_switch_us or SWITCH_US if pool is not None else SWITCH_US
+        return pool.role_switch_us or DEFAULT_SWITCH_US if pool is not None else DEFAULT_SWITCH_US
 
-    def _give_up(self, request, decision, why, retry_us):
+    def _refuse(self, request, decision, why, retry_us):
         """The final answer, at once, with when to come back; gives False, as nothing was placed."""
         request.decisions.append(decision)
         self.node.invariants.check_refusal(request, decision)
@@ -130,11 +130,11 @@
         pause_us = request.kind.max_gap_us or request.kind.tpot_us
         return self.placement.estimator.answer_us(request.answer_tokens) > pause_us
 
-    def _spent_us(self, request, now_us):
+    def _target_time_used_us(self, request, now_us):
         """Where a caller isn't held for long, the target counts from its arrival."""
         return now_us - request.arrived_us if self.node.bounds.hold_share is not None else 0
 
-    def _room_us(self, decision, ttft_us):
+    def _retry_after_us(self, decision, ttft_us):
         """When the soonest of the candidates should be able to meet the target again."""
         return max(
             self.node.bounds.retry_least_us,
@@ -148,7 +148,7 @@
             soonest_us += self.placement.estimator.answer_us(request.answer_tokens)
         return soonest_us > request.deadline_us
 
-    def _exception_for(self, request, decision, now_us):
+    def _late_reason(self, request, decision, now_us):
         """Why a request that no runner can answer in time is dealt with now; None: it waits on."""
         has_waited = self._has_waited_its_share(request, now_us)
         if not decision.candidates:
@@ -161,7 +161,7 @@
             return BEYOND_TARGET
         if self.node.bounds.hold_share is not None:
             return "held_its_share" if has_waited else None
-        return "waited_half_the_deadline" if self._has_waited_half(request, now_us) else None
+        return "waited_half_the_deadline" if self._exceeds_half_deadline(request, now_us) else None
 
     def _has_waited_its_share(self, request, now_us):
         """Whether it was held for as long as the bounds let a request be held that isn't placed."""
@@ -170,7 +170,7 @@
             return False
         return now_us - request.arrived_us >= request.kind.ttft_us * hold_share
 
-    def _has_waited_half(self, request, now_us):
+    def _exceeds_half_deadline(self, request, now_us):
         """Where callers may be held: whether half of the deadline went by in the queue."""
         if self.node.bounds.hold_share is not None:
             return False
@@ -188,7 +188,9 @@
             return True
         if not self._has_waited_its_share(request, self.node.now_us()):
             return False
-        return self._give_up(request, Decision([], None), NO_OPEN_RUNNER, self._switch_us(request))
+        return self._refuse(
+            request, Decision([], None), NO_OPEN_RUNNER, self._role_switch_us(request)
+        )
 
     def _start(self, request, runner):
         now_us = self.node.now_us()
@@ -206,10 +208,10 @@
             now_us, "attempt", runner=runner.name, phase=runner.phase, number=request.attempts
         )
         if runner.phase == PREFILL and not request.run:
-            return self._read(request, runner)
+            return self._prefill(request, runner)
         self._decode(request, runner, None)
 
-    def _read(self, request, runner):
+    def _prefill(self, request, runner):
         request.state = states.READING
         request.prefill_attempts += 1
         attempt = request.attempt
@@ -280,17 +282,17 @@
         `has_begun` says whether bytes of it may have reached the runner. Work that may run once only
         and may have begun is never sent again. Test: `forget_what_was_begun` in the model test.
         """
-        if error.code in FAILED_HAND_OVERS and request.handle:
+        if error.code in HAND_OVER_ERRORS and request.handle:
             self.placement.backoff.eject(request.handle[1])
         self.leave_runner(request)
         self._note_failed(request, runner, error, has_begun)
-        self._tell_of_runner(runner, error, has_begun)
+        self._update_runner_state(runner, error, has_begun)
         if not has_begun or error.done == "no":
-            self._take_back_begun(request)
+            self._restore_has_begun(request)
         if not self.may_be_repeated(request):
             return self.node.end_with_error(request, self._unknown(error))
         if error.code == "run_unknown":
-            return self.node.end_with_error(request, self._run_unknown(request, error))
+            return self.node.end_with_error(request, self._run_unknown_error(request, error))
         if not request.written:
             request.run = None
         request.state = states.PARKED
@@ -304,20 +306,20 @@
             2106, request=request.id, runner=runner.name, code=code, has_begun=has_begun
         )
 
-    def _tell_of_runner(self, runner, error, has_begun):
+    def _update_runner_state(self, runner, error, has_begun):
         """What the failure says of the runner, for all later choices."""
         code = error.code
-        if runner.is_plain() and code not in NO_FAILURE:
+        if runner.is_plain() and code not in NO_RUNNER_FAULT:
             self.placement.plain.note_failed(runner)
         if not has_begun:
             self.roster.note_unresponsive(runner)
-        elif code in TURNED_AWAY:
+        elif code in REJECTIONS:
             self.roster.note_alive(runner)
-        if code in GONE:
+        if code in RUNNER_GONE_ERRORS:
             self.roster.note_leaving(runner)
         if code == "phase_wrong" and not self.runner_client.prefill_counts_as_begun:
             runner.is_switching = True
-        if code in FULL:
+        if code in RUNNER_FULL_ERRORS:
             self.placement.backoff.note_turned_away(runner)
         if code == "mark_old":
             self.node.snapshot.observe_version(error.detail.get("mark", 0))
@@ -327,7 +329,7 @@
         if request.state == states.DECODING and request.runner.is_plain():
             self.placement.plain.note_failed(request.runner)
 
-    def _take_back_begun(self, request):
+    def _restore_has_begun(self, request):
         """This attempt did not run; whether an earlier one may have is kept."""
         had_read = any(step["step"] == "hand-over" for step in request.steps)
         if not request.written and not (had_read and self.runner_client.prefill_counts_as_begun):
@@ -340,7 +342,7 @@
             else ServiceError(error.code, done="unknown", **error.detail)
         )
 
-    def _run_unknown(self, request, error):
+    def _run_unknown_error(self, request, error):
         is_callers = request.resume and request.resume[1] == request.written
         return ServiceError("run_unknown", done="no" if is_callers else "unknown")
 
@@ -349,37 +351,37 @@
             return self._park(request, lambda request: self._retry(request, error))
         request.parked = None
         if request.run or not request.prompt_tokens:
-            return self._decode_again(request, error)
-        self._read_again(request, error)
+            return self._retry_decode(request, error)
+        self._retry_prefill(request, error)
 
-    def _decode_again(self, request, error):
+    def _retry_decode(self, request, error):
         runner = self.placement.choose_decode(
             without=request.failed, pool=request.pool
         ) or self.placement.choose_decode(pool=request.pool)
         if runner is None or not self._has_time_for(
             request, self.placement.load.prefill_wait_us(runner)
         ):
-            return self.node.end_with_error(request, self._spent(request, error))
+            return self.node.end_with_error(request, self._no_retry_error(request, error))
         if not self._may_try_again(request, 1):
-            return self.node.end_with_error(request, self._spent(request, error))
+            return self.node.end_with_error(request, self._no_retry_error(request, error))
         self._log_retry(request, error)
         self._start(request, runner)
 
-    def _read_again(self, request, error):
+    def _retry_prefill(self, request, error):
         work, ttft_us = self.work_of(request), request.kind.ttft_us
         decision = self.placement.choose_best_effort(work, ttft_us, "retry", request.failed)
         if decision.winner is None:
             decision = self.placement.choose_best_effort(work, ttft_us, "retry")
         winner = decision.winner
         if winner is None or not self._has_time_for(request, winner.total_us):
-            return self.node.end_with_error(request, self._spent(request, error))
+            return self.node.end_with_error(request, self._no_retry_error(request, error))
         is_second_read = (
             decision.winner.runner.phase == PREFILL
             and request.prefill_attempts > 0
             and not self.runner_client.prefill_counts_as_begun
         )
         if not self._may_try_again(request, 2 if is_second_read else 1):
-            return self.node.end_with_error(request, self._spent(request, error))
+            return self.node.end_with_error(request, self._no_retry_error(request, error))
         self._log_retry(request, error)
         self._place(request, decision)
 
@@ -390,7 +392,7 @@
     def _log_retry(self, request, error):
         self.node.ports.log(2104, request=request.id, why=error.code, shot=request.attempts + 1)
 
-    def try_elsewhere(self, request, runner, status):
+    def retry_after_failure(self, request, runner, status):
         """The runner answered that it failed; answers whether another attempt was begun."""
         others = [
             other for other in self.placement.open_runners(request.pool) if other is not runner
@@ -416,7 +418,7 @@
         request.sends += cost - 1
         return True
 
-    def _spent(self, request, error):
+    def _no_retry_error(self, request, error):
         if not request.has_begun:
             return ServiceError("no_runner", retry_us=self.node.bounds.retry_least_us)
         return ServiceError("extra_spent", retry_us=1_000_000, after=error.code)
@@ -441,20 +443,20 @@
 
     def tick(self, now_us):
         """Goes on with what was parked, and gives up what will hear nothing more."""
-        self.silence.look(now_us)
+        self.stall_detector.check_runners(now_us)
         for request in self.node.requests.rows():
             if request.parked and self.node.may_start():
                 request.parked(request)
                 continue
-            why = self.silence.why_given_up(request, now_us)
+            why = self.stall_detector.abandon_reason(request, now_us)
             if why is not None:
                 self.fail(request, request.runner, ServiceError("runner_lost", why=why), True)
 
-    def may_go_on_elsewhere(self, request):
+    def may_fail_over(self, request):
         """Whether another attempt is allowed, paid for, and has a runner to go to."""
         if not self.may_be_repeated(request):
             return False
-        cost = 2 if self.is_read_again(request) else 1
+        cost = 2 if self.needs_second_prefill(request) else 1
         if (
             not self.node.may_start()
             or not self.retry_budget.covers(cost, request.pool)
@@ -473,7 +475,7 @@
             return False
         return not (request.is_one_time and request.has_begun)
 
-    def is_read_again(self, request):
+    def needs_second_prefill(self, request):
         """Whether a further attempt would read the prompt a second time, which counts as a send."""
         return bool(
             request.prompt_tokens
--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -5,20 +5,20 @@
 
 from . import request as states
 
-FAILURES = 500
+SERVER_ERROR_STATUS = 500
 
 
 class Relay:
     """Checks run and number of each piece and hands it to the caller; nothing is patched over."""
 
-    __slots__ = ("attempts", "request", "runner", "attempt", "is_handed")
+    __slots__ = ("attempts", "request", "runner", "attempt", "is_after_hand_over")
 
     def __init__(self, attempts, request, runner):
         self.attempts = attempts
         self.request = request
         self.runner = runner
         self.attempt = request.attempt
-        self.is_handed = request.handle is not None
+        self.is_after_hand_over = request.handle is not None
 
     def is_over(self):
         return self.request.attempt != self.attempt or self.request.state != states.DECODING
@@ -45,9 +45,9 @@
             request.head = head
         is_same_run = request.run == run or self.attempts.runner_client.allows_run_change
         if not run or not is_same_run or after != request.written:
-            self._break("another run or place than asked for")
+            self._end_broken("another run or place than asked for")
 
-    def _break(self, why):
+    def _end_broken(self, why):
         self.request.runner_call.abandon()
         self.attempts.node.end_with_error(self.request, ServiceError("stream_broken", why=why))
 
@@ -56,16 +56,18 @@
             return
         request, node = self.request, self.attempts.node
         if not self.attempts.runner_client.follows(request, piece):
-            return self._break("a gap, a repeat or a foreign run")
+            return self._end_broken("a gap, a repeat or a foreign run")
         now_us = node.now_us()
         request.progress_us = now_us
         self.attempts.roster.note_alive(self.runner)
         self.attempts.placement.end_prefill(
-            self.runner, self.attempt, is_seen=self.runner.phase == DECODE and not self.is_handed
+            self.runner,
+            self.attempt,
+            is_seen=self.runner.phase == DECODE and not self.is_after_hand_over,
         )
         tokens = piece.document.get("tokens", 1)
         if not isinstance(tokens, int) or tokens < 0:
-            return self._break("a piece without its tokens")
+            return self._end_broken("a piece without its tokens")
         self.attempts.placement.grow_decode(self.runner, self.attempt, tokens)
         node.relay_piece(request, piece, tokens, now_us)
 
@@ -73,7 +75,7 @@
         if self.is_over():
             return
         if piece is not None and piece.document.get("count") != self.request.written:
-            return self._break("an end that does not count the pieces")
+            return self._end_broken("an end that does not count the pieces")
         self.attempts.leave_runner(self.request)
         self.attempts.node.end_done(self.request)
 
@@ -86,10 +88,10 @@
         if self.runner.is_plain():
             self._note_plain_answer(status)
         if (
-            status >= FAILURES
+            status >= SERVER_ERROR_STATUS
             and not request.is_one_time
             and not request.written
-            and self.attempts.try_elsewhere(request, self.runner, status)
+            and self.attempts.retry_after_failure(request, self.runner, status)
         ):
             return
         self.attempts.leave_runner(request)
@@ -98,7 +100,7 @@
     def _note_plain_answer(self, status):
         """Tell the choice among runners without an engine how this one did."""
         plain, request = self.attempts.placement.plain, self.request
-        if status >= FAILURES:
+        if status >= SERVER_ERROR_STATUS:
             return plain.note_failed(self.runner)
         plain.note_answered(self.runner, self.attempts.node.now_us() - request.progress_us)
 
--- a/packages/router/src/linkhaven/router/silence.py
+++ b/packages/router/src/linkhaven/router/silence.py
@@ -2,49 +2,49 @@
 
 from . import request as states
 
-QUIET_US = 4_000_000
-DARK_QUIET_US = 1_000_000
-SILENT_US = 600_000
-LOOK_US = 50_000
+NO_PROGRESS_US = 4_000_000
+UNRESPONSIVE_NO_PROGRESS_US = 1_000_000
+SILENCE_US = 600_000
+CHECK_INTERVAL_US = 50_000
 
 
-class SilenceWatch:
+class StallDetector:
     """Judges silences by what is owed; it ends nothing itself."""
 
-    __slots__ = ("attempts", "looked_us")
+    __slots__ = ("attempts", "checked_us")
 
     def __init__(self, attempts):
         self.attempts = attempts
-        self.looked_us = 0
+        self.checked_us = 0
 
-    def look(self, now_us):
+    def check_runners(self, now_us):
         """Notes runners that owe bytes for longer than what waits there should take."""
-        if now_us - self.looked_us < LOOK_US:
+        if now_us - self.checked_us < CHECK_INTERVAL_US:
             return
-        self.looked_us = now_us
-        for runner, sent_us in self._list_owing(now_us).items():
-            quiet_us = now_us - max(sent_us, runner.alive_us or 0)
-            if quiet_us > SILENT_US and quiet_us > SILENT_US + self._queued_us(runner):
+        self.checked_us = now_us
+        for runner, sent_us in self._waiting_since_us(now_us).items():
+            silent_us = now_us - max(sent_us, runner.alive_us or 0)
+            if silent_us > SILENCE_US and silent_us > SILENCE_US + self._queued_us(runner):
                 self.attempts.roster.note_silent(runner)
 
-    def why_given_up(self, request, now_us):
+    def abandon_reason(self, request, now_us):
         """Why the request's attempt is over, None while it is waited for; the roster hears of it."""
-        if self._is_lost(request, now_us):
+        if self._should_fail_over(request, now_us):
             return "its runner is dark"
-        if request.state == states.DECODING and self._is_quiet(request, now_us):
+        if request.state == states.DECODING and self._is_decode_stalled(request, now_us):
             self.attempts.roster.note_unresponsive(request.runner)
             return "no progress"
         is_reading = request.state == states.READING and not request.parked
-        if is_reading and self._is_read_quiet(request, now_us):
+        if is_reading and self._is_prefill_stalled(request, now_us):
             self.attempts.roster.note_unresponsive(request.runner)
             return "no answer to the read"
         return None
 
-    def _list_owing(self, now_us):
+    def _waiting_since_us(self, now_us):
         """Since when each runner owes bytes."""
         owing = {}
         for request in self.attempts.node.requests.rows():
-            if is_waiting(request):
+            if is_runner_due(request):
                 sent_us = owing.get(request.runner, now_us)
                 owing[request.runner] = min(sent_us, request.progress_us)
         return owing
@@ -52,38 +52,38 @@
     def _queued_us(self, runner):
         return self.attempts.placement.load.prefill_wait_us(runner)
 
-    def _is_lost(self, request, now_us):
+    def _should_fail_over(self, request, now_us):
         """Its runner is dark and sent nothing for a moment, and it can go on elsewhere."""
         runner = request.runner
-        if runner is None or not runner.is_unresponsive or not is_waiting(request):
+        if runner is None or not runner.is_unresponsive or not is_runner_due(request):
             return False
-        if now_us - max(request.progress_us, runner.alive_us or 0) < DARK_QUIET_US:
+        if now_us - max(request.progress_us, runner.alive_us or 0) < UNRESPONSIVE_NO_PROGRESS_US:
             return False
-        return self.attempts.may_go_on_elsewhere(request)
+        return self.attempts.may_fail_over(request)
 
-    def _is_quiet(self, request, now_us):
+    def _is_decode_stalled(self, request, now_us):
         if request.is_held:
             return False
-        patience_us = QUIET_US
+        timeout_us = NO_PROGRESS_US
         if request.first_us is None or request.attempts > 1:
             estimator = self.attempts.placement.estimator
-            patience_us += 2 * estimator.prefill_us(request.prompt_tokens, request.runner)
-        is_late = now_us - request.progress_us > patience_us
-        return is_late and is_suspect(request.runner, now_us)
+            timeout_us += 2 * estimator.prefill_us(request.prompt_tokens, request.runner)
+        is_late = now_us - request.progress_us > timeout_us
+        return is_late and is_runner_suspect(request.runner, now_us)
 
-    def _is_read_quiet(self, request, now_us):
-        patience_us = QUIET_US + 2 * self._queued_us(request.runner)
-        is_late = now_us - request.progress_us > patience_us
-        return is_late and is_suspect(request.runner, now_us)
+    def _is_prefill_stalled(self, request, now_us):
+        timeout_us = NO_PROGRESS_US + 2 * self._queued_us(request.runner)
+        is_late = now_us - request.progress_us > timeout_us
+        return is_late and is_runner_suspect(request.runner, now_us)
 
 
-def is_waiting(request):
+def is_runner_due(request):
     """Whether bytes of its runner are due."""
     is_sent = request.state in (states.READING, states.DECODING)
     return is_sent and not request.parked and not request.is_held
 
 
-def is_suspect(runner, now_us):
+def is_runner_suspect(runner, now_us):
     """Whether nothing but this request's own silence is needed to doubt the runner."""
-    is_reporting = runner.reported_us is not None and now_us - runner.reported_us < QUIET_US
+    is_reporting = runner.reported_us is not None and now_us - runner.reported_us < NO_PROGRESS_US
     return runner.is_unresponsive or not is_reporting
