--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -88,11 +88,11 @@
         )
         decision = self.placement.choose_best_effort(work, ttft_us, why, room_us=room_us)
         if decision.winner is None:
-            is_held_out = decision.candidates and self._has_waited_its_share(request, now_us)
+            is_held_out = decision.candidates and self._exceeds_hold_time(request, now_us)
             if not is_held_out:
                 return False
             return self._refuse(request, decision, why, self._retry_after_us(decision, ttft_us))
-        if not self._is_hopeless(request, decision, now_us):
+        if not self._misses_deadline(request, decision, now_us):
             self.node.invariants.check_placement(request, decision, room_us)
             self._place(request, decision)
             return True
@@ -141,7 +141,7 @@
             min(candidate.total_us for candidate in decision.candidates) - ttft_us,
         )
 
-    def _is_hopeless(self, request, decision, now_us):
+    def _misses_deadline(self, request, decision, now_us):
         """Whether the answer, or where it is enough its beginning, would come after the deadline."""
         soonest_us = now_us + decision.winner.total_us
         if self.node.bounds.hold_share is None:
@@ -150,7 +150,7 @@
 
     def _late_reason(self, request, decision, now_us):
         """Why a request that no runner can answer in time is dealt with now; None: it waits on."""
-        has_waited = self._has_waited_its_share(request, now_us)
+        has_waited = self._exceeds_hold_time(request, now_us)
         if not decision.candidates:
             return NO_OPEN_RUNNER if has_waited else None
         ttft_us = request.kind.ttft_us
@@ -163,7 +163,7 @@
             return "held_its_share" if has_waited else None
         return "waited_half_the_deadline" if self._exceeds_half_deadline(request, now_us) else None
 
-    def _has_waited_its_share(self, request, now_us):
+    def _exceeds_hold_time(self, request, now_us):
         """Whether it was held for as long as the bounds let a request be held that isn't placed."""
         hold_share = self.node.bounds.hold_share
         if hold_share is None:
@@ -186,7 +186,7 @@
         if runner is not None:
             self._start(request, runner)
             return True
-        if not self._has_waited_its_share(request, self.node.now_us()):
+        if not self._exceeds_hold_time(request, self.node.now_us()):
             return False
         return self._refuse(
             request, Decision([], None), NO_OPEN_RUNNER, self._role_switch_us(request)
@@ -289,8 +289,8 @@
         self._update_runner_state(runner, error, has_begun)
         if not has_begun or error.done == "no":
             self._restore_has_begun(request)
-        if not self.may_be_repeated(request):
-            return self.node.end_with_error(request, self._unknown(error))
+        if not self.is_safe_to_retry(request):
+            return self.node.end_with_error(request, self._with_unknown_outcome(error))
         if error.code == "run_unknown":
             return self.node.end_with_error(request, self._run_unknown_error(request, error))
         if not request.written:
@@ -335,7 +335,7 @@
         if not request.written and not (had_read and self.runner_client.prefill_counts_as_begun):
             request.has_begun = request.had_begun_before
 
-    def _unknown(self, error):
+    def _with_unknown_outcome(self, error):
         return (
             error
             if error.done == "unknown"
@@ -400,18 +400,18 @@
         if (
             not others
             or not self.retry_budget.covers(1, request.pool)
-            or not self._has_attempts(request, 1)
+            or not self._has_attempts_left(request, 1)
         ):
             return False
         self.fail(request, runner, ServiceError("runner_lost", why=f"status {status}"), True)
         return True
 
-    def _has_attempts(self, request, cost):
+    def _has_attempts_left(self, request, cost):
         most = request.kind.max_attempts
         return not most or request.sends + cost <= most
 
     def _may_try_again(self, request, cost):
-        if not self._has_attempts(request, cost) or not self.retry_budget.spend(
+        if not self._has_attempts_left(request, cost) or not self.retry_budget.spend(
             "retry", cost=cost, pool=request.pool
         ):
             return False
@@ -454,13 +454,13 @@
 
     def may_fail_over(self, request):
         """Whether another attempt is allowed, paid for, and has a runner to go to."""
-        if not self.may_be_repeated(request):
+        if not self.is_safe_to_retry(request):
             return False
         cost = 2 if self.needs_second_prefill(request) else 1
         if (
             not self.node.may_start()
             or not self.retry_budget.covers(cost, request.pool)
-            or not self._has_attempts(request, cost)
+            or not self._has_attempts_left(request, cost)
         ):
             return False
         runner = request.runner
@@ -469,7 +469,7 @@
         ]
         return any(other.phase != PREFILL for other in others)
 
-    def may_be_repeated(self, request):
+    def is_safe_to_retry(self, request):
         """Whether another attempt could neither run one-time work twice nor break a stream."""
         if request.written and not request.is_resumable:
             return False
--- a/packages/stage/src/linkhaven/stage/soak/sabotage.py
+++ b/packages/stage/src/linkhaven/stage/soak/sabotage.py
@@ -26,12 +26,14 @@
 
 def repeat_one_time_work() -> None:
     """A one-time request that may have begun is sent again."""
-    Attempts.may_be_repeated = lambda self, request: True
+    Attempts.is_safe_to_retry = lambda self, request: True
 
 
 def refuse_what_was_begun() -> None:
     """A request whose work may have begun is refused as one that never ran."""
-    Attempts._unknown = lambda self, error: ServiceError("no_runner", retry_us=1_000_000)
+    Attempts._with_unknown_outcome = lambda self, error: ServiceError(
+        "no_runner", retry_us=1_000_000
+    )
 
 
 def answer_before_the_sync() -> None:
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -424,7 +424,7 @@
 
 
 def try_without_bound(monkeypatch):
-    monkeypatch.setattr(attempts.Attempts, "_has_attempts", lambda self, request, cost: True)
+    monkeypatch.setattr(attempts.Attempts, "_has_attempts_left", lambda self, request, cost: True)
 
 
 def forget_deadlines(monkeypatch):
--- a/tests/test_placement_invariants.py
+++ b/tests/test_placement_invariants.py
@@ -44,11 +44,11 @@
 
     plain_choose = PlacementPolicy.choose
     monkeypatch.setattr(PlacementPolicy, "choose", choose_none)
-    monkeypatch.setattr(Attempts, "_is_hopeless", lambda self, request, decision, now_us: True)
+    monkeypatch.setattr(Attempts, "_misses_deadline", lambda self, request, decision, now_us: True)
     assert run(seed)["refused_beside_idle_runners"] > 0
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_requests_that_are_held_to_their_deadline_are_counted(seed, monkeypatch):
-    monkeypatch.setattr(Attempts, "_has_waited_its_share", lambda self, request, now_us: False)
+    monkeypatch.setattr(Attempts, "_exceeds_hold_time", lambda self, request, now_us: False)
     assert run(seed)["held_too_long"] > 0
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -155,7 +155,9 @@
 
 
 def refuse_what_was_begun(monkeypatch):
-    monkeypatch.setattr(Attempts, "_unknown", lambda self, error: type(error)("no_runner"))
+    monkeypatch.setattr(
+        Attempts, "_with_unknown_outcome", lambda self, error: type(error)("no_runner")
+    )
 
 
 def share_without_counting(monkeypatch):
