--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -17,16 +17,16 @@
 
     def rerun_from(self, request, name):
         """Send a request through the chain anew, from the filter of this name on."""
-        names = [step.__name__ for step in self.filters]
+        names = [filter_function.__name__ for filter_function in self.filters]
         request.next_filter = names.index(name)
         self.run(request)
 
     def run(self, request):
         while request.next_filter < len(self.filters):
-            step = self.filters[request.next_filter]
+            filter_function = self.filters[request.next_filter]
             request.next_filter += 1
             try:
-                if step(request) is HOLD:
+                if filter_function(request) is HOLD:
                     return
             except ServiceError as error:
                 return self.answer(request, error)
@@ -41,36 +41,36 @@
     def build_chain(self, answer):
         return FilterChain(
             [
-                self.bound,
-                self.read,
-                self.fresh,
-                self.kind,
+                self.check_capacity,
+                self.parse,
+                self.check_freshness,
+                self.resolve_kind,
                 self.authenticate,
                 self.admit,
                 self.resume,
                 self.quota,
                 self.claim,
-                self.queue,
+                self.enqueue,
             ],
             answer,
         )
 
-    def bound(self, request):
+    def check_capacity(self, request):
         if self.node.is_draining and not self.node.is_lingering():
             raise ServiceError("draining", retry_us=self.node.drain_retry_us())
         if len(self.node.requests) > self.node.max_requests:
             raise ServiceError("too_busy", retry_us=1_000_000)
         return PASS
 
-    def read(self, request):
+    def parse(self, request):
         self.node.callers.read(request)
         return PASS
 
-    def fresh(self, request):
+    def check_freshness(self, request):
         self.node.check_fresh()
         return PASS
 
-    def kind(self, request):
+    def resolve_kind(self, request):
         configuration = self.node.snapshot.configuration
         if request.kind_name is None:
             request.kind_name = self.node.route_table.find(request.host, request.path)
@@ -121,13 +121,13 @@
         return PASS
 
     def resume(self, request):
-        place = self.node.callers.resume_place(request)
-        if place is None:
+        position = self.node.callers.resume_place(request)
+        if position is None:
             return PASS
         if not request.is_resumable:
             raise ServiceError("not_resumable", kind=request.kind_name)
-        request.run, request.written = place
-        request.resume = place
+        request.run, request.written = position
+        request.resume = position
         return PASS
 
     def quota(self, request):
@@ -145,7 +145,7 @@
         self.node.idempotency_keys.claim(request, self.node.chain.run)
         return HOLD
 
-    def queue(self, request):
+    def enqueue(self, request):
         configuration = self.node.snapshot.configuration
         request.rank = configuration.rank_of(request.kind, request.tenant)
         self.node.enqueue(request)
--- a/packages/router/src/linkhaven/router/doors.py
+++ b/packages/router/src/linkhaven/router/doors.py
@@ -2,7 +2,7 @@
 
 
 class RouteTable:
-    """Kinds by host and path: of the doors of a host, the longest prefix that begins the path wins."""
+    """Kinds by host and path: of the routes of a host, the longest prefix that begins the path wins."""
 
     __slots__ = ("hosts",)
 
@@ -15,12 +15,12 @@
             route = kind.route
             if route is not None:
                 self.hosts.setdefault(route.host.lower(), []).append((route.path_prefix, name))
-        for doors in self.hosts.values():
-            doors.sort(key=lambda door: -len(door[0]))
+        for routes in self.hosts.values():
+            routes.sort(key=lambda route_entry: -len(route_entry[0]))
 
     def find(self, host, path):
-        plain = path.partition("?")[0]
+        path_only = path.partition("?")[0]
         for prefix, name in self.hosts.get((host or "").lower(), ()):
-            if plain.startswith(prefix):
+            if path_only.startswith(prefix):
                 return name
         return None
--- a/packages/router/src/linkhaven/router/explain.py
+++ b/packages/router/src/linkhaven/router/explain.py
@@ -6,55 +6,57 @@
 
 from .messages import Explanation, WantExplanation
 
-EXPLAINED = 2_000
-EVENTS = 500
-TOLD_EVENTS = {1101, 1102, 1601, 1602, 1603, 2001, 2002, 2003, 2105}
-BEFORE_US, AFTER_US = 5_000_000, 1_000_000
-ASK_US = 2_000_000
+MAX_RECORDS = 2_000
+MAX_EVENTS = 500
+RECORDED_EVENTS = {1101, 1102, 1601, 1602, 1603, 2001, 2002, 2003, 2105}
+EVENTS_BEFORE_US, EVENTS_AFTER_US = 5_000_000, 1_000_000
+PEER_TIMEOUT_US = 2_000_000
 
 
 class Explainer:
     """Bounded records of ended requests and of what happened in the fleet around them, as this router saw it; a
     request of another router is asked there."""
 
-    __slots__ = ("node", "membership", "requests", "ended", "events", "asked")
+    __slots__ = ("node", "membership", "requests", "ended", "events", "pending_calls")
 
     def __init__(self, node, membership, requests):
         self.node = node
         self.membership = membership
         self.requests = requests
-        self.ended = FIFOCache(EXPLAINED)
-        self.events = deque(maxlen=EVENTS)
-        self.asked = {}
+        self.ended = FIFOCache(MAX_RECORDS)
+        self.events = deque(maxlen=MAX_EVENTS)
+        self.pending_calls = {}
         log = node.ports.log
 
-        def note(number, **facts):
-            if number in TOLD_EVENTS:
+        def log_and_record(number, **facts):
+            if number in RECORDED_EVENTS:
                 self.events.append((node.now_us(), number, facts))
             log(number, **facts)
 
-        node.ports.log = note
+        node.ports.log = log_and_record
         node.register_handler(WantExplanation, self.on_want_explanation)
         node.register_handler(Explanation, self.on_explanation)
         node.systems.append(self.tick)
 
-    def keep(self, request):
+    def store(self, request):
         self.ended[request.id] = request
 
     def _record(self, id):
         request = self.requests.get(id) or self.ended.get(id)
         if request is None:
             return None
-        begun_us = request.arrived_us - BEFORE_US
-        ended_us = (
-            request.arrived_us + (request.steps[-1]["at_us"] if request.steps else 0) + AFTER_US
+        from_us = request.arrived_us - EVENTS_BEFORE_US
+        until_us = (
+            request.arrived_us
+            + (request.steps[-1]["at_us"] if request.steps else 0)
+            + EVENTS_AFTER_US
         )
-        around = [
+        nearby_events = [
             {"at_us": at_us - request.arrived_us, "event": number, **facts}
             for at_us, number, facts in self.events
-            if begun_us <= at_us <= ended_us
+            if from_us <= at_us <= until_us
         ]
-        return {**request.as_record(), "router": self.node.name, "around": around}
+        return {**request.as_record(), "router": self.node.name, "around": nearby_events}
 
     def serve(self, call, id):
         record = self._record(id)
@@ -63,7 +65,7 @@
         owner = self.membership.peers.get(id.rsplit("-", 2)[0])
         if owner is None or not owner.is_up:
             raise ServiceError("no_such_request", request=id)
-        self.asked.setdefault(id, []).append((call, self.node.now_us() + ASK_US))
+        self.pending_calls.setdefault(id, []).append((call, self.node.now_us() + PEER_TIMEOUT_US))
         self.node.send(owner.address, WantExplanation(id))
 
     def on_want_explanation(self, message):
@@ -76,7 +78,7 @@
         self._answer(message.request, message.record)
 
     def _answer(self, id, record):
-        for call, _ in self.asked.pop(id, ()):
+        for call, _ in self.pending_calls.pop(id, ()):
             if call.is_ended:
                 continue
             if record is None:
@@ -85,5 +87,5 @@
                 call.answer_json(200, record)
 
     def tick(self, now_us):
-        for id in [id for id, calls in self.asked.items() if now_us >= calls[0][1]]:
+        for id in [id for id, calls in self.pending_calls.items() if now_us >= calls[0][1]]:
             self._answer(id, None)
--- a/packages/router/src/linkhaven/router/invariants.py
+++ b/packages/router/src/linkhaven/router/invariants.py
@@ -11,7 +11,7 @@
 
 from linkhaven.runner.roster import DECODE
 
-TELL_US = 2_000_000
+LOG_INTERVAL_US = 2_000_000
 """How often a broken invariant is logged, at most; each violation is counted."""
 
 HELD_MARGIN_US = 500_000
@@ -21,14 +21,14 @@
 class PlacementInvariants:
     """Counts violations by name, and logs event 1902 for the first of each in a while."""
 
-    __slots__ = ("node", "placement", "violations", "told_us")
+    __slots__ = ("node", "placement", "violations", "logged_us")
 
     def __init__(self, node, placement):
         """Nothing was violated yet."""
         self.node = node
         self.placement = placement
         self.violations = Counter()
-        self.told_us = {}
+        self.logged_us = {}
 
     def check_refusal(self, request, decision):
         """A request is about to be refused for want of a runner."""
@@ -44,14 +44,14 @@
             and not any(self.placement.load.work_at(runner).total().count for runner in runners)
         ):
             names = [runner.name for runner in can_serve]
-            self._violate("refused_beside_idle_runners", request=request.id, runners=names)
+            self._record_violation("refused_beside_idle_runners", request=request.id, runners=names)
         self.check_hold(request)
 
     def check_placement(self, request, decision, room_us):
         """A request that no runner could answer in time is about to be placed."""
         winner = decision.winner
         if decision.exception is not None and not winner.has_room:
-            self._violate(
+            self._record_violation(
                 "late_work_beyond_room",
                 request=request.id,
                 wait_us=winner.queue_wait_us,
@@ -65,7 +65,7 @@
             return
         held_us = self.node.now_us() - max(request.arrived_us, self.node.undisturbed_since_us)
         if held_us > request.kind.ttft_us * hold_share + HELD_MARGIN_US:
-            self._violate("held_too_long", request=request.id, held_us=held_us)
+            self._record_violation("held_too_long", request=request.id, held_us=held_us)
 
     def _can_decode(self, runner, request):
         if runner.phase != DECODE or not self.placement.fits(runner, request.prompt_tokens):
@@ -73,10 +73,10 @@
         streams = self.placement.load.work_at(runner).total().streams
         return not runner.slots or streams < runner.slots
 
-    def _violate(self, name, **facts):
+    def _record_violation(self, name, **facts):
         self.violations[name] += 1
         now_us = self.node.now_us()
-        if now_us - self.told_us.get(name, -TELL_US) < TELL_US:
+        if now_us - self.logged_us.get(name, -LOG_INTERVAL_US) < LOG_INTERVAL_US:
             return
-        self.told_us[name] = now_us
+        self.logged_us[name] = now_us
         self.node.ports.log(1902, invariant=name, count=self.violations[name], **facts)
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -9,8 +9,8 @@
 from . import request as states
 
 PAGE_KEYS = 500
-SWEEP_US = 5_000_000
-HANDOVERS_AT_MOST = 5
+SWEEP_INTERVAL_US = 5_000_000
+MAX_HANDOVERS = 5
 """So many replicas may read the won keys at once; the listing of the oldest is dropped."""
 
 
@@ -50,7 +50,7 @@
         if len(self.won) >= self.settings.max_claims:
             raise ServiceError(
                 "claim_unavailable",
-                retry_us=self._room_us(),
+                retry_us=self._retry_after_us(),
                 why="this router keeps as many keys as the plan allows",
             )
 
@@ -98,12 +98,12 @@
 
         self.proposer.propose(claim_key, step, lambda outcome, value: None)
 
-    def _room_us(self):
+    def _retry_after_us(self):
         oldest_us = next(iter(self.won.values()))[1] if self.won else self.node.now_us()
         return max(1_000_000, oldest_us + self.settings.retention_us - self.node.now_us())
 
     def sweep(self, now_us):
-        if self.settings is None or now_us - self.swept_us < SWEEP_US:
+        if self.settings is None or now_us - self.swept_us < SWEEP_INTERVAL_US:
             return
         self.swept_us = now_us
         while self.won and now_us - next(iter(self.won.values()))[1] > self.settings.retention_us:
@@ -119,7 +119,7 @@
         start, place = message["start"], message["place"]
         if place < 0:
             return
-        won = self._listing(start) if place else self._list(start)
+        won = self._handover_keys(start) if place else self._start_handover(start)
         failed = self.failed_routers()
         more = {"routers": failed} if failed else {}
         self.node.send_untyped(
@@ -132,12 +132,12 @@
             **more,
         )
 
-    def _listing(self, start):
-        return self.handovers[start] if start in self.handovers else self._list(start)
+    def _handover_keys(self, start):
+        return self.handovers[start] if start in self.handovers else self._start_handover(start)
 
-    def _list(self, start):
+    def _start_handover(self, start):
         won = [[key, by] for key, (by, _) in self.won.items()]
         self.handovers[start] = won
-        while len(self.handovers) > HANDOVERS_AT_MOST:
+        while len(self.handovers) > MAX_HANDOVERS:
             self.handovers.popitem(last=False)
         return won
--- a/packages/router/src/linkhaven/router/native.py
+++ b/packages/router/src/linkhaven/router/native.py
@@ -6,12 +6,12 @@
 ERROR_EVENT = "trouble"
 """The event that ends a stream with an error, as it stands on the wire."""
 
-KEY_AT_MOST = 200
+MAX_IDEMPOTENCY_KEY_LENGTH = 200
 STREAM_HEADERS = {"content-type": "text/event-stream", "cache-control": "no-store"}
 
 
-API_KEY = "x-api-key"
-BEARER = "bearer "
+API_KEY_HEADER = "x-api-key"
+BEARER_PREFIX = "bearer "
 
 
 def take_api_key(headers):
@@ -19,14 +19,14 @@
 
     Two keys are returned joined, which is no tenant's key.
     """
-    keys = {headers.pop(API_KEY, "")}
+    keys = {headers.pop(API_KEY_HEADER, "")}
     authorization = headers.pop("authorization", "")
-    if authorization[: len(BEARER)].lower() == BEARER:
-        keys.add(authorization[len(BEARER) :].strip())
+    if authorization[: len(BEARER_PREFIX)].lower() == BEARER_PREFIX:
+        keys.add(authorization[len(BEARER_PREFIX) :].strip())
     return ", ".join(sorted(keys - {""})) or None
 
 
-def count_tokens(prompt):
+def estimate_tokens(prompt):
     return len(prompt) // 4 + 1
 
 
@@ -44,21 +44,21 @@
         document = check_document("Ask", read_json(request.call.body))
         request.kind_name = document["kind"]
         request.prompt = document["prompt"]
-        request.prompt_tokens = count_tokens(request.prompt)
+        request.prompt_tokens = estimate_tokens(request.prompt)
         request.answer_tokens = document.get("answer_tokens", 0)
         request.key = request.call.headers.get("idempotency-key") or None
-        if request.key and len(request.key) > KEY_AT_MOST:
+        if request.key and len(request.key) > MAX_IDEMPOTENCY_KEY_LENGTH:
             raise ServiceError(
                 "bad_request", places=[{"place": "Idempotency-Key", "fault": "is too long"}]
             )
 
     def resume_place(self, request):
-        told = request.call.headers.get("last-event-id")
-        if not told:
+        event_id = request.call.headers.get("last-event-id")
+        if not event_id:
             return None
-        place = parse_event_id(told)
+        place = parse_event_id(event_id)
         if place is None:
-            raise ServiceError("bad_resume", told=told[:100])
+            raise ServiceError("bad_resume", told=event_id[:100])
         return place
 
     def begin(self, request, head):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -205,9 +205,9 @@
         for kind in [kind for kind in self.typical_tokens if kind not in configuration.kinds]:
             del self.typical_tokens[kind]
         self.ports.log(2001, mark=self.snapshot.version)
-        withdrawn = self.readmission.withdraw(configuration)
+        withdrawn = self.readmission.withdraw_changed(configuration)
         self.tenant_quotas.apply_configuration(configuration)
-        self.readmission.settle(withdrawn)
+        self.readmission.apply(withdrawn)
         self.admission.apply_configuration(configuration)
 
     def _resume_with_token(self, request):
@@ -507,7 +507,7 @@
         request.parked = None
         request.outcome = outcome
         request.prompt = request.body = request.fields = None
-        self.explainer.keep(request)
+        self.explainer.store(request)
         self.requests.drop(request.id)
         request.add_step(self.now_us(), outcome)
         for hear in self.on_end:
--- a/packages/router/src/linkhaven/router/readmission.py
+++ b/packages/router/src/linkhaven/router/readmission.py
@@ -61,7 +61,7 @@
         """Judge the requests of this router."""
         self.node = node
 
-    def withdraw(self, configuration: Configuration) -> list[Verdict]:
+    def withdraw_changed(self, configuration: Configuration) -> list[Verdict]:
         """Take all requests that can't wait on out of their queues; return what becomes of each."""
         waiting = [
             request
@@ -86,7 +86,7 @@
             return Verdict(request, error)
         return Verdict(request, None, kind, tenant)
 
-    def settle(self, verdicts: list[Verdict]) -> None:
+    def apply(self, verdicts: list[Verdict]) -> None:
         """End what was withdrawn, or let it wait again."""
         for verdict in verdicts:
             request = verdict.request
--- a/packages/router/src/linkhaven/router/refusals.py
+++ b/packages/router/src/linkhaven/router/refusals.py
@@ -2,10 +2,10 @@
 
 from collections import Counter
 
-REPORT_US = 2_000_000
+REPORT_INTERVAL_US = 2_000_000
 """How often a router that refuses tells of it, at most."""
 
-NO_ROOM = frozenset(("no_runner", "queue_full"))
+CAPACITY_ERRORS = frozenset(("no_runner", "queue_full"))
 """Refusals that speak of the runners, not of the caller or of its group's credit."""
 
 
@@ -17,7 +17,7 @@
     request filled. A router that refuses nothing for want of a runner logs nothing.
     """
 
-    __slots__ = ("node", "roster", "placement", "causes", "told_us")
+    __slots__ = ("node", "roster", "placement", "causes", "logged_us")
 
     def __init__(self, node, roster, placement):
         """Nothing is counted yet."""
@@ -25,24 +25,24 @@
         self.roster = roster
         self.placement = placement
         self.causes = Counter()
-        self.told_us = node.now_us()
+        self.logged_us = node.now_us()
         node.systems.append(self.tick)
 
     def note(self, error):
         """Count a refusal, if it was for want of a runner."""
-        if error.code in NO_ROOM:
+        if error.code in CAPACITY_ERRORS:
             self.causes[error.detail.get("why") or error.code] += 1
 
     def tick(self, now_us):
-        """Log what was counted, at most once in `REPORT_US`."""
-        if not self.causes or now_us - self.told_us < REPORT_US:
+        """Log what was counted, at most once in `REPORT_INTERVAL_US`."""
+        if not self.causes or now_us - self.logged_us < REPORT_INTERVAL_US:
             return
-        self.told_us = now_us
+        self.logged_us = now_us
         causes, self.causes = dict(self.causes), Counter()
-        runners = [self._look_at(runner) for runner in self.roster.open_runners()]
+        runners = [self._runner_row(runner) for runner in self.roster.open_runners()]
         self.node.ports.log(2107, causes=causes, runners=runners)
 
-    def _look_at(self, runner):
+    def _runner_row(self, runner):
         """Name, phase, prompts waiting, prompt tokens to read, streams, share of its memory."""
         waiting, tokens, _, streams = self.placement.load.work_at(runner).total()
         return [
