--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -1,3 +1,5 @@
+"""The router node: accepts requests, queues them by group and relays the answers of runners."""
+
 from linkhaven.api import ServiceError
 from linkhaven.configuration import (
     Configuration,
@@ -27,17 +29,26 @@
 from .request import Request
 
 RATE_INTERVAL_US = 1_000_000
+"""Interval between two updates of the token rates that are reported to the core."""
+
 CLOSED_HOLD_US = 1_000_000
+"""How long requests wait at a router that may start no work before they are ended."""
+
 MAX_CLOSED_RETRY_US = 30_000_000
+"""Upper bound of the retry time that a router gives out while it may start no work."""
+
 IDLE_TICK_US = 50_000
+"""Interval between ticks while no request depends on them."""
+
 TYPICAL_TOKENS_GAIN = 0.1
-"""How much each new prompt counts in what is typical of its kind."""
+"""Weight of each new prompt in the moving average of uncached tokens of its request kind."""
 
 
 def queue_limits_by_group(configuration: Configuration) -> dict[str, int]:
-    """How long a queue at a runner each group may join, so that tight targets can still be met.
+    """Return the longest queue at a runner, in microseconds, that requests of each group may join.
 
-    That is the tightest target of the other groups, or of its own kinds where there is no other.
+    The limit of a group is the tightest TTFT target among the other groups, or among its own
+    request kinds where there is no other group, so that this target can still be met.
     """
     tightest = {}
     for kind in configuration.kinds.values():
@@ -53,6 +64,12 @@
 
 
 class RouterNode(Node):
+    """One router: owns the requests that it accepted, and the components that decide on them.
+
+    Requests go through the filters of `chain`, wait in `admission`, are sent to runners by
+    `attempts`, and end in exactly one of `end_done`, `end_answered` and `end_with_error`.
+    """
+
     __slots__ = (
         "membership",
         "proposer",
@@ -110,6 +127,11 @@
         callers=None,
         make_runner_client=RunnerClient,
     ):
+        """`callers` implements the interface to clients, `make_runner_client` the one to runners.
+
+        `max_requests`: requests that this router holds at a time; further ones get `too_busy`.
+        `incarnation`: a number that grows with each start of this router.
+        """
         super().__init__(name, address, ports, bounds)
         majority = self.bounds.seats // 2 + 1
         self.callers = callers or NativeCallers()
@@ -211,9 +233,10 @@
         self.admission.apply_configuration(configuration)
 
     def _resume_with_token(self, request):
-        """Let a request go on that was held for a token.
+        """Continue with a request that got the quota token it waited for.
 
-        Its key may have been taken away meanwhile, and its kind may be gone or another one.
+        The configuration may have changed meanwhile: its API key may be revoked or belong to
+        another tenant, and its request kind may be removed or changed.
         """
         if request.state != states.AWAITING_QUOTA:
             return
@@ -238,11 +261,11 @@
         self.chain.rerun_from(request, "quota")
 
     def _initial_read_rate(self):
-        """This router's even part of what all runners read, until its own queue has shown its pace."""
+        """An even share of the prefill rate of all runners, used until this queue has a rate."""
         return self.placement.prefill_rate() // (1 + len(self.membership.live_members("router")))
 
     def _failed_routers(self):
-        """Name and address of each other router that is held for failed."""
+        """Return name and address of each other router that is considered failed."""
         return [
             (member.name, member.address)
             for member in self.membership.peers.values()
@@ -253,11 +276,14 @@
         return 1 + len(self.membership.live_members("router"))
 
     def is_short_of_shares(self):
-        """Whether this router waits for a larger share than it has."""
+        """Whether requests or retries here wait for a larger share of their allowance."""
         return self.retry_budget.was_refused_recently() or self.admission.is_waiting()
 
     def add_watch_facts(self, facts, seat):
-        """What a seat is told: its duties' holders hear what only these need."""
+        """Add this router's reports to a watch request to the replica at `seat`.
+
+        Demand, usage and load are reported only to the replicas whose singleton roles use them.
+        """
         now_us, pace = self.now_us(), self.watcher.hold
         is_roster = pace.is_sender(seat, "roster", now_us)
         if pace.is_sender(seat, "shares", now_us):
@@ -282,6 +308,11 @@
         }
 
     def on_watch_response(self, message, sent_us):
+        """Apply what a replica answered to the watch request that was sent at `sent_us`.
+
+        Grants last for one lease from `sent_us`, not from the answer's arrival: this router's
+        lease so never outlasts the one that the replica counts.
+        """
         roster = message.get("roster")
         if roster is not None:
             self.roster.take(roster, sent_us)
@@ -312,9 +343,11 @@
             self.send_untyped(message["back"], "image", value=value, body=body)
 
     def may_start(self):
+        """Whether both configuration and runner list are fresh enough to start work on them."""
         return self.watcher.is_fresh() and self.roster.is_fresh()
 
     def check_fresh(self):
+        """Raise `ServiceError` where this router may start no work now."""
         if (
             self.snapshot.configuration is None
             and not self.snapshot.is_behind
@@ -325,7 +358,10 @@
             raise self.closed_error()
 
     def closed_error(self, done=None):
-        """A router that takes no work is expected to be closed for as long again as it has been."""
+        """Return the error for requests that come while this router may start no work.
+
+        The retry time is as long as the router has been closed so far, within fixed bounds.
+        """
         retry_us = min(MAX_CLOSED_RETRY_US, max(1_000_000, self.now_us() - self.closed_since_us))
         if not self.watcher.is_fresh():
             return ServiceError(
@@ -334,7 +370,7 @@
         return ServiceError("roster_stale", done=done, retry_us=retry_us)
 
     def choose_pool(self, kind: RequestKind) -> str | None:
-        """Where a kind is split over pools, each has its weight's part of the requests."""
+        """Draw the pool of a request, where its kind has several by their weights; None: any."""
         pools = kind.pools
         if len(pools) < 2:
             return pools[0].pool if pools else None
@@ -345,7 +381,11 @@
                 return part.pool
 
     def connections_at_most(self, runner):
-        """This router's even part of the connections that all routers together may have to a runner."""
+        """Return this router's even share of the connections that a runner accepts.
+
+        Four fifths of the pool's `max_connections` are shared by the live routers; each may have
+        two at least. None: no limit is configured.
+        """
         configuration = self.snapshot.configuration
         pool = configuration.pools.get(runner.pool) if configuration is not None else None
         if pool is None:
@@ -358,13 +398,15 @@
         return self.may_start() and not self.is_draining
 
     def is_lingering(self):
-        """Stopping, but those who send callers here may not know yet."""
+        """Whether a draining router still accepts requests, since clients may not know yet."""
         return self.now_us() - self.drain_us < self.bounds.linger_us
 
     def drain_retry_us(self):
+        """The retry time for requests that are refused since this router stops."""
         return self.bounds.retry_least_us
 
     def serve_request(self, call):
+        """Accept a call as a new request and send it through the filters."""
         self.serial += 1
         now_us = self.now_us()
         request = Request(f"{self.name}-{self.incarnation}-{self.serial}", call, now_us)
@@ -375,6 +417,7 @@
         self.chain.run(request)
 
     def enqueue(self, request):
+        """Put a request into the queue of its group; raises `ServiceError` where it is full."""
         self.admission.enqueue(request.group, request)
         request.state = states.QUEUED
         unread = self.placement.least_uncached_tokens(request)
@@ -385,9 +428,11 @@
         self.wake_queue()
 
     def rest_us(self):
-        """Requests that wait are looked at with each short tick; all else is moved by what comes in.
+        """Return how long the event loop may rest between ticks; 0: the shortest tick.
 
-        In a small fleet all requests are, also those that run."""
+        Queued requests, a router that is closed or draining, and in a small fleet also running
+        requests need short ticks. Everything else is driven by incoming messages.
+        """
         if not self.is_open or self.admission.is_waiting() or self.is_draining:
             return 0
         if self.requests and not self.placement.is_large():
@@ -395,9 +440,11 @@
         return IDLE_TICK_US
 
     def wake_queue(self):
+        """Start queued requests as far as credit and runners allow."""
         self.admission.serve(self.attempts.begin)
 
     def relay_piece(self, request, piece, tokens, now_us):
+        """Write a piece of a stream to the client; pause reading where the client is slow."""
         call = request.call
         if not call.is_begun:
             request.first_us = now_us
@@ -423,6 +470,7 @@
             request.runner_call.http_call.release()
 
     def end_done(self, request):
+        """End a request whose stream is complete."""
         if not request.call.is_begun:
             self.callers.begin(request, request.head)
         self.callers.finish(request)
@@ -443,7 +491,7 @@
         self._close(request, "done")
 
     def end_answered(self, request, status, headers, body):
-        """The runner's own answer, whole and unchanged."""
+        """End a request with the runner's whole answer, unchanged."""
         self.counts["served" if status < 300 else "troubled"] += 1
         if status < 300:
             self.ports.log(
@@ -469,6 +517,11 @@
         self._close(request, f"status {status}")
 
     def end_with_error(self, request, error):
+        """End a request with an error; does nothing where it has ended already.
+
+        `error.done` is "no" where the request certainly did not run: it counts as refused then,
+        and its idempotency key may be used again.
+        """
         if request.state == states.ENDED:
             return
         self.attempts.leave_runner(request)
@@ -553,7 +606,7 @@
         return "no_runner" if not self.roster.open_runners() else "no_room"
 
     def _fail_waiting_while_closed(self, now_us):
-        """Cut off for longer than a moment: what waits here is better told to go elsewhere."""
+        """End waiting requests after `CLOSED_HOLD_US`, so that clients can try another router."""
         if self.is_open or now_us - self.closed_since_us < CLOSED_HOLD_US:
             return
         for request in self.requests.rows():
@@ -568,7 +621,10 @@
         self.wake_queue()
 
     def _note_disturbance(self, now_us):
-        """This process slept, or was closed: what was held meanwhile was not held by choice."""
+        """Note that this process was paused or closed.
+
+        Time before it doesn't count against the bound on how long requests are held.
+        """
         self.undisturbed_since_us = now_us
 
     def _update_open_state(self, now_us):
@@ -597,6 +653,10 @@
         self.rated_us = now_us
 
     def drain(self, on_drained):
+        """Stop in order: linger, refuse new requests, let running ones end, then leave the fleet.
+
+        `on_drained` is called when no request is left, at the latest after `Bounds.drain_us`.
+        """
         if self.is_draining:
             return
         self.is_draining = True
@@ -628,6 +688,7 @@
             drained()
 
     def serve_standing(self, call):
+        """Answer with the state of this router, for operators and tests."""
         now_us = self.now_us()
         quotas = self.tenant_quotas
         call.answer_json(
--- a/packages/router/src/linkhaven/router/request.py
+++ b/packages/router/src/linkhaven/router/request.py
@@ -1,3 +1,5 @@
+"""A request at the router that accepted it, and the states that it goes through."""
+
 WAITING, AWAITING_QUOTA, CLAIMING, QUEUED, READING, DECODING, PARKED, ENDED = (
     "waiting",
     "awaiting_quota",
@@ -11,6 +13,28 @@
 
 
 class Request:
+    """The whole state of one request; the router's components change it, it decides nothing.
+
+    Fields whose meaning isn't plain from their name:
+
+    - `rank`: priority within the queue of its group;
+    - `next_filter`: index of the next filter of the chain;
+    - `run`: id of the generation run whose pieces are relayed, None before the first;
+    - `written`: number of the last piece that was written to the client;
+    - `resume`: run and piece number after which the client resumes a stream;
+    - `runner_call`: the call to a runner that is in flight;
+    - `attempt`: id of the current attempt; `attempts`: how many were started;
+    - `sends`: attempts, and further sends for a second prefill, against `max_attempts`;
+    - `has_begun`: whether a runner may have executed it; `had_begun_before`: the same before the
+      current attempt;
+    - `failed`: names of runners at which an attempt failed;
+    - `parked`: called with the request once the router may start work again;
+    - `handle`: handle of the KV cache that a prefill produced, and its runner;
+    - `is_held`: whether reading from the runner is paused, since the client is slow.
+
+    Times are microseconds of the router's clock.
+    """
+
     __slots__ = (
         "id",
         "call",
@@ -117,6 +141,7 @@
 
     @property
     def is_one_time(self):
+        """Whether it must not be executed twice."""
         return not self.kind.is_idempotent
 
     @property
@@ -128,23 +153,29 @@
         return self.kind.tpot_us
 
     def is_movable(self):
+        """Whether its stream can be moved to another runner."""
         return (
             self.state == DECODING and self.is_resumable and self.written > 0 and not self.is_moving
         )
 
     def pace_us(self, now_us):
+        """Mean time per output token since the stream began or was moved last."""
         return (now_us - self.pace_from_us) / max(1, self.pace_tokens)
 
     def add_step(self, now_us, step, **facts):
+        """Add a step to the record; after 64 steps further ones are dropped."""
         if len(self.steps) < 64:
             self.steps.append({"at_us": now_us - self.arrived_us, "step": step, **facts})
 
     def tenant_facts(self):
-        """The tenant whose request it is, as a fact of log events; none where there is no tenant."""
+        """Return the tenant as a fact of log events; nothing where there is no tenant."""
         return {} if self.tenant is None else {"tenant": self.tenant}
 
     def timing_facts(self, now_us):
-        """When it was placed, handed over and first answered, since it came; and what was predicted for its read."""
+        """Return its times since arrival and the prediction for its prefill, as log facts.
+
+        These are the times of placement, hand-over, first answer and end.
+        """
         seen = {
             "prompt": self.prompt_tokens,
             "ended": now_us - self.arrived_us,
@@ -169,6 +200,7 @@
         return seen
 
     def as_record(self):
+        """Return the record that `explain` shows."""
         record = {
             "request": self.id,
             "outside": self.caller_request_id,
