--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests at runners, and what follows when one fails."""
+"""Attempts of requests at runners: placement, prefill, hand-over, decode, retries and moves."""
 
 from linkhaven.api import ServiceError
 from linkhaven.pairing import NO_BOUND_US, Decision, PrefillWork
@@ -12,17 +12,21 @@
 RUNNER_GONE_ERRORS = {"runner_leaving", "incarnation_other"}
 RUNNER_FULL_ERRORS = {"runner_full", "connections_taken"}
 DEFAULT_SWITCH_US = 1_000_000
-"""When to come back where no runner is open and the plan doesn't say how long a switch takes."""
+"""Retry time where no runner is open and the pool configures no `role_switch_us`."""
 BEYOND_TARGET = "prompt_beyond_target"
 NO_OPEN_RUNNER = "no_open_runner"
 NO_RUNNER_FAULT = RUNNER_GONE_ERRORS | RUNNER_FULL_ERRORS
-"""Errors that say nothing of how well a runner answers."""
+"""Errors that don't count as failures of the runner."""
 
 REJECTIONS = HAND_OVER_ERRORS | {"runner_full", "runner_leaving", "phase_wrong"}
+"""Errors with which a runner answered, which shows that it is alive."""
 
 
 class Attempts:
-    """Attempts of requests at runners: the read, the hand-over, the decode, and what follows when one fails."""
+    """Starts, fails, retries and moves the attempts of all requests of one router.
+
+    Owns no request; it changes the fields of `Request` that describe the current attempt.
+    """
 
     __slots__ = ("node", "placement", "runner_client", "roster", "retry_budget", "stall_detector")
 
@@ -36,7 +40,10 @@
         node.systems.append(self.tick)
 
     def begin(self, request):
-        """First attempt from the queue; answers whether it could be placed. A fault ends that one request."""
+        """Start the first attempt of a queued request; return whether it was placed.
+
+        An exception ends only that request: with an unknown outcome where it may have been sent.
+        """
         try:
             return self._begin(request)
         except Exception as fault:
@@ -44,7 +51,7 @@
             is_queued = request.state == states.QUEUED
             may_be_sent = request.has_begun or request.attempts > 0
             error = (
-                ServiceError("runner_lost", why="a fault at its start")
+                ServiceError("runner_lost", why="an exception while the attempt was started")
                 if may_be_sent
                 else ServiceError("no_runner", retry_us=self.node.bounds.retry_least_us)
             )
@@ -76,11 +83,11 @@
         return self._begin_late(request, work, ttft_us, why, now_us)
 
     def _begin_late(self, request, work, ttft_us, why, now_us):
-        """Places what no runner can answer in time, or ends it at once where it has no prospect.
+        """Place a request that no runner can answer in time, or end it if it has no prospect.
 
-        What no runner at all could answer in time waits for room like everything else, as long as
-        anything may be held here: placed at once whatever waits there, the longest prompts would
-        fill the queues and keep out what could be answered in time.
+        Such a request waits for room like all others, as long as requests may be held here. Placed
+        at once regardless of the queue at the runner, the longest prompts would fill the queues
+        and keep out requests that could still be answered in time.
         """
         is_bounded = not self._exceeds_half_deadline(request, now_us)
         room_us = (
@@ -99,13 +106,13 @@
         return self._refuse(request, decision, why, self._retry_after_us(decision, ttft_us))
 
     def _role_switch_us(self, request):
-        """How long a runner takes to play another part: sooner, none is open again."""
+        """How long a runner takes to switch roles: before that, no other runner opens."""
         configuration = self.node.snapshot.configuration
         pool = configuration.pools.get(request.pool) if configuration is not None else None
         return pool.role_switch_us or DEFAULT_SWITCH_US if pool is not None else DEFAULT_SWITCH_US
 
     def _refuse(self, request, decision, why, retry_us):
-        """The final answer, at once, with when to come back; gives False, as nothing was placed."""
+        """End the request at once with `no_runner` and a retry time; return False: not placed."""
         request.decisions.append(decision)
         self.node.invariants.check_refusal(request, decision)
         error = ServiceError(
@@ -119,37 +126,44 @@
         return False
 
     def work_of(self, request):
+        """Return what placement needs to know of the request."""
         typical = self.node.typical_tokens.get(request.kind_name, 0)
         is_long = self.is_long(request)
         return PrefillWork(request.prompt_tokens, request.parts, request.pool, typical, is_long)
 
     def is_long(self, request):
-        """Whether the answer is expected to outlast the longest pause that is in time."""
+        """Whether the answer is expected to take longer than the longest permitted gap."""
         if request.pool is None:
             return True
         pause_us = request.kind.max_gap_us or request.kind.tpot_us
         return self.placement.estimator.answer_us(request.answer_tokens) > pause_us
 
     def _target_time_used_us(self, request, now_us):
-        """Where a caller isn't held for long, the target counts from its arrival."""
+        """How much of the TTFT target is used up: counted from arrival if `hold_share` is set."""
         return now_us - request.arrived_us if self.node.bounds.hold_share is not None else 0
 
     def _retry_after_us(self, decision, ttft_us):
-        """When the soonest of the candidates should be able to meet the target again."""
+        """When the soonest candidate should meet the target again; `retry_least_us` at least."""
         return max(
             self.node.bounds.retry_least_us,
             min(candidate.total_us for candidate in decision.candidates) - ttft_us,
         )
 
     def _misses_deadline(self, request, decision, now_us):
-        """Whether the answer, or where it is enough its beginning, would come after the deadline."""
+        """Whether the deadline will pass before the whole answer comes.
+
+        With `hold_share` set, only the start of the answer has to come before the deadline.
+        """
         soonest_us = now_us + decision.winner.total_us
         if self.node.bounds.hold_share is None:
             soonest_us += self.placement.estimator.answer_us(request.answer_tokens)
         return soonest_us > request.deadline_us
 
     def _late_reason(self, request, decision, now_us):
-        """Why a request that no runner can answer in time is dealt with now; None: it waits on."""
+        """Why a request that no runner can answer in time is dealt with now; None: keep it queued.
+
+        The reason is recorded as the exception under which it is placed or refused.
+        """
         has_waited = self._exceeds_hold_time(request, now_us)
         if not decision.candidates:
             return NO_OPEN_RUNNER if has_waited else None
@@ -164,14 +178,14 @@
         return "waited_half_the_deadline" if self._exceeds_half_deadline(request, now_us) else None
 
     def _exceeds_hold_time(self, request, now_us):
-        """Whether it was held for as long as the bounds let a request be held that isn't placed."""
+        """Whether it was held for the share of its TTFT target that `hold_share` permits."""
         hold_share = self.node.bounds.hold_share
         if hold_share is None:
             return False
         return now_us - request.arrived_us >= request.kind.ttft_us * hold_share
 
     def _exceeds_half_deadline(self, request, now_us):
-        """Where callers may be held: whether half of the deadline went by in the queue."""
+        """Whether half of the deadline passed in the queue; always False with `hold_share` set."""
         if self.node.bounds.hold_share is not None:
             return False
         return now_us - request.arrived_us >= request.kind.deadline_us // 2
@@ -181,7 +195,7 @@
         self._start(request, decision.winner.runner)
 
     def _begin_decode(self, request):
-        """What goes on elsewhere, or has no prompt to read, starts at a decode runner."""
+        """Start a request at a decode runner that resumes a stream or has no prompt to read."""
         runner = self.placement.choose_decode(without=request.failed, pool=request.pool)
         if runner is not None:
             self._start(request, runner)
@@ -265,6 +279,7 @@
         )
 
     def leave_runner(self, request):
+        """Cancel the current attempt: release its load, its call and its KV cache handle."""
         if request.runner is not None and request.attempt is not None:
             for runner in [request.runner, *([request.handle[1]] if request.handle else [])]:
                 self.placement.end_prefill(runner, request.attempt)
@@ -277,10 +292,11 @@
         request.handle = None
 
     def fail(self, request, runner, error, has_begun):
-        """An attempt is over without an answer: ends the request, or tries it again.
+        """Handle an attempt that ended without an answer: retry the request, or end it.
 
-        `has_begun` says whether bytes of it may have reached the runner. Work that may run once only
-        and may have begun is never sent again. Test: `forget_what_was_begun` in the model test.
+        `has_begun`: whether bytes of it may have reached the runner. A request that isn't
+        idempotent and may have begun is never sent again.
+        Test: `forget_what_was_begun` in the model test.
         """
         if error.code in HAND_OVER_ERRORS and request.handle:
             self.placement.backoff.eject(request.handle[1])
@@ -307,7 +323,7 @@
         )
 
     def _update_runner_state(self, runner, error, has_begun):
-        """What the failure says of the runner, for all later choices."""
+        """Update what is known of the runner by this failure, for later placements."""
         code = error.code
         if runner.is_plain() and code not in NO_RUNNER_FAULT:
             self.placement.plain.note_failed(runner)
@@ -325,12 +341,12 @@
             self.node.snapshot.observe_version(error.detail.get("mark", 0))
 
     def note_unanswered(self, request):
-        """The deadline passed while a runner owed an answer."""
+        """Note that the deadline passed while the request waited for its runner's answer."""
         if request.state == states.DECODING and request.runner.is_plain():
             self.placement.plain.note_failed(request.runner)
 
     def _restore_has_begun(self, request):
-        """This attempt did not run; whether an earlier one may have is kept."""
+        """Reset `has_begun` to its value before this attempt, which did not run."""
         had_read = any(step["step"] == "hand-over" for step in request.steps)
         if not request.written and not (had_read and self.runner_client.prefill_counts_as_begun):
             request.has_begun = request.had_begun_before
@@ -386,14 +402,17 @@
         self._place(request, decision)
 
     def _has_time_for(self, request, wait_us):
-        """Whether an attempt that is answered after so long still comes before the deadline."""
+        """Whether an answer after `wait_us` would still come before the deadline."""
         return self.node.now_us() + wait_us < request.deadline_us
 
     def _log_retry(self, request, error):
         self.node.ports.log(2104, request=request.id, why=error.code, shot=request.attempts + 1)
 
     def retry_after_failure(self, request, runner, status):
-        """The runner answered that it failed; answers whether another attempt was begun."""
+        """Fail the attempt after a server error if another runner could take over; return whether.
+
+        `status`: the HTTP status with which the runner answered.
+        """
         others = [
             other for other in self.placement.open_runners(request.pool) if other is not runner
         ]
@@ -424,6 +443,10 @@
         return ServiceError("extra_spent", retry_us=1_000_000, after=error.code)
 
     def move(self, request, target, why):
+        """Move a running stream to another runner, paid from the retry budget; return whether.
+
+        `why`: "shed" where its runner gives up load, which is kept for a later move back.
+        """
         if not self.node.may_start() or not self.retry_budget.spend(
             "move", self.retry_budget.reserve_for_retries(), pool=request.pool
         ):
@@ -442,7 +465,7 @@
         return True
 
     def tick(self, now_us):
-        """Goes on with what was parked, and gives up what will hear nothing more."""
+        """Resume parked requests where work may start, and fail attempts that make no progress."""
         self.stall_detector.check_runners(now_us)
         for request in self.node.requests.rows():
             if request.parked and self.node.may_start():
@@ -453,7 +476,7 @@
                 self.fail(request, request.runner, ServiceError("runner_lost", why=why), True)
 
     def may_fail_over(self, request):
-        """Whether another attempt is allowed, paid for, and has a runner to go to."""
+        """Whether another attempt is safe, within the retry budget, and has a runner to go to."""
         if not self.is_safe_to_retry(request):
             return False
         cost = 2 if self.needs_second_prefill(request) else 1
@@ -470,13 +493,13 @@
         return any(other.phase != PREFILL for other in others)
 
     def is_safe_to_retry(self, request):
-        """Whether another attempt could neither run one-time work twice nor break a stream."""
+        """Whether a retry can neither execute a non-idempotent request twice nor break a stream."""
         if request.written and not request.is_resumable:
             return False
         return not (request.is_one_time and request.has_begun)
 
     def needs_second_prefill(self, request):
-        """Whether a further attempt would read the prompt a second time, which counts as a send."""
+        """Whether a retry has to prefill the prompt again, which counts as a further send."""
         return bool(
             request.prompt_tokens
             and not request.written
--- a/packages/router/src/linkhaven/router/silence.py
+++ b/packages/router/src/linkhaven/router/silence.py
@@ -1,15 +1,21 @@
-"""Runners that owe bytes and send none: when they are avoided, and when an attempt is given up."""
+"""Detects runners and attempts that make no progress: when to avoid or to abandon them."""
 
 from . import request as states
 
 NO_PROGRESS_US = 4_000_000
+"""An attempt without progress for longer than this and its expected time counts as stalled."""
+
 UNRESPONSIVE_NO_PROGRESS_US = 1_000_000
+"""The same for a runner that is already considered unresponsive."""
+
 SILENCE_US = 600_000
+"""A runner that sends nothing for longer than this and its expected queue time is silent."""
+
 CHECK_INTERVAL_US = 50_000
 
 
 class StallDetector:
-    """Judges silences by what is owed; it ends nothing itself."""
+    """Compares how long requests wait for bytes with what is expected; ends nothing itself."""
 
     __slots__ = ("attempts", "checked_us")
 
@@ -18,7 +24,7 @@
         self.checked_us = 0
 
     def check_runners(self, now_us):
-        """Notes runners that owe bytes for longer than what waits there should take."""
+        """Report runners to the roster that are silent for longer than their queue explains."""
         if now_us - self.checked_us < CHECK_INTERVAL_US:
             return
         self.checked_us = now_us
@@ -28,20 +34,23 @@
                 self.attempts.roster.note_silent(runner)
 
     def abandon_reason(self, request, now_us):
-        """Why the request's attempt is over, None while it is waited for; the roster hears of it."""
+        """Return why the current attempt has to be abandoned, or None.
+
+        Reports the runner of a stalled attempt to the roster as unresponsive.
+        """
         if self._should_fail_over(request, now_us):
-            return "its runner is dark"
+            return "its runner is unresponsive"
         if request.state == states.DECODING and self._is_decode_stalled(request, now_us):
             self.attempts.roster.note_unresponsive(request.runner)
             return "no progress"
         is_reading = request.state == states.READING and not request.parked
         if is_reading and self._is_prefill_stalled(request, now_us):
             self.attempts.roster.note_unresponsive(request.runner)
-            return "no answer to the read"
+            return "no answer to the prefill"
         return None
 
     def _waiting_since_us(self, now_us):
-        """Since when each runner owes bytes."""
+        """Return since when the oldest request at each runner waits for bytes."""
         owing = {}
         for request in self.attempts.node.requests.rows():
             if is_runner_due(request):
@@ -53,7 +62,7 @@
         return self.attempts.placement.load.prefill_wait_us(runner)
 
     def _should_fail_over(self, request, now_us):
-        """Its runner is dark and sent nothing for a moment, and it can go on elsewhere."""
+        """Whether its runner is unresponsive and silent, and another runner can take over."""
         runner = request.runner
         if runner is None or not runner.is_unresponsive or not is_runner_due(request):
             return False
@@ -78,12 +87,15 @@
 
 
 def is_runner_due(request):
-    """Whether bytes of its runner are due."""
+    """Whether the request waits for bytes of its runner."""
     is_sent = request.state in (states.READING, states.DECODING)
     return is_sent and not request.parked and not request.is_held
 
 
 def is_runner_suspect(runner, now_us):
-    """Whether nothing but this request's own silence is needed to doubt the runner."""
+    """Whether a stalled request is enough to treat the runner as unresponsive.
+
+    That is so where it already counts as such, or hasn't reported within `NO_PROGRESS_US`.
+    """
     is_reporting = runner.reported_us is not None and now_us - runner.reported_us < NO_PROGRESS_US
     return runner.is_unresponsive or not is_reporting
