--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -1,3 +1,5 @@
+"""The chain of filters that each request passes before it is queued."""
+
 from linkhaven.api import ServiceError
 
 from . import request as states
@@ -6,8 +8,11 @@
 
 
 class FilterChain:
-    """The filters a request goes through. Each may pass it on, hold it and pass it on later, or
-    answer it by raising a ServiceError."""
+    """Calls the filters in order. Each passes a request on, holds it, or raises a `ServiceError`.
+
+    A held request continues with the next filter once `run` is called again. An error is handed to
+    `answer` and ends the chain.
+    """
 
     __slots__ = ("filters", "answer")
 
@@ -16,12 +21,13 @@
         self.answer = answer
 
     def rerun_from(self, request, name):
-        """Send a request through the chain anew, from the filter of this name on."""
+        """Send a request through the chain again, beginning with the filter `name`."""
         names = [filter_function.__name__ for filter_function in self.filters]
         request.next_filter = names.index(name)
         self.run(request)
 
     def run(self, request):
+        """Continue with the request's next filter until one holds it or fails."""
         while request.next_filter < len(self.filters):
             filter_function = self.filters[request.next_filter]
             request.next_filter += 1
@@ -33,12 +39,15 @@
 
 
 class Filters:
+    """The filters of a router; each returns PASS or HOLD, or raises `ServiceError`."""
+
     __slots__ = ("node",)
 
     def __init__(self, node):
         self.node = node
 
     def build_chain(self, answer):
+        """Return the chain of all filters; `answer` is called with a request and its error."""
         return FilterChain(
             [
                 self.check_capacity,
@@ -56,6 +65,7 @@
         )
 
     def check_capacity(self, request):
+        """Refuse requests while this router stops, or has too many already."""
         if self.node.is_draining and not self.node.is_lingering():
             raise ServiceError("draining", retry_us=self.node.drain_retry_us())
         if len(self.node.requests) > self.node.max_requests:
@@ -63,14 +73,17 @@
         return PASS
 
     def parse(self, request):
+        """Read the fields of the request from its call."""
         self.node.callers.read(request)
         return PASS
 
     def check_freshness(self, request):
+        """Refuse requests while configuration or runner list are too old to start work."""
         self.node.check_fresh()
         return PASS
 
     def resolve_kind(self, request):
+        """Find the request kind, by host and path where the request doesn't name one."""
         configuration = self.node.snapshot.configuration
         if request.kind_name is None:
             request.kind_name = self.node.route_table.find(request.host, request.path)
@@ -81,7 +94,7 @@
         return PASS
 
     def _unknown_kind(self, request):
-        """A kind that may have been added by a version that hasn't come yet isn't denied.
+        """Return the error for an unknown kind; not final where a newer version may have added it.
 
         Test: `test_a_route_that_was_added_lately_isnt_denied_by_a_router_that_is_cut_off`.
         """
@@ -91,11 +104,15 @@
         return ServiceError("plan_stale", retry_us=retry_us, mark=self.node.snapshot.version)
 
     def authenticate(self, request):
-        """What is turned away here belongs to no group yet, and earns no extra tries."""
+        """Find the tenant by the API key.
+
+        A request that is refused here belongs to no group yet and adds nothing to the retry budget.
+        """
         request.tenant = self.node.authenticator.authenticate(request.kind, request.key_digest)
         return PASS
 
     def admit(self, request):
+        """Assign group, pool and deadline, and check the sizes of prompt and answer."""
         kind = request.kind
         request.group = kind.group
         request.pool = self.node.choose_pool(kind)
@@ -121,6 +138,7 @@
         return PASS
 
     def resume(self, request):
+        """Read after which piece the client resumes a stream, if it does."""
         position = self.node.callers.resume_place(request)
         if position is None:
             return PASS
@@ -131,13 +149,14 @@
         return PASS
 
     def quota(self, request):
-        """A request of a limited tenant needs a token, once for all its attempts."""
+        """Take one quota token for a request of a limited tenant; it covers all attempts."""
         if self.node.tenant_quotas.admit(request):
             return PASS
         request.state = states.AWAITING_QUOTA
         return HOLD
 
     def claim(self, request):
+        """Claim the idempotency key of a request that must run at most once."""
         if request.kind.requires_key and not request.key:
             raise ServiceError("key_missing", kind=request.kind_name)
         if not request.is_one_time or not request.key:
@@ -146,6 +165,7 @@
         return HOLD
 
     def enqueue(self, request):
+        """Queue the request by its rank; `Attempts` takes it from there."""
         configuration = self.node.snapshot.configuration
         request.rank = configuration.rank_of(request.kind, request.tenant)
         self.node.enqueue(request)
--- a/packages/router/src/linkhaven/router/doors.py
+++ b/packages/router/src/linkhaven/router/doors.py
@@ -1,8 +1,10 @@
+"""Finds the request kind of a call by the host and the path of its URL."""
+
 from linkhaven.configuration import Configuration
 
 
 class RouteTable:
-    """Kinds by host and path: of the routes of a host, the longest prefix that begins the path wins."""
+    """Request kinds by host and path prefix; the longest matching prefix of a host wins."""
 
     __slots__ = ("hosts",)
 
@@ -10,6 +12,7 @@
         self.hosts = {}
 
     def apply_configuration(self, configuration: Configuration) -> None:
+        """Index the routes of a new configuration."""
         self.hosts = {}
         for name, kind in configuration.kinds.items():
             route = kind.route
@@ -19,6 +22,7 @@
             routes.sort(key=lambda route_entry: -len(route_entry[0]))
 
     def find(self, host, path):
+        """Return the name of the request kind, or None; the host's case and the query don't count."""
         path_only = path.partition("?")[0]
         for prefix, name in self.hosts.get((host or "").lower(), ()):
             if path_only.startswith(prefix):
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -1,3 +1,5 @@
+"""Idempotency keys: a request that must run once only claims its key at a majority first."""
+
 import hashlib
 from collections import OrderedDict
 from collections.abc import Callable
@@ -9,15 +11,19 @@
 from . import request as states
 
 PAGE_KEYS = 500
+"""Claimed keys that are sent to a replica in one message."""
+
 SWEEP_INTERVAL_US = 5_000_000
+"""Interval between two searches for expired keys."""
+
 MAX_HANDOVERS = 5
-"""So many replicas may read the won keys at once; the listing of the oldest is dropped."""
+"""Replicas that may read the claimed keys at a time; the list of the oldest is dropped."""
 
 
 def claim_key_of(request) -> str:
-    """Return the register's key for the idempotency key of a request.
+    """Return the key under which a request's idempotency key is claimed at the replicas.
 
-    Each tenant has idempotency keys of its own: none learns of another's, or takes one from it.
+    Each tenant has its own set of keys: it can neither learn of another tenant's nor use it up.
     """
     owned = request.key if request.tenant is None else f"{request.tenant}\0{request.key}"
     digest = hashlib.blake2b(owned.encode(), digest_size=20).hexdigest()
@@ -25,13 +31,17 @@
 
 
 class IdempotencyKeys:
-    """Keys of one-time requests: each is won at a majority of the core before its request goes on, and kept here for
-    the whole retention, so that a core that lost everything can be told. Full means that new ones are refused."""
+    """Claims the idempotency keys of requests that must not run twice.
+
+    A key is claimed at a majority of the replicas before its request goes on. The router keeps its
+    claimed keys for the whole retention time, so that replicas that lost their data can restore
+    them. At `max_claims` further requests are refused with `claim_unavailable`.
+    """
 
     __slots__ = ("node", "proposer", "failed_routers", "won", "handovers", "swept_us", "settings")
 
     def __init__(self, node, proposer, failed_routers: Callable[[], list[tuple[str, str]]]):
-        """`failed_routers`: name and address of the routers that are held for failed."""
+        """`failed_routers` returns name and address of the routers that are considered failed."""
         self.node = node
         self.proposer = proposer
         self.failed_routers = failed_routers
@@ -43,15 +53,21 @@
         node.systems.append(self.sweep)
 
     def apply_configuration(self, configuration: Configuration) -> None:
+        """Follow the retention and the maximum of a new configuration."""
         self.settings = configuration.claims
 
     def claim(self, request, go_on):
+        """Claim the request's key, then call `go_on` with it; end it with an error otherwise.
+
+        A further call for a request whose tenant changed claims the new tenant's key and releases
+        the former one. Raises `ServiceError` where this router holds `max_claims` keys.
+        """
         request.state = states.CLAIMING
         if len(self.won) >= self.settings.max_claims:
             raise ServiceError(
                 "claim_unavailable",
                 retry_us=self._retry_after_us(),
-                why="this router keeps as many keys as the plan allows",
+                why="this router holds as many keys as the configuration permits",
             )
 
         def step(value):
@@ -78,13 +94,13 @@
 
         former_key, claim_key = request.claim_key, claim_key_of(request)
         if former_key not in (None, claim_key):
-            # Its API key moved to another tenant while it waited: it needs a claim of that one.
+            # The API key was assigned to another tenant: a key of that tenant must be claimed.
             self._give_back(former_key, request.id)
         request.claim_key = claim_key
         self.proposer.propose(claim_key, step, done)
 
     def give_back(self, request):
-        """A refused request never ran and never will: its key may be used again."""
+        """Release the key of a refused request, which never ran, so that it can be used again."""
         self._give_back(request.claim_key, request.id)
 
     def _give_back(self, claim_key, request_id):
@@ -99,10 +115,12 @@
         self.proposer.propose(claim_key, step, lambda outcome, value: None)
 
     def _retry_after_us(self):
+        """When the oldest key expires, at least a second from now."""
         oldest_us = next(iter(self.won.values()))[1] if self.won else self.node.now_us()
         return max(1_000_000, oldest_us + self.settings.retention_us - self.node.now_us())
 
     def sweep(self, now_us):
+        """Forget keys that are older than the retention time."""
         if self.settings is None or now_us - self.swept_us < SWEEP_INTERVAL_US:
             return
         self.swept_us = now_us
@@ -110,11 +128,11 @@
             self.won.popitem(last=False)
 
     def on_claims_request(self, message):
-        """A replica that began empty asks for what was won before, a page at a time.
+        """Send a page of the claimed keys to a replica that started without data.
 
-        The pages are cut from one listing, since keys may expire between two of them. Routers that
-        are held for failed are named: they may only be cut off, and the replica, which has just
-        begun, hears of them from nobody else.
+        All pages come from one list, since keys may expire between two requests. The answer names
+        routers that are considered failed: they may only be partitioned, and a replica that has
+        just started learns of them from no other source.
         """
         start, place = message["start"], message["place"]
         if place < 0:
