--- a/packages/router/src/linkhaven/router/authentication.py
+++ b/packages/router/src/linkhaven/router/authentication.py
@@ -1,20 +1,19 @@
-"""Whose a request is: its API key, by digest, against the tenants of the configuration.
+"""Finds the tenant of a request by the digest of its API key.
 
-| the configuration | the request kind | the key | then |
+| configuration | request kind | API key | result |
 | --- | --- | --- | --- |
 | has no tenants | any | any or none | no tenant |
 | has tenants | any | known | its tenant |
 | has tenants | public | unknown or none | no tenant |
-| has tenants, and was confirmed lately | not public | none | `api_key_missing` |
-| has tenants, and was confirmed lately | not public | unknown | `api_key_unknown` |
-| has tenants, and may be too old | not public | unknown or none | `api_key_unconfirmed` |
-| has tenants, and is older than `revoke_us` | not public | known | `plan_stale` |
-
-By a version that hasn't come yet, a key that is unknown here may have been added, the kind may have
-become public, and a key that is known may have been taken away. A router that can't rule the first
-two out refuses with a code that lets the caller try another router (`test_a_key_that_was_added_
-lately_isnt_denied_by_a_router_that_is_cut_off`); the third it rules out only where the deployment
-bounds it (`Bounds.revoke_us`).
+| has tenants, recently confirmed | not public | none | `api_key_missing` |
+| has tenants, recently confirmed | not public | unknown | `api_key_unknown` |
+| has tenants, may be outdated | not public | unknown or none | `api_key_unconfirmed` |
+| has tenants, older than `revoke_us` | not public | known | `plan_stale` |
+
+A newer version that hasn't arrived may have added a key that is unknown here, made the request kind
+public, or revoked a key that is known here. A router that can't rule out the first two refuses with
+a code that lets the client try another router (`test_a_key_that_was_added_lately_isnt_denied_by_a_
+router_that_is_cut_off`). The third is bounded only where the deployment sets `Bounds.revoke_us`.
 """
 
 from typing import Protocol
@@ -25,22 +24,22 @@
 
 
 class ConfigurationAge(Protocol):
-    """How old the configuration in force here may be; see `ConfigurationWatcher`."""
+    """How recently the configuration was confirmed; implemented by `ConfigurationWatcher`."""
 
     def is_confirmed_within(self, age_us: int) -> bool:
-        """Whether a majority has confirmed it as of at most `age_us` ago."""
+        """Whether a majority confirmed it as of at most `age_us` ago."""
 
     def is_newest_within(self, age_us: int) -> bool:
-        """Whether it was confirmed so, and nothing newer was heard of."""
+        """The same, and no newer version is known of."""
 
 
 class Authenticator:
-    """Owns the index of the tenants by the digests of their keys; it holds no key itself."""
+    """Owns the index of tenants by key digest; it holds no API key itself."""
 
     __slots__ = ("age", "bounds", "tenants_by_digest")
 
     def __init__(self, age: ConfigurationAge, bounds: Bounds) -> None:
-        """Know no tenants yet."""
+        """Start without tenants."""
         self.age = age
         self.bounds = bounds
         self.tenants_by_digest: dict[str, str] | None = None
@@ -57,9 +56,9 @@
         }
 
     def authenticate(self, kind: RequestKind, key_digest: str | None) -> str | None:
-        """Return the name of the tenant whose request this is, or None where it is nobody's.
+        """Return the name of the tenant of a request, or None where it has none.
 
-        Raises `ServiceError` where the request needs the key of a tenant and has none.
+        Raises `ServiceError` where the request needs a tenant's key and doesn't have one.
         """
         if self.tenants_by_digest is None:
             return None
@@ -73,7 +72,7 @@
         return tenant
 
     def _denial(self, key_digest: str | None) -> ServiceError:
-        """What a request without the key of a tenant gets; not final where it may be let in."""
+        """Return the error without a known key; not final where the configuration may be outdated."""
         if not self.age.is_newest_within(self.bounds.deny_within_us):
             return ServiceError("api_key_unconfirmed", retry_us=self.bounds.retry_least_us)
         if key_digest is None:
@@ -81,6 +80,6 @@
         return ServiceError("api_key_unknown")
 
     def _may_have_been_revoked(self) -> bool:
-        """Whether a key that is known here may have been taken away longer ago than allowed."""
+        """Whether a known key may have been revoked longer ago than the deployment permits."""
         revoke_us = self.bounds.revoke_us
         return revoke_us is not None and not self.age.is_confirmed_within(revoke_us)
--- a/packages/router/src/linkhaven/router/explain.py
+++ b/packages/router/src/linkhaven/router/explain.py
@@ -1,3 +1,5 @@
+"""Records of recent requests, which explain how each was placed."""
+
 from collections import deque
 
 from cachetools import FIFOCache
@@ -7,15 +9,27 @@
 from .messages import Explanation, WantExplanation
 
 MAX_RECORDS = 2_000
+"""Ended requests that are kept, the newest ones."""
+
 MAX_EVENTS = 500
+"""Log events that are kept, the newest ones."""
+
 RECORDED_EVENTS = {1101, 1102, 1601, 1602, 1603, 2001, 2002, 2003, 2105}
+"""Numbers of the log events that are shown beside a request; see `linkhaven.api.events`."""
+
 EVENTS_BEFORE_US, EVENTS_AFTER_US = 5_000_000, 1_000_000
+"""How far before its arrival and after its last step events count as near a request."""
+
 PEER_TIMEOUT_US = 2_000_000
+"""How long a call waits for the record of another router."""
 
 
 class Explainer:
-    """Bounded records of ended requests and of what happened in the fleet around them, as this router saw it; a
-    request of another router is asked there."""
+    """Keeps a bounded number of ended requests and of log events of this router.
+
+    Wraps the node's log to record events. Requests of another router are looked up there by a
+    `WantExplanation` message; the router's name is part of the request's id.
+    """
 
     __slots__ = ("node", "membership", "requests", "ended", "events", "pending_calls")
 
@@ -39,6 +53,7 @@
         node.systems.append(self.tick)
 
     def store(self, request):
+        """Keep a request that has ended."""
         self.ended[request.id] = request
 
     def _record(self, id):
@@ -59,6 +74,10 @@
         return {**request.as_record(), "router": self.node.name, "around": nearby_events}
 
     def serve(self, call, id):
+        """Answer a call with the record of request `id`, or ask the router that served it.
+
+        Raises `ServiceError` where the request is unknown and its router isn't up.
+        """
         record = self._record(id)
         if record is not None:
             return call.answer_json(200, record)
@@ -87,5 +106,6 @@
                 call.answer_json(200, record)
 
     def tick(self, now_us):
+        """Answer calls whose router did not reply in time."""
         for id in [id for id, calls in self.pending_calls.items() if now_us >= calls[0][1]]:
             self._answer(id, None)
--- a/packages/router/src/linkhaven/router/invariants.py
+++ b/packages/router/src/linkhaven/router/invariants.py
@@ -1,10 +1,10 @@
-"""What must hold of placement at every router, checked in the running code and counted.
+"""Invariants of placement at every router, checked in the running code and counted.
 
-| name | what must hold | what breaks without it |
+| name | invariant | incident or symptom without it |
 | --- | --- | --- |
-| `refused_beside_idle_runners` | nothing is refused for want of a runner while all are idle | RECOVER |
-| `late_work_beyond_room` | what is late anyway joins no queue that others need to be short | RECOVER |
-| `held_too_long` | where callers are refused early, none is held long past that | answers at the end |
+| `refused_beside_idle_runners` | no request is refused for lack of a runner while all are idle | RECOVER |
+| `late_work_beyond_room` | late requests join no queue beyond the limit of their group | RECOVER |
+| `held_too_long` | with `hold_share` set, no request is held much longer | refusals near the deadline |
 """
 
 from collections import Counter
@@ -12,26 +12,26 @@
 from linkhaven.runner.roster import DECODE
 
 LOG_INTERVAL_US = 2_000_000
-"""How often a broken invariant is logged, at most; each violation is counted."""
+"""Least interval between two log events of the same invariant; each violation is counted."""
 
 HELD_MARGIN_US = 500_000
-"""What a busy loop may add to the time for which a request is held."""
+"""Tolerance for delays of a busy event loop, added to the time a request may be held."""
 
 
 class PlacementInvariants:
-    """Counts violations by name, and logs event 1902 for the first of each in a while."""
+    """Counts violations by name; logs event 1902, at most once in `LOG_INTERVAL_US` for each."""
 
     __slots__ = ("node", "placement", "violations", "logged_us")
 
     def __init__(self, node, placement):
-        """Nothing was violated yet."""
+        """Start with no violations."""
         self.node = node
         self.placement = placement
         self.violations = Counter()
         self.logged_us = {}
 
     def check_refusal(self, request, decision):
-        """A request is about to be refused for want of a runner."""
+        """Check a request that is about to be refused for lack of a runner."""
         runners = self.placement.open_runners(request.pool)
         can_serve = [runner for runner in runners if self._can_decode(runner, request)]
         soonest_us = min((each.total_us for each in decision.candidates), default=None)
@@ -48,7 +48,7 @@
         self.check_hold(request)
 
     def check_placement(self, request, decision, room_us):
-        """A request that no runner could answer in time is about to be placed."""
+        """Check a request that is about to be placed though no runner can answer it in time."""
         winner = decision.winner
         if decision.exception is not None and not winner.has_room:
             self._record_violation(
@@ -59,7 +59,7 @@
             )
 
     def check_hold(self, request):
-        """A request ends that was not placed."""
+        """Check a request that ends without having been placed."""
         hold_share = self.node.bounds.hold_share
         if hold_share is None or not request.kind:
             return
--- a/packages/router/src/linkhaven/router/messages.py
+++ b/packages/router/src/linkhaven/router/messages.py
@@ -1,4 +1,4 @@
-"""What routers ask each other about requests."""
+"""Messages between routers about the records of requests."""
 
 from typing import Any
 
@@ -16,4 +16,4 @@
 
     request: str
     record: dict[str, Any] | None
-    """As `explain` shows it, or None where it isn't known any more."""
+    """As `explain` shows it, or None where the router no longer keeps it."""
--- a/packages/router/src/linkhaven/router/program.py
+++ b/packages/router/src/linkhaven/router/program.py
@@ -1,3 +1,5 @@
+"""The command line program `linkhaven-router`."""
+
 from cleo.helpers import argument, option
 
 from linkhaven.traces import TraceWriter
@@ -12,7 +14,7 @@
 
 
 def router_builder(settings):
-    """What makes the node of a router's checked settings, from ports and an incarnation."""
+    """Return a function that builds the node from ports and an incarnation, by checked settings."""
 
     def build(ports, incarnation):
         return RouterNode(
@@ -29,6 +31,8 @@
 
 
 class ServeCommand(CodedCommand):
+    """Runs the router."""
+
     name = "serve"
     description = "Run this router until SIGTERM, then drain."
     options = SETTINGS_OPTIONS
@@ -51,6 +55,8 @@
 
 
 class CheckCommand(CodedCommand):
+    """Checks the settings."""
+
     name = "check"
     description = "Check the settings without starting."
     options = SETTINGS_OPTIONS
@@ -60,6 +66,8 @@
 
 
 class ExplainCommand(CodedCommand):
+    """Shows the record of a request."""
+
     name = "explain"
     description = "Show how a recent request was placed: candidates, Q, E, T, choice, exceptions."
     arguments = [argument("request", "the request's id, as in the answer's request-id header")]
@@ -72,6 +80,8 @@
 
 
 class StandingCommand(CodedCommand):
+    """Shows the state of a router."""
+
     name = "standing"
     description = "Show what a router knows of itself, its fellows, the runners and its groups."
     options = [ROUTER_OPTION]
@@ -81,6 +91,7 @@
 
 
 def main():
+    """Run the program."""
     run_application(
         "linkhaven-router", [ServeCommand(), CheckCommand(), ExplainCommand(), StandingCommand()]
     )
--- a/packages/router/src/linkhaven/router/quota_directory.py
+++ b/packages/router/src/linkhaven/router/quota_directory.py
@@ -1,4 +1,4 @@
-"""Where a router finds the controllers that grant tokens of tenants, and routers that reach them."""
+"""Addresses of the controllers that grant quota tokens, and of routers that can relay to them."""
 
 from collections.abc import Sequence
 
@@ -12,7 +12,7 @@
     __slots__ = ("membership", "addresses", "order", "relays", "revision")
 
     def __init__(self, membership: Membership) -> None:
-        """Nothing was read yet."""
+        """Read the membership at the first query."""
         self.membership = membership
         self.addresses: dict[str, str] = {}
         self.order: dict[int, str] = {}
@@ -20,7 +20,7 @@
         self.revision: int | None = None
 
     def controller_addresses(self) -> Sequence[str]:
-        """The addresses of the replicas that are up, of all where none seems to be."""
+        """The addresses of the live replicas, or of all where none seems to be up."""
         self._refresh()
         return list(self.addresses.values())
 
@@ -33,7 +33,7 @@
         return self.order.get(shard)
 
     def relay_addresses(self) -> Sequence[str]:
-        """The other live routers, those of this one's zone first, for each in an order of its own."""
+        """The other live routers, this router's zone first; the order differs between routers."""
         self._refresh()
         return self.relays
 
--- a/packages/router/src/linkhaven/router/readmission.py
+++ b/packages/router/src/linkhaven/router/readmission.py
@@ -1,15 +1,15 @@
-"""What becomes of requests that wait here when a new configuration comes.
+"""Applies a new configuration to the requests that wait at a router.
 
-| a request that waits | then |
+| change to a waiting request | effect |
 | --- | --- |
-| its kind is gone | `unknown_kind` |
-| its key was taken away | as any request with that key: see `authentication.py` |
-| its key is another tenant's now | goes through the chain again from the quota on, as that tenant's |
+| its kind was removed | `unknown_kind` |
+| its API key was revoked | as for any request with that key: see `authentication.py` |
+| its API key belongs to another tenant | passes the chain again from the quota filter on |
 | its kind is in another group | joins the queue of that group |
-| else | waits on |
+| none of these | waits as before |
 
-What was sent before keeps the kind and the tenant that it was let in under. All requests that wait
-are judged before the first is acted on, since each that ends lets others be sent.
+Requests that were sent to a runner keep the kind and the tenant under which they were admitted. All
+waiting requests are judged before the first is changed, since each that ends lets others be sent.
 """
 
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class Verdict:
-    """What a new configuration says of one request: an error, or its kind and its tenant."""
+    """The effect of a new configuration on one request: an error, or its kind and tenant."""
 
     __slots__ = ("request", "error", "kind", "tenant")
 
@@ -44,25 +44,25 @@
         return request.state == states.QUEUED and kind is not None and kind.group != request.group
 
     def is_unchanged(self) -> bool:
-        """Whether the request waits on just as before."""
+        """Whether the request waits as before."""
         is_same_tenant = self.tenant == self.request.tenant
         return self.error is None and is_same_tenant and not self.changes_group()
 
 
 class Readmission:
-    """Judges what waits at a router by a new configuration, and acts on it in a second step.
+    """Judges waiting requests by a new configuration, and applies the verdicts in a second step.
 
-    Between the two the queues and the quotas follow the configuration. Owns nothing.
+    Between the two steps the queues and quotas take the new configuration. Owns no state.
     """
 
     __slots__ = ("node",)
 
     def __init__(self, node: Any) -> None:
-        """Judge the requests of this router."""
+        """Work on the requests of this router."""
         self.node = node
 
     def withdraw_changed(self, configuration: Configuration) -> list[Verdict]:
-        """Take all requests that can't wait on out of their queues; return what becomes of each."""
+        """Remove all changed requests from their queues; return a verdict for each."""
         waiting = [
             request
             for request in self.node.requests.rows()
@@ -87,7 +87,7 @@
         return Verdict(request, None, kind, tenant)
 
     def apply(self, verdicts: list[Verdict]) -> None:
-        """End what was withdrawn, or let it wait again."""
+        """End the withdrawn requests, or let them wait again."""
         for verdict in verdicts:
             request = verdict.request
             if request.state == states.ENDED:
@@ -105,7 +105,7 @@
         request.admitted_version = self.node.snapshot.version
 
     def _change_tenant(self, request: Any, verdict: Verdict) -> None:
-        """Its token was the former tenant's, so it needs another one."""
+        """Return the quota token to the former tenant; the request needs one of the new tenant."""
         self.node.tenant_quotas.give_back(request)
         self._follow_kind(request, verdict.kind)
         request.tenant = verdict.tenant
--- a/packages/router/src/linkhaven/router/refusals.py
+++ b/packages/router/src/linkhaven/router/refusals.py
@@ -1,26 +1,26 @@
-"""Tells in the log what was refused for want of a runner, and how the runners stood then."""
+"""Logs refusals for lack of runner capacity, with the load of the runners at that time."""
 
 from collections import Counter
 
 REPORT_INTERVAL_US = 2_000_000
-"""How often a router that refuses tells of it, at most."""
+"""Least interval between two reports."""
 
 CAPACITY_ERRORS = frozenset(("no_runner", "queue_full"))
-"""Refusals that speak of the runners, not of the caller or of its group's credit."""
+"""Refusals because of the runners, not of the client or its group's credit."""
 
 
 class RefusalReport:
-    """Counts refusals by cause and logs them, with each open runner as this router sees it.
+    """Counts refusals by cause and logs the counts, with this router's view of each open runner.
 
-    A single refusal says what it waited for, but not what stood in the queue. Two seconds of
-    refusals and one look at the runners tell a lack of runners from a queue that one kind of
-    request filled. A router that refuses nothing for want of a runner logs nothing.
+    A single refusal shows what it waited for, but not what filled the queue. Two seconds of
+    refusals together with the load of the runners tell a lack of runners from a queue that one
+    request kind filled. Nothing is logged without such refusals.
     """
 
     __slots__ = ("node", "roster", "placement", "causes", "logged_us")
 
     def __init__(self, node, roster, placement):
-        """Nothing is counted yet."""
+        """Start with no refusals counted."""
         self.node = node
         self.roster = roster
         self.placement = placement
@@ -29,12 +29,12 @@
         node.systems.append(self.tick)
 
     def note(self, error):
-        """Count a refusal, if it was for want of a runner."""
+        """Count a refusal if it was for lack of runner capacity."""
         if error.code in CAPACITY_ERRORS:
             self.causes[error.detail.get("why") or error.code] += 1
 
     def tick(self, now_us):
-        """Log what was counted, at most once in `REPORT_INTERVAL_US`."""
+        """Log the counts, at most once in `REPORT_INTERVAL_US`."""
         if not self.causes or now_us - self.logged_us < REPORT_INTERVAL_US:
             return
         self.logged_us = now_us
@@ -43,7 +43,7 @@
         self.node.ports.log(2107, causes=causes, runners=runners)
 
     def _runner_row(self, runner):
-        """Name, phase, prompts waiting, prompt tokens to read, streams, share of its memory."""
+        """Name, phase, waiting prompts, their tokens, queued tokens, streams, KV cache share."""
         waiting, tokens, _, streams = self.placement.load.work_at(runner).total()
         return [
             runner.name,
