--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -38,14 +38,22 @@
     them. At `max_claims` further requests are refused with `claim_unavailable`.
     """
 
-    __slots__ = ("node", "proposer", "failed_routers", "won", "handovers", "swept_us", "settings")
+    __slots__ = (
+        "node",
+        "proposer",
+        "failed_routers",
+        "claimed",
+        "handovers",
+        "swept_us",
+        "settings",
+    )
 
     def __init__(self, node, proposer, failed_routers: Callable[[], list[tuple[str, str]]]):
         """`failed_routers` returns name and address of the routers that are considered failed."""
         self.node = node
         self.proposer = proposer
         self.failed_routers = failed_routers
-        self.won = OrderedDict()
+        self.claimed = OrderedDict()
         self.handovers: OrderedDict[str, list[list[str]]] = OrderedDict()
         self.swept_us = node.now_us()
         self.settings: ClaimSettings | None = None
@@ -63,7 +71,7 @@
         the former one. Raises `ServiceError` where this router holds `max_claims` keys.
         """
         request.state = states.CLAIMING
-        if len(self.won) >= self.settings.max_claims:
+        if len(self.claimed) >= self.settings.max_claims:
             raise ServiceError(
                 "claim_unavailable",
                 retry_us=self._retry_after_us(),
@@ -81,7 +89,7 @@
             if outcome == Outcome.CHOSEN and request.claim_key != claim_key:
                 return self._give_back(claim_key, request.id)
             if outcome == Outcome.CHOSEN:
-                self.won[claim_key] = (request.id, self.node.now_us())
+                self.claimed[claim_key] = (request.id, self.node.now_us())
             if request.state != states.CLAIMING or request.claim_key != claim_key:
                 return
             if outcome == Outcome.CHOSEN:
@@ -104,8 +112,8 @@
         self._give_back(request.claim_key, request.id)
 
     def _give_back(self, claim_key, request_id):
-        if self.won.get(claim_key, (None,))[0] == request_id:
-            del self.won[claim_key]
+        if self.claimed.get(claim_key, (None,))[0] == request_id:
+            del self.claimed[claim_key]
 
         def step(value):
             if value is None or value["by"] != request_id:
@@ -116,7 +124,7 @@
 
     def _retry_after_us(self):
         """When the oldest key expires, at least a second from now."""
-        oldest_us = next(iter(self.won.values()))[1] if self.won else self.node.now_us()
+        oldest_us = next(iter(self.claimed.values()))[1] if self.claimed else self.node.now_us()
         return max(1_000_000, oldest_us + self.settings.retention_us - self.node.now_us())
 
     def sweep(self, now_us):
@@ -124,8 +132,11 @@
         if self.settings is None or now_us - self.swept_us < SWEEP_INTERVAL_US:
             return
         self.swept_us = now_us
-        while self.won and now_us - next(iter(self.won.values()))[1] > self.settings.retention_us:
-            self.won.popitem(last=False)
+        while (
+            self.claimed
+            and now_us - next(iter(self.claimed.values()))[1] > self.settings.retention_us
+        ):
+            self.claimed.popitem(last=False)
 
     def on_claims_request(self, message):
         """Send a page of the claimed keys to a replica that started without data.
@@ -134,19 +145,19 @@
         routers that are considered failed: they may only be partitioned, and a replica that has
         just started learns of them from no other source.
         """
-        start, place = message["start"], message["place"]
-        if place < 0:
+        start, offset = message["start"], message["place"]
+        if offset < 0:
             return
-        won = self._handover_keys(start) if place else self._start_handover(start)
+        claimed = self._handover_keys(start) if offset else self._start_handover(start)
         failed = self.failed_routers()
         more = {"routers": failed} if failed else {}
         self.node.send_untyped(
             message["back"],
             "keys",
             start=start,
-            place=place,
-            is_last=place + PAGE_KEYS >= len(won),
-            keys=won[place : place + PAGE_KEYS],
+            place=offset,
+            is_last=offset + PAGE_KEYS >= len(claimed),
+            keys=claimed[offset : offset + PAGE_KEYS],
             **more,
         )
 
@@ -154,8 +165,8 @@
         return self.handovers[start] if start in self.handovers else self._start_handover(start)
 
     def _start_handover(self, start):
-        won = [[key, by] for key, (by, _) in self.won.items()]
-        self.handovers[start] = won
+        claimed = [[key, by] for key, (by, _) in self.claimed.items()]
+        self.handovers[start] = claimed
         while len(self.handovers) > MAX_HANDOVERS:
             self.handovers.popitem(last=False)
-        return won
+        return claimed
--- a/packages/router/src/linkhaven/router/native.py
+++ b/packages/router/src/linkhaven/router/native.py
@@ -65,10 +65,10 @@
         event_id = request.call.headers.get("last-event-id")
         if not event_id:
             return None
-        place = parse_event_id(event_id)
-        if place is None:
+        position = parse_event_id(event_id)
+        if position is None:
             raise ServiceError("bad_resume", told=event_id[:100])
-        return place
+        return position
 
     def begin(self, request, head):
         """Start the answer; the runner's `head` isn't used here."""
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -374,10 +374,10 @@
         pools = kind.pools
         if len(pools) < 2:
             return pools[0].pool if pools else None
-        drawn = self.ports.random.randrange(sum(part.weight for part in pools))
+        remaining_weight = self.ports.random.randrange(sum(part.weight for part in pools))
         for part in pools:
-            drawn -= part.weight
-            if drawn < 0:
+            remaining_weight -= part.weight
+            if remaining_weight < 0:
                 return part.pool
 
     def connections_at_most(self, runner):
@@ -420,10 +420,12 @@
         """Put a request into the queue of its group; raises `ServiceError` where it is full."""
         self.admission.enqueue(request.group, request)
         request.state = states.QUEUED
-        unread = self.placement.least_uncached_tokens(request)
-        self.arrived_tokens += unread
-        typical = self.typical_tokens.get(request.kind_name, unread)
-        self.typical_tokens[request.kind_name] = typical + TYPICAL_TOKENS_GAIN * (unread - typical)
+        uncached_tokens = self.placement.least_uncached_tokens(request)
+        self.arrived_tokens += uncached_tokens
+        previous_mean = self.typical_tokens.get(request.kind_name, uncached_tokens)
+        self.typical_tokens[request.kind_name] = previous_mean + TYPICAL_TOKENS_GAIN * (
+            uncached_tokens - previous_mean
+        )
         request.add_step(self.now_us(), "queued")
         self.wake_queue()
 
@@ -527,7 +529,7 @@
         self.attempts.leave_runner(request)
         is_refused = error.done == "no"
         self.counts["refused" if is_refused else "troubled"] += 1
-        told = {
+        log_facts = {
             **error.detail,
             **request.tenant_facts(),
             "request": request.id,
@@ -536,9 +538,9 @@
         }
         if is_refused:
             self.refusals.note(error)
-            self.ports.log(2103, **told)
+            self.ports.log(2103, **log_facts)
         else:
-            self.ports.log(2102, **{**request.timing_facts(self.now_us()), **told})
+            self.ports.log(2102, **{**request.timing_facts(self.now_us()), **log_facts})
         if is_refused and request.group:
             self.admission.count_refusal(request.group)
         if is_refused and request.claim_key:
@@ -563,8 +565,8 @@
         self.explainer.store(request)
         self.requests.drop(request.id)
         request.add_step(self.now_us(), outcome)
-        for hear in self.on_end:
-            hear(request, self.now_us())
+        for listener in self.on_end:
+            listener(request, self.now_us())
         if request.quota_slice is not None and not request.attempts:
             self.tenant_quotas.give_back(request)
         if not self.is_draining:
@@ -642,12 +644,12 @@
         )
 
     def _update_token_rates(self, now_us):
-        passed_us = now_us - self.rated_us
-        if passed_us < RATE_INTERVAL_US:
+        elapsed_us = now_us - self.rated_us
+        if elapsed_us < RATE_INTERVAL_US:
             return
-        for place, amount in enumerate((self.arrived_tokens, self.produced_tokens)):
-            self.token_rates[place] += 0.4 * (
-                amount * 1_000_000 / passed_us - self.token_rates[place]
+        for index, amount in enumerate((self.arrived_tokens, self.produced_tokens)):
+            self.token_rates[index] += 0.4 * (
+                amount * 1_000_000 / elapsed_us - self.token_rates[index]
             )
         self.arrived_tokens = self.produced_tokens = 0
         self.rated_us = now_us
@@ -725,7 +727,7 @@
                 "violations": dict(self.invariants.violations),
                 "counts": self.counts,
                 "unserved": self.unserved,
-                "keys": len(self.idempotency_keys.won),
+                "keys": len(self.idempotency_keys.claimed),
                 "running": len(self.requests),
             },
         )
--- a/packages/router/src/linkhaven/router/quota_directory.py
+++ b/packages/router/src/linkhaven/router/quota_directory.py
@@ -52,6 +52,6 @@
     def _routers_by_distance(self) -> list[Member]:
         me = self.membership.me
         routers = {member.name: member for member in self.membership.live_members("router")}
-        spread = preference_order(0, (f"{me.name}/{name}" for name in routers))
-        ordered = [routers[place.removeprefix(f"{me.name}/")] for place in spread]
+        shuffled = preference_order(0, (f"{me.name}/{name}" for name in routers))
+        ordered = [routers[key.removeprefix(f"{me.name}/")] for key in shuffled]
         return sorted(ordered, key=lambda member: member.zone != me.zone)
--- a/tests/test_claim_admission.py
+++ b/tests/test_claim_admission.py
@@ -181,7 +181,7 @@
     )
     keys = IdempotencyKeys(node, None, lambda: [])
     for place in range(number):
-        keys.won[f"claim/g/{place}"] = (f"r-{place}", 0)
+        keys.claimed[f"claim/g/{place}"] = (f"r-{place}", 0)
     return keys, sent
 
 
@@ -190,10 +190,10 @@
     ask = {"start": "s", "back": "core"}
     keys.on_claims_request({**ask, "place": 0})
     for _ in range(10):
-        keys.won.popitem(last=False)
+        keys.claimed.popitem(last=False)
     keys.on_claims_request({**ask, "place": PAGE_KEYS})
     received = {key for page in sent for key, _ in page["keys"]}
-    assert received >= set(keys.won)
+    assert received >= set(keys.claimed)
     assert [page["is_last"] for page in sent] == [False, True]
 
 
--- a/tests/test_native_api_keys.py
+++ b/tests/test_native_api_keys.py
@@ -124,7 +124,7 @@
     assert step({"by": request.id}) == (UpdateAction.SET, {"by": None})
     won(Outcome.CHOSEN, {"by": request.id})
     assert request.state == "queued"
-    assert list(router.node.idempotency_keys.won) == [key]
+    assert list(router.node.idempotency_keys.claimed) == [key]
 
 
 @pytest.mark.parametrize("tenant", [None, "t-1"])
