--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -82,7 +82,7 @@
         "admission",
         "attempts",
         "authenticator",
-        "rebalancer",
+        "stream_migrator",
         "requests",
         "chain",
         "explainer",
@@ -172,7 +172,7 @@
         self.attempts = Attempts(
             self, self.placement, self.runner_client, self.roster, self.retry_budget
         )
-        self.rebalancer = StreamMigrator(
+        self.stream_migrator = StreamMigrator(
             self, self.placement, self.roster, self.requests.rows, self.attempts.move
         )
         self.chain = Filters(self).build_chain(self.end_with_error)
@@ -722,7 +722,7 @@
                     "spent": self.retry_budget.spent,
                     "refused": self.retry_budget.refused,
                 },
-                "moves": self.rebalancer.moves,
+                "moves": self.stream_migrator.moves,
                 "exceptions": self.placement.exceptions,
                 "violations": dict(self.invariants.violations),
                 "counts": self.counts,
--- a/packages/stage/src/linkhaven/stage/measure.py
+++ b/packages/stage/src/linkhaven/stage/measure.py
@@ -390,8 +390,8 @@
             seen = run_load(fleet, DEPLOYMENTS[deployment].rate, 40, 120)
             shares.append(seen["goodput_share"])
             served.append(seen["served"] / seen["asked"])
-            shed += sum(host.node.rebalancer.moves["shed"] for host in fleet.routers.values())
-            back += sum(host.node.rebalancer.moves["back"] for host in fleet.routers.values())
+            shed += sum(host.node.stream_migrator.moves["shed"] for host in fleet.routers.values())
+            back += sum(host.node.stream_migrator.moves["back"] for host in fleet.routers.values())
         tell(
             {
                 "moves": moves,
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -450,7 +450,7 @@
     fleet.load(6.0)
     fleet.world.run_for(40 * SECOND)
     fleet.settle(120)
-    moves = sum(host.node.rebalancer.moves["shed"] for host in fleet.routers.values())
+    moves = sum(host.node.stream_migrator.moves["shed"] for host in fleet.routers.values())
     assert moves >= 1
     assert {request.how for request in fleet.caller.node.asked.values()} <= {
         "done",
