--- a/tests/keyed_router.py
+++ b/tests/keyed_router.py
@@ -1,4 +1,4 @@
-"""A router of the users' platform beside a simulated core, with tenants, and runners by script."""
+"""A router with the platform's interfaces, beside a simulated core, and scripted runners."""
 
 import json
 
@@ -38,7 +38,7 @@
 
 
 def configuration(tenants=TENANTS, routes=ROUTES):
-    """A configuration of the platform; without tenants where these are None."""
+    """Return a configuration document of the platform; None: without tenants."""
     engine = {"capacity": 64, "token_kv_bytes": 18_432}
     service = {"name": "pool-1", "max_connections": 360, "engine": engine}
     source = {"route_rules": list(routes), "services": [service]}
@@ -46,7 +46,7 @@
 
 
 class ClientCall(Call):
-    """A request of a client, and what was answered."""
+    """A client's request and the answer to it."""
 
     __slots__ = ("fields", "status", "answer_headers", "answer_body", "was_cut")
 
@@ -82,12 +82,12 @@
         self.is_ended = self.was_cut = True
 
     def code(self):
-        """The code of the error that was answered."""
+        """Return the code of the error in the answer."""
         return json.loads(self.answer_body)["code"]
 
 
 class RunnerCall:
-    """A request as it reached a runner, with its handler."""
+    """A request as a runner received it, with the router's handler for the answer."""
 
     def __init__(self, address, method, path, fields, handler):
         self.address, self.method, self.path, self.handler = address, method, path, handler
@@ -99,15 +99,15 @@
         self.is_closed = True
 
     def answer(self, status, body=b"", **headers):
-        """A whole answer to this request, with the runner's seal."""
+        """Send a whole answer, with the runner's seal."""
         self.begin(status, **headers)
         self.handler.on_data(body)
         self.handler.on_end()
 
     def begin(self, status, **headers):
-        told = {name.replace("_", "-"): value for name, value in headers.items()}
-        own = {names.REQUEST_ID: self.headers.get(names.REQUEST_ID), names.SEAL: "s"}
-        self.handler.on_head(status, {**own, **told})
+        extra_headers = {name.replace("_", "-"): value for name, value in headers.items()}
+        own_headers = {names.REQUEST_ID: self.headers.get(names.REQUEST_ID), names.SEAL: "s"}
+        self.handler.on_head(status, {**own_headers, **extra_headers})
 
     def begin_stream(self, *numbers):
         self.begin(200, content_type="text/event-stream")
@@ -119,7 +119,7 @@
 
 
 class RunnerNetwork:
-    """The network of a router: lines go through the simulated world, calls stay with the test."""
+    """The network of a router: messages go through the simulation, HTTP calls to the test."""
 
     def __init__(self, network, clock):
         self.send, self.renew, self.clock = network.send, network.renew, clock
@@ -130,12 +130,12 @@
         self.calls.append(call)
         return call
 
-    def soon(self, deed, delay_us=0):
-        self.clock.call_in(delay_us, deed)
+    def soon(self, action, delay_us=0):
+        self.clock.call_in(delay_us, action)
 
 
 class LossyNetwork:
-    """A network on which a share of the lines to some addresses is lost."""
+    """A network that loses a share of the messages to some addresses."""
 
     def __init__(self, network, destinations, share, random):
         self.network, self.destinations = network, destinations
@@ -150,7 +150,7 @@
 
 
 def runner_record(name, phase):
-    """A runner as the list has it."""
+    """Return a runner as the runner list has it."""
     number = name.rpartition("-")[2]
     return {
         "name": name,
@@ -174,7 +174,7 @@
 
 
 class ListedRouter(RouterNode):
-    """A router whose list of runners is the test's: it takes none from the core."""
+    """A router that gets its runner list from the test and ignores the core's."""
 
     __slots__ = ()
 
@@ -184,7 +184,7 @@
 
 
 class KeyedRouter:
-    """The core, the router beside it, and what reaches its runners."""
+    """A simulated core, a router, and the requests that reach the router's runners."""
 
     def __init__(self, seed=1, prefills=1, tenants=TENANTS, routes=ROUTES, **bounds):
         self.bounds = {**SETTINGS, **bounds}
@@ -215,20 +215,27 @@
         )
 
     def start(self):
-        """Start the router, anew where it ran before."""
+        """Start the router, or restart it."""
         self.host.start()
-        self.list_anew()
+        self.list_runners()
 
-    def list_anew(self):
-        """Give the router a list of runners that all take work."""
+    def list_runners(self):
+        """Give the router a new list in which all runners accept work."""
         self.serial += 1
-        reads = [runner_record(f"i-{place + 1}", "prefill") for place in range(self.prefills)]
-        decodes = [runner_record(f"i-{place}", "decode") for place in (11, 12, 13)]
-        document = {"fence": 1, "serial": self.serial, "age_us": 0, "runners": reads + decodes}
+        prefill_records = [
+            runner_record(f"i-{place + 1}", "prefill") for place in range(self.prefills)
+        ]
+        decode_records = [runner_record(f"i-{place}", "decode") for place in (11, 12, 13)]
+        document = {
+            "fence": 1,
+            "serial": self.serial,
+            "age_us": 0,
+            "runners": prefill_records + decode_records,
+        }
         self.node.roster.take(document, self.node.now_us())
 
-    def allow_tries(self):
-        """Let the router make a few attempts beyond the first."""
+    def allow_retries(self):
+        """Fill the retry budget, so that the router may retry a few times."""
         extra = self.node.retry_budget
         extra.apply_grant(10, 1, self.node.now_us() + 60 * SECOND)
         for _ in range(20):
@@ -240,29 +247,29 @@
 
     @property
     def sent(self):
-        """Requests that reached runners, without reports and freed memory."""
+        """Requests that reached runners, without load reports and freed handles."""
         return [call for call in self.network.calls if call.method == "POST"]
 
     def put(self, tenants=TENANTS, routes=ROUTES, wait=True, name=None):
-        """Put the next version; with `wait`, until it is in force at the router."""
+        """Put the next version; with `wait`, wait until the router has applied it."""
         base, self.revision = self.revision, self.revision + 1
         document = translate_configuration(configuration(tenants, routes), 0.2, 10)
         text = f"text {self.revision}"
-        told = self.core.put(base, self.revision, text, document, name)
-        assert told and told[0][0] is None
+        results = self.core.put(base, self.revision, text, document, name)
+        assert results and results[0][0] is None
         if wait:
             self.run(SECOND)
             assert self.node.snapshot.configuration.tenants == self.in_force().tenants
 
     def in_force(self):
-        """The configuration in force at the core."""
+        """Return the configuration that the core has applied."""
         return next(iter(self.core.machines.values())).node.snapshot.configuration
 
     def run(self, time_us):
         self.core.world.run_for(time_us)
 
-    def lose(self, share):
-        """Lose this share of the lines between the router and the core, at random."""
+    def lose_messages(self, share):
+        """Lose this share of the messages between router and core, at random."""
         random, machines = self.core.world.dice.random, self.core.machines.values()
         core = {machine.address for machine in machines}
         for host, destinations in (
@@ -273,12 +280,12 @@
             ports.network = LossyNetwork(ports.network, destinations, share, random)
 
     def cut_off(self):
-        """Cut the router off from every replica."""
+        """Partition the router from every replica."""
         for machine in self.core.machines.values():
             self.core.world.cut([self.host.name], [machine.name])
 
     def ask(self, *keys, route="kept", id="r-1", wait_us=100_000, **headers):
-        """Send a request with each of these keys in a header of its own; return its call."""
+        """Send a request with each key in a header of its own; return its call."""
         fields = [("Host", "desk.example"), ("Request-Id", id), ("Token-Usage", "100,4")]
         fields += [("Api-Key", key) for key in keys]
         fields += [(name.replace("_", "-").title(), value) for name, value in headers.items()]
--- a/tests/pooled_fleet.py
+++ b/tests/pooled_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet of one pool, with the bounds of the users' platform, for tests of placement."""
+"""A simulated fleet with one pool and the platform's bounds, for tests of placement."""
 
 from collections import Counter
 
@@ -59,7 +59,7 @@
 
 
 class PooledFleet(SimFleet):
-    """Runners of one named pool, and routers that refuse early, as on the users' platform."""
+    """Runners of one named pool, and routers that refuse requests early, as on the platform."""
 
     __slots__ = ()
 
@@ -82,7 +82,7 @@
 
 
 def loaded_fleet(seed):
-    """The whole fleet under load for six seconds: three runners read, two decode."""
+    """Start the whole fleet and load it for six seconds: three prefill runners, two decode."""
     plan = POOLED.plan(pools={POOL: {}})
     plan["taichi"] = {"prefill_tokens_per_s": 0, "search": False}
     one = PooledFleet(
@@ -94,7 +94,7 @@
 
 
 def fleet(seed, left=1):
-    """A fleet under load of which only the last `left` runners stay, and those decode."""
+    """Start a fleet under load and stop all but the last `left` runners, which decode."""
     one = loaded_fleet(seed)
     gone = {f"runner_{place}": "gone" for place in range(1, POOLED.runners - left + 1)}
     one.list_runners(**gone)
@@ -104,7 +104,7 @@
 
 
 def served_by_kind(one, since_us):
-    """Of what was asked since then, the share that was served in full, by kind."""
+    """Return by kind the share of requests since `since_us` that were served in full."""
     shares = {}
     for name in POOLED.kinds:
         asked = [
@@ -118,7 +118,7 @@
 
 
 def violations(one):
-    """Violated invariants of all routers, by name."""
+    """Return the violations of placement invariants at all routers, by name."""
     counts = Counter()
     for host in one.routers.values():
         if host.node:
--- a/tests/test_api_keys.py
+++ b/tests/test_api_keys.py
@@ -1,4 +1,8 @@
-"""API keys at a router of the users' platform: who is let in, and what the runners get to see."""
+"""API keys at a router with the platform's interface: authentication, and what runners see of it.
+
+Guards against requests that reach a runner without a tenant's key, and against keys that leak to
+runners, logs, records or traces.
+"""
 
 import json
 
@@ -9,18 +13,18 @@
 from linkhaven.platform import names
 from linkhaven.traces import TraceWriter
 
-OURS = "t-1"
+TENANT = "t-1"
 
 
 def assert_shows_the_tenant_only(call):
-    """A runner gets the tenant's name, once, and the key nowhere."""
-    told = [value for name, value in call.fields if name.lower() == names.TENANT]
-    assert told == [OURS]
+    """Assert that the request names the tenant once and contains the key nowhere."""
+    tenants = [value for name, value in call.fields if name.lower() == names.TENANT]
+    assert tenants == [TENANT]
     assert names.API_KEY not in call.headers
     assert KEY not in f"{call.path} {call.fields}"
 
 
-# every path to a runner
+# Requests to runners
 
 
 def test_a_read_shows_the_runner_the_tenant_and_not_the_key():
@@ -58,9 +62,9 @@
 
 
 @pytest.mark.parametrize("prefills", [0, 1])
-def test_a_further_try_shows_the_runner_the_tenant_and_not_the_key(prefills):
+def test_a_retry_shows_the_runner_the_tenant_and_not_the_key(prefills):
     world = KeyedRouter(prefills=prefills)
-    world.allow_tries()
+    world.allow_retries()
     world.ask(KEY)
     world.sent[0].answer(503, not_executed="1")
     world.run(SECOND)
@@ -70,7 +74,7 @@
 
 def test_a_stream_that_goes_on_at_another_runner_shows_it_the_tenant_and_not_the_key():
     world = KeyedRouter(prefills=0)
-    world.allow_tries()
+    world.allow_retries()
     world.ask(KEY)
     world.sent[0].begin_stream(1, 2)
     world.sent[0].handler.on_error(True)
@@ -90,7 +94,7 @@
 
 def test_a_stream_that_is_moved_shows_the_next_runner_the_tenant_and_not_the_key():
     world = KeyedRouter(prefills=0)
-    world.allow_tries()
+    world.allow_retries()
     world.ask(KEY)
     world.sent[0].begin_stream(1)
     (request,) = world.node.requests.rows()
@@ -104,11 +108,11 @@
     assert_shows_the_tenant_only(world.sent[1])
 
 
-# who is let in
+# Authentication
 
 
 @pytest.mark.parametrize("header", ["tenant_id", "TENANT_ID"])
-def test_a_tenant_that_a_client_made_up_is_dropped(header):
+def test_a_tenant_header_of_a_client_is_dropped(header):
     world = KeyedRouter()
     world.ask(KEY, **{header: "t-2"})
     assert_shows_the_tenant_only(world.sent[0])
@@ -125,7 +129,7 @@
         ((f"Bearer {KEY}",), "api_key_unknown"),
         ((KEY.upper(),), "api_key_unknown"),
         ((digest_api_key(KEY),), "api_key_unknown"),
-        ((OURS,), "api_key_unknown"),
+        ((TENANT,), "api_key_unknown"),
     ],
 )
 def test_a_request_without_one_known_key_reaches_no_runner(keys, code):
@@ -136,7 +140,7 @@
     assert names.AGAIN not in call.answer_headers
 
 
-def test_a_request_that_is_turned_away_earns_no_extra_tries_and_fills_no_group():
+def test_a_refused_request_adds_nothing_to_retry_budget_or_group_usage():
     world = KeyedRouter()
     world.ask(NO_KEY)
     assert world.node.retry_budget.earned_us is None
@@ -145,7 +149,7 @@
     assert world.node.retry_budget.earned_us is not None
 
 
-def test_no_tenants_at_all_let_nobody_in():
+def test_an_empty_tenant_list_refuses_every_request():
     world = KeyedRouter(tenants=())
     assert world.ask(KEY).status == 401
     assert world.sent == []
@@ -173,16 +177,16 @@
     assert names.API_KEY not in call.headers
 
 
-def test_a_route_that_isnt_there_is_answered_as_such_whatever_the_key():
+def test_an_unknown_route_is_answered_with_404_whatever_the_key():
     world = KeyedRouter()
     for keys in ((), (KEY,), (NO_KEY,)):
         assert world.ask(*keys, route="gone").status == 404
 
 
-# what changes while the system runs
+# Configuration changes
 
 
-def test_a_key_that_was_taken_away_lets_nothing_in_any_more():
+def test_a_revoked_key_is_refused():
     world = KeyedRouter()
     world.ask(KEY)
     world.put([{"name": "t-1", "api_keys": ["key-new"]}, TENANTS[1]])
@@ -199,7 +203,7 @@
 
 
 def test_a_key_that_was_added_lately_isnt_denied_by_a_router_that_is_cut_off():
-    """It can't know: the caller is told to try elsewhere, where the key may be known."""
+    """It can't know the key yet, so its answer lets the client try another router."""
     world = KeyedRouter(deny_within_us=2_500_000)
     world.cut_off()
     world.put([*TENANTS, {"name": "t-3", "api_keys": ["key-new"]}], wait=False)
@@ -258,32 +262,32 @@
     assert (call.status, call.code()) == (503, "plan_stale")
 
 
-# what the log tells, and what it doesn't
+# Logs, records and traces
 
 
-@pytest.mark.parametrize("keys, facts", [((KEY,), {"tenant": OURS}), ((NO_KEY,), {})])
-def test_the_log_tells_whose_a_request_was_and_why_one_was_turned_away(keys, facts):
+@pytest.mark.parametrize("keys, facts", [((KEY,), {"tenant": TENANT}), ((NO_KEY,), {})])
+def test_the_log_names_the_tenant_or_why_a_request_was_refused(keys, facts):
     world = KeyedRouter(prefills=0)
     world.ask(*keys)
     for sent in world.sent:
         sent.begin_stream(1)
         sent.handler.on_end()
     (event,) = [event for event in world.core.world.events if event[2] in (2101, 2102, 2103)]
-    number, told = event[2:]
-    assert {name: told[name] for name in told if name == "tenant"} == facts
-    assert (number, told.get("code")) == ((2101, None) if facts else (2103, "api_key_unknown"))
+    number, logged = event[2:]
+    assert {name: logged[name] for name in logged if name == "tenant"} == facts
+    assert (number, logged.get("code")) == ((2101, None) if facts else (2103, "api_key_unknown"))
 
 
 @pytest.mark.parametrize("status", [200, 500])
-def test_the_log_tells_whose_a_plain_answer_was(status):
+def test_the_log_names_the_tenant_of_a_whole_answer(status):
     world = KeyedRouter(prefills=0)
     world.ask(KEY)
     world.sent[0].answer(status, b"ok")
     (event,) = [event for event in world.core.world.events if event[2] in (2101, 2102)]
-    assert event[3]["tenant"] == OURS
+    assert event[3]["tenant"] == TENANT
 
 
-def test_no_key_stands_in_records_logs_and_traces(tmp_path):
+def test_records_logs_and_traces_contain_no_key(tmp_path):
     world = KeyedRouter(prefills=0)
     path = tmp_path / "traces.json"
     traces = TraceWriter(str(path), "edge-1")
@@ -295,11 +299,11 @@
     kept = list(world.node.explainer.ended.values())
     assert len(kept) == 3
     records = [request.as_record() for request in kept]
-    told = [json.dumps(records, default=str), path.read_text(), repr(world.core.world.events)]
-    told += [repr(request.call.headers) + repr(request.call.fields) for request in kept]
+    texts = [json.dumps(records, default=str), path.read_text(), repr(world.core.world.events)]
+    texts += [repr(request.call.headers) + repr(request.call.fields) for request in kept]
     for key in (KEY, NO_KEY, OTHER_KEY):
-        assert not [text for text in told if key in text]
-    assert [record.get("tenant") for record in records] == [OURS, None, None]
+        assert not [text for text in texts if key in text]
+    assert [record.get("tenant") for record in records] == [TENANT, None, None]
 
 
 def test_an_exception_while_a_request_is_sent_logs_no_key():
--- a/tests/test_revoked_keys.py
+++ b/tests/test_revoked_keys.py
@@ -1,4 +1,8 @@
-"""What becomes of a tenant's work when its key is taken away, wherever the work stands then."""
+"""Revoked API keys: what happens to requests of the key in each state.
+
+Guards against waiting requests that are sent under a revoked key or the wrong tenant, and against
+the revocation breaking work that runs already.
+"""
 
 import pytest
 from keyed_router import KEY, NO_KEY, SECOND, TENANTS, KeyedRouter
@@ -11,7 +15,7 @@
 
 
 def queued_request(world, key=KEY):
-    """A request that waits, since no runner is open yet."""
+    """Send a request that stays queued, since no runner is open."""
     for runner in world.node.roster.runners.values():
         runner.is_switching = True
     call = world.ask(key)
@@ -20,7 +24,7 @@
     return call
 
 
-def test_the_next_request_on_an_open_connection_is_turned_away_and_the_connection_stays():
+def test_the_next_request_on_an_open_connection_is_refused_and_the_connection_stays():
     world, bench = KeyedRouter(prefills=0), Bench()
 
     def serve(call):
@@ -50,7 +54,7 @@
     assert len(world.sent) == 2
 
 
-def test_a_request_that_waits_is_turned_away_and_was_never_sent():
+def test_a_waiting_request_is_refused_and_never_sent():
     world = KeyedRouter()
     call = queued_request(world)
     world.put(REVOKED)
@@ -58,28 +62,28 @@
     assert world.sent == []
 
 
-def test_a_request_that_waits_goes_on_under_the_tenant_that_its_key_moved_to():
+def test_a_waiting_request_continues_under_the_new_tenant_of_its_key():
     world = KeyedRouter()
     queued_request(world)
     world.put([REVOKED[0], {"name": "t-2", "api_keys": [KEY]}], wait=False)
     world.run(60_000)
-    world.list_anew()
+    world.list_runners()
     world.run(60_000)
     assert world.sent[0].headers[names.TENANT] == "t-2"
 
 
-def test_a_request_that_waits_on_a_route_that_becomes_public_goes_on_without_its_key():
+def test_a_waiting_request_continues_without_a_key_if_its_route_becomes_public():
     world = KeyedRouter()
     queued_request(world)
     world.put(REVOKED, [{**route, "public": True} for route in world.routes], wait=False)
     world.run(60_000)
-    world.list_anew()
+    world.list_runners()
     world.run(60_000)
     assert names.TENANT not in world.sent[0].headers
 
 
 def test_a_prompt_that_was_read_is_still_decoded():
-    """Its request was sent while the key was good."""
+    """The request was sent while the key was valid."""
     world = KeyedRouter()
     world.ask(KEY)
     world.put(REVOKED)
@@ -89,7 +93,7 @@
     assert names.SOURCE in decode.headers
 
 
-def test_a_stream_that_runs_goes_on():
+def test_a_running_stream_continues():
     world = KeyedRouter(prefills=0)
     call = world.ask(KEY)
     world.sent[0].begin_stream(1)
@@ -100,7 +104,7 @@
     assert b"id: 2" in call.answer_body
 
 
-def test_a_router_that_restarts_lets_no_taken_key_in():
+def test_a_restarted_router_accepts_no_revoked_key():
     world = KeyedRouter()
     world.put(REVOKED)
     world.host.kill()
@@ -116,7 +120,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_revocation_reaches_a_router_that_loses_a_third_of_its_messages(seed):
     world = KeyedRouter(seed)
-    world.lose(0.35)
+    world.lose_messages(0.35)
     world.put(REVOKED, wait=False)
     world.run(2 * SECOND)
     assert world.ask(KEY).status == 401
@@ -135,8 +139,8 @@
     assert world.ask(KEY, id="r-3").code() == "api_key_unknown"
 
 
-def test_a_request_that_waits_needs_a_token_of_the_tenant_that_its_key_moved_to():
-    """The one that it had was its former tenant's, and goes back to that one."""
+def test_a_waiting_request_needs_a_token_of_the_new_tenant_of_its_key():
+    """The token that it had is given back to the former tenant."""
     limited = {"rate_per_s": 100, "burst_size": 10}
     world = KeyedRouter(tenants=[{"name": "t-1", "api_keys": [KEY], **limited}, TENANTS[1]])
     quotas = world.node.tenant_quotas
@@ -145,14 +149,14 @@
     moved = [{"name": "t-1", "api_keys": [], **limited}, {"name": "t-2", "api_keys": [KEY]}]
     world.put([moved[0], {**moved[1], **limited}], wait=False)
     world.run(60_000)
-    world.list_anew()
+    world.list_runners()
     world.run(60_000)
     assert (quotas.counts.spent, quotas.counts.given_back) == (2, 1)
     assert world.sent[0].headers[names.TENANT] == "t-2"
 
 
-def test_no_request_whose_key_was_taken_is_sent_while_the_others_are_turned_away():
-    """Each that is turned away lets the queue be served: all are judged before that."""
+def test_no_request_with_a_revoked_key_is_sent_while_others_are_refused():
+    """Each refusal serves the queue again, so all requests must be judged before the first ends."""
     world = KeyedRouter()
     calls = [queued_request(world)]
     calls += [world.ask(KEY, id=f"r-{number}") for number in (2, 3)]
--- a/tests/test_tenant_keys_and_quotas.py
+++ b/tests/test_tenant_keys_and_quotas.py
@@ -1,4 +1,7 @@
-"""What a review of issue 49 found: each test is named after the failure that it guards against."""
+"""Edge cases of tenants' API keys and quotas, found in the review of issue 49.
+
+Each test is named after the behaviour that its fault broke.
+"""
 
 import pytest
 from keyed_router import KEY, OTHER_KEY, TENANTS, KeyedRouter, configuration
@@ -20,8 +23,8 @@
 SECOND = 1_000_000
 
 
-def test_requests_that_are_turned_away_with_their_token_are_not_served_within_one_another():
-    """Their key was taken away while they were held: each gives its token back at once."""
+def test_refusals_that_give_tokens_back_do_not_recurse():
+    """Their key was revoked while they waited for a token: each gives its token back at once."""
     fleet = QuotaFleet(1, {TENANT: limit(300, 400)}, routers=1)
     (router,) = fleet.routers
     quotas, turned_away = router.node.quotas, []
@@ -38,8 +41,8 @@
     assert quotas.counts.given_back == quotas.counts.spent
 
 
-def test_a_tenant_whose_request_for_tokens_was_in_flight_at_a_freeze_is_asked_for_again():
-    """What waited in the loop is done first after it: it forgets old requests for tokens."""
+def test_a_token_request_in_flight_at_a_freeze_is_sent_again():
+    """After a freeze the event loop first handles its backlog, which drops old token requests."""
     fleet = QuotaFleet(1, {TENANT: limit(20, 10), OTHER: limit(20, 10)}, routers=1)
     (router,) = fleet.routers
     owners = [owner.name for owner in fleet.owners]
@@ -61,7 +64,7 @@
 
 
 def queued_requests(world, count):
-    """Requests with one key that wait, since no runner is open."""
+    """Send requests with one key that stay queued, since no runner is open."""
     for runner in world.node.roster.runners.values():
         runner.is_switching = True
     calls = [world.ask(KEY, id=f"r-{place}", wait_us=2_000) for place in range(count)]
@@ -69,7 +72,7 @@
     return calls
 
 
-def test_requests_that_wait_while_their_key_moves_count_against_their_new_tenants_limit():
+def test_waiting_requests_count_against_the_limit_of_the_new_tenant_of_their_key():
     limited = {"name": "t-2", "api_keys": [OTHER_KEY], **LIMITED}
     world = KeyedRouter(tenants=(TENANTS[0], limited))
     world.run(20 * SECOND)
@@ -77,7 +80,7 @@
     moved = {**limited, "api_keys": [OTHER_KEY, KEY]}
     world.put([{"name": "t-1", "api_keys": []}, moved], wait=False)
     world.run(300_000)
-    world.list_anew()
+    world.list_runners()
     world.run(300_000)
     tenants = {call.headers[names.TENANT] for call in world.sent}
     assert tenants == {"t-2"}
@@ -85,8 +88,8 @@
     assert {call.code() for call in calls if call.status} == {"quota_spent"}
 
 
-def test_a_token_of_a_request_whose_key_moved_goes_back_to_the_tenant_that_it_was_of():
-    """The tenant has one token, which its next request gets."""
+def test_the_token_of_a_request_whose_key_moved_returns_to_the_former_tenant():
+    """The tenant has one token, which is free for its next request then."""
     world = KeyedRouter(tenants=({**TENANTS[0], **LIMITED}, TENANTS[1]))
     world.run(20 * SECOND)
     queued_requests(world, 1)
@@ -99,7 +102,7 @@
     meter = world.node.tenant_quotas.meters["t-1"]
     assert world.node.tenant_quotas.counts.given_back == given_back + 1
     assert sum(each.spent for each in meter.slices) == 0
-    world.list_anew()
+    world.list_runners()
     world.run(100_000)
     assert [call.headers[names.TENANT] for call in world.sent] == ["t-2"]
 
@@ -115,7 +118,7 @@
 
 
 def test_a_deployment_without_overage_serves_its_limited_tenants(monkeypatch):
-    """Slices have to live for as long as their way takes."""
+    """Slices of tokens must stay valid for longer than their way to the router takes."""
     bounds, tenant = Bounds(quota_overage=0), limit(20, 10)
     monkeypatch.setattr(runtime_node, "Bounds", lambda: bounds)
     fleet = QuotaFleet(1, {TENANT: tenant, OTHER: tenant})
@@ -137,15 +140,15 @@
     ],
 )
 def test_a_tenant_that_could_never_be_served_is_refused(tenant):
-    """A line end goes into no header, and an infinite limit into no JSON."""
+    """A line end can't stand in a header, nor an infinite limit in JSON."""
     document = translate_configuration(configuration([tenant]), 0.2, 10)
     with pytest.raises(ServiceError) as refused:
         decode_configuration(document)
     assert refused.value.code == "plan_invalid"
 
 
-def test_a_request_for_tokens_that_is_forgotten_tells_nothing_of_its_controller_again(monkeypatch):
-    """Its timeout did, half a second before; the controller may have answered since."""
+def test_a_dropped_token_request_does_not_report_its_controller_again(monkeypatch):
+    """The timeout reported it half a second earlier; the controller may have answered since."""
     fleet = QuotaFleet(1, {TENANT: limit(20, 10), OTHER: limit(20, 10)}, routers=1)
     (router,) = fleet.routers
     quotas = router.node.quotas
@@ -163,8 +166,8 @@
     assert noted == [] and fleet.served(OTHER) == 1
 
 
-def test_a_start_whose_clock_was_set_back_is_told_at_once_that_it_must_go_above_the_one_before():
-    """Also where its seed has just sent a whole list to another member."""
+def test_a_restart_with_a_clock_set_back_gets_a_higher_incarnation_at_once():
+    """This holds also if the seed has just sent a full member list to another member."""
     net = Net(NAMES)
     seed, started = net.memberships[NAMES[0]], net.memberships[NAMES[1]]
     seed.joining.list_sent_us = net.now_us
@@ -175,15 +178,15 @@
     assert started.me.incarnation > known + 5
 
 
-def test_a_key_that_isnt_ascii_is_known():
-    """Headers come as bytes, the operator's keys as text of UTF-8."""
+def test_a_key_that_isnt_ascii_is_recognized():
+    """Headers are bytes, while the operator's keys are UTF-8 text."""
     world = KeyedRouter(tenants=({"name": "t-1", "api_keys": ["clé-un"]},))
     world.ask("clé-un".encode().decode("latin-1"))
     assert [call.headers[names.TENANT] for call in world.sent] == ["t-1"]
     assert world.ask("clé-un", id="r-2").status == 401
 
 
-def test_a_key_that_cannot_be_read_is_refused_without_being_told():
+def test_an_unreadable_key_is_refused_without_being_shown():
     tenant = {"name": "t-1", "api_keys": ["\ud800secret"]}
     with pytest.raises(ServiceError) as refused:
         translate_configuration(configuration([tenant]), 0.2, 10)
