--- a/packages/runner/src/linkhaven/runner/roster.py
+++ b/packages/runner/src/linkhaven/runner/roster.py
@@ -371,7 +371,7 @@
         A silent runner is left out if another one of its pool and phase isn't silent. A leaving
         runner is included only while no other of its pool and phase is, and only for `stand_in_us`
         from the last list that had it as serving, so that no work reaches it after its notice.
-        Test: `test_leaving_runners_take_what_nobody_else_can_until_half_of_their_notice_is_over`.
+        Test: `test_leaving_runners_accept_work_that_only_they_can_do_for_half_of_their_notice`.
         """
         runners = self._without_silent()
         leaving = [runner for runner in self.runners.values() if runner.serves_until_us]
--- a/tests/test_callers_that_leave.py
+++ b/tests/test_callers_that_leave.py
@@ -1,4 +1,7 @@
-"""A caller that leaves: wherever its request is, no runner works on it half a second later."""
+"""Clients that disconnect: half a second later no runner works on their requests.
+
+Guards against prefills, KV cache handles and streams that go on without a client.
+"""
 
 from itertools import product
 
@@ -29,7 +32,7 @@
 
 
 def jobs_at_runners(fleet, asked):
-    """What runners still read, hold or stream for it."""
+    """Return jobs and KV cache handles that runners still have for the request."""
     found = []
     for host in fleet.runners.values():
         node = host.node
@@ -46,8 +49,8 @@
 DELAYS_MS = (5, 40, 120, 260, 700, 1_200)
 
 
-def test_what_a_caller_left_is_cancelled_at_its_runner():
-    """At moments from the first byte on: while it is read, handed over, and streamed."""
+def test_a_request_of_a_disconnected_client_is_cancelled_at_its_runner():
+    """The client disconnects during prefill, hand-over or stream."""
     places = set()
     for seed, delay_ms in product(range(61, 64), DELAYS_MS):
         fleet = started(seed)
@@ -64,8 +67,8 @@
     assert places >= {states.READING, states.DECODING, "streaming"}
 
 
-def test_a_runner_works_on_where_its_callers_leaving_is_not_noticed(monkeypatch):
-    """The sabotage: the router doesn't hear that the connection was closed."""
+def test_a_runner_works_on_where_the_disconnect_is_not_noticed(monkeypatch):
+    """Sabotage: the router ignores the disconnect, and the check above would fail."""
     monkeypatch.setattr(RouterNode, "_on_client_disconnect", lambda self, request: None)
     fleet = started(61)
     asked = fleet.ask(KIND, [fleet.routers["edge-1"].address], tokens=3_000, answer=380)
@@ -76,8 +79,8 @@
 
 
 @pytest.mark.parametrize("seed", range(61, 64))
-def test_what_a_caller_left_in_the_queue_reaches_no_runner(seed, monkeypatch):
-    """It finds no room at first; once there is room, its turn doesn't come."""
+def test_a_queued_request_of_a_disconnected_client_reaches_no_runner(seed, monkeypatch):
+    """The request is queued without room at a runner; it must not be sent once there is room."""
     fleet = started(seed)
     node = fleet.routers["edge-1"].node
     with monkeypatch.context() as patch:
--- a/tests/test_gone_runner.py
+++ b/tests/test_gone_runner.py
@@ -1,3 +1,9 @@
+"""What a failed attempt changes in the state of its runner.
+
+Guards against a busy runner that is taken for an unresponsive one, and against further work for a
+runner that is leaving or was restarted.
+"""
+
 from types import SimpleNamespace
 
 import pytest
@@ -11,40 +17,42 @@
 
 
 def failed_with(error):
-    """What the roster and the pairing hear of a runner at which a read failed."""
-    heard = []
+    """Fail a prefill with this error; return the reports on its runner, and the request."""
+    reports = []
     node = SimpleNamespace(
         now_us=lambda: 5,
         may_start=lambda: False,
         systems=[],
-        ports=SimpleNamespace(log=lambda *told, **facts: None),
+        ports=SimpleNamespace(log=lambda *arguments, **facts: None),
     )
-    pairing = SimpleNamespace(
-        end_prefill=lambda *told: None,
-        end_decode=lambda *told: None,
-        backoff=SimpleNamespace(note_turned_away=lambda runner: heard.append("turned away")),
+    placement = SimpleNamespace(
+        end_prefill=lambda *arguments: None,
+        end_decode=lambda *arguments: None,
+        backoff=SimpleNamespace(note_turned_away=lambda runner: reports.append("was rejected")),
     )
     roster = SimpleNamespace(
-        note_unresponsive=lambda runner: heard.append("dark"),
-        note_alive=lambda runner: heard.append("alive"),
+        note_unresponsive=lambda runner: reports.append("dark"),
+        note_alive=lambda runner: reports.append("alive"),
     )
     request = Request("r-1", SimpleNamespace(is_begun=False), 0)
     request.kind = RequestKind("g", SECOND, SECOND, SECOND, is_idempotent=False)
     request.state, request.attempt = READING, "r-1/1"
     request.runner = runner = SimpleNamespace(name="runner-1", is_plain=lambda: False)
-    attempts = Attempts(node, pairing, SimpleNamespace(prefill_counts_as_begun=False), roster, None)
+    attempts = Attempts(
+        node, placement, SimpleNamespace(prefill_counts_as_begun=False), roster, None
+    )
     attempts.fail(request, runner, error, True)
-    return heard, request
+    return reports, request
 
 
-def test_a_runner_to_which_all_our_connections_are_busy_is_neither_dark_nor_alive():
-    heard, request = failed_with(ServiceError("connections_taken", done="no"))
-    assert heard == ["turned away"]
+def test_a_runner_with_all_connections_busy_is_neither_unresponsive_nor_alive():
+    reports, request = failed_with(ServiceError("connections_taken", done="no"))
+    assert reports == ["was rejected"]
     assert not request.has_begun and request.state != "ended"
 
 
 @pytest.mark.parametrize(
-    "code, is_closed",
+    "code, is_leaving",
     [
         ("incarnation_other", True),
         ("runner_leaving", True),
@@ -52,21 +60,21 @@
         ("phase_wrong", False),
     ],
 )
-def test_a_runner_of_which_another_start_answers_gets_no_more_work(code, is_closed):
-    closed = []
+def test_a_leaving_or_restarted_runner_gets_no_more_work(code, is_leaving):
+    reported_leaving = []
     node = SimpleNamespace(
         now_us=lambda: 5,
         may_start=lambda: False,
         systems=[],
-        ports=SimpleNamespace(log=lambda *told, **facts: None),
+        ports=SimpleNamespace(log=lambda *arguments, **facts: None),
     )
-    pairing = SimpleNamespace(
-        end_prefill=lambda *told: None,
-        end_decode=lambda *told: None,
+    placement = SimpleNamespace(
+        end_prefill=lambda *arguments: None,
+        end_decode=lambda *arguments: None,
         backoff=SimpleNamespace(eject=lambda runner: None, note_turned_away=lambda runner: None),
     )
     roster = SimpleNamespace(
-        note_leaving=closed.append,
+        note_leaving=reported_leaving.append,
         note_unresponsive=lambda runner: None,
         note_alive=lambda runner: None,
     )
@@ -74,7 +82,7 @@
     request.kind = RequestKind("g", SECOND, SECOND, SECOND, is_idempotent=True)
     request.state, request.attempt = READING, "r-1/1"
     request.runner = runner = SimpleNamespace(name="runner-1", is_plain=lambda: False)
-    Attempts(node, pairing, SimpleNamespace(prefill_counts_as_begun=False), roster, None).fail(
+    Attempts(node, placement, SimpleNamespace(prefill_counts_as_begun=False), roster, None).fail(
         request, runner, ServiceError(code, done="no"), True
     )
-    assert closed == ([runner] if is_closed else [])
+    assert reported_leaving == ([runner] if is_leaving else [])
--- a/tests/test_last_runner.py
+++ b/tests/test_last_runner.py
@@ -1,7 +1,7 @@
-"""One runner of a pool is left: what it can serve is served, and no kind takes all of it.
+"""One runner of a pool is left: it serves what it can, and no request kind takes all of it.
 
-The users' incident RECOVER (docs/incidents/inc1-recover.md): four of five runners left in order,
-and of what the last one could read in time next to nothing was served.
+The users' incident RECOVER (docs/incidents/inc1-recover.md): four of five runners left in
+order, and of the prompts that the last one could prefill in time next to none was served.
 """
 
 import pytest
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_leaving_runners_take_what_nobody_else_can_until_half_of_their_notice_is_over(seed):
+def test_leaving_runners_accept_work_that_only_they_can_do_for_half_of_their_notice(seed):
     one = loaded_fleet(seed)
     decoding = ("runner-4", "runner-5")
     one.list_runners(**{name.replace("-", "_"): "leaving" for name in decoding})
--- a/tests/test_native_api_keys.py
+++ b/tests/test_native_api_keys.py
@@ -1,4 +1,4 @@
-"""API keys on our own interface, and the tenant's name on the way to our own runners."""
+"""API keys at linkhaven's own client interface, and the tenant header to its own runners."""
 
 import json
 from types import SimpleNamespace
@@ -41,7 +41,7 @@
         ({"x-api-key": "k", "authorization": "Bearer other"}, "k, other"),
     ],
 )
-def test_a_key_is_read_from_either_header_and_kept_in_none(headers, key):
+def test_a_key_is_read_from_either_header_and_removed_from_both(headers, key):
     assert take_api_key(headers) == key
     assert headers == {}
 
@@ -53,11 +53,11 @@
     return call
 
 
-def test_our_own_interface_lets_in_only_the_keys_of_tenants():
+def test_the_native_interface_accepts_only_keys_of_tenants():
     core = started()
     router = add_router(core)
-    told = core.put(0, 1, "text", DOCUMENT)
-    assert told[0][0] is None
+    results = core.put(0, 1, "text", DOCUMENT)
+    assert results[0][0] is None
     core.world.run_for(1_000_000)
     router.node.roster.taken_us = router.node.now_us()
     assert ask(router, "kept").code() == "api_key_missing"
@@ -91,7 +91,7 @@
 
 
 class HeldProposals:
-    """Holds what the router proposes, until the test says what became of it."""
+    """A proposer that keeps all proposals for the test to complete."""
 
     def __init__(self):
         self.proposals = []
@@ -100,7 +100,7 @@
         self.proposals.append((key, step, done))
 
 
-def test_a_claim_won_for_the_former_tenant_lets_no_request_of_the_new_one_in():
+def test_a_claim_for_the_former_tenant_admits_no_request_of_the_new_one():
     core = started()
     router = add_router(core)
     once = {**KIND, "repeatable": False}
@@ -109,17 +109,17 @@
     assert core.put(0, 1, "text", document)
     core.world.run_for(30_000_000)
     router.node.roster.taken_us = router.node.now_us() + 60_000_000
-    held = router.node.idempotency_keys.proposer = HeldProposals()
+    proposer = router.node.idempotency_keys.proposer = HeldProposals()
     ask(router, "once", x_api_key=KEY, idempotency_key="same")
     (request,) = router.node.requests.rows()
     assert core.put(1, 2, "text 2", {**document, "tenants": {"t-2": mine}})
     core.world.run_for(3_000_000)
     assert request.tenant == "t-2"
-    (former_key, _, won_formerly), (key, _, won) = held.proposals[0], held.proposals[-1]
+    (former_key, _, won_formerly), (key, _, won) = proposer.proposals[0], proposer.proposals[-1]
     assert former_key != key
     won_formerly(Outcome.CHOSEN, {"by": request.id})
     assert request.state == "claiming"
-    given_back, step, _ = held.proposals[-1]
+    given_back, step, _ = proposer.proposals[-1]
     assert given_back == former_key
     assert step({"by": request.id}) == (UpdateAction.SET, {"by": None})
     won(Outcome.CHOSEN, {"by": request.id})
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("tenant", [None, "t-1"])
-def test_our_own_runners_get_the_tenants_name(tenant):
+def test_native_runners_get_the_tenants_name(tenant):
     sent = []
 
     def open_call(address, method, path, headers, body, handler):
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -1,4 +1,7 @@
-"""Planned work at one router: stopping, and configurations that add and remove routes."""
+"""Planned operations at one router: a stop, and configurations that add and remove routes.
+
+Guards against requests that are refused or denied though they could be served.
+"""
 
 import pytest
 from connections_world import HOST, MS, ROUTES, Asked, Caller, RuleBrokenError, World
@@ -34,7 +37,7 @@
 
 
 def serve(world):
-    """The runners answer all that they have."""
+    """Let the runners answer all requests that they have."""
     for runner in world.runners:
         for arrival in runner.owed:
             arrival.connection.send(world.answer(arrival, 200, b"ok"))
@@ -49,7 +52,7 @@
 
 
 def check_denied(world, path):
-    """There is no such route: 404, which the judge takes for a proper request denied."""
+    """Assert a 404, which the judge counts as a valid request that was denied."""
     with pytest.raises(RuleBrokenError, match="DENIED: 404"):
         send(world, path)
     world.callers.pop()
@@ -63,7 +66,7 @@
 
 
 @pytest.mark.parametrize("is_old", [True, False])
-def test_a_stopping_router_serves_those_that_do_not_know_yet(world, is_old):
+def test_a_stopping_router_serves_clients_that_do_not_know_yet(world, is_old):
     caller = Caller(world)
     world.callers.append(caller)
     assert status_of(world, "/safe/x", caller) == 200
@@ -74,13 +77,13 @@
     assert not drained
 
 
-def test_without_its_lingering_they_would_be_refused(world):
+def test_without_lingering_a_stopping_router_refuses_requests(world):
     world.node.bounds = replace(world.node.bounds, linger_us=0)
     stop(world)
     assert status_of(world, "/safe/x") == 503
 
 
-def test_what_runs_when_the_lingering_ends_is_ended_whole(world):
+def test_requests_that_run_when_lingering_ends_are_completed(world):
     asked = send(world, "/safe/x")
     drained = stop(world)
     world.run_for(3_500 * MS)
@@ -93,7 +96,7 @@
 
 
 def plan_with(world, mark, *kinds):
-    """Put a configuration in force, confirmed by a majority just now: only then is a 404 said."""
+    """Apply a configuration as just confirmed by a majority; only then may a 404 be answered."""
     routes = [
         {
             "name": f"r-{kind}",
@@ -108,7 +111,7 @@
     service = {"name": "pool-1", "health_path": "/health", "max_connections": 360}
     document = {"revision": mark, "route_rules": routes, "services": [service]}
     world.node.snapshot.take({"mark": mark, "plan": translate_configuration(document, 0.2, 50)})
-    # A majority has just confirmed it: a router that isn't sure of the newest denies no route.
+    # A router that can't be sure to have the newest version answers 503 instead of 404.
     world.node.watcher.confirmation.confirmed_us = world.clock.us
 
 
@@ -123,15 +126,15 @@
     assert served == {"first": 20, "later": 20}
 
 
-def test_with_the_doors_of_the_first_plan_a_later_route_is_denied(world, monkeypatch):
+def test_with_the_route_table_of_the_first_version_a_later_route_is_denied(world, monkeypatch):
     monkeypatch.setattr(RouteTable, "apply_configuration", lambda self, plan: None)
     plan_with(world, 2, "safe", "later")
     assert status_of(world, "/safe/x") == 200
     check_denied(world, "/later/x")
 
 
-def test_no_proper_request_is_denied_while_configurations_change(world):
-    """Own answers of 4xx other than 408, 421 and 429 go only to routes that no plan has."""
+def test_no_valid_request_is_denied_while_configurations_change(world):
+    """The router answers 4xx other than 408, 421 and 429 only for routes of no configuration."""
     caller = Caller(world)
     world.callers.append(caller)
     for mark in range(2, 12):
@@ -142,15 +145,15 @@
 
 
 @pytest.mark.parametrize("is_behind", [True, False])
-def test_a_router_without_a_plan_denies_nothing(world, is_behind):
+def test_a_router_without_a_configuration_denies_nothing(world, is_behind):
     world.node.snapshot.configuration = None
     world.node.snapshot.highest_version = 7 if is_behind else 0
     world.node.watcher.confirmation.confirmed_us = world.clock.us
     assert status_of(world, "/safe/x") == 503
 
 
-def test_no_request_is_held_past_its_routes_time(world):
-    """A quarter of a second past timeout_ms costs: held by a silent runner, or by a full one."""
+def test_no_request_is_held_past_its_routes_timeout(world):
+    """A request may end 250 ms after timeout_ms at most, at a silent runner or a full one."""
     asked = send(world, "/safe/x")
     world.run_for(3_900 * MS)
     assert asked.end is None
@@ -158,7 +161,7 @@
     assert asked.status == 502 and asked.end == "whole"
 
 
-def test_no_stream_is_held_past_its_routes_time(world):
+def test_no_stream_is_held_past_its_routes_timeout(world):
     asked = send(world, "/resumable/x")
     asked.kind = "resumable"
     (arrival,) = [arrival for runner in world.runners for arrival in runner.owed]
--- a/tests/test_resumed_head.py
+++ b/tests/test_resumed_head.py
@@ -1,3 +1,8 @@
+"""Status and headers of a stream that is resumed or retried.
+
+Guards against a client that gets no head, or the head of another run than the one it reads.
+"""
+
 from types import SimpleNamespace
 
 import pytest
@@ -28,7 +33,7 @@
     return Request("r-1", SimpleNamespace(is_begun=False), 0)
 
 
-def test_a_stream_that_the_caller_resumes_has_the_head_of_the_run_that_goes_on():
+def test_a_stream_that_the_client_resumes_has_the_head_of_the_continued_run():
     request = asked()
     request.run, request.written = request.resume = ("r-1/resumed", 12)
     relay_of(request, "r-1/1").on_begin("r-1/1", 12, FIRST)
@@ -37,7 +42,7 @@
 
 
 @pytest.mark.parametrize("has_begun, head", [(False, SECOND), (True, FIRST)])
-def test_a_second_run_changes_the_head_only_while_the_caller_has_nothing(has_begun, head):
+def test_a_second_run_changes_the_head_only_before_the_client_got_one(has_begun, head):
     request = asked()
     relay_of(request, "r-1/1").on_begin("r-1/1", 0, FIRST)
     request.call.is_begun = has_begun
--- a/tests/test_strict_revocation.py
+++ b/tests/test_strict_revocation.py
@@ -1,4 +1,8 @@
-"""Routers that are cut off from the core, where a deployment bounds how long a taken key counts."""
+"""Routers that are partitioned from the core while a key is revoked.
+
+With strict revocation a key that may have been revoked counts for `revoke_us` at most; without it,
+until the router reaches the core again.
+"""
 
 import pytest
 from keyed_router import KEY, SECOND, TENANTS, KeyedRouter
@@ -19,15 +23,15 @@
         ({"revocation_strict": True, "revoke_ms": 5_000}, 5_000_000),
     ],
 )
-def test_only_strict_settings_bound_how_long_a_taken_key_counts(given, revoke_us):
+def test_only_strict_settings_bound_how_long_a_revoked_key_counts(given, revoke_us):
     place = Place({**SETTINGS, "bounds": {**SETTINGS["bounds"], **given}})
     assert place.bounds.revoke_us == revoke_us
     assert place.bounds.deny_within_us == 2_000_000
 
 
 @pytest.mark.parametrize("is_strict", [False, True])
-def test_a_router_that_is_cut_off_takes_keys_as_long_as_the_deployment_lets_it(is_strict):
-    """Only where revocation is strict; what needs no key is served all the same."""
+def test_a_partitioned_router_accepts_keys_as_long_as_the_deployment_permits(is_strict):
+    """Strict revocation refuses keys after `revoke_us`; public routes are served in either case."""
     world = KeyedRouter(revoke_us=REVOKE_US if is_strict else None)
     world.cut_off()
     world.put(REVOKED, wait=False)
@@ -45,7 +49,7 @@
     assert world.ask(KEY, id="r-4").status == 401
 
 
-def test_strict_revocation_doesnt_close_a_router_that_has_just_heard_of_a_newer_version():
+def test_strict_revocation_doesnt_close_a_router_that_has_just_learned_of_a_newer_version():
     world = KeyedRouter(revoke_us=REVOKE_US)
     world.node.snapshot.observe_version(world.node.snapshot.version + 1)
     assert world.ask(KEY, wait_us=0).status is None
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -1,4 +1,4 @@
-"""The pace of the loop's ticks: short while requests wait, longer while nothing does."""
+"""Interval between ticks of the event loop: short while requests wait for them, else longer."""
 
 from types import SimpleNamespace
 
@@ -13,7 +13,7 @@
 
 
 class Time:
-    """Time that moves only when told."""
+    """A clock that the test advances."""
 
     def __init__(self, monkeypatch):
         self.now_us = 1_000_000
@@ -30,14 +30,14 @@
 
 
 @pytest.mark.parametrize("rest_us, pace_us", [(None, TICK_US), (50_000, 50_000), (20_000, 20_000)])
-def test_a_tick_says_when_the_next_follows(monkeypatch, rest_us, pace_us):
+def test_a_tick_determines_when_the_next_follows(monkeypatch, rest_us, pace_us):
     time = Time(monkeypatch)
     timer = Timer(lambda: rest_us)
     ticks = ticks_within(timer, time, 1_000_000)
     assert {after - before for before, after in zip(ticks, ticks[1:], strict=False)} == {pace_us}
 
 
-def test_calls_put_off_keep_their_time_within_a_long_rest(monkeypatch):
+def test_delayed_calls_keep_their_time_within_a_long_rest(monkeypatch):
     time = Time(monkeypatch)
     timer, called = Timer(lambda: 50_000), []
     timer.turn()
@@ -60,14 +60,14 @@
     ],
 )
 def test_a_router_rests_only_while_nothing_waits_for_its_ticks(changed, rest_us):
-    told = {"is_open": True, "is_draining": False, "is_waiting": False, "is_large": False}
-    told.update(changed)
+    state = {"is_open": True, "is_draining": False, "is_waiting": False, "is_large": False}
+    state.update(changed)
     router = SimpleNamespace(
-        is_open=told["is_open"],
-        is_draining=told["is_draining"],
-        requests=["request"] * told.get("requests", 0),
-        admission=SimpleNamespace(is_waiting=lambda: told["is_waiting"]),
-        placement=SimpleNamespace(is_large=lambda: told["is_large"]),
+        is_open=state["is_open"],
+        is_draining=state["is_draining"],
+        requests=["request"] * state.get("requests", 0),
+        admission=SimpleNamespace(is_waiting=lambda: state["is_waiting"]),
+        placement=SimpleNamespace(is_large=lambda: state["is_large"]),
     )
     assert RouterNode.rest_us(router) == rest_us
     assert IDLE_TICK_US <= TRANSIT_US // 4
