--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -90,17 +90,17 @@
         and keep out requests that could still be answered in time.
         """
         is_bounded = not self._exceeds_half_deadline(request, now_us)
-        room_us = (
+        queue_limit_us = (
             self.node.queue_limits_us.get(request.group, NO_BOUND_US) if is_bounded else NO_BOUND_US
         )
-        decision = self.placement.choose_best_effort(work, ttft_us, why, room_us=room_us)
+        decision = self.placement.choose_best_effort(work, ttft_us, why, room_us=queue_limit_us)
         if decision.winner is None:
-            is_held_out = decision.candidates and self._exceeds_hold_time(request, now_us)
-            if not is_held_out:
+            must_be_refused = decision.candidates and self._exceeds_hold_time(request, now_us)
+            if not must_be_refused:
                 return False
             return self._refuse(request, decision, why, self._retry_after_us(decision, ttft_us))
         if not self._misses_deadline(request, decision, now_us):
-            self.node.invariants.check_placement(request, decision, room_us)
+            self.node.invariants.check_placement(request, decision, queue_limit_us)
             self._place(request, decision)
             return True
         return self._refuse(request, decision, why, self._retry_after_us(decision, ttft_us))
@@ -135,8 +135,8 @@
         """Whether the answer is expected to take longer than the longest permitted gap."""
         if request.pool is None:
             return True
-        pause_us = request.kind.max_gap_us or request.kind.tpot_us
-        return self.placement.estimator.answer_us(request.answer_tokens) > pause_us
+        gap_us = request.kind.max_gap_us or request.kind.tpot_us
+        return self.placement.estimator.answer_us(request.answer_tokens) > gap_us
 
     def _target_time_used_us(self, request, now_us):
         """How much of the TTFT target is used up: counted from arrival if `hold_share` is set."""
@@ -195,7 +195,7 @@
         self._start(request, decision.winner.runner)
 
     def _begin_decode(self, request):
-        """Start a request at a decode runner that resumes a stream or has no prompt to read."""
+        """Start a request at a decode runner that resumes a stream or has no prompt to prefill."""
         runner = self.placement.choose_decode(without=request.failed, pool=request.pool)
         if runner is not None:
             self._start(request, runner)
@@ -347,8 +347,10 @@
 
     def _restore_has_begun(self, request):
         """Reset `has_begun` to its value before this attempt, which did not run."""
-        had_read = any(step["step"] == "hand-over" for step in request.steps)
-        if not request.written and not (had_read and self.runner_client.prefill_counts_as_begun):
+        had_hand_over = any(step["step"] == "hand-over" for step in request.steps)
+        if not request.written and not (
+            had_hand_over and self.runner_client.prefill_counts_as_begun
+        ):
             request.has_begun = request.had_begun_before
 
     def _with_unknown_outcome(self, error):
@@ -391,12 +393,12 @@
         winner = decision.winner
         if winner is None or not self._has_time_for(request, winner.total_us):
             return self.node.end_with_error(request, self._no_retry_error(request, error))
-        is_second_read = (
+        is_second_prefill = (
             decision.winner.runner.phase == PREFILL
             and request.prefill_attempts > 0
             and not self.runner_client.prefill_counts_as_begun
         )
-        if not self._may_try_again(request, 2 if is_second_read else 1):
+        if not self._may_try_again(request, 2 if is_second_prefill else 1):
             return self.node.end_with_error(request, self._no_retry_error(request, error))
         self._log_retry(request, error)
         self._place(request, decision)
--- a/packages/router/src/linkhaven/router/chain.py
+++ b/packages/router/src/linkhaven/router/chain.py
@@ -11,14 +11,14 @@
     """Calls the filters in order. Each passes a request on, holds it, or raises a `ServiceError`.
 
     A held request continues with the next filter once `run` is called again. An error is handed to
-    `answer` and ends the chain.
+    `on_error` and ends the chain.
     """
 
-    __slots__ = ("filters", "answer")
+    __slots__ = ("filters", "on_error")
 
-    def __init__(self, filters, answer):
+    def __init__(self, filters, on_error):
         self.filters = filters
-        self.answer = answer
+        self.on_error = on_error
 
     def rerun_from(self, request, name):
         """Send a request through the chain again, beginning with the filter `name`."""
@@ -35,7 +35,7 @@
                 if filter_function(request) is HOLD:
                     return
             except ServiceError as error:
-                return self.answer(request, error)
+                return self.on_error(request, error)
 
 
 class Filters:
@@ -46,8 +46,8 @@
     def __init__(self, node):
         self.node = node
 
-    def build_chain(self, answer):
-        """Return the chain of all filters; `answer` is called with a request and its error."""
+    def build_chain(self, on_error):
+        """Return the chain of all filters; `on_error` is called with a request and its error."""
         return FilterChain(
             [
                 self.check_capacity,
@@ -61,7 +61,7 @@
                 self.claim,
                 self.enqueue,
             ],
-            answer,
+            on_error,
         )
 
     def check_capacity(self, request):
--- a/packages/router/src/linkhaven/router/invariants.py
+++ b/packages/router/src/linkhaven/router/invariants.py
@@ -47,7 +47,7 @@
             self._record_violation("refused_beside_idle_runners", request=request.id, runners=names)
         self.check_hold(request)
 
-    def check_placement(self, request, decision, room_us):
+    def check_placement(self, request, decision, queue_limit_us):
         """Check a request that is about to be placed though no runner can answer it in time."""
         winner = decision.winner
         if decision.exception is not None and not winner.has_room:
@@ -55,7 +55,7 @@
                 "late_work_beyond_room",
                 request=request.id,
                 wait_us=winner.queue_wait_us,
-                room_us=room_us,
+                room_us=queue_limit_us,
             )
 
     def check_hold(self, request):
--- a/packages/router/src/linkhaven/router/request.py
+++ b/packages/router/src/linkhaven/router/request.py
@@ -176,20 +176,20 @@
 
         These are the times of placement, hand-over, first answer and end.
         """
-        seen = {
+        facts = {
             "prompt": self.prompt_tokens,
             "ended": now_us - self.arrived_us,
             "runner": self.runner and self.runner.name,
         }
         for step in self.steps:
             if step["step"] in ("attempt", "hand-over"):
-                seen[step["step"]] = step["at_us"]
+                facts[step["step"]] = step["at_us"]
         if self.first_us is not None:
-            seen["first"] = self.first_us - self.arrived_us
+            facts["first"] = self.first_us - self.arrived_us
         if self.decisions:
             winner = self.decisions[-1].winner
             if winner is not None:
-                seen.update(
+                facts.update(
                     phase=winner.runner.phase,
                     unread=winner.uncached_tokens,
                     q=winner.queue_wait_us,
@@ -197,7 +197,7 @@
                     t=winner.transfer_us,
                     start=winner.start_us,
                 )
-        return seen
+        return facts
 
     def as_record(self):
         """Return the record that `explain` shows."""
