--- a/packages/router/src/linkhaven/router/doors.py
+++ b/packages/router/src/linkhaven/router/doors.py
@@ -1,8 +1,10 @@
+"""Finds the request kind of a call by the host and the path of its URL."""
+
 from linkhaven.configuration import Configuration
 
 
-class Doors:
-    """Kinds by host and path: of the doors of a host, the longest prefix that begins the path wins."""
+class RouteTable:
+    """Request kinds by host and path prefix; the longest matching prefix of a host wins."""
 
     __slots__ = ("hosts",)
 
@@ -10,17 +12,19 @@
         self.hosts = {}
 
     def apply_configuration(self, configuration: Configuration) -> None:
+        """Index the routes of a new configuration."""
         self.hosts = {}
         for name, kind in configuration.kinds.items():
             route = kind.route
             if route is not None:
                 self.hosts.setdefault(route.host.lower(), []).append((route.path_prefix, name))
-        for doors in self.hosts.values():
-            doors.sort(key=lambda door: -len(door[0]))
+        for routes in self.hosts.values():
+            routes.sort(key=lambda route_entry: -len(route_entry[0]))
 
     def find(self, host, path):
-        plain = path.partition("?")[0]
+        """Return the name of the request kind, or None; the host's case and the query don't count."""
+        path_only = path.partition("?")[0]
         for prefix, name in self.hosts.get((host or "").lower(), ()):
-            if plain.startswith(prefix):
+            if path_only.startswith(prefix):
                 return name
         return None
--- a/packages/router/src/linkhaven/router/invariants.py
+++ b/packages/router/src/linkhaven/router/invariants.py
@@ -1,38 +1,38 @@
-"""What must hold of placement at every router, checked in the running code and counted.
+"""Invariants of placement at every router, checked in the running code and counted.
 
-| name | what must hold | what breaks without it |
+| name | invariant | incident or symptom without it |
 | --- | --- | --- |
-| `refused_beside_idle_runners` | nothing is refused for want of a runner while all are idle | RECOVER |
-| `late_work_beyond_room` | what is late anyway joins no queue that others need to be short | RECOVER |
-| `held_too_long` | where callers are refused early, none is held long past that | answers at the end |
+| `refused_beside_idle_runners` | no request is refused for lack of a runner while all are idle | RECOVER |
+| `late_work_beyond_room` | late requests join no queue beyond the limit of their group | RECOVER |
+| `held_too_long` | with `hold_share` set, no request is held much longer | refusals near the deadline |
 """
 
 from collections import Counter
 
 from linkhaven.runner.roster import DECODE
 
-TELL_US = 2_000_000
-"""How often a broken invariant is logged, at most; each violation is counted."""
+LOG_INTERVAL_US = 2_000_000
+"""Least interval between two log events of the same invariant; each violation is counted."""
 
 HELD_MARGIN_US = 500_000
-"""What a busy loop may add to the time for which a request is held."""
+"""Tolerance for delays of a busy event loop, added to the time a request may be held."""
 
 
 class PlacementInvariants:
-    """Counts violations by name, and logs event 1902 for the first of each in a while."""
+    """Counts violations by name; logs event 1902, at most once in `LOG_INTERVAL_US` for each."""
 
-    __slots__ = ("node", "pairing", "violations", "told_us")
+    __slots__ = ("node", "placement", "violations", "logged_us")
 
-    def __init__(self, node, pairing):
-        """Nothing was violated yet."""
+    def __init__(self, node, placement):
+        """Start with no violations."""
         self.node = node
-        self.pairing = pairing
+        self.placement = placement
         self.violations = Counter()
-        self.told_us = {}
+        self.logged_us = {}
 
     def check_refusal(self, request, decision):
-        """A request is about to be refused for want of a runner."""
-        runners = self.pairing.open_runners(request.pool)
+        """Check a request that is about to be refused for lack of a runner."""
+        runners = self.placement.open_runners(request.pool)
         can_serve = [runner for runner in runners if self._can_decode(runner, request)]
         soonest_us = min((each.total_us for each in decision.candidates), default=None)
         has_prospect = (
@@ -41,42 +41,42 @@
         if (
             has_prospect
             and can_serve
-            and not any(self.pairing.load.work_at(runner).total().count for runner in runners)
+            and not any(self.placement.load.work_at(runner).total().count for runner in runners)
         ):
             names = [runner.name for runner in can_serve]
-            self._violate("refused_beside_idle_runners", request=request.id, runners=names)
+            self._record_violation("refused_beside_idle_runners", request=request.id, runners=names)
         self.check_hold(request)
 
-    def check_placement(self, request, decision, room_us):
-        """A request that no runner could answer in time is about to be placed."""
+    def check_placement(self, request, decision, queue_limit_us):
+        """Check a request that is about to be placed though no runner can answer it in time."""
         winner = decision.winner
         if decision.exception is not None and not winner.has_room:
-            self._violate(
+            self._record_violation(
                 "late_work_beyond_room",
                 request=request.id,
                 wait_us=winner.queue_wait_us,
-                room_us=room_us,
+                room_us=queue_limit_us,
             )
 
     def check_hold(self, request):
-        """A request ends that was not placed."""
+        """Check a request that ends without having been placed."""
         hold_share = self.node.bounds.hold_share
         if hold_share is None or not request.kind:
             return
-        held_us = self.node.now_us() - max(request.arrived_us, self.node.calm_since_us)
+        held_us = self.node.now_us() - max(request.arrived_us, self.node.undisturbed_since_us)
         if held_us > request.kind.ttft_us * hold_share + HELD_MARGIN_US:
-            self._violate("held_too_long", request=request.id, held_us=held_us)
+            self._record_violation("held_too_long", request=request.id, held_us=held_us)
 
     def _can_decode(self, runner, request):
-        if runner.phase != DECODE or not self.pairing.fits(runner, request.prompt_tokens):
+        if runner.phase != DECODE or not self.placement.fits(runner, request.prompt_tokens):
             return False
-        streams = self.pairing.load.work_at(runner).total().streams
+        streams = self.placement.load.work_at(runner).total().streams
         return not runner.slots or streams < runner.slots
 
-    def _violate(self, name, **facts):
+    def _record_violation(self, name, **facts):
         self.violations[name] += 1
         now_us = self.node.now_us()
-        if now_us - self.told_us.get(name, -TELL_US) < TELL_US:
+        if now_us - self.logged_us.get(name, -LOG_INTERVAL_US) < LOG_INTERVAL_US:
             return
-        self.told_us[name] = now_us
+        self.logged_us[name] = now_us
         self.node.ports.log(1902, invariant=name, count=self.violations[name], **facts)
--- a/packages/router/src/linkhaven/router/request.py
+++ b/packages/router/src/linkhaven/router/request.py
@@ -1,3 +1,5 @@
+"""A request at the router that accepted it, and the states that it goes through."""
+
 WAITING, AWAITING_QUOTA, CLAIMING, QUEUED, READING, DECODING, PARKED, ENDED = (
     "waiting",
     "awaiting_quota",
@@ -11,6 +13,28 @@
 
 
 class Request:
+    """The whole state of one request; the router's components change it, it decides nothing.
+
+    Fields whose meaning isn't plain from their name:
+
+    - `rank`: priority within the queue of its group;
+    - `next_filter`: index of the next filter of the chain;
+    - `run`: id of the generation run whose pieces are relayed, None before the first;
+    - `written`: number of the last piece that was written to the client;
+    - `resume`: run and piece number after which the client resumes a stream;
+    - `runner_call`: the call to a runner that is in flight;
+    - `attempt`: id of the current attempt; `attempts`: how many were started;
+    - `sends`: attempts, and further sends for a second prefill, against `max_attempts`;
+    - `has_begun`: whether a runner may have executed it; `had_begun_before`: the same before the
+      current attempt;
+    - `failed`: names of runners at which an attempt failed;
+    - `parked`: called with the request once the router may start work again;
+    - `handle`: handle of the KV cache that a prefill produced, and its runner;
+    - `is_held`: whether reading from the runner is paused, since the client is slow.
+
+    Times are microseconds of the router's clock.
+    """
+
     __slots__ = (
         "id",
         "call",
@@ -26,15 +50,15 @@
         "rank",
         "quota_slice",
         "state",
-        "place",
+        "next_filter",
         "arrived_us",
         "deadline_us",
-        "admitted_mark",
+        "admitted_version",
         "run",
         "written",
         "resume",
         "attempts",
-        "part",
+        "runner_call",
         "runner",
         "attempt",
         "has_begun",
@@ -59,14 +83,14 @@
         "path",
         "fields",
         "body",
-        "outside_id",
+        "caller_request_id",
         "parts",
         "pool",
-        "patience_us",
-        "reads",
+        "caller_timeout_us",
+        "prefill_attempts",
         "head",
-        "had_begun",
-        "arrivals",
+        "had_begun_before",
+        "sends",
     )
 
     def __init__(self, id, call, now_us):
@@ -78,15 +102,15 @@
         self.rank = 0
         self.prompt_tokens = self.answer_tokens = 0
         self.state = WAITING
-        self.place = 0
+        self.next_filter = 0
         self.deadline_us = None
-        self.admitted_mark = 0
+        self.admitted_version = 0
         self.run = None
         self.written = 0
         self.resume = None
         self.attempts = 0
         self.attempt = None
-        self.part = None
+        self.runner_call = None
         self.runner = None
         self.has_begun = False
         self.failed = []
@@ -105,18 +129,19 @@
         self.is_held = False
         self.claim_key = None
         self.queued_us = 0
-        self.host = self.method = self.path = self.fields = self.body = self.outside_id = (
+        self.host = self.method = self.path = self.fields = self.body = self.caller_request_id = (
             self.head
         ) = None
         self.parts = ()
         self.pool = None
-        self.patience_us = 0
-        self.reads = 0
-        self.had_begun = False
-        self.arrivals = 0
+        self.caller_timeout_us = 0
+        self.prefill_attempts = 0
+        self.had_begun_before = False
+        self.sends = 0
 
     @property
     def is_one_time(self):
+        """Whether it must not be executed twice."""
         return not self.kind.is_idempotent
 
     @property
@@ -128,37 +153,43 @@
         return self.kind.tpot_us
 
     def is_movable(self):
+        """Whether its stream can be moved to another runner."""
         return (
             self.state == DECODING and self.is_resumable and self.written > 0 and not self.is_moving
         )
 
     def pace_us(self, now_us):
+        """Mean time per output token since the stream began or was moved last."""
         return (now_us - self.pace_from_us) / max(1, self.pace_tokens)
 
-    def note(self, now_us, step, **facts):
+    def add_step(self, now_us, step, **facts):
+        """Add a step to the record; after 64 steps further ones are dropped."""
         if len(self.steps) < 64:
             self.steps.append({"at_us": now_us - self.arrived_us, "step": step, **facts})
 
-    def owner(self):
-        """The tenant whose request it is, as a fact of log events; none where there is no tenant."""
+    def tenant_facts(self):
+        """Return the tenant as a fact of log events; nothing where there is no tenant."""
         return {} if self.tenant is None else {"tenant": self.tenant}
 
-    def times(self, now_us):
-        """When it was placed, handed over and first answered, since it came; and what was predicted for its read."""
-        seen = {
+    def timing_facts(self, now_us):
+        """Return its times since arrival and the prediction for its prefill, as log facts.
+
+        These are the times of placement, hand-over, first answer and end.
+        """
+        facts = {
             "prompt": self.prompt_tokens,
             "ended": now_us - self.arrived_us,
             "runner": self.runner and self.runner.name,
         }
         for step in self.steps:
             if step["step"] in ("attempt", "hand-over"):
-                seen[step["step"]] = step["at_us"]
+                facts[step["step"]] = step["at_us"]
         if self.first_us is not None:
-            seen["first"] = self.first_us - self.arrived_us
+            facts["first"] = self.first_us - self.arrived_us
         if self.decisions:
             winner = self.decisions[-1].winner
             if winner is not None:
-                seen.update(
+                facts.update(
                     phase=winner.runner.phase,
                     unread=winner.uncached_tokens,
                     q=winner.queue_wait_us,
@@ -166,15 +197,16 @@
                     t=winner.transfer_us,
                     start=winner.start_us,
                 )
-        return seen
+        return facts
 
     def as_record(self):
+        """Return the record that `explain` shows."""
         record = {
             "request": self.id,
-            "outside": self.outside_id,
+            "outside": self.caller_request_id,
             "kind": self.kind_name,
             "group": self.group,
-            "mark": self.admitted_mark,
+            "mark": self.admitted_version,
             "prompt_tokens": self.prompt_tokens,
             "state": self.state,
             "attempts": self.attempts,
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -424,11 +424,11 @@
 
 
 def try_without_bound(monkeypatch):
-    monkeypatch.setattr(attempts.Attempts, "_has_attempts", lambda self, request, cost: True)
+    monkeypatch.setattr(attempts.Attempts, "_has_attempts_left", lambda self, request, cost: True)
 
 
 def forget_deadlines(monkeypatch):
-    monkeypatch.setattr(node.RouterNode, "_keep_deadlines", lambda self, now_us: None)
+    monkeypatch.setattr(node.RouterNode, "_enforce_deadlines", lambda self, now_us: None)
 
 
 def forget_to_close(monkeypatch):
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -16,8 +16,8 @@
 from linkhaven.credit import QuotaAllocator, RetryBudget
 from linkhaven.leases import Lease
 from linkhaven.router.attempts import Attempts
-from linkhaven.router.chain import Chain
-from linkhaven.router.keys import Keys
+from linkhaven.router.chain import FilterChain
+from linkhaven.router.keys import IdempotencyKeys
 from linkhaven.router.relay import Relay
 from linkhaven.router.request import Request
 from linkhaven.runner import Roster, RunnerClient
@@ -50,7 +50,7 @@
 
 
 def let_keys_pass(monkeypatch):
-    monkeypatch.setattr(Keys, "claim", lambda self, request, go_on: go_on(request))
+    monkeypatch.setattr(IdempotencyKeys, "claim", lambda self, request, go_on: go_on(request))
 
 
 def one_key_through_two_routers(fleet_of):
@@ -155,7 +155,9 @@
 
 
 def refuse_what_was_begun(monkeypatch):
-    monkeypatch.setattr(Attempts, "_unknown", lambda self, error: type(error)("no_runner"))
+    monkeypatch.setattr(
+        Attempts, "_with_unknown_outcome", lambda self, error: type(error)("no_runner")
+    )
 
 
 def share_without_counting(monkeypatch):
@@ -436,7 +438,7 @@
 def test_a_full_queue_and_a_busy_node_refuse_at_once():
     fleet = SimFleet(LICENSING, 11).start()
     router = fleet.routers["edge-1"]
-    router.node.requests_at_most = 3
+    router.node.max_requests = 3
     asked = [fleet.ask("audit-digest", [router.address]) for _ in range(8)]
     fleet.world.run_for(100_000)
     assert [one.code for one in asked if one.code] == ["too_busy"] * 5
@@ -451,7 +453,9 @@
         raise ServiceError("queue_full")
 
     class Walker:
-        place = 0
+        next_filter = 0
 
-    Chain([refuse, walked.append], lambda request, error: answers.append(error.code)).walk(Walker())
+    FilterChain([refuse, walked.append], lambda request, error: answers.append(error.code)).run(
+        Walker()
+    )
     assert (answers, walked) == (["queue_full"], [])
