--- a/tests/test_placement_cost.py
+++ b/tests/test_placement_cost.py
@@ -1,7 +1,7 @@
-"""What a placement costs does not grow with the fleet beyond the runners that are weighed.
+"""The cost of a placement grows only with the number of runners that are evaluated.
 
-A router has a part of a processor. On small twins of the shared deployments (0.12 of one) a router
-took 4.5 ms of it for each placement, so that streams paused for longer than their target.
+A router gets a fraction of a processor. On small replicas of the shared deployments (0.12 of one) a
+placement took 4.5 ms of it, so that streams paused for longer than their target.
 """
 
 import random
@@ -20,11 +20,11 @@
 FIGURES = st.builds(WorkFigures, *[st.integers(0, 9)] * 4)
 POOL = "models"
 PEERS = ("a", "b", "c")
-LAPSE_US = 5
+LIFETIME_US = 5
 
 
 def count_calls(function):
-    """How many functions, of Python and built in, a call runs."""
+    """Return how many Python and built-in functions a call runs."""
     calls = 0
 
     def count(frame, event, argument):
@@ -46,15 +46,15 @@
     return work
 
 
-def test_a_look_at_a_runner_costs_the_same_however_many_routers_reported():
+def test_total_costs_the_same_for_any_number_of_reporting_routers():
     few, many = work_reported_by(2), work_reported_by(60)
     assert count_calls(many.total) == count_calls(few.total)
     assert many.total() == WorkFigures(60, 6_000, 12_000, 60)
 
 
 @given(st.lists(st.tuples(st.sampled_from(PEERS), st.none() | FIGURES, st.integers(0, 3))))
-def test_the_sum_of_reports_is_that_of_those_that_stand(steps):
-    """Reports are replaced, dropped and lapse in any order."""
+def test_total_is_the_sum_of_unexpired_reports(steps):
+    """Reports are replaced, dropped and expire in any order."""
     work, now_us, expected = OutstandingWork(), 0, {}
     for peer, figures, passed_us in steps:
         now_us += passed_us
@@ -64,22 +64,22 @@
             work.drop_report(peer, now_us)
             expected.pop(peer, None)
         else:
-            work.take_report(peer, figures, now_us + LAPSE_US, now_us)
-            expected[peer] = (figures, now_us + LAPSE_US)
+            work.take_report(peer, figures, now_us + LIFETIME_US, now_us)
+            expected[peer] = (figures, now_us + LIFETIME_US)
         sums = [sum(column) for column in zip(*(row[0] for row in expected.values()), strict=True)]
         assert list(work.total()) == (sums or [0, 0, 0, 0])
 
 
-def runner_of(number, phase):
+def make_runner(number, phase):
     runner = Runner(f"runner-{number}", f"10.0.0.{number}:1", "north", 1)
     runner.phase, runner.pool, runner.slots, runner.kv_total = phase, POOL, 48, 380_000
     return runner
 
 
-def policy_over(readers, decoders):
-    """The placement of a router that knows these runners and nothing of their work."""
-    phases = [PREFILL] * readers + [DECODE] * decoders
-    runners = [runner_of(number, phase) for number, phase in enumerate(phases)]
+def make_policy(prefill_runners, decode_runners):
+    """A placement policy that knows these runners and no outstanding work."""
+    phases = [PREFILL] * prefill_runners + [DECODE] * decode_runners
+    runners = [make_runner(number, phase) for number, phase in enumerate(phases)]
     node = SimpleNamespace(
         now_us=lambda: 10_000_000,
         ports=SimpleNamespace(random=random.Random(1)),
@@ -97,12 +97,13 @@
     return policy
 
 
-def test_a_placement_costs_in_proportion_to_the_runners():
-    """Not to the pairs of a reader and a decode runner: each decode runner is looked at once.
+def test_placement_cost_is_proportional_to_the_runners():
+    """Each decode runner is evaluated once, not once per prefill runner.
 
-    Four times the runners are less than six times the calls; looked at by pair they are ten times.
+    Four times the runners take less than six times the calls; evaluated by pairs they took ten
+    times as many.
     """
     work = PrefillWork(8_000, (), POOL)
-    few, many = policy_over(4, 6), policy_over(16, 24)
+    few, many = make_policy(4, 6), make_policy(16, 24)
     costs = [count_calls(lambda one=one: one.choose(work, 800_000)) for one in (few, many)]
     assert costs[1] < 6 * costs[0]
--- a/tests/test_placement_invariants.py
+++ b/tests/test_placement_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of placement are seen to break where a mechanism behind them is taken out."""
+"""The placement invariants are violated if a mechanism behind them is disabled."""
 
 import pytest
 from pooled_fleet import fleet, violations
@@ -9,10 +9,10 @@
 
 
 def run(seed):
-    one = fleet(seed)
-    one.world.run_for(10 * SECOND)
-    one.settle()
-    return violations(one)
+    tested_fleet = fleet(seed)
+    tested_fleet.world.run_for(10 * SECOND)
+    tested_fleet.settle()
+    return violations(tested_fleet)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -24,11 +24,13 @@
             decision.exception = why
         return decision
 
-    def weigh_by_room(self, work, ttft_us, without=(), room_us=0, is_overdue=False):
-        return plain_weigh(self, work, ttft_us, without, self.node.rooms["digests"], is_overdue)
+    def evaluate_by_room(self, work, ttft_us, without=(), room_us=0, is_overdue=False):
+        return original_evaluate(
+            self, work, ttft_us, without, self.node.rooms["digests"], is_overdue
+        )
 
-    plain_weigh = PlacementPolicy.evaluate_candidates
-    monkeypatch.setattr(PlacementPolicy, "evaluate_candidates", weigh_by_room)
+    original_evaluate = PlacementPolicy.evaluate_candidates
+    monkeypatch.setattr(PlacementPolicy, "evaluate_candidates", evaluate_by_room)
     monkeypatch.setattr(PlacementPolicy, "choose_best_effort", choose_any)
     assert run(seed)["late_work_beyond_room"] > 0
 
@@ -36,11 +38,11 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_refusals_beside_an_idle_runner_are_counted(seed, monkeypatch):
     def choose_none(self, *work, **bounds):
-        decision = plain_choose(self, *work, **bounds)
+        decision = original_choose(self, *work, **bounds)
         decision.winner = None
         return decision
 
-    plain_choose = PlacementPolicy.choose
+    original_choose = PlacementPolicy.choose
     monkeypatch.setattr(PlacementPolicy, "choose", choose_none)
     monkeypatch.setattr(Attempts, "_is_hopeless", lambda self, request, decision, now_us: True)
     assert run(seed)["refused_beside_idle_runners"] > 0
--- a/tests/test_plain_requests.py
+++ b/tests/test_plain_requests.py
@@ -1,3 +1,5 @@
+"""Requests without a prompt go to a decode runner at once, on the first try and on retries."""
+
 import sys
 from pathlib import Path
 from types import SimpleNamespace
@@ -21,23 +23,23 @@
 
 
 class PlacementPolicy:
-    """A prefill runner that every read would go to, and a decode runner."""
+    """A stand-in with a prefill runner, which would get every prefill, and a decode runner."""
 
     def __init__(self):
-        self.reads = []
+        self.prefills = []
         self.load = SimpleNamespace(prefill_wait_us=lambda runner: 0)
 
     def choose_decode(self, without=(), source=None, tokens=0, pool=None):
         return SimpleNamespace(name="decode-1", phase="decode")
 
     def begin_prefill(self, runner, attempt, work):
-        self.reads.append(runner.name)
+        self.prefills.append(runner.name)
 
     def begin_decode(self, runner, attempt, tokens):
         pass
 
 
-class Desk:
+class RunnerClient:
     prefill_counts_as_begun = False
 
     def __init__(self):
@@ -47,22 +49,22 @@
         self.sent.append((runner.name, handle))
 
 
-def attempts():
+def make_attempts():
     node = SimpleNamespace(
         now_us=lambda: 5,
         may_start=lambda: True,
         systems=[],
         bounds=SimpleNamespace(hold_share=0.2),
-        ports=SimpleNamespace(log=lambda *told, **facts: None),
+        ports=SimpleNamespace(log=lambda *arguments, **facts: None),
     )
     extra = SimpleNamespace(spend=lambda why, *part, **cost: True)
-    return Attempts(node, PlacementPolicy(), Desk(), SimpleNamespace(), extra)
+    return Attempts(node, PlacementPolicy(), RunnerClient(), SimpleNamespace(), extra)
 
 
-def asked(**headers):
-    told = {name.replace("_", "-"): value for name, value in headers.items()}
+def make_request(**headers):
+    headers_sent = {name.replace("_", "-"): value for name, value in headers.items()}
     call = SimpleNamespace(
-        method="GET", path="/a/x", fields=[], body=b"", headers=told, is_begun=False
+        method="GET", path="/a/x", fields=[], body=b"", headers=headers_sent, is_begun=False
     )
     request = Request("r-1", call, 0)
     PlatformCallers().read(request)
@@ -80,20 +82,20 @@
 @pytest.mark.parametrize(
     "headers, tokens", [({}, 0), ({"token_usage": "0,4"}, 1), ({"token_usage": "1460,80"}, 1460)]
 )
-def test_only_a_request_that_tells_of_a_prompt_has_one_to_read(headers, tokens):
-    assert asked(**headers).prompt_tokens == tokens
+def test_only_a_request_with_prompt_tokens_has_a_prompt_to_prefill(headers, tokens):
+    assert make_request(**headers).prompt_tokens == tokens
 
 
 def test_a_request_without_a_prompt_goes_to_a_decode_runner_at_once():
-    tries, request = attempts(), asked()
-    assert tries.begin(request)
-    assert tries.desk.sent == [("decode-1", None)] and tries.pairing.reads == []
+    attempts, request = make_attempts(), make_request()
+    assert attempts.begin(request)
+    assert attempts.desk.sent == [("decode-1", None)] and attempts.pairing.prefills == []
     assert request.has_begun
 
 
-def test_it_is_tried_again_without_a_read_too():
-    tries, request = attempts(), asked()
-    tries.begin(request)
+def test_a_request_without_a_prompt_is_retried_without_a_prefill():
+    attempts, request = make_attempts(), make_request()
+    attempts.begin(request)
     request.state = PARKED
-    tries._retry(request, ServiceError("runner_lost"))
-    assert tries.desk.sent == [("decode-1", None)] * 2 and tries.pairing.reads == []
+    attempts._retry(request, ServiceError("runner_lost"))
+    assert attempts.desk.sent == [("decode-1", None)] * 2 and attempts.pairing.prefills == []
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -1,4 +1,4 @@
-"""Runners without an engine: who is chosen, ejected and tried again, and what nobody asks them."""
+"""Runners without an engine: choice, ejection and retry, and that they get no role orders."""
 
 import random
 
@@ -11,47 +11,45 @@
 from linkhaven.stage.core import SimCore
 
 SECOND = 1_000_000
-PLACES = 6
+SLOTS = 6
 
 
 class Pool:
-    """Runners of one pool behind one or more schedulers, on a clock of its own.
+    """Runners of one pool behind one or more schedulers, with its own clock.
 
-    The schedulers hear of each other as routers do by way of the core: late, as sums.
+    The schedulers exchange their counts as routers do through the core: late, and as sums.
     """
 
     def __init__(self, count, seed, routers=1):
         self.now = 0
-        self.dice = random.Random(seed)
+        self.rng = random.Random(seed)
         self.runners = [self.add(f"i-{place}") for place in range(count)]
         self.open = {}
         self.schedulers = [
-            PlainScheduler(
-                lambda: self.now, self.dice, lambda runner: self.open.get(runner.name, 0)
-            )
+            PlainScheduler(lambda: self.now, self.rng, lambda runner: self.open.get(runner.name, 0))
             for _ in range(routers)
         ]
         self.chosen = {}
 
     def add(self, name):
         runner = Runner(name, "10.0.0.1:80", "z", 1)
-        runner.phase, runner.pool, runner.slots = PLAIN, "receipts", PLACES
+        runner.phase, runner.pool, runner.slots = PLAIN, "receipts", SLOTS
         return runner
 
     def ask(self, failing, spans=None, gap_us=20_000):
-        """One request at any router; `failing`: by runner, the share of its answers that fail."""
+        """Send a request through a random router; `failing`: the failure rate by runner."""
         self.now += gap_us
-        scheduler = self.dice.choice(self.schedulers)
+        scheduler = self.rng.choice(self.schedulers)
         runner = scheduler.choose(self.runners)
         self.chosen[runner.name] = self.chosen.get(runner.name, 0) + 1
-        if self.dice.random() < failing.get(runner.name, 0):
+        if self.rng.random() < failing.get(runner.name, 0):
             scheduler.note_failed(runner)
             return False
         scheduler.note_answered(runner, (spans or {}).get(runner.name, 45_000))
         return True
 
-    def tell(self):
-        """Let each router hear the sums of the others' rows."""
+    def exchange_counts(self):
+        """Give each router the sums of the others' rows."""
         node = type("Seat", (), {"systems": [], "now_us": lambda _: self.now})()
         sums = FigureRelay(node, "outcomes")
         for place, scheduler in enumerate(self.schedulers):
@@ -65,7 +63,7 @@
         for place in range(count):
             served += self.ask(failing, **more)
             if place % 25 == 24:
-                self.tell()
+                self.exchange_counts()
         return served / count
 
 
@@ -83,14 +81,14 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_where_all_fail_alike_none_is_ejected(seed):
+def test_no_runner_is_ejected_if_all_fail_alike(seed):
     pool = Pool(6, seed)
     pool.run(800, {runner.name: 0.3 for runner in pool.runners})
     assert not pool.schedulers[0].ejected and min(pool.chosen.values()) > 60
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_never_more_than_a_third_is_out_at_once(seed):
+def test_at_most_a_third_of_a_pool_is_ejected_at_once(seed):
     pool = Pool(6, seed)
     for _ in range(800):
         pool.ask({"i-0": 0.9, "i-1": 0.8, "i-2": 0.7, "i-3": 0.6})
@@ -98,7 +96,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_slow_runner_gets_fewer_and_a_new_one_its_share_without_a_rush(seed):
+def test_a_slow_runner_gets_fewer_requests_and_a_new_one_only_its_share(seed):
     pool = Pool(3, seed)
     spans = {"i-0": 180_000}
     pool.open = {runner.name: 1 for runner in pool.runners}
@@ -111,16 +109,16 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_runner_whose_places_are_taken_is_left_to_others(seed):
+def test_a_runner_without_free_slots_is_avoided(seed):
     pool = Pool(2, seed)
-    pool.open = {"i-0": PLACES}
+    pool.open = {"i-0": SLOTS}
     assert pool.run(50, {}, spans={"i-0": 1_000}) == 1 and set(pool.chosen) == {"i-1"}
-    pool.open["i-1"] = PLACES
+    pool.open["i-1"] = SLOTS
     assert pool.schedulers[0].choose(pool.runners) is not None
     assert pool.schedulers[0].choose([]) is None
 
 
-def test_what_was_seen_fades_and_is_forgotten_with_its_runner():
+def test_counts_decay_and_are_dropped_with_their_runner():
     pool = Pool(2, 1)
     scheduler = pool.schedulers[0]
     scheduler.note_failed(pool.runners[0])
@@ -147,7 +145,7 @@
     return core, runner_discovery
 
 
-def test_a_dark_plain_runner_is_tried_again_and_closed_anew_by_evidence():
+def test_an_unresponsive_plain_runner_reopens_and_closes_again_on_evidence():
     core, runner_discovery = plain_core()
     runner = runner_discovery.runners["i-1"]
     assert runner_discovery.is_ready() and runner.is_open() and not runner_discovery.report_calls
@@ -158,8 +156,8 @@
         assert runner.is_open()
 
 
-def test_no_order_of_a_phase_is_ever_weighed_for_a_plain_runner():
+def test_role_decisions_ignore_plain_runners():
     core, runner_discovery = plain_core()
-    sides = PoolRoles()
-    sides.add(runner_discovery.runners["i-1"], runner_discovery.health, None)
-    assert sides.healthy_count() == 0 and not sides.unreported
+    roles = PoolRoles()
+    roles.add(runner_discovery.runners["i-1"], runner_discovery.health, None)
+    assert roles.healthy_count() == 0 and not roles.unreported
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,9 +1,9 @@
-"""Placement decides what it decided when it was one class: choice and reason, decision by decision.
+"""Placement decisions equal the recorded ones, each with its reason.
 
-The recordings are digests of 200 decisions each, of whole fleets in the simulated world: a small
-one, whose routers tell each other of every change, a large one, whose views come late by way of the
-core, and a native one without pools. `python tests/test_recorded_decisions.py` records them anew; a
-change of policy does so on purpose, in a commit that says what changed.
+The recordings are digests of 200 decisions each, of whole simulated fleets: small ones, whose
+routers report every change to each other, large ones, whose reports come late through the core, and
+one with the native protocol and without pools. `python tests/test_recorded_decisions.py` records
+them again; only a deliberate change of the policy does so, in a commit that says what changed.
 """
 
 import hashlib
@@ -28,7 +28,7 @@
 
 
 def pooled(seed, routers, rate, gone=()):
-    """A fleet of one pool under load; after some seconds the runners `gone` are lost."""
+    """Run a fleet of one pool under load; after 9 seconds the runners `gone` are lost."""
     plan = POOLED.plan(pools={POOL: {}})
     plan["taichi"] = {"prefill_tokens_per_s": 0, "search": True}
     one = PooledFleet(
@@ -67,20 +67,20 @@
     return result and result.name
 
 
-def in_words(result):
+def record_of(result):
     return result.as_record() if hasattr(result, "as_record") else name_of(result)
 
 
-def decided(result):
-    """A decision's record has its candidates with all that they were weighed by."""
-    return name_of(result) if hasattr(result, "incarnation") else in_words(result)
+def outcome_of(result):
+    """Return a runner's name or a decision's record, with all estimates of its candidates."""
+    return name_of(result) if hasattr(result, "incarnation") else record_of(result)
 
 
 @contextmanager
 def recorded():
-    """While this is open, each outermost decision of every router goes into the list."""
+    """Collect each outermost decision of every router while the context is open."""
     entries, depth = [], [0]
-    kept = {name: getattr(PlacementPolicy, name) for name in RECORDED_NAMES}
+    originals = {name: getattr(PlacementPolicy, name) for name in RECORDED_NAMES}
 
     def hooked(name, inner):
         def call(self, *words, **facts):
@@ -90,18 +90,23 @@
             finally:
                 depth[0] -= 1
             if not depth[0]:
-                told = [self.node.now_us(), self.node.name, RECORDED_NAMES[name], decided(result)]
-                entries.append(json.dumps(told))
+                entry = [
+                    self.node.now_us(),
+                    self.node.name,
+                    RECORDED_NAMES[name],
+                    outcome_of(result),
+                ]
+                entries.append(json.dumps(entry))
             return result
 
         return call
 
-    for name, inner in kept.items():
+    for name, inner in originals.items():
         setattr(PlacementPolicy, name, hooked(name, inner))
     try:
         yield entries
     finally:
-        for name, inner in kept.items():
+        for name, inner in originals.items():
             setattr(PlacementPolicy, name, inner)
 
 
@@ -121,23 +126,23 @@
 
 @pytest.mark.parametrize("name", RUNS)
 def test_every_decision_is_the_recorded_one(name):
-    was = json.loads(RECORDINGS.read_text())[name]
+    recording = json.loads(RECORDINGS.read_text())[name]
     entries = play(name)
     chunks = chunks_of(entries)
-    for place, (before, now) in enumerate(zip(was["chunks"], chunks, strict=False)):
+    for place, (before, now) in enumerate(zip(recording["chunks"], chunks, strict=False)):
         assert now == before, f"decisions {place * CHUNK} to {(place + 1) * CHUNK - 1} differ"
-    assert len(entries) == was["decisions"]
+    assert len(entries) == recording["decisions"]
 
 
 def test_thousands_of_decisions_are_recorded():
-    """Choices that were placed, and such that no runner could answer in time."""
+    """They include ones that were placed and ones that no runner could answer in time."""
     recorded_runs = json.loads(RECORDINGS.read_text())
     assert set(recorded_runs) == set(RUNS)
     assert sum(run["decisions"] for run in recorded_runs.values()) >= 3_000
 
 
 def main():
-    """Record all runs anew."""
+    """Record all runs again."""
     found = {}
     for name in RUNS:
         entries = play(name)
--- a/tests/test_shared_lines.py
+++ b/tests/test_shared_lines.py
@@ -1,4 +1,4 @@
-"""What routers learn of reading times, alone and from each other, and where parts are at home."""
+"""Learned prefill times, alone and from other routers, and the affinity of prompt parts."""
 
 import random
 from types import SimpleNamespace
@@ -33,7 +33,7 @@
 
 
 class Fleet:
-    """Some routers' estimators on one clock, which hear each other's sums."""
+    """The estimators of several routers on one clock, which exchange their sums."""
 
     def __init__(self, count, are_views_late=True):
         self.now = SECOND
@@ -43,15 +43,15 @@
         for estimator in self.estimators:
             estimator.settings = SETTINGS
 
-    def tell(self):
+    def exchange_sums(self):
         sums = FigureRelay(SimpleNamespace(systems=[], now_us=lambda: self.now), "lines")
-        for place, estimator in enumerate(self.estimators):
-            sums.on_watch_request({"name": place, "lines": estimator.own_rows()})
-        for place, estimator in enumerate(self.estimators):
-            estimator.take_others(sums.of_others(place))
+        for number, estimator in enumerate(self.estimators):
+            sums.on_watch_request({"name": number, "lines": estimator.own_rows()})
+        for number, estimator in enumerate(self.estimators):
+            estimator.take_others(sums.of_others(number))
 
 
-def test_before_any_read_nothing_is_known_and_nothing_read_in_place():
+def test_before_any_prefill_no_rate_is_known():
     estimator = Fleet(1).estimators[0]
     assert estimator.prefill_us(9_000, runner("r")) == 0 and estimator.known_rate(PREFILL) == 0
     assert not estimator.knows_rate(DECODE)
@@ -60,40 +60,40 @@
     assert estimator.prefill_us(9_000, runner("d", DECODE)) == 60_000
 
 
-def test_in_a_small_fleet_a_pace_is_guessed_before_a_line_is_seen():
+def test_a_small_fleet_uses_the_default_rate_before_a_line_is_learned():
     estimator = Fleet(1, are_views_late=False).estimators[0]
-    guessed_us = estimator.prefill_us(9_000, runner("r"))
-    assert guessed_us > 400_000
+    default_us = estimator.prefill_us(9_000, runner("r"))
+    assert default_us > 400_000
     estimator.note_prefill("r", PREFILL, 9_000, 30_000)
-    assert estimator.prefill_us(9_000, runner("r")) > 0.8 * guessed_us
+    assert estimator.prefill_us(9_000, runner("r")) > 0.8 * default_us
     estimator.note_prefill("r", PREFILL, 200, 19_000)
     assert estimator.prefill_us(9_000, runner("r")) < 60_000
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_router_that_saw_nothing_knows_what_the_others_saw(seed):
-    dice, fleet = random.Random(seed), Fleet(20)
+def test_a_router_without_samples_learns_from_the_other_routers(seed):
+    rng, fleet = random.Random(seed), Fleet(20)
     for estimator in fleet.estimators[1:]:
         for _ in range(3):
-            tokens = dice.choice((200, 2_000, 9_000))
+            tokens = rng.choice((200, 2_000, 9_000))
             estimator.note_prefill("r", PREFILL, tokens, true_us(tokens))
-    fleet.tell()
+    fleet.exchange_sums()
     for tokens in (200, 5_000, 12_000):
-        seen_us = fleet.estimators[0].prefill_us(tokens, runner("other"))
-        assert abs(seen_us - true_us(tokens)) < 0.1 * true_us(tokens)
+        estimated_us = fleet.estimators[0].prefill_us(tokens, runner("other"))
+        assert abs(estimated_us - true_us(tokens)) < 0.1 * true_us(tokens)
     fleet.now += 60 * SECOND
-    fleet.tell()
+    fleet.exchange_sums()
     assert not fleet.estimators[0].others
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_where_queues_are_not_known_the_line_follows_the_reads_that_met_none(seed):
-    dice, fleet = random.Random(seed), Fleet(1)
+def test_with_unknown_queues_the_line_follows_prefills_that_did_not_wait(seed):
+    rng, fleet = random.Random(seed), Fleet(1)
     estimator = fleet.estimators[0]
     for _ in range(400):
         fleet.now += 20_000
-        tokens = dice.choice((200, 2_000, 9_000))
-        queue_us = 0 if dice.random() < 0.4 else dice.randrange(300_000)
+        tokens = rng.choice((200, 2_000, 9_000))
+        queue_us = 0 if rng.random() < 0.4 else rng.randrange(300_000)
         estimator.note_prefill("r", PREFILL, tokens, true_us(tokens) + queue_us)
     assert estimator.prefill_us(9_000, runner("r")) < 2.5 * true_us(9_000)
     assert 30_000 < estimator.wait_us(PREFILL) < 200_000
@@ -102,12 +102,12 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_sums_of_samples_from_many_fits_make_the_line_of_all(seed):
-    dice = random.Random(seed)
+def test_summed_rows_of_many_fits_give_the_line_of_all_samples(seed):
+    rng = random.Random(seed)
     fits = [LineFit() for _ in range(5)]
     for fit in fits:
         for _ in range(20):
-            tokens = dice.choice((100, 400, 9_000, 12_000))
+            tokens = rng.choice((100, 400, 9_000, 12_000))
             fit.note(tokens, true_us(tokens))
     rows = [sum(parts) for parts in zip(*(fit.as_row() for fit in fits[1:]), strict=True)]
     base_us, token_us = fits[0].plus(rows).line()
@@ -115,7 +115,7 @@
     assert LineFit().line() is None and LineFit().rough_line() is None
 
 
-def test_a_recent_mean_adds_up_and_fades():
+def test_a_recent_mean_sums_and_decays():
     one, other = RecentMean(), RecentMean()
     one.note(100, SECOND)
     other.note(300, SECOND)
@@ -123,16 +123,13 @@
     assert one.with_others((), 20 * SECOND) == 0
 
 
-# decode runners
-
-
 @pytest.mark.parametrize("count", range(1, 24))
-def test_decode_runners_are_divided_alike_whatever_their_order(count):
-    runners = [runner(f"i-{place}", DECODE) for place in range(count)]
-    dice = random.Random(count)
+def test_the_division_of_decode_runners_is_independent_of_their_order(count):
+    runners = [runner(f"i-{number}", DECODE) for number in range(count)]
+    rng = random.Random(count)
     split = split_decoders(runners, 3, 0.0)
     for _ in range(5):
-        dice.shuffle(runners)
+        rng.shuffle(runners)
         again = split_decoders(runners, 3, 0.0)
         assert (again.decode_only, again.mixed) == (split.decode_only, split.mixed)
     assert len(split.decode_only) == min(count, MIN_DECODE_ONLY)
@@ -140,50 +137,49 @@
 
 
 @pytest.mark.parametrize(
-    "streams, held, undisturbed",
+    "streams, held_kv, decode_only",
     [(0, 0.0, 2), (13, 0.0, 2), (14, 0.0, 3), (40, 0.0, 6), (500, 0.0, 10), (0, 3.0, 5)],
 )
-def test_as_many_keep_undisturbed_as_streams_and_memory_need(streams, held, undisturbed):
-    runners = [runner(f"i-{place}", DECODE) for place in range(10)]
-    split = split_decoders(runners, streams, held)
-    assert (len(split.decode_only), len(split.mixed)) == (undisturbed, 10 - undisturbed)
+def test_decode_only_runners_are_as_many_as_streams_and_memory_need(streams, held_kv, decode_only):
+    runners = [runner(f"i-{number}", DECODE) for number in range(10)]
+    split = split_decoders(runners, streams, held_kv)
+    assert (len(split.decode_only), len(split.mixed)) == (decode_only, 10 - decode_only)
 
 
-def test_without_known_places_nobody_reads_for_others():
+def test_without_known_slots_no_runner_is_mixed():
     assert not split_decoders([runner("a", DECODE, 0), runner("b", DECODE, 0)], 0, 0.0).mixed
 
 
-# homes of parts
-
-
-def work(place):
+def work(number):
     return PrefillWork(
-        9_000, ((f"top-{place % 4}", 2_500), (f"mid-{place}", 3_800), ("own", 2_700))
+        9_000, ((f"top-{number % 4}", 2_500), (f"mid-{number}", 3_800), ("own", 2_700))
     )
 
 
-def test_homes_follow_the_shares_and_few_move_when_a_runner_goes():
-    kept = PrefixCacheView()
-    shares = {runner(f"i-{place}"): 1.0 if place < 8 else 0.5 for place in range(16)}
-    homes = {place: kept.affinity_runner(shares, work(place)).name for place in range(4_000)}
-    counts = {one.name: list(homes.values()).count(one.name) for one in shares}
+def test_affinity_follows_the_shares_and_moves_little_when_a_runner_leaves():
+    caches = PrefixCacheView()
+    shares = {runner(f"i-{number}"): 1.0 if number < 8 else 0.5 for number in range(16)}
+    affinities = {
+        number: caches.affinity_runner(shares, work(number)).name for number in range(4_000)
+    }
+    counts = {one.name: list(affinities.values()).count(one.name) for one in shares}
     for one, share in shares.items():
         assert 0.8 * 4_000 * share / 12 < counts[one.name] < 1.2 * 4_000 * share / 12
     lost = next(iter(shares))
     rest = {one: share for one, share in shares.items() if one is not lost}
-    for place, name in homes.items():
+    for number, name in affinities.items():
         if name != lost.name:
-            assert kept.affinity_runner(rest, work(place)).name == name
+            assert caches.affinity_runner(rest, work(number)).name == name
     assert (
-        kept.affinity_runner({}, work(1)) is None
-        and kept.affinity_runner(shares, PrefillWork(5, (("own", 5),))) is None
+        caches.affinity_runner({}, work(1)) is None
+        and caches.affinity_runner(shares, PrefillWork(5, (("own", 5),))) is None
     )
 
 
-def test_at_home_the_shared_parts_count_as_kept_and_elsewhere_only_what_was_read():
-    kept, there, other = PrefixCacheView(), runner("a"), runner("b")
-    assert kept.uncached_tokens(there, work(1)) == 9_000
-    assert kept.uncached_tokens(there, work(1), has_affinity=True) == 2_700
-    kept.note(other, work(5).parts[:1])
-    assert kept.uncached_tokens(other, work(1)) == 6_500
-    assert kept.uncached_tokens(other, work(2)) == 9_000
+def test_shared_parts_count_as_cached_with_affinity_else_only_after_a_prefill():
+    caches, there, other = PrefixCacheView(), runner("a"), runner("b")
+    assert caches.uncached_tokens(there, work(1)) == 9_000
+    assert caches.uncached_tokens(there, work(1), has_affinity=True) == 2_700
+    caches.note(other, work(5).parts[:1])
+    assert caches.uncached_tokens(other, work(1)) == 6_500
+    assert caches.uncached_tokens(other, work(2)) == 9_000
