--- a/packages/controller/src/linkhaven/controller/runner_health.py
+++ b/packages/controller/src/linkhaven/controller/runner_health.py
@@ -124,7 +124,7 @@
         """Mark unresponsive plain runners responsive after `dark_us`, so that routers retry them.
 
         A plain runner gives no reports, so only client requests can show that it has recovered.
-        Test: `test_a_dark_plain_runner_is_tried_again_and_closed_anew_by_evidence`.
+        Test: `test_an_unresponsive_plain_runner_reopens_and_closes_again_on_evidence`.
         """
         for runner in self.runner_list.runners.rows():
             if not (runner.is_plain() and runner.is_unresponsive):
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -1,3 +1,9 @@
+"""Runners that owe a router bytes and send none: avoided at once, their work retried elsewhere.
+
+Also: a fault while a request is started ends that request only, and runner discovery asks a runner
+for its report as soon as a router reports it as silent.
+"""
+
 from collections import deque
 from types import SimpleNamespace
 
@@ -11,7 +17,7 @@
 from linkhaven.runner import Roster
 
 
-def silent(*told, **facts):
+def ignore(*arguments, **facts):
     return None
 
 
@@ -28,8 +34,8 @@
 
 def queued(id, tokens=100, **kind):
     request = Request(id, SimpleNamespace(is_begun=False), 0)
-    terms = {"max_attempts": 2, **kind}
-    request.kind = RequestKind("g", 1_000_000, NO_BOUND_US, deadline_us=8_000_000, **terms)
+    options = {"max_attempts": 2, **kind}
+    request.kind = RequestKind("g", 1_000_000, NO_BOUND_US, deadline_us=8_000_000, **options)
     request.prompt_tokens = tokens
     request.deadline_us = 8_000_000
     request.state = QUEUED
@@ -37,7 +43,7 @@
 
 
 class QueueNode:
-    """A router's queue, and how each of its requests ended."""
+    """A stand-in for a router: its queue, and how each of its requests ended."""
 
     def __init__(self):
         self.ended = {}
@@ -59,50 +65,50 @@
             self.queue.remove(request)
 
 
-class Reader:
-    """A pairing that fails for one request, before or after it chose; else the one runner."""
+class FailingPolicy:
+    """A policy that raises while choosing if `fault` says so; else it chooses the only runner."""
 
-    def __init__(self, bad):
-        self.bad = bad
+    def __init__(self, fault):
+        self.fault = fault
 
     def choose_decode(self, without=(), source=None, tokens=0, pool=None):
-        if self.bad == "choosing":
+        if self.fault == "choosing":
             raise AttributeError("choosing")
         return SimpleNamespace(name="runner-1", phase="decode")
 
-    begin_prefill = begin_decode = silent
+    begin_prefill = begin_decode = ignore
 
 
-class Sender:
+class FailingClient:
     prefill_counts_as_begun = False
 
-    def __init__(self, bad):
-        self.bad = bad
+    def __init__(self, fault):
+        self.fault = fault
 
     def decode(self, runner, request, handle, handler):
-        if self.bad == "sending":
+        if self.fault == "sending":
             raise KeyError("sending")
 
 
 @pytest.mark.parametrize(
-    "bad, done, is_out", [("choosing", "no", False), ("sending", "unknown", True)]
+    "fault, done, is_out", [("choosing", "no", False), ("sending", "unknown", True)]
 )
-def test_a_fault_at_the_start_of_a_request_ends_that_one(bad, done, is_out):
+def test_a_fault_while_a_request_is_started_ends_only_that_request(fault, done, is_out):
     node = QueueNode()
-    tries = Attempts(node, Reader(bad), Sender(bad), SimpleNamespace(), None)
+    attempts = Attempts(node, FailingPolicy(fault), FailingClient(fault), SimpleNamespace(), None)
     request = queued("r-1", tokens=0)
     node.queue.append(request)
-    assert tries.begin(request) is is_out
+    assert attempts.begin(request) is is_out
     assert node.ended == {"r-1": done}
     assert node.ports.log.events[0][0] == 1005
-    assert bad in node.ports.log.events[0][1]["fault"]
-    tries.pairing.bad = tries.desk.bad = None
-    assert tries.begin(queued("r-2", tokens=0))
+    assert fault in node.ports.log.events[0][1]["fault"]
+    attempts.pairing.fault = attempts.desk.fault = None
+    assert attempts.begin(queued("r-2", tokens=0))
     assert "r-2" not in node.ended
 
 
 class Router:
-    """Time and bounds of a router, by hand."""
+    """A stand-in for a router with a manual clock and fixed bounds."""
 
     def __init__(self):
         self.us = 10_000_000
@@ -150,7 +156,7 @@
     }
 
 
-def listed(roster, serial, *records):
+def apply_list(roster, serial, *records):
     roster.take(
         {"fence": 1, "serial": serial, "age_us": 0, "runners": list(records)}, roster.node.now_us()
     )
@@ -164,12 +170,15 @@
 
 
 class Fleet:
-    """Attempts of one router at two decode runners and one reader; what failed is noted in place of tried again."""
+    """The attempts of one router at two decode runners and a prefill runner.
+
+    Failed requests are recorded in `failed` instead of retried.
+    """
 
     def __init__(self, prefill_us=0):
         self.node = Router()
         self.roster = Roster(self.node)
-        listed(self.roster, 1, record("d-1"), record("d-2"), record("p-1", "prefill"))
+        apply_list(self.roster, 1, record("d-1"), record("d-2"), record("p-1", "prefill"))
         self.extra = SimpleNamespace(covers=lambda cost, pool=None: cost <= self.budget)
         self.budget = 2
         pairing = SimpleNamespace(
@@ -179,14 +188,14 @@
             ),
             open_runners=lambda pool=None: self.roster.open_runners(),
         )
-        self.tries = Failing(
+        self.attempts = Failing(
             self.node,
             pairing,
             SimpleNamespace(prefill_counts_as_begun=False),
             self.roster,
             self.extra,
         )
-        self.failed = self.tries.failed = []
+        self.failed = self.attempts.failed = []
 
     def sent(self, id, name="d-1", state=DECODING, written=3, **kind):
         request = queued(id, **{"is_resumable": True, **kind})
@@ -201,7 +210,7 @@
         end_us = self.node.us + span_us
         while self.node.us < end_us:
             self.node.us += 50_000
-            self.tries.tick(self.node.us)
+            self.attempts.tick(self.node.us)
 
     def open(self):
         return [runner.name for runner in self.roster.open_runners()]
@@ -220,17 +229,17 @@
     assert [told[:3] for told in fleet.roster.evidence_rows()] == [["d-1", 1, "alive"]]
 
 
-def test_the_reads_that_wait_there_have_their_time():
+def test_a_prefill_runner_is_given_the_time_of_its_queue():
     fleet = Fleet(prefill_us=1_000_000)
     fleet.sent("r-1", "p-1", READING)
-    listed(fleet.roster, 2, record("d-1"), record("p-1", "prefill"), record("p-2", "prefill"))
+    apply_list(fleet.roster, 2, record("d-1"), record("p-1", "prefill"), record("p-2", "prefill"))
     fleet.run_for(1_600_000)
     assert "p-1" in fleet.open()
     fleet.run_for(100_000)
     assert "p-1" not in fleet.open()
 
 
-def test_bytes_of_any_of_its_streams_will_do():
+def test_a_byte_of_any_stream_keeps_a_runner_in_use():
     fleet = Fleet()
     fleet.sent("r-1")
     for _ in range(12):
@@ -239,14 +248,14 @@
         assert "d-1" in fleet.open()
 
 
-def test_the_only_runner_of_its_part_stays_in_use():
+def test_the_only_runner_of_its_role_stays_in_use():
     fleet = Fleet()
     fleet.sent("r-1", "p-1", READING)
     fleet.run_for(2_000_000)
     assert "p-1" in fleet.open()
 
 
-def test_a_silent_runner_that_owes_nothing_any_more_is_taken_back_after_a_while():
+def test_a_silent_runner_without_pending_requests_returns_to_use():
     fleet = Fleet()
     fleet.sent("r-1")
     fleet.run_for(700_000)
@@ -255,7 +264,7 @@
     assert "d-1" in fleet.open()
 
 
-def test_a_silent_stream_of_a_runner_that_is_not_dark_stays():
+def test_a_silent_stream_stays_at_a_runner_that_is_responsive():
     fleet = Fleet()
     fleet.sent("r-1")
     fleet.run_for(3_900_000)
@@ -272,7 +281,7 @@
         (DECODING, "d-1", {"is_resumable": False}, False),
     ],
 )
-def test_what_a_dark_runner_has_goes_on_elsewhere_after_a_second(state, name, kind, is_tried):
+def test_requests_of_an_unresponsive_runner_are_retried_after_a_second(state, name, kind, is_tried):
     fleet = Fleet()
     fleet.sent(
         "r-1", name, state, written=3 if state == DECODING else 0, **{"max_attempts": 4, **kind}
@@ -285,7 +294,7 @@
 
 
 @pytest.mark.parametrize("change", ["no budget", "no other", "it speaks", "held"])
-def test_a_stream_that_can_not_go_on_elsewhere_stays(change):
+def test_a_stream_that_can_not_be_resumed_elsewhere_stays(change):
     fleet = Fleet()
     request = fleet.sent("r-1")
     runner = fleet.roster.runners["d-1"]
@@ -332,7 +341,7 @@
 
 
 @pytest.mark.parametrize("is_answered, is_unresponsive", [(True, False), (False, True)])
-def test_a_runner_silent_to_a_router_is_asked_at_once_and_dark_unless_it_answers(
+def test_a_runner_silent_to_a_router_is_asked_at_once_and_unresponsive_without_an_answer(
     is_answered, is_unresponsive
 ):
     node, desk = Router(), Reports()
@@ -359,7 +368,7 @@
     assert runner_discovery.runners["d-1"].is_unresponsive is is_unresponsive
 
 
-def test_evidence_older_than_the_last_report_asks_nothing():
+def test_evidence_older_than_the_last_report_is_ignored():
     node, desk = Router(), Reports()
     runner_discovery = RunnerDiscovery(
         node, desk, "list", [SimpleNamespace(is_held=lambda: True)], OBSERVER
@@ -371,8 +380,8 @@
     assert desk.asked == []
 
 
-def test_a_question_does_not_take_the_announcement_that_the_list_is_ready_away():
-    """A poll that comes between the last report and the next tick asks whether it is ready."""
+def test_asking_whether_the_list_is_ready_does_not_suppress_its_announcement():
+    """A poll between the last report and the next tick asks whether the list is ready."""
     node, desk, announced = Router(), Reports(), []
     observer = SimpleNamespace(on_runner_list_ready=lambda: announced.append(node.us))
     runner_discovery = RunnerDiscovery(
