--- a/packages/pairing/src/linkhaven/pairing/kept.py
+++ b/packages/pairing/src/linkhaven/pairing/kept.py
@@ -9,7 +9,7 @@
 """The number of hash values."""
 
 CACHE_SHARE = 0.8
-"""The share of a runner's KV cache that is assumed to hold parts of recent prompts."""
+"""The share of a runner's KV cache that is num_assumed to hold parts of recent prompts."""
 
 MAX_PARTS = 4_096
 """The most parts that are tracked per runner."""
@@ -64,9 +64,9 @@
         for id, tokens in parts:
             cached[id] = tokens
             cached.move_to_end(id)
-        room = runner.kv_total * CACHE_SHARE if runner.kv_total > 1 else None
-        total = sum(cached.values()) if room else 0
-        while len(cached) > MAX_PARTS or room and total > room:
+        capacity = runner.kv_total * CACHE_SHARE if runner.kv_total > 1 else None
+        total = sum(cached.values()) if capacity else 0
+        while len(cached) > MAX_PARTS or capacity and total > capacity:
             total -= cached.popitem(last=False)[1]
 
     def affinity_runner(self, shares, work):
@@ -98,10 +98,10 @@
         cached = self.runners.get(runner.name, ())
         if not work.parts or not (cached or has_affinity):
             return work.tokens
-        assumed = len(work.parts) - 1 if has_affinity else 0
+        num_assumed = len(work.parts) - 1 if has_affinity else 0
         left = work.tokens
-        for place, (id, tokens) in enumerate(work.parts):
-            if id not in cached and place >= assumed:
+        for index, (id, tokens) in enumerate(work.parts):
+            if id not in cached and index >= num_assumed:
                 break
             left -= tokens
         return max(1, left)
--- a/packages/pairing/src/linkhaven/pairing/placement.py
+++ b/packages/pairing/src/linkhaven/pairing/placement.py
@@ -176,13 +176,13 @@
         """
         candidates, now_us = [], self.node.now_us()
         snapshot = self._snapshot(work.pool)
-        fit = self._sample(
+        usable = self._sample(
             [runner for runner in snapshot.runners if runner.name not in without], work, snapshot
         )
-        fit = [runner for runner in fit if not self.backoff.is_ejected(runner)] or fit
-        split = self._split(fit, work.pool, snapshot)
-        affine = self._affinity_runner(fit, work, snapshot)
-        for runner in fit:
+        usable = [runner for runner in usable if not self.backoff.is_ejected(runner)] or usable
+        split = self._split(usable, work.pool, snapshot)
+        affine = self._affinity_runner(usable, work, snapshot)
+        for runner in usable:
             queued = self.load.queued_tokens(runner)
             queue_wait_us = (
                 self.load.queue_us(runner, queued, now_us)
@@ -223,13 +223,13 @@
             candidates.append(candidate)
         return candidates
 
-    def _split(self, fit, pool, snapshot):
+    def _split(self, usable, pool, snapshot):
         """Return how the decode runners of a pool are divided, or None without a prefill runner.
 
         Then prompts are prefilled in place, bounded by the targets alone (TaiChi, 3.2: any instance
         may prefill). Test: `test_the_last_runner_serves_short_prompts_beside_long_ones`.
         """
-        if pool is None or not any(runner.phase == PREFILL for runner in fit):
+        if pool is None or not any(runner.phase == PREFILL for runner in usable):
             return None
         return snapshot.split
 
@@ -287,7 +287,7 @@
         return share <= 0 or share + 2 * tokens / runner.kv_total <= 1
 
     def _require_memory(self, candidates, work, without):
-        fit = {
+        usable = {
             runner.name
             for runner in self.open_runners(work.pool)
             if runner.phase == DECODE
@@ -296,7 +296,9 @@
         }
         for candidate in candidates:
             has_memory = (
-                bool(fit) if candidate.runner.phase == PREFILL else candidate.runner.name in fit
+                bool(usable)
+                if candidate.runner.phase == PREFILL
+                else candidate.runner.name in usable
             )
             candidate.has_memory = has_memory
             candidate.is_eligible = candidate.is_eligible and has_memory
@@ -330,16 +332,16 @@
             return decision
         prefill_candidates = [each for each in decision.candidates if each.runner.phase == PREFILL]
         is_left_to_prefill_runners = prefill_candidates and work.pool is not None
-        fit = [
+        usable = [
             candidate
             for candidate in (
                 prefill_candidates if is_left_to_prefill_runners else decision.candidates
             )
             if candidate.has_room
         ]
-        if not fit:
+        if not usable:
             return decision
-        decision.winner = self._pick_least(fit, lambda candidate: candidate.total_us)
+        decision.winner = self._pick_least(usable, lambda candidate: candidate.total_us)
         decision.exception = why
         self.exceptions[why] = self.exceptions.get(why, 0) + 1
         return decision
--- a/packages/pairing/src/linkhaven/pairing/plain.py
+++ b/packages/pairing/src/linkhaven/pairing/plain.py
@@ -144,15 +144,18 @@
         """
         answered, failed, _ = counts[name]
         count = answered + failed
-        is_out = name in self.ejected
-        if failed < (RETURN_FAILURES if is_out else EJECT_FAILURES) or failed < count * EJECT_RATE:
+        is_ejected = name in self.ejected
+        if (
+            failed < (RETURN_FAILURES if is_ejected else EJECT_FAILURES)
+            or failed < count * EJECT_RATE
+        ):
             return False
         rest = [figures for other, figures in counts.items() if other != name]
         rest_failed = sum(figures[1] for figures in rest)
         rest_count = sum(figures[0] + figures[1] for figures in rest)
         rate = (rest_failed + 1) / (rest_count + 2)
         deviation = math.sqrt(count * rate * (1 - rate))
-        deviations = RETURN_DEVIATIONS if is_out else EJECT_DEVIATIONS
+        deviations = RETURN_DEVIATIONS if is_ejected else EJECT_DEVIATIONS
         return failed > count * rate + deviations * deviation
 
     def choose(self, runners):
@@ -160,14 +163,14 @@
         if len(runners) < 2:
             return runners[0] if runners else None
         counts = self._update_ejected(runners)
-        fit = [runner for runner in runners if runner.name not in self.ejected]
-        out = [runner for runner in runners if runner.name in self.ejected]
-        if not fit or out and self.rng.random() < TRIAL_SHARE:
-            fit = out
+        healthy = [runner for runner in runners if runner.name not in self.ejected]
+        ejected = [runner for runner in runners if runner.name in self.ejected]
+        if not healthy or ejected and self.rng.random() < TRIAL_SHARE:
+            healthy = ejected
         answer_times_us = self._answer_times_us(counts)
-        weights = [1 / answer_times_us[runner.name] for runner in fit]
-        first = self._draw(fit, weights)
-        rest = [(runner, weight) for runner, weight in zip(fit, weights, strict=True)]
+        weights = [1 / answer_times_us[runner.name] for runner in healthy]
+        first = self._draw(healthy, weights)
+        rest = [(runner, weight) for runner, weight in zip(healthy, weights, strict=True)]
         rest = [pair for pair in rest if pair[0] is not first]
         if not rest:
             return first
--- a/packages/pairing/src/linkhaven/pairing/runner_backoff.py
+++ b/packages/pairing/src/linkhaven/pairing/runner_backoff.py
@@ -87,10 +87,10 @@
         if not self.resting:
             return runners
         now_us = self.node.now_us()
-        fit = [
+        ready = [
             runner for runner in runners if now_us >= self.resting.get(runner.name, NO_BACKOFF)[0]
         ]
-        return fit if any(runner.phase != PREFILL for runner in fit) else runners
+        return ready if any(runner.phase != PREFILL for runner in ready) else runners
 
     def forget_gone(self, names: set[str], now_us: int) -> None:
         """Drop ended backoffs, and ejections of runners that are not among `names`."""
--- a/packages/runner/src/linkhaven/runner/roster.py
+++ b/packages/runner/src/linkhaven/runner/roster.py
@@ -392,9 +392,9 @@
         ]
         if not silent:
             return runners
-        heard = {(runner.pool, runner.phase) for runner in runners if runner not in silent}
+        responsive = {(runner.pool, runner.phase) for runner in runners if runner not in silent}
         return [
             runner
             for runner in runners
-            if runner not in silent or (runner.pool, runner.phase) not in heard
+            if runner not in silent or (runner.pool, runner.phase) not in responsive
         ]
