--- a/packages/pairing/src/linkhaven/pairing/plain.py
+++ b/packages/pairing/src/linkhaven/pairing/plain.py
@@ -163,14 +163,14 @@
         if len(runners) < 2:
             return runners[0] if runners else None
         counts = self._update_ejected(runners)
-        healthy = [runner for runner in runners if runner.name not in self.ejected]
+        candidates = [runner for runner in runners if runner.name not in self.ejected]
         ejected = [runner for runner in runners if runner.name in self.ejected]
-        if not healthy or ejected and self.rng.random() < TRIAL_SHARE:
-            healthy = ejected
+        if not candidates or ejected and self.rng.random() < TRIAL_SHARE:
+            candidates = ejected
         answer_times_us = self._answer_times_us(counts)
-        weights = [1 / answer_times_us[runner.name] for runner in healthy]
-        first = self._draw(healthy, weights)
-        rest = [(runner, weight) for runner, weight in zip(healthy, weights, strict=True)]
+        weights = [1 / answer_times_us[runner.name] for runner in candidates]
+        first = self._draw(candidates, weights)
+        rest = [(runner, weight) for runner, weight in zip(candidates, weights, strict=True)]
         rest = [pair for pair in rest if pair[0] is not first]
         if not rest:
             return first
