--- a/tests/test_late_work.py
+++ b/tests/test_late_work.py
@@ -114,7 +114,7 @@
 
 
 def test_long_prompts_keep_room_for_short_ones_of_their_own_group():
-    """`queue_limits_by_group` has no limit where all kinds are in one group, or with a single route."""
+    """`queue_limits_by_group` has no limit where all kinds are in one group or on one route."""
     shared = Deployment(
         "shared",
         POOLED.zones,
--- a/tests/test_placement_invariants.py
+++ b/tests/test_placement_invariants.py
@@ -26,7 +26,7 @@
 
     def evaluate_by_room(self, work, ttft_us, without=(), room_us=0, is_overdue=False):
         return original_evaluate(
-            self, work, ttft_us, without, self.node.rooms["digests"], is_overdue
+            self, work, ttft_us, without, self.node.queue_limits_us["digests"], is_overdue
         )
 
     original_evaluate = PlacementPolicy.evaluate_candidates
