--- a/packages/configuration/src/linkhaven/configuration/commands.py
+++ b/packages/configuration/src/linkhaven/configuration/commands.py
@@ -1,7 +1,7 @@
-"""Our own commands over HTTP: show, check, put and patch the configuration, and edit parts of it.
+"""The native HTTP commands: show, check, put and patch the configuration, and edit its items.
 
-Each command that changes something becomes one `CommandUpdate`. Where a foreign operator's source
-text is in force, groups and kinds are edited beside it, in the overlay; the rest is its sender's.
+Each command that changes the configuration becomes one `CommandUpdate`. While an operator's source
+text is in force, groups and kinds are edited in the overlay; all else belongs to its sender.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 )
 from .patch import apply_to_mappings, read_mapping_patch
 from .records import (
-    NOTHING_SHOWN,
+    EMPTY_SHOWN_RECORD,
     Overlay,
     Record,
     document_of,
@@ -35,28 +35,28 @@
 from .validation import decode_configuration, list_document_faults
 
 PATCHED_SECTIONS = ("groups", "kinds", "pools", "tenants")
-"""The mappings of a document whose items are patched by name."""
+"""The mappings of a document whose items can be patched by name."""
 
 ENVELOPE_FIELDS = ("expect", "put_id")
-"""What a command says beside what it asks for."""
+"""Fields of a command that aren't part of the requested change."""
 
 
 class Call(Protocol):
-    """One HTTP request to us, and its answer."""
+    """One HTTP request and its response."""
 
     method: str
     path: str
     body: bytes
 
     def answer_json(self, status: int, document: Any) -> None:
-        """Answer with a document."""
+        """Respond with a JSON document."""
 
     def answer_error(self, error: ServiceError) -> None:
-        """Answer with an error, under its own status."""
+        """Respond with an error and its HTTP status."""
 
 
 class HttpNode(Protocol):
-    """The node, as far as it hands calls to handlers by method and path."""
+    """The node, with its HTTP handlers by method and path."""
 
     routes: dict[tuple[str, str], Callable]
 
@@ -69,12 +69,12 @@
 
 
 class ItemCommand:
-    """One command on a group or kind: its schema, and how it edits a document or an overlay."""
+    """A command on a group or kind: its schema and how it edits a document or an overlay."""
 
     __slots__ = ("schema", "edit_document", "edit_overlay")
 
     def __init__(self, schema: str, edit_document: EditDocument, edit_overlay: EditOverlay) -> None:
-        """`schema` names the form of the command's body in linkhaven.yaml."""
+        """`schema` is the name of the command body's schema in linkhaven.yaml."""
         self.schema = schema
         self.edit_document = edit_document
         self.edit_overlay = edit_overlay
@@ -103,7 +103,11 @@
 
 
 def _remove_group(document: dict, name: str, fields: dict) -> dict:
-    """Remove a group to which no kind is attached: then no queued work is lost by surprise."""
+    """Remove a group.
+
+    The check of the result rejects the removal while a kind is attached to the group, so that no
+    queued request is lost unexpectedly.
+    """
     return _without_item(document, "groups", name)
 
 
@@ -111,39 +115,41 @@
     return _without_item(document, "kinds", name)
 
 
-def _put_group_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
+def _put_group_in_overlay(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
     return put_overlay_group(document, overlay, name, fields["group"])
 
 
-def _remove_group_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
+def _remove_group_from_overlay(
+    document: dict, overlay: Overlay, name: str, fields: dict
+) -> Overlay:
     return remove_overlay_group(document, overlay, name)
 
 
-def _attach_kind_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
+def _attach_kind_in_overlay(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
     return attach_overlay_kind(document, overlay, name, fields["kind"])
 
 
-def _reject_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
+def _reject_kind_removal(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
     raise document_invalid_at(f"kinds/{name}", "is its document's; its sender removes it")
 
 
-PUT_GROUP = ItemCommand("GroupPut", _put_group, _put_group_beside)
-REMOVE_GROUP = ItemCommand("PartRemove", _remove_group, _remove_group_beside)
-PUT_KIND = ItemCommand("KindPut", _put_kind, _attach_kind_beside)
-REMOVE_KIND = ItemCommand("PartRemove", _remove_kind, _reject_beside)
+PUT_GROUP = ItemCommand("GroupPut", _put_group, _put_group_in_overlay)
+REMOVE_GROUP = ItemCommand("PartRemove", _remove_group, _remove_group_from_overlay)
+PUT_KIND = ItemCommand("KindPut", _put_kind, _attach_kind_in_overlay)
+REMOVE_KIND = ItemCommand("PartRemove", _remove_kind, _reject_kind_removal)
 
 
 def _revised(record: Record, document: dict) -> Contents:
-    """Return the contents of an opened record with its document changed, and all else as it is."""
+    """Return the contents of an expanded record with another document, and all else unchanged."""
     return Contents(document, source_text_of(record), revision_of(record), overlay_of(record))
 
 
-def _opened(record: Record | None, reader: RecordReader) -> Record:
-    return reader.opened(record) if record else {}
+def _expanded(record: Record | None, reader: RecordReader) -> Record:
+    return reader.expanded(record) if record else {}
 
 
 class ConfigurationCommands:
-    """The handlers of the native interface to the configuration, of any controller node."""
+    """The HTTP handlers of the native configuration interface, at any controller node."""
 
     __slots__ = ("store",)
 
@@ -167,27 +173,27 @@
         return lambda call, name: self.on_item_command(call, name, command)
 
     def on_check(self, call: Call) -> None:
-        """Say whether a document is valid; raises `plan_invalid` with each place that isn't."""
+        """Check a document; raises ServiceError `plan_invalid` with all its faults."""
         faults = list_document_faults(read_json(call.body))
         if faults:
             raise ServiceError("plan_invalid", places=faults)
         call.answer_json(200, {"fits": True})
 
     def on_show(self, call: Call) -> None:
-        """Answer with the newest configuration that a majority has accepted."""
+        """Respond with the newest configuration that a majority has accepted."""
 
         def on_read(error: ServiceError | None, record: Record | None) -> None:
             if error is not None:
                 return call.answer_error(error)
             if record is None:
-                return call.answer_json(200, NOTHING_SHOWN)
+                return call.answer_json(200, EMPTY_SHOWN_RECORD)
             effective = apply_overlay(document_of(record), overlay_of(record))
             call.answer_json(200, shown_record(record, effective))
 
         self.store.read_record(on_read)
 
     def on_put(self, call: Call) -> None:
-        """Replace the whole document; a source text is then no longer in force."""
+        """Replace the whole document; a source text is no longer in force afterwards."""
         command = check_document("PlanPut", read_json(call.body))
         document = command["plan"]
         decode_configuration(document)
@@ -204,14 +210,14 @@
         patch = read_mapping_patch(command)
 
         def make(record: Record | None, reader: RecordReader) -> Contents:
-            opened = _opened(record, reader)
-            if source_text_of(opened) is not None:
+            expanded = _expanded(record, reader)
+            if source_text_of(expanded) is not None:
                 raise document_invalid_at(".", "came as a document; its sender changes it by name")
-            if not opened:
+            if not expanded:
                 raise ServiceError("plan_absent")
-            document = apply_to_mappings(document_of(opened), patch, PATCHED_SECTIONS)
+            document = apply_to_mappings(document_of(expanded), patch, PATCHED_SECTIONS)
             decode_configuration(document)
-            return _revised(opened, document)
+            return _revised(expanded, document)
 
         self._commit(call, command, make, command)
 
@@ -220,23 +226,23 @@
         command = check_document(item.schema, read_json(call.body))
 
         def make(record: Record | None, reader: RecordReader) -> Contents:
-            opened = _opened(record, reader)
-            if source_text_of(opened) is not None:
-                contents = _revised(opened, document_of(opened))
+            expanded = _expanded(record, reader)
+            if source_text_of(expanded) is not None:
+                contents = _revised(expanded, document_of(expanded))
                 overlay = overlay_of(record)
                 contents.overlay = item.edit_overlay(contents.document, overlay, name, command)
                 return contents
-            document = item.edit_document(document_of(opened) if opened else {}, name, command)
+            document = item.edit_document(document_of(expanded) if expanded else {}, name, command)
             decode_configuration(document)
-            return _revised(opened, document)
+            return _revised(expanded, document)
 
         self._commit(call, command, make, command)
 
     def _commit(
-        self, call: Call, command: dict, make: MakeContents, asked: dict, needs_blobs: bool = True
+        self, call: Call, command: dict, make: MakeContents, change: dict, needs_blobs: bool = True
     ) -> None:
-        """Commit a command and answer it. `asked` is what it is known by when it is sent again."""
-        digest = digest_of_command(call, asked)
+        """Commit a command and respond; `change` identifies the command when it is sent again."""
+        digest = digest_of_command(call, change)
         update = CommandUpdate(command["expect"], command["put_id"], digest, make, needs_blobs)
 
         def on_result(error: ServiceError | None, result: CommitResult) -> None:
@@ -247,7 +253,7 @@
         self.store.commit(update, on_result)
 
 
-def digest_of_command(call: Call, asked: dict) -> str:
-    """Return the digest of what a command asks for, and where; its id and version stay out."""
-    fields = {name: asked[name] for name in asked if name not in ENVELOPE_FIELDS}
+def digest_of_command(call: Call, change: dict) -> str:
+    """Return the digest of a command's method, path and change, without `ENVELOPE_FIELDS`."""
+    fields = {name: change[name] for name in change if name not in ENVELOPE_FIELDS}
     return digest_of_json([call.method, call.path.partition("?")[0], fields])
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -198,7 +198,7 @@
         self.queue_limits_us = {}
         self.typical_tokens = {}
         self.on_end = []
-        self.snapshot.on_new.append(self._apply_configuration)
+        self.snapshot.change_listeners.append(self._apply_configuration)
         self.roster.on_new.append(self.wake_queue)
         self.map_handlers["want_image"] = self._on_configuration_request
         self.systems += [
@@ -275,11 +275,11 @@
     def _count_routers(self):
         return 1 + len(self.membership.live_members("router"))
 
-    def is_short_of_shares(self):
+    def needs_larger_share(self):
         """Whether requests or retries here wait for a larger share of their allowance."""
         return self.retry_budget.was_refused_recently() or self.admission.is_waiting()
 
-    def add_watch_facts(self, facts, seat):
+    def add_watch_sections(self, facts, seat):
         """Add this router's reports to a watch request to the replica at `seat`.
 
         Demand, usage and load are reported only to the replicas whose singleton roles use them.
