--- a/packages/wire/src/linkhaven/wire/console.py
+++ b/packages/wire/src/linkhaven/wire/console.py
@@ -15,7 +15,7 @@
 
 from .settings import check_settings, read_settings, split_address
 
-DONE, REFUSED, UNFIT, UNKNOWN, UNREACHABLE = 0, 1, 2, 3, 4
+DONE, REFUSED, INVALID, UNKNOWN, UNREACHABLE = 0, 1, 2, 3, 4
 """Exit codes: done; refused, so nothing was done; settings or arguments that don't fit; it isn't
 known whether it was done; nobody answers."""
 
@@ -70,7 +70,7 @@
 def code_of(error: ServiceError) -> int:
     """The exit code of a command that an error ends."""
     if error.code in ("settings_invalid", "address_taken"):
-        return UNFIT
+        return INVALID
     if error.done == "unknown":
         return UNKNOWN
     return UNREACHABLE if error.code == "unreachable" else REFUSED
@@ -156,5 +156,5 @@
         code = application.run()
     except CleoError as fault:
         print(fault, file=sys.stderr)
-        code = UNFIT
+        code = INVALID
     sys.exit(code)
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -488,7 +488,7 @@
 
 
 def exit_codes():
-    return [console.DONE, console.REFUSED, console.UNFIT, console.UNKNOWN, console.UNREACHABLE]
+    return [console.DONE, console.REFUSED, console.INVALID, console.UNKNOWN, console.UNREACHABLE]
 
 
 def test_the_schema_has_its_paths_and_documents():
