--- a/packages/wire/src/linkhaven/wire/line_client.py
+++ b/packages/wire/src/linkhaven/wire/line_client.py
@@ -24,7 +24,7 @@
 RECONNECT_US = 100_000
 """How long after a connection ended none is made."""
 
-HANGING_US = 150_000
+CONNECT_STALL_US = 150_000
 """How long a connection may be in the making before a sign of life of the other node says that it
 hangs: its first packet was lost, and TCP repeats it only after a second."""
 
@@ -88,7 +88,7 @@
         A connection that hangs from before it ran is made anew, once, with what waits.
         """
         tcp, now_us = self.tcp, self.owner.clock.now_us()
-        if tcp is None or tcp.is_open or self.is_renewed or now_us - self.begun_us < HANGING_US:
+        if tcp is None or tcp.is_open or self.is_renewed or now_us - self.begun_us < CONNECT_STALL_US:
             return
         waiting = list(tcp.unsent)
         tcp.close()
--- a/tests/test_renewed_lines.py
+++ b/tests/test_renewed_lines.py
@@ -8,7 +8,7 @@
 from linkhaven.membership.messages import MemberList, MemberRecord
 from linkhaven.runtime import Node as BaseNode
 from linkhaven.wire import EventLoop
-from linkhaven.wire.line_client import HANGING_US
+from linkhaven.wire.line_client import CONNECT_STALL_US
 
 DEADLINE_S = 10
 HOME = "10.0.0.2:7000"
@@ -165,13 +165,13 @@
     hanging = here.client.line_clients[here.address].tcp
     here.client.mark_alive(here.address)
     assert here.client.line_clients[here.address].tcp is hanging
-    here.run_for(2 * HANGING_US)
+    here.run_for(2 * CONNECT_STALL_US)
     assert not hanging.is_open
     here.client.mark_alive(here.address)
     again = here.client.line_clients[here.address].tcp
     assert again is not hanging and hanging.is_closed
     assert list(again.unsent) == [b'{"say":"waits"}\n']
-    here.run_for(2 * HANGING_US)
+    here.run_for(2 * CONNECT_STALL_US)
     here.client.mark_alive(here.address)
     assert here.client.line_clients[here.address].tcp is again
 
@@ -181,7 +181,7 @@
     here.client.send(here.address, {"say": "one"})
     here.read(here.accept())
     tcp = here.client.line_clients[here.address].tcp
-    here.run_for(2 * HANGING_US)
+    here.run_for(2 * CONNECT_STALL_US)
     here.loop._on_message({"say": "x", "back": here.address})
     here.loop._on_message({"say": "x", "back": ["no", "address"]})
     assert here.client.line_clients[here.address].tcp is tcp
