--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -461,7 +461,7 @@
         has_room = self.callers.piece(request, piece)
         if not has_room and request.runner_call is not None and not call.is_ended:
             request.is_held = True
-            request.runner_call.http_call.hold()
+            request.runner_call.http_call.pause_reading()
 
     def _resume_reading(self, request):
         if not request.is_held:
@@ -469,7 +469,7 @@
         request.is_held = False
         request.progress_us = self.now_us()
         if request.runner_call is not None:
-            request.runner_call.http_call.release()
+            request.runner_call.http_call.resume_reading()
 
     def end_done(self, request):
         """End a request whose stream is complete."""
--- a/packages/stage/src/linkhaven/stage/world.py
+++ b/packages/stage/src/linkhaven/stage/world.py
@@ -436,10 +436,10 @@
         if self.call is not None:
             self.world.link(self.client, self.server).send(self.call.client_disconnected)
 
-    def hold(self):
+    def pause_reading(self):
         self.is_held = True
 
-    def release(self):
+    def resume_reading(self):
         self.is_held = False
         held, self.held = self.held, deque()
         self.held_bytes = 0
--- a/packages/wire/src/linkhaven/wire/exchange.py
+++ b/packages/wire/src/linkhaven/wire/exchange.py
@@ -186,12 +186,12 @@
         self.close()
         self.handler.on_error(has_begun)
 
-    def hold(self) -> None:
-        """Read no more of the answer until `release`, so that its sender has to wait."""
+    def pause_reading(self) -> None:
+        """Read no more of the answer until `resume_reading`, so that its sender has to wait."""
         if not self.is_over:
             self.connection.tcp.pause_reading()
 
-    def release(self) -> None:
+    def resume_reading(self) -> None:
         """Read on."""
         if not self.is_over:
             self.connection.tcp.resume_reading()
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -417,9 +417,9 @@
     fleet, _ = start_fleet(LICENSING, 19)
     asked = fleet.ask("audit-digest", answer=800)
     assert fleet.world.wait_for(lambda: asked.pieces >= 1, 10 * SECOND, 10_000)
-    asked.outing.hold()
+    asked.outing.pause_reading()
     fleet.world.run_for(6 * SECOND)
-    asked.outing.release()
+    asked.outing.resume_reading()
     assert fleet.world.wait_for(lambda: asked.ended_us, 60 * SECOND)
     assert asked.how == "done"
     assert asked.pieces == asked.count
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -959,8 +959,8 @@
     exchange = bench.client.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
     runner.until(lambda: heard.body)
     exchange.close()
-    exchange.hold()
-    exchange.release()
+    exchange.pause_reading()
+    exchange.resume_reading()
     assert not bench.client.count(runner.address)
     bench.loop.tick()
     assert not heard.is_over()
@@ -971,12 +971,12 @@
     heard = Heard()
     exchange = bench.client.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
     runner.until(lambda: heard.body)
-    exchange.hold()
+    exchange.pause_reading()
     runner.connections[0][0].sendall(b"456")
     turns = []
     bench.until(lambda: turns.append(True) or len(turns) > 20)
     assert heard.body == b"123"
-    exchange.release()
+    exchange.resume_reading()
     runner.until(heard.is_over)
     assert heard.body == b"123456" and heard.is_whole
 
