--- a/packages/wire/src/linkhaven/wire/client.py
+++ b/packages/wire/src/linkhaven/wire/client.py
@@ -94,30 +94,30 @@
         headers: HeaderFields,
         body: bytes,
         handler: ResponseHandler,
-        keep: bool = False,
-        most: int | None = None,
+        keep_alive: bool = False,
+        max_connections: int | None = None,
         host: str | None = None,
     ) -> Exchange | None:
         """Begin an HTTP call whose answer goes to `handler`.
 
-        `keep` lets it use and leave behind a lasting connection. None where `most` connections to
+        `keep_alive` lets it use and leave behind a lasting connection. None where `max_connections` connections to
         the address are open and busy. Raises ValueError for a request that can't be written.
         """
-        exchange = Exchange(self, address, method, path, headers, body, handler, keep, host)
-        connection = self.take_connection(address, keep, most)
+        exchange = Exchange(self, address, method, path, headers, body, handler, keep_alive, host)
+        connection = self.take_connection(address, keep_alive, max_connections)
         if connection is None:
             return None
         exchange.begin(connection)
         return exchange
 
     def take_connection(
-        self, address: str, may_be_used: bool, most: int | None
+        self, address: str, may_reuse: bool, max_connections: int | None
     ) -> PooledConnection | None:
-        """A connection to the address; None where `most` are open and busy."""
+        """A connection to the address; None where `max_connections` are open and busy."""
         pool = self.pools.get(address)
         if pool is None:
             pool = self.pools[address] = ConnectionPool(self, address)
-        connection = pool.acquire(may_be_used, most)
+        connection = pool.acquire(may_reuse, max_connections)
         if connection is not None:
             # Closing expired connections may have emptied the pool, which then dropped itself.
             self.pools[address] = pool
--- a/packages/wire/src/linkhaven/wire/connection_pool.py
+++ b/packages/wire/src/linkhaven/wire/connection_pool.py
@@ -102,20 +102,20 @@
         self.open: set[PooledConnection] = set()
         self.idle: list[PooledConnection] = []
 
-    def acquire(self, may_be_used: bool, most: int | None) -> PooledConnection | None:
-        """A connection for one exchange; None where `most` are open and none of them is idle.
+    def acquire(self, may_reuse: bool, max_connections: int | None) -> PooledConnection | None:
+        """A connection for one exchange; None where `max_connections` are open and none of them is idle.
 
-        Unless `may_be_used` is set it is a new one.
+        Unless `may_reuse` is set it is a new one.
         """
         if self.idle:
             now_us = self.owner.clock.now_us()
-            while may_be_used and self.idle:
+            while may_reuse and self.idle:
                 connection = self.idle.pop()
                 if connection.idle_until_us > now_us and connection.tcp.is_quiet():
                     return connection
                 connection.close()
             self.close_expired(now_us)
-        if most is not None and len(self.open) >= most:
+        if max_connections is not None and len(self.open) >= max_connections:
             return None
         self.owner.opened += 1
         connection = PooledConnection(self)
--- a/packages/wire/src/linkhaven/wire/exchange.py
+++ b/packages/wire/src/linkhaven/wire/exchange.py
@@ -38,9 +38,9 @@
     idle_us: int
 
     def take_connection(
-        self, address: str, may_be_used: bool, most: int | None
+        self, address: str, may_reuse: bool, max_connections: int | None
     ) -> PooledConnection | None:
-        """A connection; without `most` there always is one."""
+        """A connection; without `max_connections` there always is one."""
 
 
 class Exchange:
--- a/packages/wire/src/linkhaven/wire/line_client.py
+++ b/packages/wire/src/linkhaven/wire/line_client.py
@@ -88,7 +88,12 @@
         A connection that hangs from before it ran is made anew, once, with what waits.
         """
         tcp, now_us = self.tcp, self.owner.clock.now_us()
-        if tcp is None or tcp.is_open or self.is_renewed or now_us - self.begun_us < CONNECT_STALL_US:
+        if (
+            tcp is None
+            or tcp.is_open
+            or self.is_renewed
+            or now_us - self.begun_us < CONNECT_STALL_US
+        ):
             return
         waiting = list(tcp.unsent)
         tcp.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -404,8 +404,8 @@
     def __init__(self):
         self.kept = []
 
-    def open(self, address, method, path, fields, body, handler, keep, **more):
-        self.kept.append(keep)
+    def open(self, address, method, path, fields, body, handler, keep_alive, **more):
+        self.kept.append(keep_alive)
 
     def soon(self, deed):
         deed()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -753,12 +753,14 @@
     runner = Runner(bench, *[whole()] * 5)
     first, second = Heard(), Heard()
     for heard in (first, second):
-        bench.client.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
+        bench.client.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True)
     runner.until(lambda: first.is_over() and second.is_over())
     assert first.body == second.body == b"ok" and bench.client.count(runner.address) == 2
     newest = bench.client.pools[runner.address].idle[-1]
     third = Heard()
-    exchange = bench.client.open(runner.address, "GET", "/x", {}, b"", third.handler, keep=True)
+    exchange = bench.client.open(
+        runner.address, "GET", "/x", {}, b"", third.handler, keep_alive=True
+    )
     assert exchange.is_reused and exchange.connection is newest
     runner.until(third.is_over)
     assert third.is_whole and bench.client.opened == 2
@@ -768,14 +770,18 @@
 def test_most_bounds_busy_and_idle_connections(bench):
     runner = Runner(bench, whole(), whole())
     one, two = Heard(), Heard()
-    assert bench.client.open(runner.address, "GET", "/x", {}, b"", one.handler, keep=True, most=1)
+    assert bench.client.open(
+        runner.address, "GET", "/x", {}, b"", one.handler, keep_alive=True, max_connections=1
+    )
     assert (
-        bench.client.open(runner.address, "GET", "/x", {}, b"", two.handler, keep=True, most=1)
+        bench.client.open(
+            runner.address, "GET", "/x", {}, b"", two.handler, keep_alive=True, max_connections=1
+        )
         is None
     )
     runner.until(one.is_over)
     assert bench.client.open(
-        runner.address, "GET", "/x", {}, b"", two.handler, keep=True, most=1
+        runner.address, "GET", "/x", {}, b"", two.handler, keep_alive=True, max_connections=1
     ).is_reused
     runner.until(two.is_over)
     assert bench.client.opened == 1 and not one.errors and not two.errors
@@ -792,7 +798,14 @@
         ("Content-Length", "9"),
     ]
     bench.client.open(
-        runner.address, "POST", "/a%2f?b", fields, b"", heard.handler, keep=True, host="new.example"
+        runner.address,
+        "POST",
+        "/a%2f?b",
+        fields,
+        b"",
+        heard.handler,
+        keep_alive=True,
+        host="new.example",
     )
     runner.until(heard.is_over)
     assert runner.got == [
@@ -813,7 +826,9 @@
 def test_a_request_that_would_look_like_two_is_not_sent(bench, path, headers):
     runner = Runner(bench)
     with pytest.raises(ValueError):
-        bench.client.open(runner.address, "GET", path, headers, b"", Heard().handler, keep=True)
+        bench.client.open(
+            runner.address, "GET", path, headers, b"", Heard().handler, keep_alive=True
+        )
     assert not bench.client.count(runner.address)
 
 
@@ -830,29 +845,31 @@
 )
 def test_a_connection_that_may_not_be_kept_is_not_kept(bench, reply):
     runner = Runner(bench, reply, whole(b"next"))
-    assert runner.call(keep=True).body == b"ok"
+    assert runner.call(keep_alive=True).body == b"ok"
     runner.until(lambda: not bench.client.count(runner.address)) if isinstance(
         reply, tuple
     ) else None
-    assert runner.call(keep=True).body == b"next"
+    assert runner.call(keep_alive=True).body == b"next"
     assert bench.client.opened == 2
 
 
 def test_surplus_that_comes_while_idle_closes_the_connection(bench):
     runner = Runner(bench, whole(), whole(b"next"))
-    runner.call(keep=True)
+    runner.call(keep_alive=True)
     runner.connections[0][0].sendall(whole(b"surplus"))
     runner.until(lambda: not bench.client.count(runner.address))
-    assert runner.call(keep=True).body == b"next"
+    assert runner.call(keep_alive=True).body == b"next"
 
 
 @pytest.mark.parametrize("sign", [b"", b"late"])
 def test_a_close_or_surplus_not_yet_noticed_is_found_before_writing(bench, sign):
     runner = Runner(bench, whole(), whole(b"next"))
-    runner.call(keep=True)
+    runner.call(keep_alive=True)
     runner.connections[0][0].sendall(sign) if sign else runner.connections[0][0].close()
     heard = Heard()
-    exchange = bench.client.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
+    exchange = bench.client.open(
+        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True
+    )
     assert not exchange.is_reused
     runner.until(heard.is_over)
     assert heard.body == b"next" and not heard.errors and len(runner.got) == 2
@@ -860,9 +877,11 @@
 
 def test_bytes_before_the_request_was_sent_are_no_answer_to_it(bench):
     runner = Runner(bench, whole(), whole(b"next"))
-    runner.call(keep=True)
+    runner.call(keep_alive=True)
     heard = Heard()
-    exchange = bench.client.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
+    exchange = bench.client.open(
+        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True
+    )
     assert exchange.is_reused
     exchange.connection.tcp.on_data(whole(b"surplus"))
     runner.until(heard.is_over)
@@ -872,10 +891,10 @@
 
 def test_a_reused_connection_that_fails_at_the_first_write_is_replaced_silently(bench):
     runner = Runner(bench, whole(), whole(b"next"))
-    runner.call(keep=True)
+    runner.call(keep_alive=True)
     heard = Heard()
     exchange = bench.client.open(
-        runner.address, "GET", "/x", {}, b"", heard.handler, keep=True, most=1
+        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True, max_connections=1
     )
     assert exchange.is_reused
     exchange.connection.tcp.fail()
@@ -885,18 +904,18 @@
 
 def test_a_reused_connection_that_dies_after_the_request_is_an_error_that_may_have_run(bench):
     runner = Runner(bench, whole(), (b"", True))
-    runner.call(keep=True)
-    assert runner.call(keep=True).errors == [True]
+    runner.call(keep_alive=True)
+    assert runner.call(keep_alive=True).errors == [True]
     assert len(runner.got) == 2
 
 
 def test_idle_connections_are_closed_when_their_told_life_is_over(bench):
     bench.client.idle_us = 1_000
     runner = Runner(bench, whole(), whole(more=b"keep-alive: timeout=5, max=9\r\n"))
-    runner.call(keep=True)
+    runner.call(keep_alive=True)
     runner.until(lambda: not bench.client.count(runner.address))
     now_us = bench.loop.timer.now_us()
-    runner.call(keep=True)
+    runner.call(keep_alive=True)
     assert (
         3_900_000
         < bench.client.pools[runner.address].idle[0].idle_until_us - now_us
@@ -909,7 +928,9 @@
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     heard = Heard()
-    assert bench.client.open(f"127.0.0.1:{port}", "GET", "/x", {}, b"", heard.handler, keep=True)
+    assert bench.client.open(
+        f"127.0.0.1:{port}", "GET", "/x", {}, b"", heard.handler, keep_alive=True
+    )
     bench.until(heard.is_over)
     assert heard.errors == [False] and not bench.client.count(f"127.0.0.1:{port}")
 
@@ -925,7 +946,7 @@
         sock.connect_ex(listener.getsockname())
         bench.socks.append(sock)
     heard = Heard()
-    bench.client.open(address, "GET", "/x", {}, b"", heard.handler, keep=True)
+    bench.client.open(address, "GET", "/x", {}, b"", heard.handler, keep_alive=True)
     bench.until(heard.is_over)
     assert heard.errors == [False]
 
@@ -933,10 +954,10 @@
 def test_a_body_until_close_ends_with_the_close_and_not_with_a_reset(bench):
     reply = b"HTTP/1.1 200 OK\r\n\r\nbody"
     runner = Runner(bench, (reply, True), reply)
-    heard = runner.call(keep=True)
+    heard = runner.call(keep_alive=True)
     assert heard.is_whole and heard.body == b"body"
     cut = Heard()
-    bench.client.open(runner.address, "GET", "/x", {}, b"", cut.handler, keep=True)
+    bench.client.open(runner.address, "GET", "/x", {}, b"", cut.handler, keep_alive=True)
     runner.until(lambda: cut.body)
     sock = runner.connections[-1][0]
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
@@ -949,14 +970,16 @@
     runner = Runner(
         bench, b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nx: y\r\n\r\n" + whole()
     )
-    heard = runner.call(keep=True)
+    heard = runner.call(keep_alive=True)
     assert (heard.status, heard.body) == (200, b"ok") and "x" not in heard.headers
 
 
 def test_closing_an_exchange_closes_its_connection(bench):
     runner = Runner(bench, b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n123")
     heard = Heard()
-    exchange = bench.client.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
+    exchange = bench.client.open(
+        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True
+    )
     runner.until(lambda: heard.body)
     exchange.close()
     exchange.pause_reading()
@@ -969,7 +992,9 @@
 def test_a_held_exchange_reads_on_when_released(bench):
     runner = Runner(bench, b"HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\n123")
     heard = Heard()
-    exchange = bench.client.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep=True)
+    exchange = bench.client.open(
+        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True
+    )
     runner.until(lambda: heard.body)
     exchange.pause_reading()
     runner.connections[0][0].sendall(b"456")
@@ -1015,13 +1040,13 @@
     try:
         data = b"".join(pieces)
         runner = Runner(bench, (data, True), whole(b"next"))
-        heard = runner.call(keep=True)
+        heard = runner.call(keep_alive=True)
         assert heard.is_whole != bool(heard.errors) and len(heard.errors) <= 1
         if heard.is_whole:
             assert read_answers(data, closed=True)[0] == (heard.status, heard.body)
         else:
             assert heard.errors == [True]
-        assert runner.call(keep=True).body == b"next"
+        assert runner.call(keep_alive=True).body == b"next"
     finally:
         bench.close()
 
