--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -1,7 +1,7 @@
 """A simulated TCP world for the data plane: real door, router, runner adapter and pool.
 
 Only the sockets, the epoll and the clock are simulated. Runners and callers are played by the
-test; what they saw is judged by `Judge`, apart from the code under test.
+test; what they saw is judged by `RuleChecker`, apart from the code under test.
 """
 
 import errno
@@ -30,8 +30,8 @@
 TICK_US = 20 * MS
 READ, WRITE, ERR, HUP = select.EPOLLIN, select.EPOLLOUT, select.EPOLLERR, select.EPOLLHUP
 DOOR_ADDRESS = "10.0.0.1:80"
-PIECES = 4
-PROMISES = {408, 421, 429, 503}
+EVENTS_PER_STREAM = 4
+NOT_EXECUTED_STATUSES = {408, 421, 429, 503}
 HOST = "one.example"
 ROUTES = {
     "safe": {"route_type": "safe", "max_attempts": 2, "resumable": False},
@@ -47,32 +47,34 @@
 
     count = 0
 
-    def __init__(self, told):
-        super().__init__(told)
+    def __init__(self, detail):
+        super().__init__(detail)
         RuleBrokenError.count += 1
 
 
-def require(condition, rule, told=""):
+def require(condition, rule, detail=""):
     if not condition:
-        raise RuleBrokenError(f"{rule}: {told}")
+        raise RuleBrokenError(f"{rule}: {detail}")
 
 
-class End:
+class Endpoint:
     """One end of a simulated TCP connection."""
 
     def __init__(self):
         self.rx = bytearray()
         self.peer = None
-        self.room = None
+        self.receive_window = None
         self.is_eof = self.is_reset = self.is_closed = False
-        self.is_played = False
+        self.is_test_side = False
 
     def can_send(self):
         peer = self.peer
-        return peer is not None and (peer.room is None or len(peer.rx) < peer.room)
+        return peer is not None and (
+            peer.receive_window is None or len(peer.rx) < peer.receive_window
+        )
 
     def send(self, data):
-        if self.is_reset and self.is_played:
+        if self.is_reset and self.is_test_side:
             return len(data)
         if self.is_reset:
             raise ConnectionResetError(errno.ECONNRESET, "reset")
@@ -82,7 +84,7 @@
             return len(data)
         if not self.can_send():
             raise BlockingIOError
-        room = len(data) if peer.room is None else peer.room - len(peer.rx)
+        room = len(data) if peer.receive_window is None else peer.receive_window - len(peer.rx)
         peer.rx += data[:room]
         return min(room, len(data))
 
@@ -109,13 +111,13 @@
         else:
             self.peer.is_eof = True
 
-    def forget(self):
+    def close_silently(self):
         """Closes without a word: the next bytes sent here are answered by a reset."""
         self.is_closed = True
 
 
-def pair():
-    one, other = End(), End()
+def connected_pair():
+    one, other = Endpoint(), Endpoint()
     one.peer, other.peer = other, one
     return one, other
 
@@ -201,7 +203,7 @@
         self.masks = {}
         self.runners = {}
         self.pending = []
-        self.is_turned_round = False
+        self.is_reversed = False
         self.module = SimpleNamespace(
             socket=lambda family, kind: SimSocket(self),
             **{name: getattr(socket, name) for name in dir(socket) if name.isupper()},
@@ -222,8 +224,8 @@
         elif runner.is_unresponsive:
             self.pending.append((sock, address))
         else:
-            sock.end, other = pair()
-            runner.take(other)
+            sock.end, other = connected_pair()
+            runner.accept(other)
 
     def connect_pending(self, address):
         for sock, wanted in [entry for entry in self.pending if entry[1] == address]:
@@ -253,7 +255,7 @@
             seen = self.sockets[number].ready() & (mask | ERR | HUP)
             if seen:
                 ready.append((number, seen))
-        return ready[::-1] if self.is_turned_round else ready
+        return ready[::-1] if self.is_reversed else ready
 
 
 class SimPoller(DirectPoller):
@@ -287,22 +289,22 @@
             heapq.heappop(self.timers)[2]()
 
 
-class Asked:
+class CallerRequest:
     """One request of a caller, and all that runners and its caller saw of it."""
 
-    def __init__(self, id, kind, body, resumed_at, is_read):
+    def __init__(self, id, kind, body, resumed_at, declares_prompt):
         self.id = id
         self.kind = kind
         self.method = "POST" if body else "GET"
         self.path = f"/{kind}/{id}"
         self.body = body
         self.resumed_at = resumed_at
-        self.is_read = is_read
+        self.declares_prompt = declares_prompt
         self.arrivals = []
         self.status = None
         self.seal = None
         self.data = b""
-        self.end = None
+        self.outcome = None
 
     @property
     def is_streaming(self):
@@ -314,7 +316,7 @@
 
     def fields(self):
         fields = [("Host", HOST), ("Request-Id", self.id), ("Deadline-Remaining", "4000")]
-        if self.is_read:
+        if self.declares_prompt:
             fields += [("Token-Usage", "100,10"), ("Prompt-Prefix", f"{self.id}:100")]
         if self.resumed_at:
             fields.append(("Last-Event-Id", str(self.resumed_at)))
@@ -331,7 +333,7 @@
         chunks = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
         return head.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
 
-    def events(self, after, most=PIECES):
+    def events(self, after, most=EVENTS_PER_STREAM):
         return [
             b"id: %d\ndata: %b %d\n\n" % (number, self.id.encode(), number)
             for number in range(after + 1, most + 1)
@@ -351,8 +353,8 @@
         self.path = path
         self.headers = headers
         self.body = body
-        self.asked = None
-        self.is_turned_away = False
+        self.request = None
+        self.is_rejected = False
         self.written = None
 
     @property
@@ -360,7 +362,7 @@
         return self.headers.get("serving-phase") == "prefill"
 
     def may_have_run(self):
-        return not self.is_prefill and not self.is_turned_away
+        return not self.is_prefill and not self.is_rejected
 
 
 class SimRunner:
@@ -373,12 +375,12 @@
         self.phase = phase
         self.is_unresponsive = False
         self.connections = []
-        self.owed = []
+        self.unanswered = []
 
-    def take(self, end):
-        end.room = self.world.room
+    def accept(self, end):
+        end.receive_window = self.world.receive_window
         end.unread = b""
-        end.is_played = True
+        end.is_test_side = True
         self.connections.append(end)
 
     def read(self):
@@ -388,16 +390,16 @@
             if end.is_closed:
                 self.connections.remove(end)
                 continue
-            if end.room is None and end.rx:
+            if end.receive_window is None and end.rx:
                 end.unread += end.recv(1 << 20)
                 self._take_requests(end)
             if end.is_reset or end.is_eof and not end.rx:
-                self.drop(end)
+                self.disconnect(end)
 
-    def drop(self, end, by_reset=False):
+    def disconnect(self, end, by_reset=False):
         end.close(by_reset)
         self.connections.remove(end)
-        self.owed = [arrival for arrival in self.owed if arrival.connection is not end]
+        self.unanswered = [arrival for arrival in self.unanswered if arrival.connection is not end]
 
     def _take_requests(self, end):
         while b"\r\n\r\n" in end.unread:
@@ -413,14 +415,14 @@
             body, end.unread = rest[:length], rest[length:]
             method, path, _ = first.split(" ")
             arrival = Arrival(self, end, method, path, headers, body)
-            self.world.judge.arrive(arrival)
-            if arrival.asked is None:
+            self.world.checker.on_arrival(arrival)
+            if arrival.request is None:
                 end.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             elif headers.get("expected-instance") != self.name:
-                arrival.is_turned_away = True
+                arrival.is_rejected = True
                 end.send(self.world.answer(arrival, 421, b"", instance=self.name))
             else:
-                self.owed.append(arrival)
+                self.unanswered.append(arrival)
 
 
 class Caller:
@@ -428,28 +430,28 @@
 
     def __init__(self, world):
         self.world = world
-        self.end, other = pair()
-        self.end.is_played = True
+        self.end, other = connected_pair()
+        self.end.is_test_side = True
         world.listener.waiting.append(other)
         self.waiting = []
         self.http = None
         self.is_over = False
-        self.has_left = False
+        self.has_disconnected = False
 
-    def ask(self, asked, is_chunked):
-        self.waiting.append(asked)
+    def send(self, request, is_chunked):
+        self.waiting.append(request)
         try:
-            self.end.send(asked.write(is_chunked))
+            self.end.send(request.write(is_chunked))
         except ConnectionResetError:
             pass
 
-    def leave(self, by_reset):
-        self.has_left = True
+    def disconnect(self, by_reset):
+        self.has_disconnected = True
         self.read()
         self.is_over = True
         self.end.close(by_reset)
-        for asked in self.waiting:
-            asked.end = asked.end or "left"
+        for request in self.waiting:
+            request.outcome = request.outcome or "left"
 
     def read(self):
         if self.is_over:
@@ -467,9 +469,9 @@
             require(self.waiting, "MIXED", f"bytes where no request waits: {data!r}")
             if self.http is None:
                 self.http = h11.Connection(h11.CLIENT)
-                asked = self.waiting[0]
+                request = self.waiting[0]
                 self.http.send(
-                    h11.Request(method=asked.method, target="/", headers=[("host", "-")])
+                    h11.Request(method=request.method, target="/", headers=[("host", "-")])
                 )
                 self.http.send(h11.EndOfMessage())
             self.http.receive_data(data)
@@ -479,7 +481,7 @@
                 self.http = None
 
     def _read_events(self):
-        asked = self.waiting[0]
+        request = self.waiting[0]
         try:
             while True:
                 event = self.http.next_event()
@@ -487,13 +489,13 @@
                     return False
                 if isinstance(event, h11.Response):
                     headers = {name.decode(): value.decode() for name, value in event.headers}
-                    self.world.judge.answer_begins(asked, event.status_code, headers)
+                    self.world.checker.on_head(request, event.status_code, headers)
                 elif isinstance(event, h11.Data):
-                    asked.data += bytes(event.data)
-                    self.world.judge.answer_goes_on(asked)
+                    request.data += bytes(event.data)
+                    self.world.checker.on_data(request)
                 elif isinstance(event, h11.EndOfMessage):
                     self.waiting.pop(0)
-                    self.world.judge.answer_ends(asked)
+                    self.world.checker.on_end(request)
                     return True
                 else:
                     return False
@@ -510,86 +512,90 @@
                         self.http = None
             except RuleBrokenError:
                 pass
-        for asked in self.waiting:
-            asked.end = asked.end or "cut"
+        for request in self.waiting:
+            request.outcome = request.outcome or "cut"
         self.end.close()
 
 
-class Judge:
+class RuleChecker:
     """What runners and callers saw, held against the rules."""
 
     def __init__(self):
-        self.asked = {}
+        self.requests = {}
         self.seals = {}
         self.handles = {}
         self.counts = Counter()
 
-    def arrive(self, arrival):
-        asked = self.asked.get(arrival.headers.get("request-id"))
-        if asked is None:
+    def on_arrival(self, arrival):
+        request = self.requests.get(arrival.headers.get("request-id"))
+        if request is None:
             require(arrival.path.startswith(names.HANDLE_PATH), "UNASKED", arrival.path)
             return
-        arrival.asked = asked
+        arrival.request = request
         is_as_sent = (arrival.method, arrival.path, arrival.body) == (
-            asked.method,
-            asked.path,
-            asked.body,
+            request.method,
+            request.path,
+            request.body,
         )
         require(is_as_sent, "UNASKED", f"{arrival.method} {arrival.path} {arrival.body!r}")
         require("expected-instance" in arrival.headers, "ROUTE", "no runner was named")
         source = arrival.headers.get("kv-source")
         if source is not None:
             owner = self.handles.get(source.rpartition("/")[2])
-            require(owner in (None, asked.id), "MIXED", "another request's memory")
-        earlier = asked.runs()
-        asked.arrivals.append(arrival)
+            require(owner in (None, request.id), "MIXED", "another request's memory")
+        earlier = request.runs()
+        request.arrivals.append(arrival)
         if arrival.is_prefill:
             return
         self.counts["sends"] += 1
         self.counts["further sends"] += bool(earlier)
-        require(not (asked.is_one_time and earlier), "TWICE", asked.id)
-        require(asked.status not in PROMISES, "REFUSED", f"{asked.id} runs later")
+        require(not (request.is_one_time and earlier), "TWICE", request.id)
+        require(request.status not in NOT_EXECUTED_STATUSES, "REFUSED", f"{request.id} runs later")
 
     def check_runs(self):
-        for asked in self.asked.values():
-            most = ROUTES[asked.kind]["max_attempts"]
-            require(len(asked.runs()) <= most, "BUDGET", f"{asked.id}: {len(asked.runs())} runs")
-
-    def answer_begins(self, asked, status, headers):
-        require(asked.status is None, "MIXED", "a second answer")
-        asked.status, asked.seal = status, headers.get("response-seal")
+        for request in self.requests.values():
+            most = ROUTES[request.kind]["max_attempts"]
+            require(
+                len(request.runs()) <= most, "BUDGET", f"{request.id}: {len(request.runs())} runs"
+            )
+
+    def on_head(self, request, status, headers):
+        require(request.status is None, "MIXED", "a second answer")
+        request.status, request.seal = status, headers.get("response-seal")
         told = headers.get("request-id")
-        require(told in (None, asked.id), "MIXED", f"{asked.id} got an answer to {told}")
-        self.counts[f"{'runner' if asked.seal else 'own'} {status // 100}xx"] += 1
-        if asked.seal is not None:
-            require(asked.seal in self.seals, "MIXED", "a seal that no runner gave")
-            owner, given, _ = self.seals[asked.seal]
-            require(owner is asked, "MIXED", f"{asked.id} got the answer of {owner.id}")
+        require(told in (None, request.id), "MIXED", f"{request.id} got an answer to {told}")
+        self.counts[f"{'runner' if request.seal else 'own'} {status // 100}xx"] += 1
+        if request.seal is not None:
+            require(request.seal in self.seals, "MIXED", "a seal that no runner gave")
+            owner, given, _ = self.seals[request.seal]
+            require(owner is request, "MIXED", f"{request.id} got the answer of {owner.id}")
             require(given == status, "MIXED", f"{status} under the seal of a {given}")
         elif status < 300:
             raise RuleBrokenError(f"MIXED: a {status} without a seal")
-        require(asked.seal or status in PROMISES or status >= 500, "DENIED", str(status))
-        if status in PROMISES:
-            require(not asked.runs(), "REFUSED", f"{asked.id} may have run and got {status}")
+        require(
+            request.seal or status in NOT_EXECUTED_STATUSES or status >= 500, "DENIED", str(status)
+        )
+        if status in NOT_EXECUTED_STATUSES:
+            require(not request.runs(), "REFUSED", f"{request.id} may have run and got {status}")
 
-    def _expected(self, asked):
-        body = self.seals[asked.seal][2]
-        return b"".join(asked.events(asked.resumed_at)) if body is None else body
+    def _expected(self, request):
+        body = self.seals[request.seal][2]
+        return b"".join(request.events(request.resumed_at)) if body is None else body
 
-    def answer_goes_on(self, asked):
-        if asked.seal is None:
+    def on_data(self, request):
+        if request.seal is None:
             return
-        expected = self._expected(asked)
-        rule = "ORDER" if self.seals[asked.seal][2] is None else "MIXED"
-        require(expected.startswith(asked.data), rule, f"{asked.id} got {asked.data!r}")
+        expected = self._expected(request)
+        rule = "ORDER" if self.seals[request.seal][2] is None else "MIXED"
+        require(expected.startswith(request.data), rule, f"{request.id} got {request.data!r}")
 
-    def answer_ends(self, asked):
-        require(asked.end is None, "END", "an answer after its end")
-        asked.end = "whole"
+    def on_end(self, request):
+        require(request.outcome is None, "END", "an answer after its end")
+        request.outcome = "whole"
         self.counts["whole"] += 1
-        if asked.seal is not None:
-            is_whole = asked.data == self._expected(asked)
-            require(is_whole, "MIXED", f"{asked.id} ends early and looks whole: {asked.data!r}")
+        if request.seal is not None:
+            is_whole = request.data == self._expected(request)
+            require(is_whole, "MIXED", f"{request.id} ends early and looks whole: {request.data!r}")
 
 
 class World:
@@ -601,8 +607,8 @@
         self.poller = SimPoller(self.net)
         self.real_socket = tcp_connection.socket
         tcp_connection.socket = listener.socket = self.net.module
-        self.judge = Judge()
-        self.room = None
+        self.checker = RuleChecker()
+        self.receive_window = None
         self.serial = 0
         self.due_us = self.clock.us
         self.runners = []
@@ -627,13 +633,13 @@
             callers=PlatformCallers(),
             make_runner_client=PlatformRunners,
         )
-        self.door = HttpServer(
+        self.server = HttpServer(
             DOOR_ADDRESS, self.node.serve_request, ServerLimits(), self.poller, self.clock
         )
-        self.listener = self.door.listener.sock
+        self.listener = self.server.listener.sock
         self._take_plan()
         self.list_serial = 0
-        self.renew_runners()
+        self.publish_runners()
 
     def _take_plan(self):
         routes = [
@@ -656,7 +662,7 @@
         self.node.retry_budget.attempts_per_request = 1.0
         self.node.retry_budget.apply_grant(50, 1, 1 << 60)
 
-    def renew_runners(self):
+    def publish_runners(self):
         """The platform's list as it is now: each address with the runner that stands there."""
         self.list_serial += 1
         for place, phase in enumerate(("decode", "decode", "prefill")):
@@ -691,7 +697,7 @@
         if former is not None:
             self.runners.remove(former)
             for end in list(former.connections):
-                end.forget() if how == "forget" else former.drop(end, how == "reset")
+                end.close_silently() if how == "forget" else former.disconnect(end, how == "reset")
         self.serial += 1
         runner = SimRunner(self, f"i-{self.serial}", address, phase)
         self.net.runners[address] = runner
@@ -703,31 +709,31 @@
 
     def answer(self, arrival, status, body, instance=None, **more):
         """A whole answer by its length; `more` changes or leaves out fields."""
-        fields = {"Request-Id": arrival.asked.id, "Content-Length": str(len(body))}
+        fields = {"Request-Id": arrival.request.id, "Content-Length": str(len(body))}
         if instance is not None:
             fields["Instance-Id"] = instance
         if status == 421 or more.pop("is_not_run", False):
             fields["Not-Executed"] = "1"
         elif more.pop("is_sealed", True):
-            fields["Response-Seal"] = self.seal(arrival.asked, status, body)
+            fields["Response-Seal"] = self.seal(arrival.request, status, body)
         for name, value in more.items():
             fields[name.replace("_", "-").title()] = value
         lines = [f"{name}: {value}" for name, value in fields.items() if value is not None]
         head = f"HTTP/1.1 {status} Told\r\n" + "".join(f"{line}\r\n" for line in lines)
         return head.encode() + b"\r\n" + body
 
-    def seal(self, asked, status, body):
+    def seal(self, request, status, body):
         self.serial += 1
         seal = f"s-{self.serial}"
-        self.judge.seals[seal] = (asked, status, body)
+        self.checker.seals[seal] = (request, status, body)
         return seal
 
-    def stream_head(self, asked, **more):
+    def stream_head(self, request, **more):
         fields = {
-            "Request-Id": asked.id,
+            "Request-Id": request.id,
             "Content-Type": "text/event-stream",
             "Transfer-Encoding": "chunked",
-            "Response-Seal": self.seal(asked, 200, None),
+            "Response-Seal": self.seal(request, 200, None),
             **{name.replace("_", "-").title(): value for name, value in more.items()},
         }
         lines = [f"{name}: {value}\r\n" for name, value in fields.items() if value is not None]
@@ -741,7 +747,7 @@
             self.due_us = self.clock.us + TICK_US
             self.node.tick()
             self.client.on_tick(self.clock.us)
-            self.door.on_tick(self.clock.us)
+            self.server.on_tick(self.clock.us)
         self.poller.turn(0)
         require(not self.poller.faults, "FAULT", repr(self.poller.faults))
 
@@ -764,10 +770,10 @@
             for runner in self.runners
             if not runner.is_unresponsive
             for end in runner.connections
-            if end.room is None
+            if end.receive_window is None
         ]
         reading = [caller for caller in self.callers if not caller.is_over]
-        return runners + [caller.end for caller in reading if caller.end.room is None]
+        return runners + [caller.end for caller in reading if caller.end.receive_window is None]
 
     def run_for(self, span_us):
         end_us = self.clock.us + span_us
@@ -778,7 +784,7 @@
     # what must hold at each moment and at the end
 
     def check(self):
-        self.judge.check_runs()
+        self.checker.check_runs()
         open_connections = 0
         for pool in self.client.pools.values():
             open_connections += len(pool.open)
@@ -787,7 +793,7 @@
                 is_in_use = exchange is not None and not exchange.is_over
                 is_idle = exchange is None and connection in pool.idle
                 require(is_in_use != is_idle, "LEAK", "neither idle nor in use")
-        open_connections += len(self.door.connections)
+        open_connections += len(self.server.connections)
         require(self.net.open_count() == open_connections, "LEAK", "a socket nobody holds")
 
     def finish(self):
@@ -795,12 +801,12 @@
         self.check()
         deepest = max((len(caller.waiting) for caller in self.callers), default=0)
         self.run_for((1_000 + 4_200 * deepest) * MS)
-        for asked in self.judge.asked.values():
-            require(asked.end is not None, "END", f"{asked.id} hears nothing")
+        for request in self.checker.requests.values():
+            require(request.outcome is not None, "END", f"{request.id} hears nothing")
         require(not self.node.requests, "END", "requests without an end")
         for caller in self.callers:
             if not caller.is_over:
-                caller.leave(False)
+                caller.disconnect(False)
         self.run_for(6_000 * MS)
         self.check()
         require(self.net.open_count() == 0, "LEAK", f"{self.net.open_count()} sockets left")
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -5,7 +5,15 @@
 """
 
 import pytest
-from connections_world import MS, PIECES, ROUTES, Asked, Caller, RuleBrokenError, World
+from connections_world import (
+    EVENTS_PER_STREAM,
+    MS,
+    ROUTES,
+    Caller,
+    CallerRequest,
+    RuleBrokenError,
+    World,
+)
 from hypothesis import HealthCheck, Phase, seed, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -78,9 +86,9 @@
         finally:
             self.world.close()
 
-    @initialize(is_turned_round=st.booleans())
-    def begin(self, is_turned_round):
-        self.world.net.is_turned_round = is_turned_round
+    @initialize(is_reversed=st.booleans())
+    def begin(self, is_reversed):
+        self.world.net.is_reversed = is_reversed
         self.world.settle()
 
     # callers
@@ -97,27 +105,27 @@
     def ask(self, kind, size, resumed_at, is_read, is_chunked, pick, is_new):
         self.serial += 1
         is_stream = kind in ("resumable", "single")
-        asked = Asked(
+        sent = CallerRequest(
             f"r{self.serial:04d}",
             kind,
             b"%04d-" % self.serial * (size // 5),
             resumed_at if kind == "resumable" else 0,
             is_read and is_stream,
         )
-        self.world.judge.asked[asked.id] = asked
+        self.world.checker.requests[sent.id] = sent
         open_callers = [caller for caller in self.world.callers if not caller.is_over]
         if is_new or not open_callers:
             self.world.callers.append(Caller(self.world))
             caller = self.world.callers[-1]
         else:
             caller = open_callers[pick % len(open_callers)]
-        caller.ask(asked, is_chunked)
+        caller.send(sent, is_chunked)
         self.world.settle()
 
     # runners that answer
 
-    def _owed(self):
-        return [arrival for runner in self.world.runners for arrival in runner.owed]
+    def _unanswered(self):
+        return [arrival for runner in self.world.runners for arrival in runner.unanswered]
 
     def _connections(self):
         return [
@@ -127,35 +135,35 @@
             if not end.is_closed
         ]
 
-    @precondition(lambda self: self._owed())
+    @precondition(lambda self: self._unanswered())
     @rule(pick=PICK, how=st.sampled_from(WHOLE))
     def answer_well(self, pick, how):
         self.answer(pick, how, 0)
 
-    @precondition(lambda self: self._owed())
+    @precondition(lambda self: self._unanswered())
     @rule(pick=PICK, how=st.sampled_from(FAILED))
     def answer_failed(self, pick, how):
         self.answer(pick, how, 0)
 
-    @precondition(lambda self: self._owed())
+    @precondition(lambda self: self._unanswered())
     @rule(pick=PICK, how=st.sampled_from(SPOILED), at=st.integers(0, 400))
     def answer_spoiled(self, pick, how, at):
         self.answer(pick, how, at)
 
     def answer(self, pick, how, at):
-        owed = self._owed()
-        arrival = owed[pick % len(owed)]
-        arrival.runner.owed.remove(arrival)
+        unanswered = self._unanswered()
+        arrival = unanswered[pick % len(unanswered)]
+        arrival.runner.unanswered.remove(arrival)
         self._write(arrival, how, at)
         self.world.settle()
 
     def _write(self, arrival, how, at):
-        end, asked = arrival.connection, arrival.asked
-        others = [one for one in self.world.judge.asked if one != asked.id] or ["r-none"]
+        end, sent = arrival.connection, arrival.request
+        others = [one for one in self.world.checker.requests if one != sent.id] or ["r-none"]
         if how in ("500", "504", "503 bare", "429 bare", "408 bare"):
             return end.send(self.world.answer(arrival, int(how[:3]), b"failed"))
         if how in ("503 not run", "429 not run"):
-            arrival.is_turned_away = True
+            arrival.is_rejected = True
             return end.send(self.world.answer(arrival, int(how[:3]), b"", is_not_run=True))
         if how == "foreign not run":
             return end.send(
@@ -167,19 +175,19 @@
             return end.send(self.world.answer(arrival, 503, b"", is_not_run=True, request_id=None))
         if how == "garbage":
             end.send(b"\x00nonsense\r\n\r\n"[: 1 + at % 13])
-            return arrival.runner.drop(end)
+            return arrival.runner.disconnect(end)
         if how in ("silent close", "silent reset"):
-            return arrival.runner.drop(end, how == "silent reset")
+            return arrival.runner.disconnect(end, how == "silent reset")
         data = self._success(arrival, how, others[at % len(others)])
         if how in ("cut", "cut by reset"):
             end.send(data[: at % len(data)])
             self.world.settle()
             if end in arrival.runner.connections:
-                arrival.runner.drop(end, how == "cut by reset")
+                arrival.runner.disconnect(end, how == "cut by reset")
             return
         end.send(data)
         if how == "closing" and end in arrival.runner.connections:
-            arrival.runner.drop(end)
+            arrival.runner.disconnect(end)
 
     def _success(self, arrival, how, other):
         more = {
@@ -189,30 +197,30 @@
             "foreign id": {"request_id": other},
             "no id": {"request_id": None},
         }.get(how, {})
-        asked = arrival.asked
+        sent = arrival.request
         if arrival.is_prefill:
-            handle = f"h{asked.id}x{len(self.world.judge.handles)}"
-            self.world.judge.handles[handle] = asked.id
+            handle = f"h{sent.id}x{len(self.world.checker.handles)}"
+            self.world.checker.handles[handle] = sent.id
             body = b'{"kv_handle":"%b","token_count":100,"revision":1}' % handle.encode()
             data = self.world.answer(arrival, 200, body, is_sealed=False, **more)
-        elif asked.is_streaming:
+        elif sent.is_streaming:
             after = int(arrival.headers.get("last-event-id", 0))
             if how == "no seal":
                 more = {"response_seal": None}
-            data = self.world.stream_head(asked, **more)
-            data += b"".join(chunk(event) for event in asked.events(after)) + b"0\r\n\r\n"
+            data = self.world.stream_head(sent, **more)
+            data += b"".join(chunk(event) for event in sent.events(after)) + b"0\r\n\r\n"
         elif how == "chunked":
             head = self.world.answer(
                 arrival,
                 200,
-                f"{asked.id} whole".encode(),
+                f"{sent.id} whole".encode(),
                 content_length=None,
                 transfer_encoding="chunked",
             )
-            data = head.replace(f"{asked.id} whole".encode(), b"")
-            data += chunk(f"{asked.id} whole".encode()) + b"0\r\n\r\n"
+            data = head.replace(f"{sent.id} whole".encode(), b"")
+            data += chunk(f"{sent.id} whole".encode()) + b"0\r\n\r\n"
         else:
-            body = f"{asked.id} whole".encode()
+            body = f"{sent.id} whole".encode()
             data = self.world.answer(arrival, 200, body, is_sealed=how != "no seal", **more)
         if how == "interim":
             data = b"HTTP/1.1 103 Early\r\nRequest-Id: x\r\n\r\n" + data
@@ -220,47 +228,49 @@
             data += data
         return data
 
-    @precondition(lambda self: any(one.asked.is_streaming for one in self._owed()))
+    @precondition(lambda self: any(one.request.is_streaming for one in self._unanswered()))
     @rule(
         pick=PICK,
-        pieces=st.integers(0, PIECES),
+        pieces=st.integers(0, EVENTS_PER_STREAM),
         rest=st.integers(0, 40),
         end=st.sampled_from(["goes on", "goes on", "goes on", "ends", "close", "reset"]),
     )
     def stream(self, pick, pieces, rest, end):
         """A head or some more events, a part of one, and perhaps an end before the last."""
-        owed = [one for one in self._owed() if one.asked.is_streaming and not one.is_prefill]
-        if not owed:
+        unanswered = [
+            one for one in self._unanswered() if one.request.is_streaming and not one.is_prefill
+        ]
+        if not unanswered:
             return
-        arrival = owed[pick % len(owed)]
-        asked, connection = arrival.asked, arrival.connection
+        arrival = unanswered[pick % len(unanswered)]
+        sent, connection = arrival.request, arrival.connection
         data = b""
         if arrival.written is None:
             arrival.written = int(arrival.headers.get("last-event-id", 0))
-            data = self.world.stream_head(asked)
-        upto = min(PIECES, arrival.written + pieces)
-        data += b"".join(chunk(event) for event in asked.events(arrival.written, upto))
+            data = self.world.stream_head(sent)
+        upto = min(EVENTS_PER_STREAM, arrival.written + pieces)
+        data += b"".join(chunk(event) for event in sent.events(arrival.written, upto))
         arrival.written = upto
         if end == "goes on":
             connection.send(data)
             return self.world.settle()
-        arrival.runner.owed.remove(arrival)
+        arrival.runner.unanswered.remove(arrival)
         if end == "ends":
-            data += b"".join(chunk(event) for event in asked.events(upto)) + b"0\r\n\r\n"
+            data += b"".join(chunk(event) for event in sent.events(upto)) + b"0\r\n\r\n"
             connection.send(data)
             return self.world.settle()
-        event = b"".join(asked.events(upto))
+        event = b"".join(sent.events(upto))
         if event:
             data += chunk(event)[:rest]
         connection.send(data)
         self.world.settle()
         if connection in arrival.runner.connections:
-            arrival.runner.drop(connection, end == "reset")
+            arrival.runner.disconnect(connection, end == "reset")
         self.world.settle()
 
     # what goes wrong between
 
-    @precondition(lambda self: self._connections() and self.world.judge.asked)
+    @precondition(lambda self: self._connections() and self.world.checker.requests)
     @rule(
         pick=PICK,
         which=PICK,
@@ -272,18 +282,18 @@
         runner, end = connections[pick % len(connections)]
         arrivals = [
             arrival
-            for asked in self.world.judge.asked.values()
-            for arrival in asked.arrivals
+            for sent in self.world.checker.requests.values()
+            for arrival in sent.arrivals
             if arrival.connection is end
         ]
         if not arrivals:
             return
         arrival = arrivals[which % len(arrivals)]
-        if arrival in runner.owed or any(
-            one.connection is end and one.written for one in runner.owed
+        if arrival in runner.unanswered or any(
+            one.connection is end and one.written for one in runner.unanswered
         ):
             return
-        if how == "success" and arrival.asked.is_streaming:
+        if how == "success" and arrival.request.is_streaming:
             data = self._success(arrival, "whole", "")
         else:
             data = {
@@ -304,7 +314,7 @@
     )
     def inject_fault(self, what, pick, how, room):
         if what == "narrow":
-            self.world.room = room
+            self.world.receive_window = room
         elif what == "dark":
             runner = self.world.runners[pick % len(self.world.runners)]
             runner.is_unresponsive = True
@@ -320,7 +330,7 @@
     def _leave(self, pick, by_reset):
         callers = [caller for caller in self.world.callers if not caller.is_over]
         if callers:
-            callers[pick % len(callers)].leave(by_reset)
+            callers[pick % len(callers)].disconnect(by_reset)
 
     def _lose_connection(self, pick, how):
         connections = self._connections()
@@ -328,24 +338,24 @@
             return
         runner, end = connections[pick % len(connections)]
         if how != "forget":
-            return runner.drop(end, how == "reset")
+            return runner.disconnect(end, how == "reset")
         runner.connections.remove(end)
-        runner.owed = [one for one in runner.owed if one.connection is not end]
-        end.forget()
+        runner.unanswered = [one for one in runner.unanswered if one.connection is not end]
+        end.close_silently()
 
     @rule(what=st.sampled_from(["wide", "bright", "listed", "all"]))
     def mend(self, what):
         """Troubles end: bytes go through, silent runners speak, the list is true."""
         if what in ("wide", "all"):
-            self.world.room = None
+            self.world.receive_window = None
             for _, end in self._connections():
-                end.room = None
+                end.receive_window = None
         if what in ("bright", "all"):
             for runner in self.world.runners:
                 runner.is_unresponsive = False
                 self.world.net.connect_pending(runner.address)
         if what in ("listed", "all"):
-            self.world.renew_runners()
+            self.world.publish_runners()
         self.world.settle()
 
     @rule(span_ms=st.sampled_from([20, 100, 700, 1_100, 2_500]))
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -4,7 +4,7 @@
 """
 
 import pytest
-from connections_world import HOST, MS, ROUTES, Asked, Caller, RuleBrokenError, World
+from connections_world import HOST, MS, ROUTES, Caller, CallerRequest, RuleBrokenError, World
 from msgspec.structs import replace
 
 from linkhaven.platform.translation import translate_configuration
@@ -28,10 +28,10 @@
     if caller is None:
         caller = Caller(world)
         world.callers.append(caller)
-    id = f"r-{len(world.judge.asked)}"
-    asked = world.judge.asked[id] = Asked(id, "safe", b"", 0, False)
+    id = f"r-{len(world.checker.requests)}"
+    asked = world.checker.requests[id] = CallerRequest(id, "safe", b"", 0, False)
     asked.path = path
-    caller.ask(asked, False)
+    caller.send(asked, False)
     world.settle()
     return asked
 
@@ -39,9 +39,9 @@
 def serve(world):
     """Let the runners answer all requests that they have."""
     for runner in world.runners:
-        for arrival in runner.owed:
+        for arrival in runner.unanswered:
             arrival.connection.send(world.answer(arrival, 200, b"ok"))
-        runner.owed.clear()
+        runner.unanswered.clear()
     world.settle()
 
 
@@ -52,7 +52,7 @@
 
 
 def check_denied(world, path):
-    """Assert a 404, which the judge counts as a valid request that was denied."""
+    """Assert a 404, which the checker counts as a valid request that was denied."""
     with pytest.raises(RuleBrokenError, match="DENIED: 404"):
         send(world, path)
     world.callers.pop()
@@ -61,7 +61,7 @@
 def stop(world):
     drained = []
     world.node.drain(lambda: drained.append(True))
-    world.door.is_closing = True
+    world.server.is_closing = True
     return drained
 
 
@@ -90,7 +90,7 @@
     assert asked.status is None and not drained
     assert status_of(world, "/safe/y") == 503
     serve(world)
-    assert asked.status == 200 and asked.end == "whole"
+    assert asked.status == 200 and asked.outcome == "whole"
     world.run_for(100 * MS)
     assert drained
 
@@ -156,19 +156,19 @@
     """A request may end 250 ms after timeout_ms at most, at a silent runner or a full one."""
     asked = send(world, "/safe/x")
     world.run_for(3_900 * MS)
-    assert asked.end is None
+    assert asked.outcome is None
     world.run_for(200 * MS)
-    assert asked.status == 502 and asked.end == "whole"
+    assert asked.status == 502 and asked.outcome == "whole"
 
 
 def test_no_stream_is_held_past_its_routes_timeout(world):
     asked = send(world, "/resumable/x")
     asked.kind = "resumable"
-    (arrival,) = [arrival for runner in world.runners for arrival in runner.owed]
+    (arrival,) = [arrival for runner in world.runners for arrival in runner.unanswered]
     arrival.connection.send(world.stream_head(asked))
     event = asked.events(0, 1)[0]
     arrival.connection.send(b"%x\r\n%b\r\n" % (len(event), event))
     world.run_for(3_900 * MS)
-    assert asked.data and asked.end is None
+    assert asked.data and asked.outcome is None
     world.run_for(200 * MS)
-    assert asked.end == "cut"
+    assert asked.outcome == "cut"
