--- a/packages/wire/src/linkhaven/wire/__init__.py
+++ b/packages/wire/src/linkhaven/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The process around a node: event loop, line and HTTP transport, settings, log, commands."""
+"""The process that hosts a node: event loop, line and HTTP transport, settings, log, commands."""
 
 from . import quick_start as quick_start
 from .event_loop import EventLoop, event_loop_options
--- a/packages/wire/src/linkhaven/wire/event_loop.py
+++ b/packages/wire/src/linkhaven/wire/event_loop.py
@@ -1,13 +1,13 @@
-"""The event loop of a process: one thread that runs a node, its sockets and its clock.
+"""The event loop of a process: one thread that runs a node, its sockets and its timers.
 
-A turn runs the timers that are due, the node's tick among them, then waits for sockets, and calls
-back those that are ready. Only the log's lines are written by a second thread.
+Each iteration runs the timers that are due, including the node's tick, then polls the sockets and
+runs the callbacks of those that are ready. Only log lines are written by a second thread.
 
-| signal | first | again while draining |
+| signal | first time | again while draining |
 | --- | --- | --- |
-| SIGTERM | the node drains, then the loop stops; a node that can't drain stops at once | nothing |
-| SIGINT | the same | stops at once |
-| SIGHUP | `on_hangup` | the same |
+| SIGTERM | the node drains, then the loop stops; without `node.drain` it stops at once | ignored |
+| SIGINT | same as SIGTERM | stops at once |
+| SIGHUP | calls `on_hangup` | calls `on_hangup` |
 """
 
 import errno
@@ -46,41 +46,45 @@
 from .timer import TICK_US, Timer
 
 BODY_BYTES = 2_000_000
-"""The longest body of a call of our own interface, where no setting says it."""
+"""Default limit on the body of a request to linkhaven's own HTTP API."""
 
 CONNECTIONS = 4_000
-"""The most connections of our own interface, where no setting says it."""
+"""Default limit on the number of connections to linkhaven's own HTTP API."""
 
 IDLE_CHECK_INTERVAL_US = 1_000_000
-"""How often idle connections of our own interface are looked for."""
+"""How often idle connections to linkhaven's own HTTP API are checked for."""
 
 STOP_DELAY_US = 200_000
-"""How long a drained node still runs, so that its last answers and messages go out."""
+"""How long a drained node keeps running, so that its last responses and messages are sent."""
 
 YOUNG_OBJECTS = 20_000
-"""The collector's first threshold: the interpreter's own would have it run many times a second."""
+"""Threshold of the garbage collector's youngest generation.
+
+With the interpreter's default the collector would run many times a second.
+"""
 
 OLDER_COLLECTIONS = 20
-"""How many collections of one generation make one of the next."""
+"""Number of collections of one generation that trigger a collection of the next."""
 
 TRACE_LINES = 6
-"""How many of the last lines of a fault's trace are logged."""
+"""Number of lines logged from the end of an exception's traceback."""
 
 NS_PER_US = 1_000
 GONE_CALLER = errno.ENOTCONN
 
 
 def is_caller_gone(fault: BaseException) -> bool:
-    """Whether a call could not be read because its caller had reset the connection by then.
+    """Whether a request could not be read because its caller had already reset the connection.
 
-    The HTTP server asks for the peer's address when it makes the request. Nothing was begun, and
-    nobody is there to answer. Test: `test_a_caller_that_resets_before_it_is_read_is_no_fault`.
+    circuits.web looks up the peer's address when it creates the request, which fails with ENOTCONN
+    after a reset. No work was started, and there is nobody to respond to.
+    Test: `test_a_caller_reset_before_the_request_is_read_is_not_logged`.
     """
     return isinstance(fault, OSError) and fault.errno == GONE_CALLER
 
 
 def event_loop_options(settings: dict[str, Any]) -> dict[str, Any]:
-    """The arguments of an `EventLoop` that the checked settings of a router or core member say."""
+    """Keyword arguments for `EventLoop` from the validated settings of a router or core member."""
     return {
         "name": settings["name"],
         "lines": settings["lines"],
@@ -91,16 +95,17 @@
 
 
 class LoopStorage(Storage, Protocol):
-    """A storage port that gathers its writes by the turns of a loop."""
+    """A storage port that batches its writes per iteration of the event loop."""
 
     def attach(self, clock: Clock) -> None:
-        """The clock of the loop that it works for."""
+        """Set the clock of the loop that the storage is used on."""
 
 
 class EventLoop(BaseComponent):
-    """One process: a node, its sockets, its clock and its log, on one loop and one thread.
+    """One process: a node with its sockets, clock and log, run by one loop on one thread.
 
-    `node` is what `build` makes of the ports and an incarnation, the wall clock's microseconds.
+    `node` is created by `build(ports, incarnation)`; the incarnation is the wall-clock time in
+    microseconds.
     """
 
     channel = "event-loop"
@@ -119,9 +124,10 @@
         tick_us: int = TICK_US,
         on_hangup: Callable[[], Any] | None = None,
     ) -> None:
-        """Build the node and listen: for lines and for calls of our own interface, where given.
+        """Build the node and listen on `lines` and `http`, each only if given.
 
-        `log` wins over `level`. Raises ServiceError `address_taken`.
+        `lines` is the address for messages of other nodes, `http` the one of linkhaven's own HTTP
+        API. `log` takes precedence over `level`. Raises ServiceError `address_taken`.
         """
         super().__init__()
         self.code = 0
@@ -148,7 +154,7 @@
         self.node.dispatch(message)
 
     def _on_line(self, line: bytes) -> bool:
-        """Hand a line to the node; whether it was JSON at all."""
+        """Pass a line to the node; returns False if it was not valid JSON."""
         try:
             message = self.node.read_line(line)
         except ServiceError:
@@ -161,7 +167,7 @@
         self.node.serve(call)
 
     def add_line_server(self, address: str) -> LineServer:
-        """Listen for lines of other nodes; raises ServiceError `address_taken`."""
+        """Listen for lines from other nodes; raises ServiceError `address_taken`."""
         try:
             server = LineServer(address, self._on_line, self.poller, self.timer)
         except OSError as fault:
@@ -175,7 +181,7 @@
         on_call: Callable[[ServerCall], Any],
         limits: ServerLimits | None = None,
     ) -> HttpServer:
-        """Listen for opaque requests of callers; raises ServiceError `address_taken`."""
+        """Listen for callers' requests to the fleet; raises ServiceError `address_taken`."""
         try:
             server = HttpServer(address, on_call, limits, self.poller, self.timer)
         except OSError as fault:
@@ -193,7 +199,7 @@
         return server
 
     def _on_tick(self) -> int:
-        """Tick the node and the connections; the microseconds until the next tick."""
+        """Tick the node and the connections; returns the microseconds until the next tick."""
         rest_us = self.node.tick() or 0
         now_us = self.timer.now_us()
         self.client.on_tick(now_us)
@@ -211,7 +217,10 @@
         api_server.close_idle(now_us)
 
     def tick(self, timeout: float = -1) -> None:
-        """One turn; one without events of circuits goes straight to the clock and the poller."""
+        """Run one iteration.
+
+        Without pending circuits events or tasks it calls the timer and the poller directly.
+        """
         if self._queue or self._tasks or not self._running:
             super().tick(timeout)
             return
@@ -224,7 +233,7 @@
         self.poller.turn(0 if self._queue else time_left)
 
     def run_to_end(self) -> int:
-        """Run until a signal or `stop` ends it; gives the exit code."""
+        """Run until stopped by a signal or `stop`; returns the exit code."""
         facts = {"http": self._http_address()}
         self.log(1001, **facts)
         self._take_signals()
@@ -240,13 +249,13 @@
         return self.http_servers[0].address if self.http_servers else None
 
     def _take_signals(self) -> None:
-        """Add to what circuits takes itself, SIGTERM and SIGINT."""
+        """Ignore SIGPIPE and handle SIGHUP; circuits itself handles SIGTERM and SIGINT."""
         signals.signal(signals.SIGPIPE, signals.SIG_IGN)
         if threading.current_thread() is threading.main_thread():
             signals.signal(signals.SIGHUP, self._signal_handler)
 
     def _tune_collector(self) -> None:
-        """Keep what the start made out of all collections, and collect seldom."""
+        """Exempt objects created at startup from garbage collection, and collect less often."""
         gc.collect()
         gc.freeze()
         gc.set_threshold(YOUNG_OBJECTS, OLDER_COLLECTIONS, OLDER_COLLECTIONS)
--- a/packages/wire/src/linkhaven/wire/poller.py
+++ b/packages/wire/src/linkhaven/wire/poller.py
@@ -1,12 +1,13 @@
-"""Readiness of sockets by epoll, called back straight away, without events of circuits.
+"""An epoll poller that runs callbacks directly instead of firing circuits events.
 
-| what comes in | what the poller does with it |
+| input | action |
 | --- | --- |
-| a descriptor of `watch` is ready | its callback gets epoll's mask |
-| a descriptor of circuits' own components is ready | an event of circuits, by the base class |
-| `call_soon` | the callback runs at the end of this turn, or before the next waits |
+| a descriptor passed to `watch` is ready | its callback is called with the epoll mask |
+| a descriptor of a circuits component is ready | the base class fires a circuits event |
+| `call_soon` | the callback runs at the end of this turn, or before the next poll |
 
-What a callback raises is fired as an event of circuits, which is logged; the turn goes on.
+An exception raised by a callback is fired as a circuits `exception` event, which is logged; the
+remaining callbacks still run.
 """
 
 import select
@@ -20,49 +21,49 @@
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 
 ReadyCallback = Callable[[int], Any]
-"""Gets the mask of epoll with which its descriptor is ready."""
+"""Called with the epoll mask of the ready descriptor."""
 
 
 class DirectPoller(EPoll):
-    """Circuits' poller, with direct calls for watched descriptors and at the end of a turn."""
+    """Circuits' epoll poller with direct callbacks for descriptors and for the end of a turn."""
 
     def __init__(self) -> None:
-        """Nothing is watched yet but what circuits watches itself."""
+        """Create a poller that watches only circuits' own descriptors."""
         super().__init__()
         self.callbacks: dict[int, ReadyCallback] = {}
         self.deferred: list[Callable[[], Any]] = []
 
     def watch(self, fileno: int, mask: int, callback: ReadyCallback) -> None:
-        """Call back whenever the descriptor is ready for what the mask says."""
+        """Call `callback` whenever the descriptor is ready for an event in `mask`."""
         self._poller.register(fileno, mask)
         self.callbacks[fileno] = callback
 
     def change(self, fileno: int, mask: int) -> None:
-        """Watch a descriptor for something else, with the callback that it has."""
+        """Change the event mask of a watched descriptor and keep its callback."""
         self._poller.modify(fileno, mask)
 
     def unwatch(self, fileno: int) -> None:
-        """Watch a descriptor no more; nothing where it isn't watched."""
+        """Stop watching a descriptor; does nothing if it isn't watched."""
         if self.callbacks.pop(fileno, None) is not None:
             self._poller.unregister(fileno)
 
     def call_soon(self, callback: Callable[[], Any]) -> None:
-        """Call back at the end of this turn."""
+        """Call `callback` at the end of this turn."""
         self.deferred.append(callback)
 
     def _generate_events(self, event: Any) -> None:
         self.turn(event.time_left)
 
     def turn(self, time_left: float) -> None:
-        """Wait so many seconds at most for what is ready, and call back for all of it."""
+        """Wait up to `time_left` seconds for ready descriptors and run their callbacks."""
         if self.deferred:
             self._run_deferred()
             time_left = 0
         ready = self._poller.poll(time_left)
         if not ready:
             return
-        # A callback may close other sockets, whose descriptors may then belong to new ones: what
-        # was ready before is passed on only while its own callback is still the one in place.
+        # A callback may close other sockets, and new sockets may reuse their descriptors. An event
+        # is delivered only if its descriptor still has the callback it had when polled.
         callbacks = self.callbacks
         for fileno, mask, callback in [
             (fileno, mask, callbacks.get(fileno)) for fileno, mask in ready
--- a/packages/wire/src/linkhaven/wire/timer.py
+++ b/packages/wire/src/linkhaven/wire/timer.py
@@ -1,4 +1,4 @@
-"""The clock of the event loop: monotonic time, the node's ticks, and calls at a later time."""
+"""The clock of the event loop: monotonic time, the node's ticks, and delayed callbacks."""
 
 import heapq
 import time
@@ -8,27 +8,28 @@
 from circuits import BaseComponent, handler
 
 TICK_US = 20_000
-"""How often a node ticks that doesn't say when it wants its next tick."""
+"""Tick interval for a node whose tick returns no delay of its own."""
 
 NS_PER_US = 1_000
 US_PER_S = 1_000_000
 
 
 def monotonic_us() -> int:
-    """Microseconds since some moment; never goes back, whatever the wall clock does."""
+    """Monotonic time in microseconds since an unspecified epoch; independent of the wall clock."""
     return time.monotonic_ns() // NS_PER_US
 
 
 class Timer(BaseComponent):
-    """The loop's clock port; it also says how long the poller may wait.
+    """The clock port of the event loop; it also limits how long the poller waits.
 
-    `on_tick` may give the microseconds until the next tick; else it follows after `tick_us`.
+    `on_tick` may return the delay until the next tick in microseconds; otherwise the delay is
+    `tick_us`.
     """
 
     channel = "timer"
 
     def __init__(self, on_tick: Callable[[], int | None], tick_us: int = TICK_US) -> None:
-        """The first tick is due at once."""
+        """Create a timer whose first tick is due immediately."""
         super().__init__()
         self.on_tick = on_tick
         self.tick_us = tick_us
@@ -37,11 +38,14 @@
         self.due_us = monotonic_us()
 
     def now_us(self) -> int:
-        """Microseconds of monotonic time."""
+        """Return the monotonic time in microseconds."""
         return monotonic_us()
 
     def call_in(self, delay_us: int, callback: Callable[[], Any]) -> None:
-        """Call back in so many microseconds, or a little later; in order where due together."""
+        """Call `callback` after `delay_us` microseconds or slightly later.
+
+        Callbacks that are due at the same time run in the order they were scheduled.
+        """
         self.serial += 1
         heapq.heappush(self.timers, (monotonic_us() + delay_us, self.serial, callback))
 
@@ -53,12 +57,12 @@
             event.reduce_time_left(self.time_left())
 
     def time_left(self) -> float:
-        """Seconds until the next tick or call falls due."""
+        """Seconds until the next tick or callback is due; 0 if one is overdue."""
         next_us = min(self.due_us, self.timers[0][0]) if self.timers else self.due_us
         return max(0.0, (next_us - monotonic_us()) / US_PER_S)
 
     def turn(self) -> float:
-        """Run what falls due now; gives the seconds until the next falls due."""
+        """Run what is due now; returns the seconds until the next tick or callback is due."""
         self._run_due()
         return self.time_left()
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -875,7 +875,7 @@
     assert heard.body == b"next" and not heard.errors and len(runner.got) == 2
 
 
-def test_bytes_before_the_request_was_sent_are_no_answer_to_it(bench):
+def test_bytes_before_the_request_is_sent_are_not_its_response(bench):
     runner = Runner(bench, whole(), whole(b"next"))
     runner.call(keep_alive=True)
     heard = Heard()
@@ -1118,7 +1118,7 @@
     assert loop.node.on_drained is not None and loop.running
 
 
-def test_a_caller_that_resets_before_it_is_read_is_no_fault():
+def test_a_caller_reset_before_the_request_is_read_is_not_logged():
     listener = socket.create_server(("127.0.0.1", 0))
     caller = socket.create_connection(listener.getsockname())
     served, _ = listener.accept()
