--- a/packages/wire/src/linkhaven/wire/client.py
+++ b/packages/wire/src/linkhaven/wire/client.py
@@ -1,4 +1,4 @@
-"""The outgoing side of a process: lines to other nodes, and HTTP calls. It is the network port."""
+"""The network port of a process: outgoing lines to other nodes and outgoing HTTP calls."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,22 +14,24 @@
 from .poller import DirectPoller
 
 CONNECT_US = 2_000_000
-"""How long a connection may be in the making: the first packet and one repetition of it."""
+"""Connect time-out; allows for one retransmission of the SYN packet."""
 
 IDLE_US = 4_000_000
-"""How long an idle connection is kept where the other side doesn't say how long it keeps it."""
+"""How long an idle connection is kept if the peer sends no Keep-Alive time-out."""
 
 USER_TIMEOUT_US = 3_000_000
-"""How long bytes to another node may stay unacknowledged before the kernel gives them up."""
+"""TCP_USER_TIMEOUT of line connections: how long sent bytes may stay unacknowledged before the
+kernel closes the connection."""
 
 CHECK_INTERVAL_US = 250_000
-"""How often idle connections are looked through."""
+"""How often idle connections are checked for expiry."""
 
 
 class Client(BaseComponent):
-    """All outgoing connections: lines to other nodes by one each, HTTP calls by pools.
+    """All outgoing connections: one line connection per node, and a pool per HTTP address.
 
-    `connect_us`, `idle_us` and `user_timeout_us` may be changed at any time, for what begins later.
+    `connect_us`, `idle_us` and `user_timeout_us` are in microseconds and may be changed at any
+    time; a change affects connections and calls started later.
     """
 
     channel = "client"
@@ -39,14 +41,14 @@
         clock: Clock,
         poller: DirectPoller,
         address: str | None,
-        on_own_line: Callable[[Message | UntypedMessage], Any],
+        on_local_message: Callable[[Message | UntypedMessage], Any],
     ) -> None:
-        """What is sent to `address`, the node's own, goes to `on_own_line` and over no socket."""
+        """Messages sent to `address`, the node's own, are passed to `on_local_message` directly."""
         super().__init__()
         self.clock = clock
         self.poller = poller
         self.address = address
-        self.on_own_line = on_own_line
+        self.on_local_message = on_local_message
         self.line_clients: dict[str, LineClient] = {}
         self.pools: dict[str, ConnectionPool] = {}
         self.opened = 0
@@ -56,32 +58,32 @@
         self.checked_us = 0
 
     def call_later(self, callback: Callable[[], Any], delay_us: int = 0) -> None:
-        """Call back in so many microseconds; without them in the next turn."""
+        """Call `callback` after `delay_us` microseconds, or in the next turn if it is 0."""
         self.clock.call_in(delay_us, callback)
 
     soon = call_later
-    """Its name in the network port."""
+    """Alias of `call_later` that the network port uses."""
 
     def send(self, address: str, message: Message | UntypedMessage) -> None:
-        """Send a line; it may be lost, and lines to one address arrive in order."""
+        """Send a message as one line; it may be lost, but messages to one address arrive in order."""
         if address == self.address:
-            return self.call_later(lambda: self.on_own_line(message))
+            return self.call_later(lambda: self.on_local_message(message))
         line_client = self.line_clients.get(address)
         if line_client is None:
             line_client = self.line_clients[address] = LineClient(self, address)
         line_client.send(write_line(message))
 
     def renew(self, address: str) -> None:
-        """A node started anew at the address: drop the older connection, and what waits on it.
+        """Drop the line connection to an address where a node has restarted, with its unsent lines.
 
-        What the older connection still holds would wait for its reset, and all lines after it.
+        Otherwise unsent and later lines would wait until the old connection is reset.
         """
         line_client = self.line_clients.get(address)
         if line_client is not None:
             line_client.renew()
 
     def mark_alive(self, address: Any) -> None:
-        """A node at the address spoke; nothing where it is no address."""
+        """Note that a message came from `address`; ignored if that is not a known address."""
         line_client = self.line_clients.get(address) if isinstance(address, str) else None
         if line_client is not None:
             line_client.mark_alive()
@@ -98,10 +100,12 @@
         max_connections: int | None = None,
         host: str | None = None,
     ) -> Exchange | None:
-        """Begin an HTTP call whose answer goes to `handler`.
+        """Start an HTTP call whose response goes to `handler`.
 
-        `keep_alive` lets it use and leave behind a lasting connection. None where `max_connections` connections to
-        the address are open and busy. Raises ValueError for a request that can't be written.
+        With `keep_alive` the call may reuse an idle connection and leave its own open for reuse.
+        `host` replaces the address in the Host header. Returns None if `max_connections`
+        connections to the address are open and busy. Raises ValueError if the path or a header
+        field is invalid.
         """
         exchange = Exchange(self, address, method, path, headers, body, handler, keep_alive, host)
         connection = self.take_connection(address, keep_alive, max_connections)
@@ -113,7 +117,7 @@
     def take_connection(
         self, address: str, may_reuse: bool, max_connections: int | None
     ) -> PooledConnection | None:
-        """A connection to the address; None where `max_connections` are open and busy."""
+        """Return a connection to the address; None if `max_connections` are open and busy."""
         pool = self.pools.get(address)
         if pool is None:
             pool = self.pools[address] = ConnectionPool(self, address)
@@ -126,17 +130,17 @@
         return connection
 
     def drop_pool(self, pool: ConnectionPool) -> None:
-        """Forget a pool that has no connection left."""
+        """Remove a pool that has no connection left."""
         if self.pools.get(pool.address) is pool:
             del self.pools[pool.address]
 
     def count(self, address: str) -> int:
-        """How many connections to the address are open."""
+        """Number of open pooled connections to the address."""
         pool = self.pools.get(address)
         return len(pool.open) if pool is not None else 0
 
     def on_tick(self, now_us: int) -> None:
-        """Close the connections that stood idle for their time, now and then."""
+        """Close expired idle connections, at most once per `CHECK_INTERVAL_US`."""
         if now_us - self.checked_us < CHECK_INTERVAL_US:
             return
         self.checked_us = now_us
--- a/packages/wire/src/linkhaven/wire/connection_pool.py
+++ b/packages/wire/src/linkhaven/wire/connection_pool.py
@@ -1,9 +1,9 @@
-"""The connections of this process to one address, kept for further exchanges.
+"""Pool of this process's connections to one address, reused between exchanges.
 
-| state of a connection | `exchange` | ended by |
+| state of a connection | `exchange` | closed by |
 | --- | --- | --- |
-| connecting or serving | the exchange | the exchange, or the other process |
-| idle | none | `idle_until_us`; bytes that nobody asked for; the other process |
+| connecting or in use | the exchange | the exchange, or the peer |
+| idle | None | reaching `idle_until_us`; unsolicited bytes; the peer |
 """
 
 from collections.abc import Callable
@@ -16,21 +16,21 @@
 
 
 class ConnectionUser(Protocol):
-    """The exchange that a connection serves."""
+    """The part of `Exchange` that a connection calls."""
 
     def on_data(self, data: bytes) -> None:
-        """Bytes came."""
+        """Process received bytes."""
 
     def on_close(self, has_begun: bool, is_eof: bool) -> None:
-        """The connection ended.
+        """Handle the connection's end.
 
-        `has_begun` tells whether any byte of the request was sent, `is_eof` whether the other
-        process ended it in order.
+        `has_begun` says whether any byte of the request was sent, `is_eof` whether the peer closed
+        the connection in an orderly way.
         """
 
 
 class PoolOwner(Protocol):
-    """What a pool needs of the client of the process."""
+    """The part of `Client` that a pool uses."""
 
     clock: Clock
     poller: DirectPoller
@@ -38,19 +38,19 @@
     opened: int
 
     def call_later(self, callback: Callable[[], Any], delay_us: int = 0) -> None:
-        """Call back in so many microseconds."""
+        """Call `callback` after `delay_us` microseconds."""
 
     def drop_pool(self, pool: "ConnectionPool") -> None:
-        """The pool has no connection left."""
+        """Remove a pool that has no connection left."""
 
 
 class PooledConnection:
-    """One connection to another process: it serves an exchange, or stands idle for its time."""
+    """One connection to another process: in use by an exchange, or idle until `idle_until_us`."""
 
     __slots__ = ("pool", "tcp", "exchange", "idle_until_us", "is_used")
 
     def __init__(self, pool: "ConnectionPool") -> None:
-        """Begin to connect."""
+        """Start connecting to the pool's address."""
         self.pool = pool
         self.exchange: ConnectionUser | None = None
         self.idle_until_us = 0
@@ -61,7 +61,7 @@
         owner.call_later(self.tcp.on_connect_timeout, owner.connect_us)
 
     def serve(self, exchange: ConnectionUser, request: bytes) -> None:
-        """Send the bytes of an exchange's request, and hand it what comes back."""
+        """Send an exchange's encoded request and pass the received bytes to the exchange."""
         self.exchange = exchange
         self.tcp.has_begun = False
         self.tcp.send(request)
@@ -77,7 +77,7 @@
             self.exchange.on_close(has_begun, self.tcp.is_eof)
 
     def become_idle(self, idle_us: int) -> None:
-        """The exchange is over: stand ready for another, so long at most."""
+        """Release the connection from its exchange and keep it idle for up to `idle_us`."""
         self.exchange = None
         self.is_used = True
         self.idle_until_us = self.pool.owner.clock.now_us() + idle_us
@@ -85,27 +85,28 @@
         self.pool.idle.append(self)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close at once and leave the pool."""
         self.tcp.close()
         self.pool.remove(self)
 
 
 class ConnectionPool:
-    """The connections of this process to one address; of the idle ones the newest serves first."""
+    """The connections to one address; the most recently used idle connection is reused first."""
 
     __slots__ = ("owner", "address", "open", "idle")
 
     def __init__(self, owner: PoolOwner, address: str) -> None:
-        """There is no connection yet."""
+        """Create an empty pool."""
         self.owner = owner
         self.address = address
         self.open: set[PooledConnection] = set()
         self.idle: list[PooledConnection] = []
 
     def acquire(self, may_reuse: bool, max_connections: int | None) -> PooledConnection | None:
-        """A connection for one exchange; None where `max_connections` are open and none of them is idle.
+        """Return a connection for one exchange.
 
-        Unless `may_reuse` is set it is a new one.
+        Without `may_reuse` it is always a new one. Returns None if `max_connections` are open and
+        none of them is idle.
         """
         if self.idle:
             now_us = self.owner.clock.now_us()
@@ -123,7 +124,7 @@
         return connection
 
     def remove(self, connection: PooledConnection) -> None:
-        """A connection is closed."""
+        """Remove a closed connection."""
         self.open.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
@@ -131,6 +132,6 @@
             self.owner.drop_pool(self)
 
     def close_expired(self, now_us: int) -> None:
-        """Close the connections that stood idle for their time."""
-        for connection in [one for one in self.idle if one.idle_until_us <= now_us]:
+        """Close the connections whose idle time has expired."""
+        for connection in [idle for idle in self.idle if idle.idle_until_us <= now_us]:
             connection.close()
--- a/packages/wire/src/linkhaven/wire/exchange.py
+++ b/packages/wire/src/linkhaven/wire/exchange.py
@@ -1,14 +1,15 @@
 """One HTTP call to another process, on a pooled connection.
 
-| what happens | a new connection | one that had served others |
+| event | on a new connection | on a reused connection |
 | --- | --- | --- |
-| it ends before a byte was sent or came | `on_error(False)` | sent again on a further one |
-| it ends later, the answer isn't whole | `on_error(True)` | the same |
-| bytes come before the request was sent | `on_error(False)` | sent again on a further one |
-| bytes that are no HTTP | `on_error(True)` | the same |
-| the answer is whole | `on_end` | the same |
-
-A connection whose answer is whole is kept if both sides agree and nothing is left over on it.
+| closed before a byte was sent or received | `on_error(False)` | retried on another connection |
+| closed later, response incomplete | `on_error(True)` | `on_error(True)` |
+| bytes received before the request was sent | `on_error(False)` | retried on another connection |
+| received bytes are not valid HTTP | `on_error(True)` | `on_error(True)` |
+| response complete | `on_end` | `on_end` |
+
+After a complete response the connection is kept if both sides allow it and it has no data left to
+send or read.
 """
 
 import contextlib
@@ -26,25 +27,26 @@
 US_PER_S = 1_000_000
 
 KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*\"?(\d{1,6})")
-"""In the field Keep-Alive: how long the other side keeps an idle connection."""
+"""Matches the time-out in a Keep-Alive header: how long the peer keeps an idle connection."""
 
 KEEP_ALIVE_MARGIN_US = US_PER_S
-"""We let go of it so much earlier, so that no request meets the other side's close."""
+"""Idle connections are closed this much before the peer's time-out, so that no request is sent
+while the peer is closing."""
 
 
 class ConnectionSource(Protocol):
-    """What an exchange needs of the client of the process."""
+    """The part of `Client` that an exchange uses."""
 
     idle_us: int
 
     def take_connection(
         self, address: str, may_reuse: bool, max_connections: int | None
     ) -> PooledConnection | None:
-        """A connection; without `max_connections` there always is one."""
+        """Return a connection; never None if `max_connections` is None."""
 
 
 class Exchange:
-    """One HTTP call: its request is sent by `begin`, and its handler hears what becomes of it."""
+    """One HTTP call: `begin` sends the request, and the outcome is reported to `handler`."""
 
     __slots__ = (
         "source",
@@ -72,13 +74,13 @@
         keeps_connection: bool = False,
         host: str | None = None,
     ) -> None:
-        """Raises ValueError for a request that can't be written."""
+        """Encode the request; raises ValueError if its path or a header field is invalid."""
         self.source = source
         self.address = address
         self.handler = handler
         self.keeps_connection = keeps_connection
         self.idle_us = source.idle_us
-        self.connection: PooledConnection = None  # type: ignore[assignment]  # until `begin`
+        self.connection: PooledConnection = None  # type: ignore[assignment]  # set by `begin`
         self.is_over = False
         self.is_reused = False
         self.is_answered = False
@@ -86,19 +88,19 @@
         self.request = write_request(method, path, host or address, headers, body, keeps_connection)
 
     def begin(self, connection: PooledConnection) -> None:
-        """Send the request by this connection."""
+        """Send the request on this connection."""
         self.connection = connection
         self.is_reused = connection.is_used
         connection.serve(self, self.request)
 
     def _begin_again(self) -> None:
-        """Send the request, of which nothing was sent, by a further connection."""
+        """Retry on another connection; no byte of the request has been sent."""
         connection = self.source.take_connection(self.address, True, None)
-        assert connection is not None  # no bound was given
+        assert connection is not None  # no max_connections was given
         self.begin(connection)
 
     def on_data(self, data: bytes) -> None:
-        """Read what came."""
+        """Process received bytes."""
         if not self.connection.tcp.has_begun:
             return self._leave_spoiled_connection()
         self.is_answered = True
@@ -109,11 +111,12 @@
             self._fail(has_begun=True)
 
     def _leave_spoiled_connection(self) -> None:
-        """Bytes that came before the request was sent belong to another: it is still unsent.
+        """Handle bytes that came before the request was sent: they answer an earlier request.
 
-        On a connection that had served others it goes out on a further one, else it is an error.
+        The request is still unsent. On a reused connection it is retried on another one, on a new
+        connection it fails.
 
-        Test: `test_bytes_before_the_request_was_sent_are_no_answer_to_it`.
+        Test: `test_bytes_before_the_request_is_sent_are_not_its_response`.
         """
         if not self.is_reused:
             return self._fail(has_begun=False)
@@ -156,7 +159,7 @@
         self.handler.on_end()
 
     def _may_keep_connection(self) -> bool:
-        """Whether both sides are done with it, agree to keep it, and nothing is left on it."""
+        """Whether both sides are done, allow reuse, and no data is left to send or read."""
         tcp, parser = self.connection.tcp, self.parser
         return (
             self.keeps_connection
@@ -169,7 +172,7 @@
         )
 
     def on_close(self, has_begun: bool, is_eof: bool) -> None:
-        """The connection ended: send again, or take it as the answer's end, or as an error."""
+        """Handle the connection's end: retry, complete a close-delimited response, or fail."""
         if self.is_over:
             return
         if self.is_reused and not has_begun and not self.is_answered:
@@ -187,17 +190,17 @@
         self.handler.on_error(has_begun)
 
     def pause_reading(self) -> None:
-        """Read no more of the answer until `resume_reading`, so that its sender has to wait."""
+        """Stop reading the response until `resume_reading`; flow control slows its sender."""
         if not self.is_over:
             self.connection.tcp.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read on."""
+        """Resume reading the response."""
         if not self.is_over:
             self.connection.tcp.resume_reading()
 
     def close(self) -> None:
-        """Give the call up: its handler gets nothing more."""
+        """Abort the call; its handler isn't called any more."""
         if self.is_over:
             return
         self.is_over = True
--- a/packages/wire/src/linkhaven/wire/http_server.py
+++ b/packages/wire/src/linkhaven/wire/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for opaque requests: takes connections, and closes those that took too long."""
+"""The HTTP server for callers' requests: accepts connections and enforces their time-outs."""
 
 import socket
 from collections.abc import Callable
@@ -15,14 +15,14 @@
 from .server_limits import ServerLimits
 
 CHECK_INTERVAL_US = 250_000
-"""How often the connections' time-outs are checked."""
+"""How often connection time-outs are checked."""
 
 
 class HttpServer(BaseComponent):
-    """HTTP in, by h11: opaque requests of callers, each handed on once it was read whole.
+    """An HTTP/1.1 server based on h11; each complete request is passed to `on_call`.
 
-    `limits` may be replaced at any time. While `is_closing` is set, an answer ends
-    its connection.
+    `limits` may be replaced at any time. While `is_closing` is set, each response closes its
+    connection.
     """
 
     channel = "http-server"
@@ -35,7 +35,7 @@
         poller: DirectPoller,
         clock: Clock,
     ) -> None:
-        """Listen at once; raises OSError where the address can't be had."""
+        """Start listening; raises OSError if the address can't be bound."""
         super().__init__()
         self.on_call = on_call
         self.limits = limits or ServerLimits()
@@ -53,7 +53,7 @@
         self.connections.add(ServerConnection(self, sock))
 
     def _evict_longest_idle(self) -> bool:
-        """Close the connection that rests longest; whether there was one."""
+        """Close the connection that has been idle longest; returns whether there was one."""
         idle = [connection for connection in self.connections if connection.may_be_evicted()]
         if not idle:
             return False
@@ -61,15 +61,15 @@
         return True
 
     def on_connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a connection that is gone."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
 
     def stop_listening(self) -> None:
-        """Take no further connections; those that there are go on."""
+        """Stop accepting connections; existing connections continue."""
         self.listener.close()
 
     def on_tick(self, now_us: int) -> None:
-        """Check the connections' time-outs, now and then."""
+        """Check connection time-outs, at most once per `CHECK_INTERVAL_US`."""
         if now_us - self.checked_us < CHECK_INTERVAL_US:
             return
         self.checked_us = now_us
--- a/packages/wire/src/linkhaven/wire/line_client.py
+++ b/packages/wire/src/linkhaven/wire/line_client.py
@@ -1,13 +1,14 @@
-"""The lasting connection for lines to one other node.
+"""The persistent connection for lines to one other node.
 
 | state | a line to send | ended by |
 | --- | --- | --- |
-| none, and none failed lately | connects; the line waits for it | |
-| none, one failed less than `RECONNECT_US` ago | is dropped | |
-| connecting | waits | the time-out of connecting; `mark_alive`, once, makes it anew |
-| open | is sent, or dropped if too much waits | the other node, or TCP_USER_TIMEOUT |
+| not connected, no recent failure | starts connecting; the line is buffered | |
+| not connected, failed less than `RECONNECT_US` ago | is dropped | |
+| connecting | is buffered | the connect time-out; `mark_alive` reconnects, once |
+| open | is sent, or dropped if too much is unsent | the peer, or TCP_USER_TIMEOUT |
 
-Lines are dropped, never kept for later: their senders repeat what still matters.
+Lines that can't be sent are dropped and not retried here: senders repeat messages that still
+matter.
 """
 
 from collections.abc import Callable
@@ -19,18 +20,18 @@
 from .tcp_connection import TcpConnection
 
 UNSENT_BYTES = 4_000_000
-"""With more than this unsent, further lines are dropped: the other node doesn't read."""
+"""While more than this is unsent, further lines are dropped: the other node isn't reading."""
 
 RECONNECT_US = 100_000
-"""How long after a connection ended none is made."""
+"""How long to wait after a connection ended before connecting again."""
 
 CONNECT_STALL_US = 150_000
-"""How long a connection may be in the making before a sign of life of the other node says that it
-hangs: its first packet was lost, and TCP repeats it only after a second."""
+"""A connection still connecting after this time is stalled if the other node is known to be alive:
+its SYN packet was lost, and TCP retransmits it only after a second."""
 
 
 class LineClientOwner(Protocol):
-    """What the connection needs of the client of the process."""
+    """The part of `Client` that a line connection uses."""
 
     clock: Clock
     poller: DirectPoller
@@ -38,16 +39,16 @@
     user_timeout_us: int
 
     def call_later(self, callback: Callable[[], Any], delay_us: int = 0) -> None:
-        """Call back in so many microseconds."""
+        """Call `callback` after `delay_us` microseconds."""
 
 
 class LineClient:
-    """The connection for lines to one address; what can't be sent now is dropped."""
+    """The connection for lines to one address; lines that can't be sent are dropped."""
 
     __slots__ = ("owner", "address", "tcp", "failed_us", "begun_us", "is_renewed")
 
     def __init__(self, owner: LineClientOwner, address: str) -> None:
-        """Nothing is connected before the first line."""
+        """Create a client that connects when the first line is sent."""
         self.owner = owner
         self.address = address
         self.tcp: TcpConnection | None = None
@@ -56,7 +57,7 @@
         self.is_renewed = False
 
     def send(self, line: bytes) -> None:
-        """Send a line, connecting first if need be; or drop it."""
+        """Send or drop a line; starts connecting if there is no connection."""
         tcp = self.tcp
         if tcp is None:
             now_us = self.owner.clock.now_us()
@@ -76,16 +77,17 @@
         return tcp
 
     def renew(self) -> None:
-        """Drop the connection and what waits on it; the next line makes another."""
+        """Drop the connection and its unsent lines; the next line connects again."""
         if self.tcp is not None:
             self.tcp.close()
             self.tcp = None
         self.failed_us = None
 
     def mark_alive(self) -> None:
-        """The other node speaks, so it runs.
+        """Note that a message came from the other node, so it is running.
 
-        A connection that hangs from before it ran is made anew, once, with what waits.
+        A connection attempt that has stalled since before the node ran is replaced, once, and the
+        unsent lines move to the new connection.
         """
         tcp, now_us = self.tcp, self.owner.clock.now_us()
         if (
@@ -95,15 +97,15 @@
             or now_us - self.begun_us < CONNECT_STALL_US
         ):
             return
-        waiting = list(tcp.unsent)
+        unsent_lines = list(tcp.unsent)
         tcp.close()
         self.is_renewed = True
         tcp = self._connect(now_us)
-        for line in waiting:
+        for line in unsent_lines:
             tcp.send(bytes(line))
 
     def _on_data(self, data: bytes) -> None:
-        """Nothing comes back on such a connection; what does is ignored."""
+        """Ignore received data; nodes send nothing back on this connection."""
 
     def _on_close(self, has_begun: bool) -> None:
         self.tcp = None
--- a/packages/wire/src/linkhaven/wire/line_server.py
+++ b/packages/wire/src/linkhaven/wire/line_server.py
@@ -1,4 +1,4 @@
-"""The server for lines of JSON from other nodes; a line is a message, docs/design.md says which."""
+"""The server for messages from other nodes, one JSON line each; see docs/design.md."""
 
 import socket
 from collections.abc import Callable
@@ -13,26 +13,26 @@
 from .tcp_connection import TcpConnection
 
 LINE_BYTES = 16_000_000
-"""The longest line; a longer one ends its connection."""
+"""Maximum length of a line; a longer one closes its connection."""
 
 LINE_END = b"\n"
 
 LineListener = Callable[[bytes], bool]
-"""Gets a line; False if it was no JSON, which ends the connection."""
+"""Called with a line; returns False if it isn't valid JSON, which closes the connection."""
 
 
 class LineConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """The part of `LineServer` that a connection uses."""
 
     poller: DirectPoller
     on_line: LineListener
 
     def on_connection_closed(self, connection: "LineConnection") -> None:
-        """The connection is gone."""
+        """Remove a closed connection."""
 
 
 class LineConnection:
-    """One node's connection, read line by line."""
+    """An incoming connection from another node, read line by line."""
 
     __slots__ = ("server", "tcp", "partial_line")
 
@@ -69,14 +69,14 @@
 
 
 class LineServer(BaseComponent):
-    """Lines of JSON from other nodes, over any number of connections."""
+    """Receives JSON lines from other nodes over any number of connections."""
 
     channel = "lines"
 
     def __init__(
         self, address: str, on_line: LineListener, poller: DirectPoller, clock: Clock
     ) -> None:
-        """Listen at once; raises OSError where the address can't be had."""
+        """Start listening; raises OSError if the address can't be bound."""
         super().__init__()
         self.on_line = on_line
         self.poller = poller
@@ -87,5 +87,5 @@
         self.connections.add(LineConnection(self, sock))
 
     def on_connection_closed(self, connection: LineConnection) -> None:
-        """Forget a connection that is gone."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
--- a/packages/wire/src/linkhaven/wire/listener.py
+++ b/packages/wire/src/linkhaven/wire/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that hands on the connections it accepts."""
+"""A listening socket that passes accepted connections to a callback."""
 
 import errno
 import socket
@@ -11,20 +11,20 @@
 from .settings import split_address
 
 BACKLOG = 512
-"""How many connections the kernel keeps for us until we accept them."""
+"""Length of the kernel's queue of connections that were not accepted yet."""
 
-ACCEPTS_A_TURN = 32
-"""So many at most in one turn, so that a rush of callers doesn't hold up those being served."""
+ACCEPTS_PER_TURN = 32
+"""Maximum accepts per turn, so that a burst of new callers doesn't delay those being served."""
 
 OUT_OF_DESCRIPTORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-"""Errors of accept(2) that come back at once for as long as the process or machine is short."""
+"""Errors of accept(2) that recur immediately while the process or machine lacks resources."""
 
 OUT_OF_DESCRIPTORS_PAUSE_US = 100_000
-"""How long nothing is accepted after such an error."""
+"""How long accepting pauses after such an error."""
 
 
 class Listener:
-    """One listening socket; when descriptors run out it pauses instead of spinning."""
+    """One listening socket; pauses accepting when descriptors run out instead of busy-looping."""
 
     __slots__ = ("poller", "clock", "sock", "fileno", "address", "on_accept", "is_closed")
 
@@ -35,7 +35,7 @@
         address: str,
         on_accept: Callable[[socket.socket], Any],
     ) -> None:
-        """Listen at once; raises OSError where the address can't be had."""
+        """Start listening; raises OSError if the address can't be bound."""
         self.poller = poller
         self.clock = clock
         self.on_accept = on_accept
@@ -62,7 +62,7 @@
         self._accept()
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS_A_TURN):
+        for _ in range(ACCEPTS_PER_TURN):
             try:
                 sock, _ = self.sock.accept()
             except (BlockingIOError, ConnectionAbortedError):
@@ -75,7 +75,7 @@
             self.on_accept(sock)
 
     def close(self) -> None:
-        """Listen no more; connections that the kernel has taken already are handed on first."""
+        """Stop listening, after accepting connections already queued in the kernel."""
         if self.is_closed:
             return
         self._accept()
--- a/packages/wire/src/linkhaven/wire/tcp_connection.py
+++ b/packages/wire/src/linkhaven/wire/tcp_connection.py
@@ -1,16 +1,16 @@
-"""One TCP connection: a non-blocking socket with what is still to be sent.
+"""One TCP connection: a non-blocking socket with a send buffer.
 
-All protocols of the process stand on it: lines from and to other nodes, requests of callers, calls
-to runners. It knows nothing of what the bytes mean.
+All protocols of the process use it: lines from and to other nodes, callers' requests, and calls to
+runners. It doesn't interpret the bytes.
 
-| what happens | what follows |
+| event | action |
 | --- | --- |
-| the socket is connected | what waits is sent |
-| `send` | the bytes join those of this turn, which go out in one write at its end |
-| the kernel takes only a part | the rest goes out when the socket is writable; then `on_sent` |
-| bytes come | `on_data`, unless reading is paused |
-| the other side closes or resets, or the connection can't be made | `on_close`, once |
-| `close` or `reset` by our side | `on_close` isn't called |
+| the socket is connected | buffered bytes are sent |
+| `send` | the bytes are buffered and go out in one write at the end of this turn |
+| the kernel accepts only a part | the rest is sent when the socket is writable; then `on_sent` |
+| bytes are received | `on_data`, unless reading is paused |
+| the peer closes or resets, or connecting fails | `on_close`, once |
+| local `close` or `reset` | `on_close` isn't called |
 """
 
 import contextlib
@@ -25,26 +25,27 @@
 from .settings import split_address
 
 READ_BYTES = 65_536
-"""The most that one read takes."""
+"""Maximum number of bytes per read."""
 
 WRITE_BYTES = 262_144
-"""About how much is joined into one write."""
+"""Approximate number of buffered bytes joined into one write."""
 
 US_PER_MS = 1_000
 
 LINGER_WITH_RESET = struct.pack("ii", 1, 0)
-"""Value of SO_LINGER with which a close sends a reset, and drops what the kernel still holds."""
+"""SO_LINGER value that makes close() send a reset and discard data buffered in the kernel."""
 
 DataListener = Callable[[bytes], Any]
 CloseListener = Callable[[bool], Any]
-"""Gets whether the kernel had taken any byte of what we sent."""
+"""Called with whether the kernel had accepted any of the sent bytes."""
 
 
 class TcpConnection:
-    """One stream socket, called by the poller; what is sent in a turn goes out in one write.
+    """One stream socket driven by the poller; data sent in one turn goes out in one write.
 
-    `has_begun` says whether the kernel has taken a byte since the connection was made, or since its
-    owner reset it: with none taken, the other side can't have begun what was sent.
+    `has_begun` says whether the kernel has accepted a byte since the connection was created or
+    since its owner cleared the flag. While it is False, the peer can't have started to process
+    what was sent.
     """
 
     __slots__ = (
@@ -72,9 +73,9 @@
         on_close: CloseListener,
         on_sent: Callable[[], Any] | None = None,
     ) -> None:
-        """There is no socket yet: `connect` makes one, `adopt` takes an accepted one."""
+        """Create a connection without a socket: call `connect` or `adopt` next."""
         self.poller = poller
-        self.sock: socket.socket = None  # type: ignore[assignment]  # until one is there
+        self.sock: socket.socket = None  # type: ignore[assignment]  # set by connect or adopt
         self.fileno = -1
         self.mask = 0
         self.is_open = False
@@ -90,10 +91,11 @@
         self.on_sent = on_sent
 
     def connect(self, address: str, user_timeout_us: int | None = None) -> None:
-        """Begin to connect; with a time-out the kernel gives up bytes that stay unacknowledged.
+        """Start connecting to `address` (host:port).
 
-        The time-out is TCP_USER_TIMEOUT (RFC 5482). A connection that can't be made ends by
-        `on_close` at the end of the turn, never within this call.
+        `user_timeout_us` sets TCP_USER_TIMEOUT (RFC 5482): the kernel closes the connection if
+        sent bytes stay unacknowledged for longer. If connecting fails at once, `on_close` is called
+        at the end of the turn, never within this call.
         """
         try:
             self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -137,12 +139,12 @@
         self.mask = mask
 
     def on_connect_timeout(self) -> None:
-        """End a connection that isn't made yet."""
+        """Fail the connection if it is still connecting."""
         if not self.is_open:
             self.fail()
 
     def send(self, data: bytes) -> None:
-        """Send at the end of this turn, or once the connection is made; dropped if it is closed."""
+        """Send at the end of this turn or once connected; dropped if the connection is closed."""
         if self.is_closed:
             return
         self.unsent.append(data)
@@ -176,7 +178,7 @@
         self._flush()
 
     def _take_unsent(self) -> bytes | memoryview:
-        """What one write sends: the first piece alone, or several joined."""
+        """Remove the data for one write from the buffer: a single piece, or several joined."""
         if len(self.unsent) == 1:
             return self.unsent.popleft()
         parts, size = [], 0
@@ -199,7 +201,7 @@
             self.on_sent()
 
     def _write_unsent(self) -> bool:
-        """Write until the kernel takes no more; whether all of it is sent."""
+        """Write until the kernel accepts no more; returns whether everything was sent."""
         while self.unsent:
             data = self._take_unsent()
             self.unsent.appendleft(data)
@@ -225,7 +227,7 @@
         self.on_data(data)
 
     def is_quiet(self) -> bool:
-        """Whether nothing came and nobody closed, looked at now."""
+        """Whether no bytes, end of stream or error are waiting to be read; asks the kernel now."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -235,7 +237,7 @@
         return False
 
     def pause_reading(self) -> None:
-        """Read no more, so that the kernel's buffer fills and holds the sender up."""
+        """Stop reading, so that the kernel's buffer fills and flow control slows the sender."""
         if self.is_closed or self.is_paused:
             return
         self.is_paused = True
@@ -243,7 +245,7 @@
             self._set_mask(self.mask & ~READ)
 
     def resume_reading(self) -> None:
-        """Read again after `pause_reading`."""
+        """Resume reading after `pause_reading`."""
         if self.is_closed or not self.is_paused:
             return
         self.is_paused = False
@@ -251,14 +253,14 @@
             self._set_mask(self.mask | READ)
 
     def end_sending(self) -> None:
-        """Tell the other side that nothing more comes; reading goes on."""
+        """Shut down the sending direction; reading continues."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.fail()
 
     def reset(self) -> None:
-        """Close so that the other side sees a reset, not an end."""
+        """Close with a reset, so that the peer doesn't see an orderly end of stream."""
         if self.is_closed:
             return
         with contextlib.suppress(OSError):
@@ -266,14 +268,14 @@
         self.close()
 
     def fail(self) -> None:
-        """Close because the other side did, or because of an error, and tell the owner."""
+        """Close after the peer closed or an error occurred, and call `on_close`."""
         if self.is_closed:
             return
         self.close()
         self.on_close(self.has_begun)
 
     def close(self) -> None:
-        """Close at once; what is unsent is dropped, and `on_close` isn't called."""
+        """Close at once; unsent data is dropped and `on_close` isn't called."""
         if self.is_closed:
             return
         self.is_closed = True
