--- a/packages/wire/src/linkhaven/wire/api_server.py
+++ b/packages/wire/src/linkhaven/wire/api_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of our own interface, by circuits.web; answers are pushed as its events."""
+"""The server of linkhaven's own HTTP API, based on circuits.web and its events."""
 
 import socket
 from collections.abc import Callable
@@ -16,38 +16,38 @@
 from .settings import split_address
 
 READ_BYTES = 65_536
-"""The most that one read takes."""
+"""Maximum number of bytes per read."""
 
 HIGH_WATER_BYTES = 65_536
-"""With so much unsent, a stream's writer is asked to wait."""
+"""At this many unsent bytes the writer of a streamed response must wait."""
 
 LOW_WATER_BYTES = HIGH_WATER_BYTES // 2
-"""With less than this unsent, it may go on."""
+"""Below this many unsent bytes the writer may continue."""
 
 IDLE_US = 60_000_000
-"""How long a connection may stand with no call on it."""
+"""How long a connection may stay open without a call."""
 
 TOO_BUSY_RETRY_US = 1_000_000
-"""When a caller may come back that found all connections taken."""
+"""Retry delay told to a caller that is refused because all connections are in use."""
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 EXPECTS_CONTINUE = b"100-continue"
 EXPECT_WITHIN_BYTES = 4_096
-"""How far into a head the wish for `100 Continue` is looked for."""
+"""Length of the part of a head that is searched for `Expect: 100-continue`."""
 
 CODES = {404: "unknown_path", 413: "too_large"}
-"""Errors of the HTTP library as codes of the catalogue; all others are `bad_request`."""
+"""Error codes for the HTTP library's error statuses; all others are `bad_request`."""
 
 
 class ApiCall(Call):
-    """One call of our own interface, and the way to answer it."""
+    """One call of linkhaven's own HTTP API, with the methods that send its response."""
 
     __slots__ = ("server", "request", "response", "sock", "awaits_room")
 
     def __init__(
         self, server: "ApiServer", request: Any, response_: Any, headers: dict[str, str]
     ) -> None:
-        """`request` and `response_` are those of circuits.web."""
+        """Take the request and response objects of circuits.web."""
         path = request.path + (f"?{request.qs}" if request.qs else "")
         super().__init__(request.method, path, headers, request.body.read())
         self.server = server
@@ -62,7 +62,7 @@
             self.response.headers[name] = value
 
     def answer(self, status: int, headers: Any, body: bytes) -> None:
-        """Write a whole answer."""
+        """Send a complete response."""
         if self.is_ended:
             return
         self.is_begun = self.is_ended = True
@@ -72,7 +72,7 @@
         self.server.fire(response(self.response))
 
     def begin(self, status: int, headers: Any) -> None:
-        """Write the head of an answer whose body follows by `write`."""
+        """Send the head of a response whose body is sent by `write`."""
         if self.is_ended or self.is_begun:
             return
         self.is_begun = True
@@ -82,7 +82,10 @@
         self.server.fire(response(self.response))
 
     def write(self, data: bytes) -> bool:
-        """Write some of the body; whether there is room for more, else `on_writable` tells when."""
+        """Send a part of the body.
+
+        Returns whether more may be written now; if not, `on_writable` is called when it may.
+        """
         if self.is_ended:
             return False
         self.server.fire(stream(self.response, data))
@@ -92,7 +95,7 @@
         return False
 
     def finish(self) -> None:
-        """End the answer as whole."""
+        """Complete the response."""
         if self.is_ended:
             return
         self.is_ended = True
@@ -100,7 +103,7 @@
         self.server.fire(stream(self.response, None))
 
     def cut(self) -> None:
-        """End the answer so that it can't look whole."""
+        """Abort the response so that the caller sees it as incomplete."""
         if self.is_ended:
             return
         self.is_ended = True
@@ -108,7 +111,7 @@
         self.server.fire(close(self.sock))
 
     def on_bytes_sent(self, unsent_bytes: int) -> None:
-        """Tell the writer that it may go on, once half of what it wrote has gone out."""
+        """Call `on_writable` for a waiting writer once fewer than `LOW_WATER_BYTES` are unsent."""
         if not self.awaits_room or unsent_bytes >= LOW_WATER_BYTES:
             return
         self.awaits_room = False
@@ -117,9 +120,9 @@
 
 
 class ApiServer(BaseComponent):
-    """HTTP in, by circuits.web's HTTP component over its TCP server.
+    """An HTTP server made of the HTTP component of circuits.web and its TCP server.
 
-    One call at a time is served on a connection; what comes meanwhile is dropped.
+    A connection serves one call at a time; bytes received meanwhile are dropped.
     """
 
     channel = "web"
@@ -129,11 +132,14 @@
     def __init__(
         self, address: str, on_call: Callable[[ApiCall], Any], body_bytes: int, connections: int
     ) -> None:
-        """Listen at once, for so many connections at most; raises OSError without the address."""
+        """Start listening; raises OSError if the address can't be bound.
+
+        `body_bytes` limits the bytes received per request, `connections` the open connections.
+        """
         super().__init__()
         self.on_call = on_call
         self.body_bytes = body_bytes
-        self.connections_at_most = connections
+        self.max_connections = connections
         self.calls: dict[socket.socket, ApiCall] = {}
         self.received_bytes: dict[socket.socket, int] = {}
         self.idle_since_us: dict[socket.socket, int] = {}
@@ -143,24 +149,24 @@
 
     @property
     def host(self) -> Any:
-        """The IP number on which it listens; circuits.web asks for it."""
+        """The IP address it listens on; read by circuits.web."""
         return self.server.host
 
     @property
     def port(self) -> Any:
-        """The port on which it listens; circuits.web asks for it."""
+        """The port it listens on; read by circuits.web."""
         return self.server.port
 
     def unsent_bytes(self, sock: socket.socket) -> int:
-        """How much waits to be sent on a connection."""
+        """Number of bytes waiting to be sent on a connection."""
         return sum(len(data) for data in self.server._buffers.get(sock, ()))
 
     def on_call_ended(self, call: ApiCall) -> None:
-        """A call was answered or cut."""
+        """Remove a call whose response is complete or aborted."""
         self.calls.pop(call.sock, None)
 
     def close_idle(self, now_us: int) -> None:
-        """Close each connection that has had no call on it for a while."""
+        """Close connections that have had no call for longer than `IDLE_US`."""
         for sock in list(self.server._clients):
             if sock in self.calls:
                 self.idle_since_us.pop(sock, None)
@@ -168,14 +174,14 @@
                 self.fire(close(sock))
 
     def wake_writers(self) -> None:
-        """Tell the writers of streams that may go on."""
+        """Call `on_writable` for the waiting writers that may continue."""
         for call in list(self.calls.values()):
             if call.awaits_room:
                 call.on_bytes_sent(self.unsent_bytes(call.sock))
 
     @handler("connect", priority=1)
     def _on_connect(self, sock: socket.socket, host: str, port: int) -> None:
-        if len(self.server._clients) > self.connections_at_most:
+        if len(self.server._clients) > self.max_connections:
             self._refuse(sock, ServiceError("too_busy", retry_us=TOO_BUSY_RETRY_US))
 
     @handler("read", priority=10)
@@ -198,7 +204,10 @@
             event.stop()
 
     def _refuse(self, sock: socket.socket, error: ServiceError) -> None:
-        """Answer what was not read whole, past the HTTP component, and close."""
+        """Respond with an error to a request that was not fully read, and close the connection.
+
+        Bypasses the HTTP component.
+        """
         body = write_json(error.as_document())
         head = (
             f"HTTP/1.1 {error.status} Refused\r\ncontent-type: application/json\r\n"
--- a/packages/wire/src/linkhaven/wire/client.py
+++ b/packages/wire/src/linkhaven/wire/client.py
@@ -65,7 +65,7 @@
     """Alias of `call_later` that the network port uses."""
 
     def send(self, address: str, message: Message | UntypedMessage) -> None:
-        """Send a message as one line; it may be lost, but messages to one address arrive in order."""
+        """Send a message as a line; it may be lost, but lines to one address arrive in order."""
         if address == self.address:
             return self.call_later(lambda: self.on_local_message(message))
         line_client = self.line_clients.get(address)
--- a/packages/wire/src/linkhaven/wire/request_reader.py
+++ b/packages/wire/src/linkhaven/wire/request_reader.py
@@ -1,12 +1,12 @@
-"""How one request of a caller is read: its head checked strictly, then head and body by h11.
+"""Reads one request of a caller: strict checks on the head, then h11 for head and body.
 
-| what has come | `has_begun` | `has_head` | what `feed` does |
+| received so far | `has_begun` | `has_head` | what `feed` does |
 | --- | --- | --- | --- |
 | nothing, or empty lines before the request | no | no | waits |
-| a part of the head | yes | no | waits; refuses with 431 if it is too long |
-| the head | yes | yes | checks it; refuses with 400 or 413 |
-| a part of the body | yes | yes | waits; refuses with 413 if it is too long |
-| all of it | yes | no | gives the request, and what came after it |
+| a part of the head | yes | no | waits; rejects with 431 if it is too long |
+| the head | yes | yes | checks it; rejects with 400 or 413 |
+| a part of the body | yes | yes | waits; rejects with 413 if it is too long |
+| the complete request | yes | no | returns it, with the bytes that follow it |
 """
 
 import re
@@ -20,20 +20,20 @@
 
 HEAD_END = re.compile(rb"\n\r?\n")
 HEAD_END_OVERLAP = len(b"\n\r\n")
-"""A head's end may begin so many bytes before those that came last."""
+"""The end of a head may start this many bytes before the newly received ones."""
 
-UNFIT_HEAD = re.compile(rb"(?<!\r)\n|\r(?!\n)|\n[ \t]|\x00")
-"""Bare line ends, folded lines and NUL, which readers of HTTP take in different ways."""
+INVALID_HEAD = re.compile(rb"(?<!\r)\n|\r(?!\n)|\n[ \t]|\x00")
+"""Bare CR or LF, folded lines and NUL, which HTTP parsers interpret in different ways."""
 
 EMPTY_LINE = b"\r\n"
 VERSIONS = (b"1.0", b"1.1")
 
 
 class RequestRefusedError(Exception):
-    """A request that isn't read to its end, with the status that says why."""
+    """A request that is rejected before it is fully read, with the response status."""
 
     def __init__(self, status: HTTPStatus) -> None:
-        """The connection can't be used any more after the answer."""
+        """The connection can't be reused after this response."""
         super().__init__(status)
         self.status = status
 
@@ -47,20 +47,20 @@
     fields: list[tuple[str, str]]
     body: bytes
     unread: bytes
-    """What came after it on the same connection."""
+    """Bytes received after the request on the same connection."""
 
     is_http_1_0: bool
     closes: bool
-    """Whether the connection ends with its answer."""
+    """Whether the connection must be closed after the response."""
 
 
 class RequestReader:
-    """Reads one request from the bytes of a connection."""
+    """Incrementally parses one request from the bytes of a connection."""
 
     __slots__ = ("has_begun", "body_bytes", "head", "headers", "parser", "parts", "request")
 
     def __init__(self) -> None:
-        """Nothing has come yet."""
+        """Create a reader that has received nothing."""
         self.has_begun = False
         self.body_bytes = 0
         self.head = bytearray()
@@ -71,13 +71,13 @@
 
     @property
     def has_head(self) -> bool:
-        """Whether the head was read, and the body wasn't yet."""
+        """Whether the head has been read but not yet the whole body."""
         return self.request is not None
 
     def feed(self, data: bytes, limits: ServerLimits) -> ReceivedRequest | None:
-        """Read some bytes; gives the request once it is whole.
+        """Process received bytes; returns the request once it is complete, else None.
 
-        Raises RequestRefusedError for what isn't proper HTTP/1.1 or exceeds the limits.
+        Raises RequestRefusedError if the bytes are not valid HTTP/1.1 or exceed the limits.
         """
         if self.parser is None:
             self.parser = self._read_head(data, limits)
@@ -91,7 +91,7 @@
             raise RequestRefusedError(HTTPStatus.BAD_REQUEST) from None
 
     def awaits_continue(self) -> bool:
-        """Whether the caller waits for `100 Continue` before it sends the body."""
+        """Whether the caller waits for `100 Continue` before sending the body."""
         return (
             self.request is not None
             and self.parser is not None
@@ -99,16 +99,16 @@
         )
 
     def is_head_request(self) -> bool:
-        """Whether the request being read is a HEAD, whose answer has no body."""
+        """Whether the request being read is a HEAD request, whose response has no body."""
         return self.request is not None and self.request.method == b"HEAD"
 
     def drop(self) -> None:
-        """Forget what was read of the request, which was refused."""
+        """Discard what was read of the request."""
         self.parser = self.request = None
         self.parts = []
 
     def _read_head(self, data: bytes, limits: ServerLimits) -> h11.Connection | None:
-        """A parser with the head, once it has come."""
+        """Buffer the head; returns a parser fed with it once it is complete, else None."""
         head, length_before = self.head, len(self.head)
         head += data
         while not length_before and head.startswith(EMPTY_LINE):
@@ -123,7 +123,7 @@
             raise RequestRefusedError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         if not found:
             return None
-        if UNFIT_HEAD.search(head, 0, length):
+        if INVALID_HEAD.search(head, 0, length):
             raise RequestRefusedError(HTTPStatus.BAD_REQUEST)
         parser = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.head_bytes)
         parser.receive_data(bytes(head))
@@ -150,7 +150,8 @@
         if request.http_version not in VERSIONS:
             raise RequestRefusedError(HTTPStatus.BAD_REQUEST)
         is_http_1_0 = request.http_version != b"1.1"
-        # A length beside chunks, or chunks in HTTP/1.0: readers differ on where the request ends.
+        # With both a length and chunks, or chunks in HTTP/1.0, parsers disagree on where the
+        # request ends, which allows request smuggling.
         if "transfer-encoding" in headers and ("content-length" in headers or is_http_1_0):
             raise RequestRefusedError(HTTPStatus.BAD_REQUEST)
         if int(headers.get("content-length", 0)) > limits.body_bytes:
@@ -164,7 +165,7 @@
 
     def _finish(self, parser: h11.Connection) -> ReceivedRequest:
         request, body = self.request, b"".join(self.parts)
-        assert request is not None  # h11 gives the request before its end
+        assert request is not None  # h11 emits Request before EndOfMessage
         self.drop()
         is_http_1_0 = request.http_version != b"1.1"
         return ReceivedRequest(
--- a/packages/wire/src/linkhaven/wire/request_writer.py
+++ b/packages/wire/src/linkhaven/wire/request_writer.py
@@ -1,17 +1,17 @@
-"""The bytes of a request to another process, and the parser that awaits its answer."""
+"""Encodes requests to other processes, and creates the parsers for their responses."""
 
 import h11
 
 from .http_heads import HeaderFields, list_fields, write_head
 
 CONNECTION_FIELDS = frozenset(("host", "connection", "content-length", "transfer-encoding"))
-"""Fields that the client writes itself (RFC 9110, 7.6.1)."""
+"""Header fields that the client writes itself (RFC 9110, 7.6.1)."""
 
 METHODS_WITH_BODY = frozenset(("POST", "PUT", "PATCH"))
 METHODS = METHODS_WITH_BODY | {"GET", "HEAD", "DELETE", "OPTIONS"}
 
 KNOWN_REQUESTS: dict[str, h11.Request] = {}
-"""By method: what stands for a request in the parser of its answer."""
+"""By method, the h11 request that puts a response parser into the right state."""
 
 END_OF_REQUEST = h11.EndOfMessage()
 
@@ -19,12 +19,12 @@
 def write_request(
     method: str, path: str, host: str, headers: HeaderFields, body: bytes, keeps_connection: bool
 ) -> bytes:
-    """The bytes of a whole request.
+    """Encode a complete request.
 
-    Raises ValueError where a field or the path would make it read as another one.
+    Raises ValueError if a header field or the path would change how the request is parsed.
     """
     if not path or " " in path or "\t" in path:
-        raise ValueError("a request's path holds a blank")
+        raise ValueError("request path is empty or contains whitespace")
     fields: list[tuple[str, object]] = [("host", host)]
     fields += [
         (name, value)
@@ -39,9 +39,9 @@
 
 
 def answer_parser(method: str) -> h11.Connection:
-    """A parser that awaits the answer to a request of this method.
+    """Create a parser for the response to a request with this method.
 
-    The request itself is written without it, which is cheaper.
+    The request itself is encoded without h11, which is cheaper.
     """
     request = KNOWN_REQUESTS.get(method)
     if request is None:
--- a/packages/wire/src/linkhaven/wire/server_call.py
+++ b/packages/wire/src/linkhaven/wire/server_call.py
@@ -1,9 +1,9 @@
-"""One request of a caller and the way to answer it: whole, as a stream, or cut.
+"""A caller's request and its response: complete, streamed or aborted.
 
-| state | `is_begun` | `is_ended` | what may follow |
+| state | `is_begun` | `is_ended` | allowed next |
 | --- | --- | --- | --- |
-| asked | no | no | `answer`, `begin` or `cut` |
-| streaming | yes | no | `write`, `finish` or `cut`; the caller may leave |
+| no response yet | no | no | `answer`, `begin` or `cut` |
+| streaming | yes | no | `write`, `finish` or `cut`; the caller may disconnect |
 | ended | either | yes | nothing: all calls are ignored |
 """
 
@@ -16,13 +16,13 @@
 from .tcp_connection import TcpConnection
 
 HIGH_WATER_BYTES = 65_536
-"""With more than this unsent, a stream's writer is asked to wait."""
+"""Above this many unsent bytes the writer of a streamed response must wait."""
 
 LOW_WATER_BYTES = HIGH_WATER_BYTES // 2
-"""With less than this unsent, it may go on."""
+"""Below this many unsent bytes the writer may continue."""
 
 CONNECTION_FIELDS = frozenset(("connection", "keep-alive", "transfer-encoding", "content-length"))
-"""Fields that belong to one connection: the server writes its own (RFC 9110, 7.6.1)."""
+"""Header fields that apply to one connection only: the server writes its own (RFC 9110, 7.6.1)."""
 
 STATUSES_WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
 REASONS = {status.value: status.phrase for status in HTTPStatus}
@@ -31,30 +31,30 @@
 Fields = list[tuple[str, object]]
 
 
-class AnswerConnection(Protocol):
-    """What a call needs of the connection that it came by."""
+class ResponseConnection(Protocol):
+    """The part of `ServerConnection` that a call uses."""
 
     tcp: TcpConnection
     is_http_1_0: bool
     closes_after_answer: bool
 
     def connection_fields(self) -> Fields:
-        """What an answer's head says of the connection's life."""
+        """Return the `Connection` field of a response, if it needs one."""
 
     def on_answered(self) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete response."""
 
     def close(self, by_reset: bool = False) -> None:
-        """Close at once."""
+        """Close at once, with a reset if `by_reset` is set."""
 
 
 def write_status(status: int, fields: Fields) -> bytes:
-    """The bytes of an answer's head."""
+    """Encode a response head."""
     return write_head(f"HTTP/1.1 {status} {REASONS.get(status, '')}", fields)
 
 
 def end_to_end_fields(headers: HeaderFields) -> Fields:
-    """The fields of an answer without those of its connection."""
+    """The header fields of a response without those that apply to one connection only."""
     return [
         (name, value)
         for name, value in list_fields(headers)
@@ -63,7 +63,7 @@
 
 
 def declared_length(headers: HeaderFields) -> int | None:
-    """The length of its body that an answer declares."""
+    """The value of the Content-Length field, or None."""
     for name, value in list_fields(headers):
         if name.lower() == "content-length":
             return int(str(value))
@@ -71,7 +71,7 @@
 
 
 class ServerCall(Call):
-    """One request of a caller, whole, and the way to answer it."""
+    """A complete request of a caller, with the methods that send its response."""
 
     __slots__ = (
         "connection",
@@ -84,14 +84,14 @@
 
     def __init__(
         self,
-        connection: AnswerConnection,
+        connection: ResponseConnection,
         method: str,
         path: str,
         headers: dict[str, str],
         fields: list[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """`headers` by lower-case names, `fields` as they were sent."""
+        """Take the request; `headers` are keyed by lower-case name, `fields` are as received."""
         super().__init__(method, path, headers, body)
         self.connection = connection
         self.fields = fields
@@ -101,7 +101,7 @@
         self.bytes_left: int | None = None
 
     def answer(self, status: int, headers: HeaderFields, body: bytes) -> None:
-        """Write a whole answer."""
+        """Send a complete response."""
         if self.is_ended or self.is_begun:
             return
         length = self._length_of(status, headers, body)
@@ -116,7 +116,7 @@
         self.connection.on_answered()
 
     def _length_of(self, status: int, headers: HeaderFields, body: bytes) -> int | None:
-        """The length that a whole answer declares; None where it declares none."""
+        """The Content-Length of a complete response; None if it has none."""
         if status == HTTPStatus.NO_CONTENT:
             return None
         if body or not (self.has_no_body or status in STATUSES_WITHOUT_BODY):
@@ -124,7 +124,7 @@
         return declared_length(headers)
 
     def begin(self, status: int, headers: HeaderFields) -> None:
-        """Write the head of an answer whose body follows by `write`."""
+        """Send the head of a response whose body is sent by `write`."""
         if self.is_ended or self.is_begun:
             return
         fields = end_to_end_fields(headers) + self._framing_fields(status, headers)
@@ -133,7 +133,7 @@
         self.connection.tcp.send(data)
 
     def _framing_fields(self, status: int, headers: HeaderFields) -> Fields:
-        """Choose how the body's end is marked: by its length, by chunks, or by the close."""
+        """Choose how the body is delimited: by length, by chunks, or by closing the connection."""
         length = declared_length(headers)
         self.has_no_body = self.has_no_body or status in STATUSES_WITHOUT_BODY
         has_length = length is not None and status != HTTPStatus.NO_CONTENT
@@ -150,9 +150,10 @@
         return fields
 
     def write(self, data: bytes) -> bool:
-        """Write some of the body; whether there is room for more, else `on_writable` tells when.
+        """Send a part of the body.
 
-        More than the declared length can't be sent: the answer is cut.
+        Returns whether more may be written now; if not, `on_writable` is called when it may. A part
+        that exceeds the declared length aborts the response.
         """
         if self.is_ended or not self.is_begun:
             return False
@@ -172,7 +173,7 @@
         return False
 
     def finish(self) -> None:
-        """End the answer as whole; cuts it if its declared length isn't reached."""
+        """Complete the response; aborts it if the body is shorter than its declared length."""
         if self.is_ended:
             return
         if self.bytes_left or not self.is_begun:
@@ -183,9 +184,9 @@
         self.connection.on_answered()
 
     def cut(self) -> None:
-        """End the answer so that it can't look whole.
+        """Abort the response so that the caller sees it as incomplete.
 
-        A body that its close would end is ended by a reset.
+        A body delimited by the connection's close is aborted with a reset.
         """
         if self.is_ended:
             return
@@ -194,7 +195,7 @@
         self.connection.close(by_reset=self.is_begun and ends_by_close)
 
     def on_bytes_sent(self, unsent_bytes: int) -> None:
-        """Tell the writer that it may go on, once half of what it wrote has gone out."""
+        """Call `on_writable` for a waiting writer once fewer than `LOW_WATER_BYTES` are unsent."""
         if not self.awaits_room or self.is_ended or unsent_bytes >= LOW_WATER_BYTES:
             return
         self.awaits_room = False
--- a/packages/wire/src/linkhaven/wire/server_connection.py
+++ b/packages/wire/src/linkhaven/wire/server_connection.py
@@ -1,11 +1,11 @@
-"""One connection of a caller: how its requests are read in turn, and when it is closed.
+"""One connection of a caller: reads its requests one after another, and enforces time-outs.
 
-| state | `call` | `reader.has_begun` | `is_closing` | ended, if nothing happens, after |
+| state | `call` | `reader.has_begun` | `is_closing` | time-out |
 | --- | --- | --- | --- | --- |
-| idle | none | no | no | `idle_us`, or the limit that held when it began to rest |
-| reading | none | yes | no | `head_us` for the head, `idle_us` for the body: refused with 408 |
-| answering | the request | yes | no | nothing here: the node bounds its requests |
-| closing | none | yes | yes | `idle_us` while the answer is unsent, then `LINGER_US` |
+| idle | None | no | no | `idle_us` now or when it became idle, whichever is longer |
+| reading | None | yes | no | `head_us` for the head, `idle_us` for the body: rejected with 408 |
+| responding | the request | yes | no | none here: the node limits the duration of requests |
+| closing | None | yes | yes | `idle_us` while the response is unsent, then `LINGER_US` |
 """
 
 import socket
@@ -21,7 +21,7 @@
 from .tcp_connection import TcpConnection
 
 LINGER_US = 1_000_000
-"""How long a caller has to read the last answer before the connection is closed on it."""
+"""How long the caller has to read the last response before the connection is closed."""
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
@@ -34,11 +34,11 @@
         "Send fewer or shorter headers.",
     ),
 }
-"""Code and remedy of requests that aren't read to their end, by status."""
+"""Error code and message for requests that are rejected before they are fully read, by status."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """The part of `HttpServer` that a connection uses."""
 
     limits: ServerLimits
     is_closing: bool
@@ -46,14 +46,14 @@
     poller: DirectPoller
 
     def on_call(self, call: ServerCall) -> Any:
-        """A request came whole."""
+        """Handle a complete request."""
 
     def on_connection_closed(self, connection: "ServerConnection") -> None:
-        """The connection is gone."""
+        """Remove a closed connection."""
 
 
 class ServerConnection:
-    """One caller's connection: a request is read whole and answered before the next is read."""
+    """One caller's connection; a request is fully read and answered before the next is read."""
 
     __slots__ = (
         "server",
@@ -71,7 +71,7 @@
     )
 
     def __init__(self, server: ConnectionOwner, sock: socket.socket) -> None:
-        """Take over an accepted socket, and wait for its first request."""
+        """Take over an accepted socket and wait for the first request."""
         self.server = server
         self.unread = b""
         self.call: ServerCall | None = None
@@ -90,7 +90,7 @@
         self.idle_limit_us = self.server.limits.idle_us
 
     def connection_fields(self) -> Fields:
-        """What an answer's head says of the connection's life."""
+        """Return the `Connection` field of a response, if it needs one."""
         self.closes_after_answer = self.closes_after_answer or self.server.is_closing
         return [("connection", "close")] if self.closes_after_answer else []
 
@@ -131,7 +131,7 @@
             raise
 
     def on_answered(self) -> None:
-        """The call was answered whole: close, or go on with the next request."""
+        """Handle the end of a complete response: close, or continue with the next request."""
         self.call = None
         if self.closes_after_answer:
             self.is_closing = True
@@ -152,7 +152,10 @@
         self._read(data)
 
     def refuse(self, status: HTTPStatus) -> None:
-        """Answer a request that was not read whole; close once the caller could read the answer."""
+        """Respond with an error to a request that was not fully read.
+
+        The connection is closed after the caller has had time to read the response.
+        """
         code, remedy = REFUSALS[status]
         body = write_json({"code": code, "done": "no", "message": remedy})
         head = write_status(
@@ -180,7 +183,7 @@
             return
         if not self.is_lingering and not self.unread:
             return self.close()
-        # A close with bytes unread would be a reset, which may destroy the answer on its way.
+        # Closing with unread bytes sends a reset, which may discard the response in transit.
         self.is_lingering = True
         self.tcp.resume_reading()
         self.tcp.end_sending()
@@ -192,7 +195,7 @@
             call.client_disconnected()
 
     def close(self, by_reset: bool = False) -> None:
-        """Close at once, with a reset where an orderly end would look like a whole body."""
+        """Close at once; with a reset if an orderly close would make the body look complete."""
         self.call = None
         self.server.on_connection_closed(self)
         if by_reset:
@@ -200,11 +203,12 @@
         self.tcp.close()
 
     def check_timeouts(self, now_us: int) -> None:
-        """End what took too long: an idle connection, a head, a stalled body, an unread answer.
+        """Enforce the time-outs of idle connections, heads, stalled bodies and unread responses.
 
-        A caller may go by the limit that held when its connection began to rest, which is when the
-        last byte of the answer was sent. Bytes that came and weren't read yet (this process may
-        have stood still) are read first. Tests: `tests/test_resting_connections.py`.
+        A caller may rely on the idle limit in force when its connection became idle, which is when
+        the last byte of the response was sent. Bytes that were received but not read yet, for
+        example because this process was suspended, are read before a time-out is applied.
+        Tests: `tests/test_resting_connections.py`.
         """
         if self.call is not None:
             return
@@ -223,9 +227,9 @@
             self.refuse(HTTPStatus.REQUEST_TIMEOUT)
 
     def is_idle(self) -> bool:
-        """Whether it rests between two requests."""
+        """Whether no request is being read or answered."""
         return self.call is None and not self.reader.has_begun
 
     def may_be_evicted(self) -> bool:
-        """Whether nothing is lost if the connection is closed now."""
+        """Whether closing the connection now loses no received data."""
         return self.is_idle() and self.tcp.is_quiet()
--- a/packages/wire/src/linkhaven/wire/server_limits.py
+++ b/packages/wire/src/linkhaven/wire/server_limits.py
@@ -4,19 +4,19 @@
 
 
 class ServerLimits(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """What a server takes from its callers; times are whole microseconds."""
+    """What a server accepts from its callers; times are integers in microseconds."""
 
     head_bytes: int = 16_384
-    """The longest head of a request, and how much of further requests is read ahead."""
+    """Maximum length of a request head, and how much of further requests is read ahead."""
 
     body_bytes: int = 4_194_304
-    """The longest body of a request."""
+    """Maximum length of a request body."""
 
     head_us: int = 3_000_000
-    """How long a head may take from its first byte."""
+    """Time limit for receiving a request head, from its first byte."""
 
     idle_us: int = 15_000_000
-    """How long a connection may rest between requests, and a body or an answer stand still."""
+    """How long a connection may be idle between requests, or a body or response may stall."""
 
     connections: int = 2_000
-    """The most connections; for a further one an idle one is closed, else it is refused."""
+    """Maximum number of connections; a further one replaces an idle one or is refused."""
