--- a/packages/wire/src/linkhaven/wire/console.py
+++ b/packages/wire/src/linkhaven/wire/console.py
@@ -1,4 +1,4 @@
-"""What the commands of all programs share: options, errors and exit codes, calls to a process."""
+"""Shared parts of the command-line programs: options, errors, exit codes, calls to a process."""
 
 import http.client
 import json
@@ -16,11 +16,11 @@
 from .settings import check_settings, read_settings, split_address
 
 DONE, REFUSED, INVALID, UNKNOWN, UNREACHABLE = 0, 1, 2, 3, 4
-"""Exit codes: done; refused, so nothing was done; settings or arguments that don't fit; it isn't
-known whether it was done; nobody answers."""
+"""Exit codes: done; refused, so nothing was done; invalid settings or arguments; unknown whether
+it was done; the process is unreachable."""
 
 TIMEOUT_S = 10
-"""How long a command waits for a process."""
+"""Time-out in seconds of a call to a process."""
 
 VERSION = "0.1.0"
 
@@ -40,14 +40,14 @@
     option("log-level", None, "debug, info, warning or error", flag=False),
     option("log-file", None, "write the log there instead of to standard error", flag=False),
 ]
-"""The options that may stand in place of a setting."""
+"""Command-line options that override settings."""
 
 
 def call_json(address: str, method: str, path: str, document: Any = None) -> Any:
-    """The JSON that a process answers to one call.
+    """Call a process's HTTP API and return the JSON it responds with.
 
-    Raises ServiceError: the one that it answers, or `unreachable`, with `done` "no" only where
-    nothing was sent.
+    Raises the ServiceError that the process responds with, or `unreachable`, whose `done` is "no"
+    only if nothing was sent.
     """
     host, port = split_address(address)
     conn = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
@@ -68,7 +68,7 @@
 
 
 def code_of(error: ServiceError) -> int:
-    """The exit code of a command that an error ends."""
+    """The exit code for an error."""
     if error.code in ("settings_invalid", "address_taken"):
         return INVALID
     if error.done == "unknown":
@@ -77,10 +77,10 @@
 
 
 class CodedCommand(Command):
-    """A command whose errors become a coded message and an exit code."""
+    """Base class of commands; prints a ServiceError with its code and maps it to an exit code."""
 
     def handle(self) -> int:
-        """Run the command; gives its exit code."""
+        """Run `act`; returns the exit code."""
         try:
             return self.act() or DONE
         except ServiceError as error:
@@ -89,7 +89,7 @@
             return code_of(error)
 
     def act(self) -> Any:
-        """What the command does; gives an exit code, or nothing for done."""
+        """Perform the command; returns an exit code, or None for `DONE`."""
         raise NotImplementedError
 
     def _show_detail(self, detail: dict[str, Any]) -> None:
@@ -105,9 +105,10 @@
         self.line(json.dumps(document, indent=2, ensure_ascii=False))
 
     def read_node_settings(self, program: str, **more: Any) -> dict[str, Any]:
-        """The settings file with the options in place of its values, checked.
+        """Read the settings file, apply the command-line options and validate the result.
 
-        `more` are values of further options; those that weren't given are left out.
+        `more` holds further settings from options; empty values are ignored. Raises ServiceError
+        `settings_invalid`.
         """
         document = read_settings(self.option("settings")) if self.option("settings") else {}
         for key in ("name", "zone", "lines", "http"):
@@ -129,7 +130,7 @@
 
 
 def read_document(path: str) -> Any:
-    """The document in a JSON file; raises ServiceError `bad_request`."""
+    """Read a JSON file; raises ServiceError `bad_request` if it can't be read or parsed."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
@@ -146,7 +147,7 @@
 
 
 def run_application(name: str, commands: Sequence[Command]) -> NoReturn:
-    """Run the command line and exit."""
+    """Run the command-line program and exit with its code."""
     application = Application(name, VERSION)
     application.auto_exits(False)
     application.catch_exceptions(False)
--- a/packages/wire/src/linkhaven/wire/log.py
+++ b/packages/wire/src/linkhaven/wire/log.py
@@ -1,4 +1,4 @@
-"""The log of a process: numbered events, one line each, written by a thread of their own."""
+"""The log of a process: numbered events, one line each, written by a separate thread."""
 
 import logging
 import time
@@ -12,7 +12,7 @@
 from .log_writer import FLUSH_SECONDS, QUEUE_LINES, LineHandler, LogWriter
 
 LOST_LINES = 1007
-"""The event that tells of lines that were lost."""
+"""Number of the event that reports lost log lines."""
 
 LEVELS = {
     "debug": logging.DEBUG,
@@ -25,7 +25,7 @@
 
 
 class EventLog:
-    """Called with an event's number and its facts, it queues the event's line and never waits."""
+    """Logs numbered events; a call formats and queues one line and never blocks."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         queue_lines: int = QUEUE_LINES,
         wall_ns: Callable[[], int] = time.time_ns,
     ) -> None:
-        """Log for the process of this name, from this level on."""
+        """Create a log for the process `name` that omits events below `level`."""
         self.name = name
         self.logger = logging.Logger(f"linkhaven.{name}", LEVELS[level])
         self.wall_ns = wall_ns
@@ -43,27 +43,27 @@
         self.writer = LogWriter(handler, queue_lines, self._describe_loss)
 
     def __call__(self, number: int, /, **facts: Any) -> None:
-        """Log an event; `facts` must be JSON."""
+        """Log an event; `facts` must be serializable as JSON."""
         if self.logger.isEnabledFor(LEVELS[EVENTS[number].level]):
             self.writer.put(self.event_line(number, facts))
 
     def event_line(self, number: int, facts: dict[str, Any]) -> str:
-        """The line of an event, as it is written."""
+        """Format an event as a log line without its line end."""
         level, text = EVENTS[number]
         written = write_json(facts).decode() if facts else ""
         head = f"{self._stamp()} {level.upper()} LH{number} {self.name}"
         return f"{head}: {text} {written}".rstrip()
 
     def flush(self, timeout_seconds: float = FLUSH_SECONDS) -> bool:
-        """Wait, for so long at most, until what is queued now was written; whether it was."""
+        """Wait until the lines queued so far are written; returns False on a time-out."""
         return self.writer.flush(timeout_seconds)
 
     def close(self, timeout_seconds: float = FLUSH_SECONDS) -> bool:
-        """Flush and end; whether all of it was written. What is logged later is dropped."""
+        """Flush and close; returns False on a time-out. Events logged later are dropped."""
         return self.writer.close(timeout_seconds)
 
     def _stamp(self) -> str:
-        """The time in UTC; its whole seconds are written once a second."""
+        """The current time in UTC; the part up to whole seconds is cached."""
         second, rest_ns = divmod(self.wall_ns(), NS_PER_S)
         stamped, text = self.stamped
         if second != stamped:
@@ -79,6 +79,6 @@
 def make_log(
     name: str, level: str = "info", file: str | None = None, queue_lines: int = QUEUE_LINES
 ) -> EventLog:
-    """A log that appends to the file of that path, or writes to standard error without one."""
+    """Create a log that appends to `file`, or writes to standard error if that is None."""
     handler: LineHandler = LineFileHandler(file) if file else LineStreamHandler()
     return EventLog(name, level, handler, queue_lines)
--- a/packages/wire/src/linkhaven/wire/log_files.py
+++ b/packages/wire/src/linkhaven/wire/log_files.py
@@ -1,7 +1,7 @@
-"""Where log lines end: the standard library's file and stream handlers, without their buffers.
+"""Log outputs: the standard library's file and stream handlers, without buffering.
 
-A buffered stream keeps what a full disk refused and writes it again with each later line. Without a
-buffer a refused write is over at once, and how many of its lines went out is known.
+A buffered stream keeps data that a full disk refused and retries it with each later line. Without
+a buffer a failed write is over at once, and the number of lines it wrote is known.
 """
 
 import errno
@@ -16,32 +16,32 @@
 
 
 class WriteRefusedError(Exception):
-    """A write that failed, with the number of its lines that went out before."""
+    """A write failed; carries the number of lines that were written before the error."""
 
     def __init__(self, lines_written: int, reason: str) -> None:
-        """`reason` is the system's."""
+        """`reason` is the operating system's error text."""
         super().__init__(reason)
         self.lines_written = lines_written
         self.reason = reason
 
 
 class _LineHandler(Handler):
-    """Writes a record's whole lines to an unbuffered stream; only the log's writer thread does so.
+    """Writes the lines of a record to an unbuffered stream; used by the log's writer thread only.
 
-    There is no lock: a writer that hangs in a write would hold it, and the interpreter takes every
-    handler's lock as it ends.
+    It has no lock: a writer blocked in a write would hold it, and the interpreter acquires every
+    handler's lock at exit.
     """
 
     is_line_torn = False
     terminator: str
     stream: Any
 
-    def createLock(self) -> None:  # noqa: N802  the name is the standard library's
-        """Leave out the lock that handlers otherwise have."""
+    def createLock(self) -> None:  # noqa: N802  overrides logging.Handler
+        """Create no lock; see the class."""
         self.lock = None
 
     def emit(self, record: LogRecord) -> None:
-        """Write the record's message; raises WriteRefusedError if not all could be written."""
+        """Write the record's message; raises WriteRefusedError if it was not written completely."""
         data = (self.format(record) + self.terminator).encode(errors="backslashreplace")
         if self.is_line_torn:
             data = b"\n" + data
@@ -67,14 +67,14 @@
         return max(0, written.count(b"\n") - self.is_line_torn)
 
     def reopen_if_needed(self) -> None:
-        """Look whether the stream must be opened anew before the next write."""
+        """Reopen the stream before a write if necessary; by default it never is."""
 
 
 class LineFileHandler(_LineHandler, WatchedFileHandler):
-    """Appends lines to a file; one that was moved or removed is begun anew."""
+    """Appends lines to a file; creates it again if it was moved or removed."""
 
     def __init__(self, path: str) -> None:
-        """Open the file; raises ServiceError `settings_invalid` if it can't be."""
+        """Open the file; raises ServiceError `settings_invalid` if that fails."""
         try:
             super().__init__(path)
         except OSError as fault:
@@ -87,7 +87,7 @@
         return open(self.baseFilename, "ab", buffering=0)
 
     def reopen_if_needed(self) -> None:
-        """Begin the file anew if it was moved away, or could not be opened the last time."""
+        """Reopen the file if it was moved or removed, or could not be opened the last time."""
         if self.stream is None:
             self.stream = self._open()
             self._statstream()
@@ -95,9 +95,9 @@
 
 
 class LineStreamHandler(_LineHandler, StreamHandler):
-    """Writes lines to standard error, past the interpreter's own buffer."""
+    """Writes lines to standard error without the interpreter's buffer."""
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
-        """Write to a descriptor, which stays open."""
-        stream = open(descriptor, "wb", buffering=0, closefd=False)  # noqa: SIM115  kept open
+        """Write to a descriptor; it is not closed with the handler."""
+        stream = open(descriptor, "wb", buffering=0, closefd=False)  # noqa: SIM115  owned by the handler
         super().__init__(stream)
--- a/packages/wire/src/linkhaven/wire/log_writer.py
+++ b/packages/wire/src/linkhaven/wire/log_writer.py
@@ -1,7 +1,7 @@
-"""The log's writer thread: takes lines off a bounded queue and writes them, many at a time.
+"""The log's writer thread: takes lines from a bounded queue and writes them in batches.
 
-The loop only puts lines on the queue, so a full or slow disk, or a pipe that nobody reads, holds
-the writer and never the loop.
+The event loop only queues lines, so a full or slow disk or an unread pipe blocks the writer thread
+but never the loop.
 """
 
 import atexit
@@ -15,41 +15,41 @@
 from .log_files import WriteRefusedError
 
 QUEUE_LINES = 4_096
-"""How many lines wait for the writer at most; further ones are dropped and counted."""
+"""Maximum number of queued lines; further lines are dropped and counted."""
 
 BATCH_LINES = 256
-"""How many lines one write joins at most."""
+"""Maximum number of lines per write."""
 
 FLUSH_SECONDS = 0.3
-"""How long a process that ends waits for its last lines."""
+"""How long an exiting process waits for its last lines to be written."""
 
 LOOP_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-"""Signals that the loop takes: the writer's thread blocks them."""
+"""Signals that the event loop handles; the writer thread blocks them."""
 
 LossDescription = Callable[[int, int, str | None], str]
 
 
 class LineHandler(Protocol):
-    """Where the lines are written: a handler of the standard library."""
+    """Output of the log: a logging handler of the standard library."""
 
     def emit(self, record: LogRecord) -> None:
-        """Write the record's lines; raises WriteRefusedError if not all could be written."""
+        """Write the record's lines; raises WriteRefusedError if not all were written."""
 
     def close(self) -> None:
-        """Nothing more is written."""
+        """Close the output; nothing is written afterwards."""
 
 
 class LogWriter:
-    """Writes queued lines through a handler, on a thread that begins with the first line.
+    """Writes queued lines through a handler, on a thread that is started by the first line.
 
-    `describe_loss(dropped, refused, reason)` gives the line that goes out with the next write after
-    lines were lost: how many the full queue dropped, how many a write refused, and why it did.
+    `describe_loss(dropped, refused, reason)` formats the line that is added to the next write after
+    lines were lost: how many the full queue dropped, how many failed to be written, and why.
     """
 
     def __init__(
         self, handler: LineHandler, queue_lines: int, describe_loss: LossDescription
     ) -> None:
-        """The thread isn't started before the first line."""
+        """Create a writer; its thread is started by the first line."""
         self.handler = handler
         self.queue_lines = queue_lines
         self.describe_loss = describe_loss
@@ -63,7 +63,7 @@
         self.reason: str | None = None
 
     def put(self, line: str) -> None:
-        """Queue a line, or drop and count it if the queue is full or closed. Never waits."""
+        """Queue a line; drops and counts it if the queue is full or closed. Never blocks."""
         if self.is_closed or self.lines.qsize() >= self.queue_lines:
             self.dropped += 1
             return
@@ -75,13 +75,13 @@
         thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
         try:
             thread.start()
-        except RuntimeError:  # no thread to be had now: the next line tries again
+        except RuntimeError:  # thread limit reached: retried with the next line
             return
         self.thread = thread
         atexit.register(self.close)
 
     def flush(self, timeout_seconds: float = FLUSH_SECONDS) -> bool:
-        """Wait, for so long at most, until what is queued now was written; whether it was."""
+        """Wait until the lines queued so far are written; returns False on a time-out."""
         if self.thread is None:
             return True
         mark = threading.Event()
@@ -89,9 +89,10 @@
         return mark.wait(timeout_seconds)
 
     def close(self, timeout_seconds: float = FLUSH_SECONDS) -> bool:
-        """Flush, then end the thread and close the handler; whether all of it was written.
+        """Flush, stop the thread and close the handler; returns False on a time-out.
 
-        A writer that hangs in a write is left behind: its thread does not hold up the process.
+        A thread that is blocked in a write is abandoned; being a daemon thread, it does not keep
+        the process from exiting.
         """
         if self.is_closed:
             return self.is_flushed
@@ -114,7 +115,7 @@
                 mark.set()
 
     def _take_batch(self) -> tuple[list[str], threading.Event | None]:
-        """The next queued lines, and the mark of a flush if one follows; waits for the first."""
+        """Wait for queued lines; returns a batch, and the event of a flush if one follows it."""
         batch: list[str] = []
         item = self.lines.get()
         while isinstance(item, str):
--- a/packages/wire/src/linkhaven/wire/quick_start.py
+++ b/packages/wire/src/linkhaven/wire/quick_start.py
@@ -1,27 +1,27 @@
-"""Imports the event library without what it looks for and linkhaven doesn't use.
+"""Imports `circuits` without importing `pkg_resources`, to start faster.
 
-Imported before all else of this package. `circuits` tries `pkg_resources` first, to declare itself
-a namespace; where setuptools is installed, that alone took two fifths of the imports' time. A
-stand-in serves while it is imported.
+This module is imported before the rest of the package. `circuits` tries to import `pkg_resources`
+to declare itself a namespace package; where setuptools is installed, that alone took two fifths of
+the import time. A stub module replaces `pkg_resources` during the import.
 """
 
 import sys
 import types
 
-STAND_IN = "pkg_resources"
+STUBBED_MODULE = "pkg_resources"
 
 
 def import_circuits() -> None:
-    """Import `circuits`; leave a real `pkg_resources` alone if something has imported it."""
-    if STAND_IN in sys.modules or "circuits" in sys.modules:
+    """Import `circuits`; does nothing if `circuits` or `pkg_resources` is already imported."""
+    if STUBBED_MODULE in sys.modules or "circuits" in sys.modules:
         return
-    stand_in = types.ModuleType(STAND_IN)
-    vars(stand_in)["declare_namespace"] = lambda name: None
-    sys.modules[STAND_IN] = stand_in
+    stub = types.ModuleType(STUBBED_MODULE)
+    vars(stub)["declare_namespace"] = lambda name: None
+    sys.modules[STUBBED_MODULE] = stub
     try:
         __import__("circuits")
     finally:
-        del sys.modules[STAND_IN]
+        del sys.modules[STUBBED_MODULE]
 
 
 import_circuits()
--- a/packages/wire/src/linkhaven/wire/settings.py
+++ b/packages/wire/src/linkhaven/wire/settings.py
@@ -1,6 +1,6 @@
-"""The settings of both programs: a YAML or JSON file, checked whole before anything starts.
+"""The settings of both programs: a YAML or JSON file, fully validated before startup.
 
-What they mean for an operator stands in docs/operators.md.
+docs/operators.md describes the settings for operators.
 """
 
 import ipaddress
@@ -16,7 +16,7 @@
 from .log_writer import QUEUE_LINES
 
 SEEDS = 3
-"""How many seed addresses a process needs, so that a majority of the core is among them."""
+"""Number of seed addresses a process needs so that they include a majority of the core."""
 
 LAST_PORT = 65_535
 
@@ -24,11 +24,11 @@
 CONNECTIONS = 4_000
 REQUESTS = 2_000
 DATA_BYTES = 1 << 30
-"""What holds where the settings don't say it."""
+"""Default values of optional settings."""
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Host and port of an address in the form host:port."""
+    """Split an address of the form host:port into host and port."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
@@ -98,7 +98,7 @@
     t.Key("body_bytes", default=BODY_BYTES): whole(1_000, 100_000_000),
     t.Key("conns", default=CONNECTIONS): whole(1, 100_000),
 }
-"""The settings that both programs have."""
+"""Settings shared by both programs."""
 
 SETTINGS = {
     "router": t.Dict(
@@ -118,16 +118,19 @@
         }
     ),
 }
-"""The settings of each program, by its name."""
+"""Schema of each program's settings, by program name."""
 
 
 def invalid_setting(place: str, fault: str | None) -> ServiceError:
-    """The error for one setting that doesn't fit, to be raised."""
+    """Return, for the caller to raise, the error for one invalid setting."""
     return ServiceError("settings_invalid", places=[{"place": place, "fault": fault}])
 
 
 def check_settings(program: str, document: Any) -> dict[str, Any]:
-    """The settings with their defaults; raises ServiceError `settings_invalid` with all places."""
+    """Validate settings and fill in defaults.
+
+    Raises ServiceError `settings_invalid` that lists all invalid settings.
+    """
     try:
         settings: dict[str, Any] = SETTINGS[program].check(document)
     except t.DataError as fault:
@@ -140,7 +143,10 @@
 
 
 def read_settings(path: str) -> dict[str, Any]:
-    """The mapping in a YAML or JSON file, unchecked; raises ServiceError `settings_invalid`."""
+    """Read the mapping in a YAML or JSON file, without validating its settings.
+
+    Raises ServiceError `settings_invalid` if the file can't be read or parsed.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             document = yaml.safe_load(file)
