--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -438,7 +438,7 @@
         self.is_over = False
         self.has_disconnected = False
 
-    def send(self, request, is_chunked):
+    def send_request(self, request, is_chunked):
         self.waiting.append(request)
         try:
             self.end.send(request.write(is_chunked))
@@ -521,13 +521,13 @@
     """What runners and callers saw, held against the rules."""
 
     def __init__(self):
-        self.requests = {}
+        self.caller_requests = {}
         self.seals = {}
         self.handles = {}
         self.counts = Counter()
 
     def on_arrival(self, arrival):
-        request = self.requests.get(arrival.headers.get("request-id"))
+        request = self.caller_requests.get(arrival.headers.get("request-id"))
         if request is None:
             require(arrival.path.startswith(names.HANDLE_PATH), "UNASKED", arrival.path)
             return
@@ -553,7 +553,7 @@
         require(request.status not in NOT_EXECUTED_STATUSES, "REFUSED", f"{request.id} runs later")
 
     def check_runs(self):
-        for request in self.requests.values():
+        for request in self.caller_requests.values():
             most = ROUTES[request.kind]["max_attempts"]
             require(
                 len(request.runs()) <= most, "BUDGET", f"{request.id}: {len(request.runs())} runs"
@@ -801,7 +801,7 @@
         self.check()
         deepest = max((len(caller.waiting) for caller in self.callers), default=0)
         self.run_for((1_000 + 4_200 * deepest) * MS)
-        for request in self.checker.requests.values():
+        for request in self.checker.caller_requests.values():
             require(request.outcome is not None, "END", f"{request.id} hears nothing")
         require(not self.node.requests, "END", "requests without an end")
         for caller in self.callers:
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -112,14 +112,14 @@
             resumed_at if kind == "resumable" else 0,
             is_read and is_stream,
         )
-        self.world.checker.requests[sent.id] = sent
+        self.world.checker.caller_requests[sent.id] = sent
         open_callers = [caller for caller in self.world.callers if not caller.is_over]
         if is_new or not open_callers:
             self.world.callers.append(Caller(self.world))
             caller = self.world.callers[-1]
         else:
             caller = open_callers[pick % len(open_callers)]
-        caller.send(sent, is_chunked)
+        caller.send_request(sent, is_chunked)
         self.world.settle()
 
     # runners that answer
@@ -159,7 +159,7 @@
 
     def _write(self, arrival, how, at):
         end, sent = arrival.connection, arrival.request
-        others = [one for one in self.world.checker.requests if one != sent.id] or ["r-none"]
+        others = [one for one in self.world.checker.caller_requests if one != sent.id] or ["r-none"]
         if how in ("500", "504", "503 bare", "429 bare", "408 bare"):
             return end.send(self.world.answer(arrival, int(how[:3]), b"failed"))
         if how in ("503 not run", "429 not run"):
@@ -270,7 +270,7 @@
 
     # what goes wrong between
 
-    @precondition(lambda self: self._connections() and self.world.checker.requests)
+    @precondition(lambda self: self._connections() and self.world.checker.caller_requests)
     @rule(
         pick=PICK,
         which=PICK,
@@ -282,7 +282,7 @@
         runner, end = connections[pick % len(connections)]
         arrivals = [
             arrival
-            for sent in self.world.checker.requests.values()
+            for sent in self.world.checker.caller_requests.values()
             for arrival in sent.arrivals
             if arrival.connection is end
         ]
--- a/tests/test_planned_work.py
+++ b/tests/test_planned_work.py
@@ -28,10 +28,10 @@
     if caller is None:
         caller = Caller(world)
         world.callers.append(caller)
-    id = f"r-{len(world.checker.requests)}"
-    asked = world.checker.requests[id] = CallerRequest(id, "safe", b"", 0, False)
+    id = f"r-{len(world.checker.caller_requests)}"
+    asked = world.checker.caller_requests[id] = CallerRequest(id, "safe", b"", 0, False)
     asked.path = path
-    caller.send(asked, False)
+    caller.send_request(asked, False)
     world.settle()
     return asked
 
--- a/tests/test_resting_connections.py
+++ b/tests/test_resting_connections.py
@@ -26,8 +26,8 @@
 
 def ask(world, caller, id, body=b"ok"):
     """A request that its runner answers at once."""
-    request = world.checker.requests[id] = CallerRequest(id, "safe", b"", 0, False)
-    caller.send(request, False)
+    request = world.checker.caller_requests[id] = CallerRequest(id, "safe", b"", 0, False)
+    caller.send_request(request, False)
     world.settle()
     for runner in world.runners:
         for arrival in runner.unanswered:
@@ -52,7 +52,7 @@
 
 def test_the_rest_of_a_head_that_came_while_the_process_stood_still_is_read(world):
     caller = call_in(world)
-    request = world.checker.requests["r-1"] = CallerRequest("r-1", "safe", b"", 0, False)
+    request = world.checker.caller_requests["r-1"] = CallerRequest("r-1", "safe", b"", 0, False)
     data = request.write(False)
     caller.waiting.append(request)
     caller.end.send(data[:20])
@@ -103,9 +103,9 @@
     world.server.limits = ServerLimits(connections=2)
     older, newer = rested(world, 100), call_in(world)
     world.settle()
-    request = world.checker.requests["r-2"] = CallerRequest("r-2", "safe", b"", 0, False)
+    request = world.checker.caller_requests["r-2"] = CallerRequest("r-2", "safe", b"", 0, False)
     world.net.is_reversed = False
     call_in(world)
-    older.send(request, False)
+    older.send_request(request, False)
     world.settle()
     assert not older.is_over and newer.is_over
--- a/tests/test_revoked_keys.py
+++ b/tests/test_revoked_keys.py
@@ -6,7 +6,7 @@
 
 import pytest
 from keyed_router import KEY, NO_KEY, SECOND, TENANTS, KeyedRouter
-from test_wire import Bench, Told, read_answers
+from test_wire import LoopHarness, ReceivedBytes, read_responses
 
 from linkhaven.platform import names
 from linkhaven.router import request as states
@@ -25,7 +25,7 @@
 
 
 def test_the_next_request_on_an_open_connection_is_refused_and_the_connection_stays():
-    world, bench = KeyedRouter(prefills=0), Bench()
+    world, bench = KeyedRouter(prefills=0), LoopHarness()
 
     def serve(call):
         world.node.serve_request(call)
@@ -37,16 +37,16 @@
         head = f"POST /kept/x HTTP/1.1\r\nHost: desk.example\r\nApi-Key: {key}\r\n"
         connection.sendall(head.encode() + b"Content-Length: 0\r\n\r\n")
         before = len(told.data)
-        bench.until(lambda: told.look() or b"\r\n\r\n" in told.data[before:])
+        bench.run_until(lambda: told.poll() or b"\r\n\r\n" in told.data[before:])
 
     try:
-        connection = bench.connect(bench.door(serve).address)
-        told = Told(connection)
+        connection = bench.connect(bench.start_server(serve).address)
+        told = ReceivedBytes(connection)
         ask(KEY)
         world.put([{"name": "t-1", "api_keys": ["key-new"]}, TENANTS[1]])
         ask(KEY)
         ask("key-new")
-        answers = read_answers(told.data, (b"POST",) * 3)
+        answers = read_responses(told.data, (b"POST",) * 3)
     finally:
         bench.close()
     assert [status for status, _ in answers] == [200, 401, 200]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,3 +1,9 @@
+"""The event loop, HTTP server, connection pool and line connections over real sockets.
+
+Guards against request smuggling, truncated responses that look complete, responses matched to the
+wrong request, and limits that are not enforced.
+"""
+
 import json
 import os
 import signal
@@ -27,9 +33,11 @@
 
 
 class Node(BaseNode):
+    """A node that records its messages; raises `fault` for each of them if that is set."""
+
     def __init__(self, ports, incarnation):
         super().__init__("bench", "127.0.0.1:1", ports)
-        self.heard = []
+        self.messages = []
         self.fault = None
         self.map_handlers["count"] = self.note
         self.on_drained = None
@@ -38,7 +46,7 @@
         pass
 
     def note(self, message):
-        self.heard.append(message)
+        self.messages.append(message)
         if self.fault is not None:
             raise self.fault
 
@@ -46,8 +54,8 @@
         self.on_drained = on_drained
 
 
-class Bench:
-    """One loop, driven by hand until something holds."""
+class LoopHarness:
+    """An event loop that the test drives turn by turn until a condition holds."""
 
     def __init__(self):
         self.loop = EventLoop("bench", None, None, Node, level="error", tick_us=2_000)
@@ -60,13 +68,13 @@
         self.calls = []
         self.gone = []
 
-    def until(self, condition):
+    def run_until(self, condition):
         end = time.monotonic() + DEADLINE_S
         while not condition():
-            assert time.monotonic() < end, "the deadline passed"
+            assert time.monotonic() < end, "the condition did not hold before the deadline"
             self.loop.tick()
 
-    def door(self, on_call=None, **limits):
+    def start_server(self, on_call=None, **limits):
         return self.loop.add_http_server(
             "127.0.0.1:0", on_call or self.calls.append, ServerLimits(**limits)
         )
@@ -80,22 +88,24 @@
             sock.sendall(data)
         return sock
 
-    def ask(self, address, data, condition=None):
-        """What comes back, up to the close or until the condition holds for it."""
-        told = Told(self.connect(address, data))
-        self.until(lambda: told.look() or condition is not None and condition(told.data))
-        return told
+    def fetch(self, address, data, condition=None):
+        """Send bytes; collect what comes back until the close or until `condition(data)` holds."""
+        received = ReceivedBytes(self.connect(address, data))
+        self.run_until(
+            lambda: received.poll() or condition is not None and condition(received.data)
+        )
+        return received
 
-    def calls_at_least(self, count):
-        self.until(lambda: len(self.calls) >= count)
+    def wait_for_calls(self, count):
+        self.run_until(lambda: len(self.calls) >= count)
         return self.calls[-1]
 
     def close(self):
         for sock in self.socks:
             sock.close()
-        for door in self.loop.http_servers:
-            door.stop_listening()
-            for connection in list(door.connections):
+        for server in self.loop.http_servers:
+            server.stop_listening()
+            for connection in list(server.connections):
                 connection.close()
         for pool in list(self.client.pools.values()):
             for connection in list(pool.open):
@@ -105,14 +115,17 @@
         os.close(self.loop.poller._ctrl_send)
 
 
-class Told:
+class ReceivedBytes:
+    """The bytes received on a client socket, and how the connection ended."""
+
     def __init__(self, sock):
         self.sock = sock
         self.data = b""
         self.is_closed = False
         self.is_reset = False
 
-    def look(self):
+    def poll(self):
+        """Read what is available; returns whether the connection is closed."""
         try:
             data = self.sock.recv(65_536)
         except BlockingIOError:
@@ -125,8 +138,8 @@
         return self.is_closed
 
 
-class Heard:
-    """A hearer that keeps what it was told."""
+class RecordingHandler:
+    """Records the callbacks of a `ResponseHandler`."""
 
     def __init__(self):
         self.status = None
@@ -150,24 +163,27 @@
         return self.is_whole or bool(self.errors)
 
 
-class Runner:
-    """A server of raw bytes on the test's own loop: it answers each request it read whole with the next of its replies."""
+class FakeRunner:
+    """A raw TCP server polled by the test: answers each request head with the next of its replies.
+
+    A reply is bytes, or a pair of bytes and whether the connection is closed after them.
+    """
 
-    def __init__(self, bench, *replies):
-        self.bench = bench
+    def __init__(self, harness, *replies):
+        self.harness = harness
         self.replies = list(replies)
         self.connections = []
-        self.got = []
+        self.request_heads = []
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
-        bench.socks.append(self.sock)
+        harness.socks.append(self.sock)
         self.address = "127.0.0.1:%d" % self.sock.getsockname()[1]
 
     def serve(self):
         try:
             sock = self.sock.accept()[0]
             sock.setblocking(False)
-            self.bench.socks.append(sock)
+            self.harness.socks.append(sock)
             self.connections.append([sock, b""])
         except BlockingIOError:
             pass
@@ -182,7 +198,7 @@
         connection[1] += data
         while b"\r\n\r\n" in connection[1]:
             head, _, connection[1] = connection[1].partition(b"\r\n\r\n")
-            self.got.append(head)
+            self.request_heads.append(head)
             reply, closes = self.replies.pop(0), False
             if isinstance(reply, tuple):
                 reply, closes = reply
@@ -190,37 +206,37 @@
             if closes:
                 connection[0].close()
 
-    def until(self, condition):
+    def run_until(self, condition):
         def both():
             self.serve()
             return condition()
 
-        self.bench.until(both)
+        self.harness.run_until(both)
 
     def call(self, **more):
-        heard = Heard()
+        recorder = RecordingHandler()
         assert (
-            self.bench.client.open(self.address, "GET", "/x", {}, b"", heard.handler, **more)
+            self.harness.client.open(self.address, "GET", "/x", {}, b"", recorder.handler, **more)
             is not None
         )
-        self.until(heard.is_over)
-        return heard
+        self.run_until(recorder.is_over)
+        return recorder
 
 
 @pytest.fixture
-def bench():
-    bench = Bench()
-    yield bench
-    bench.close()
+def harness():
+    harness = LoopHarness()
+    yield harness
+    harness.close()
 
 
-def whole(body=b"ok", more=b""):
+def response(body=b"ok", more=b""):
     return b"HTTP/1.1 200 OK\r\n%bcontent-length: %d\r\n\r\n%b" % (more, len(body), body)
 
 
-def read_answers(data, methods=(b"GET",), closed=False):
-    """Statuses and bodies as an h11 client reads them; None for a body that doesn't end."""
-    answers = []
+def read_responses(data, methods=(b"GET",), closed=False):
+    """Parse responses with h11 into pairs of status and body; None for an incomplete body."""
+    responses = []
     for method in methods:
         client = h11.Connection(h11.CLIENT)
         client.send(h11.Request(method=method, target="/", headers=[("host", "a")]))
@@ -237,32 +253,32 @@
                 elif isinstance(event, h11.Data):
                     body += bytes(event.data)
                 elif isinstance(event, h11.EndOfMessage):
-                    answers.append((status, body))
+                    responses.append((status, body))
                     break
                 elif event in (h11.NEED_DATA, h11.PAUSED) or isinstance(
                     event, h11.ConnectionClosed
                 ):
-                    return [*answers, (status, None)]
+                    return [*responses, (status, None)]
         except h11.RemoteProtocolError:
-            return [*answers, (status, None)]
+            return [*responses, (status, None)]
         data = client.trailing_data[0]
-    return answers
+    return responses
 
 
 def echo(call):
     call.answer(200, {"x-path": call.path}, call.method.encode() + b" " + call.body)
 
 
-# the door
+# HTTP server
 
 
-def test_door_hands_on_the_request_as_received(bench):
-    door = bench.door()
-    bench.connect(
-        door.address,
+def test_a_request_is_passed_on_as_received(harness):
+    server = harness.start_server()
+    harness.connect(
+        server.address,
         b"POST /a%2fb?c=%20d HTTP/1.1\r\nHost: A.example\r\nX-One: 1\r\nx-one: 2\r\nTE: trailers\r\nContent-Length: 4\r\n\r\nbody",
     )
-    call = bench.calls_at_least(1)
+    call = harness.wait_for_calls(1)
     assert (call.method, call.path, call.body) == ("POST", "/a%2fb?c=%20d", b"body")
     assert call.headers["x-one"] == "1, 2"
     assert call.fields == [
@@ -274,55 +290,57 @@
     ]
 
 
-def test_a_fault_in_the_node_ends_the_call_and_not_the_door(bench):
+def test_an_exception_in_the_node_ends_the_call_but_not_the_server(harness):
     def on_call(call):
         if call.path == "/fault":
             raise RuntimeError("a fault")
         echo(call)
 
-    door = bench.door(on_call)
+    server = harness.start_server(on_call)
     faults = []
-    bench.loop.log = lambda number, **facts: faults.append((number, facts["fault"]))
-    assert bench.ask(door.address, b"GET /fault HTTP/1.1\r\n" + HOST + b"\r\n").data == b""
-    assert bench.ask(door.address, b"GET / HTTP/1.0\r\n\r\n").data.endswith(b"GET ")
+    harness.loop.log = lambda number, **facts: faults.append((number, facts["fault"]))
+    assert harness.fetch(server.address, b"GET /fault HTTP/1.1\r\n" + HOST + b"\r\n").data == b""
+    assert harness.fetch(server.address, b"GET / HTTP/1.0\r\n\r\n").data.endswith(b"GET ")
     assert faults == [(1005, "RuntimeError: a fault")]
 
 
-def test_door_waits_for_the_whole_request_and_decodes_chunks(bench):
-    door = bench.door()
-    sock = bench.connect(
-        door.address,
+def test_a_chunked_request_is_passed_on_once_complete(harness):
+    server = harness.start_server()
+    sock = harness.connect(
+        server.address,
         b"POST / HTTP/1.1\r\n" + HOST + b"transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
     )
-    bench.until(lambda: any(connection.reader.body_bytes for connection in door.connections))
-    assert not bench.calls
+    harness.run_until(
+        lambda: any(connection.reader.body_bytes for connection in server.connections)
+    )
+    assert not harness.calls
     sock.sendall(b"2;ext=1\r\nde\r\n0\r\nx-trailer: 1\r\n\r\n")
-    assert bench.calls_at_least(1).body == b"abcde"
+    assert harness.wait_for_calls(1).body == b"abcde"
 
 
-def test_pipelined_requests_wait_for_the_answer_before_them(bench):
-    door = bench.door()
-    sock = bench.connect(
-        door.address, b"GET /1 HTTP/1.1\r\n" + HOST + b"\r\nGET /2 HTTP/1.1\r\n" + HOST + b"\r\n"
+def test_pipelined_requests_wait_for_the_preceding_response(harness):
+    server = harness.start_server()
+    sock = harness.connect(
+        server.address, b"GET /1 HTTP/1.1\r\n" + HOST + b"\r\nGET /2 HTTP/1.1\r\n" + HOST + b"\r\n"
     )
-    told = Told(sock)
-    first = bench.calls_at_least(1)
+    received = ReceivedBytes(sock)
+    first = harness.wait_for_calls(1)
     first.begin(200, {})
     first.write(b"one")
-    bench.until(lambda: told.look() or b"one" in told.data)
-    assert len(bench.calls) == 1
+    harness.run_until(lambda: received.poll() or b"one" in received.data)
+    assert len(harness.calls) == 1
     first.finish()
-    bench.calls_at_least(2).answer(200, {}, b"two")
-    bench.until(lambda: told.look() or b"two" in told.data)
-    assert read_answers(told.data, (b"GET", b"GET")) == [(200, b"one"), (200, b"two")]
-    assert not told.is_closed
+    harness.wait_for_calls(2).answer(200, {}, b"two")
+    harness.run_until(lambda: received.poll() or b"two" in received.data)
+    assert read_responses(received.data, (b"GET", b"GET")) == [(200, b"one"), (200, b"two")]
+    assert not received.is_closed
 
 
-def test_many_pipelined_requests_go_through_a_bounded_buffer(bench):
-    door = bench.door(echo)
-    sock = bench.connect(door.address)
+def test_many_pipelined_requests_go_through_a_bounded_buffer(harness):
+    server = harness.start_server(echo)
+    sock = harness.connect(server.address)
     left = b"".join(b"GET /%d HTTP/1.1\r\n%b\r\n" % (number, HOST) for number in range(2_000))
-    told = Told(sock)
+    received = ReceivedBytes(sock)
 
     def push():
         nonlocal left
@@ -330,11 +348,11 @@
             left = left[sock.send(left) :] if left else left
         except BlockingIOError:
             pass
-        told.look()
-        assert all(len(connection.unread) < 100_000 for connection in door.connections)
-        return told.data.count(b"GET ") == 2_000
+        received.poll()
+        assert all(len(connection.unread) < 100_000 for connection in server.connections)
+        return received.data.count(b"GET ") == 2_000
 
-    bench.until(push)
+    harness.run_until(push)
 
 
 @pytest.mark.parametrize(
@@ -345,59 +363,61 @@
         (b"GET / HTTP/1.0\r\n\r\n", True),
     ],
 )
-def test_keep_alive_follows_the_request(bench, head, closes):
-    told = bench.ask(
-        bench.door(echo).address, head, lambda data: not closes and data.endswith(b"GET ")
+def test_keep_alive_follows_the_request(harness, head, closes):
+    received = harness.fetch(
+        harness.start_server(echo).address, head, lambda data: not closes and data.endswith(b"GET ")
     )
-    assert told.is_closed == closes
-    assert (b"connection: close" in told.data) == closes
-    assert read_answers(told.data) == [(200, b"GET ")]
+    assert received.is_closed == closes
+    assert (b"connection: close" in received.data) == closes
+    assert read_responses(received.data) == [(200, b"GET ")]
 
 
-def test_a_draining_door_closes_after_each_answer_and_takes_no_connection(bench):
-    door = bench.door(echo)
-    sock = bench.connect(door.address)
-    bench.until(lambda: door.connections)
-    door.is_closing = True
-    door.stop_listening()
+def test_a_draining_server_closes_after_each_response_and_accepts_no_connection(harness):
+    server = harness.start_server(echo)
+    sock = harness.connect(server.address)
+    harness.run_until(lambda: server.connections)
+    server.is_closing = True
+    server.stop_listening()
     sock.sendall(b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
-    told = Told(sock)
-    bench.until(told.look)
-    assert b"connection: close" in told.data
-    assert read_answers(told.data) == [(200, b"GET ")]
+    received = ReceivedBytes(sock)
+    harness.run_until(received.poll)
+    assert b"connection: close" in received.data
+    assert read_responses(received.data) == [(200, b"GET ")]
     with pytest.raises(ConnectionRefusedError):
-        bench.connect(door.address)
+        harness.connect(server.address)
 
 
 @pytest.mark.parametrize("status", [200, 204, 304])
-def test_head_and_bodiless_statuses_carry_no_body(bench, status):
+def test_head_and_bodiless_statuses_carry_no_body(harness, status):
     def on_call(call):
         call.begin(status, {"content-length": "5"})
         call.write(b"12345")
         call.finish()
 
-    door = bench.door(on_call)
+    server = harness.start_server(on_call)
     method = b"HEAD" if status == 200 else b"GET"
     request = method + b" / HTTP/1.1\r\n" + HOST + b"\r\n"
-    told = bench.ask(door.address, request * 2, lambda data: data.count(b"\r\n\r\n") == 2)
-    assert read_answers(told.data, (method, method)) == [(status, b""), (status, b"")]
-    assert b"12345" not in told.data
-    assert (b"content-length" in told.data) == (status != 204)
+    received = harness.fetch(server.address, request * 2, lambda data: data.count(b"\r\n\r\n") == 2)
+    assert read_responses(received.data, (method, method)) == [(status, b""), (status, b"")]
+    assert b"12345" not in received.data
+    assert (b"content-length" in received.data) == (status != 204)
 
 
-def test_expect_continue_is_answered_once(bench):
-    door = bench.door(echo)
-    sock = bench.connect(
-        door.address,
+def test_expect_continue_is_answered_once(harness):
+    server = harness.start_server(echo)
+    sock = harness.connect(
+        server.address,
         b"POST / HTTP/1.1\r\n" + HOST + b"expect: 100-continue\r\ncontent-length: 3\r\n\r\n",
     )
-    told = Told(sock)
-    bench.until(lambda: told.look() or b"100 Continue\r\n\r\n" in told.data)
+    received = ReceivedBytes(sock)
+    harness.run_until(lambda: received.poll() or b"100 Continue\r\n\r\n" in received.data)
     sock.sendall(b"ab")
-    bench.until(lambda: any(connection.reader.body_bytes for connection in door.connections))
+    harness.run_until(
+        lambda: any(connection.reader.body_bytes for connection in server.connections)
+    )
     sock.sendall(b"c")
-    bench.until(lambda: told.look() or b"POST abc" in told.data)
-    assert told.data.count(b"100 Continue") == 1
+    harness.run_until(lambda: received.poll() or b"POST abc" in received.data)
+    assert received.data.count(b"100 Continue") == 1
 
 
 SMUGGLED = b"GET /smuggled HTTP/1.1\r\n" + HOST + b"\r\n"
@@ -437,32 +457,32 @@
 
 @pytest.mark.parametrize("bad", BAD)
 @pytest.mark.parametrize("piece", [1, 100_000])
-def test_a_bad_request_is_answered_400_and_nothing_behind_it_is_read(bench, bad, piece):
-    door = bench.door()
+def test_a_bad_request_gets_400_and_the_bytes_after_it_are_not_read(harness, bad, piece):
+    server = harness.start_server()
     data = bad + SMUGGLED
-    sock = bench.connect(door.address)
-    told = Told(sock)
+    sock = harness.connect(server.address)
+    received = ReceivedBytes(sock)
 
     def push():
         nonlocal data
-        if data and not told.data:
+        if data and not received.data:
             try:
                 sock.send(data[:piece])
             except OSError:
                 pass
             data = data[piece:]
-        return told.look()
+        return received.poll()
 
-    bench.until(push)
-    assert not bench.calls
-    ((status, body),) = read_answers(told.data)
+    harness.run_until(push)
+    assert not harness.calls
+    ((status, body),) = read_responses(received.data)
     assert status == 400 and json.loads(body)["code"] == "bad_request"
     sock.close()
-    bench.until(lambda: not door.connections)
+    harness.run_until(lambda: not server.connections)
 
 
-def test_limits_on_heads_and_bodies_are_told_and_change_at_run_time(bench):
-    door = bench.door(head_bytes=1_000, body_bytes=100)
+def test_head_and_body_limits_are_reported_and_can_change_at_run_time(harness):
+    server = harness.start_server(head_bytes=1_000, body_bytes=100)
     large = b"POST / HTTP/1.1\r\n" + HOST + b"content-length: 101\r\n\r\n"
     chunked = (
         b"POST / HTTP/1.1\r\n"
@@ -479,21 +499,21 @@
         (wide, 431),
         (wide + b"\r\n\r\n", 431),
     ):
-        assert read_answers(bench.ask(door.address, data).data)[0][0] == status
-    assert not bench.calls
-    door.limits = ServerLimits()
-    bench.connect(door.address, large + b"x" * 101)
-    assert len(bench.calls_at_least(1).body) == 101
-    bench.connect(door.address, wide + b"\r\n\r\n")
-    bench.calls_at_least(2)
-
-
-def test_an_error_reaches_a_caller_that_still_sends_its_body(bench):
-    door = bench.door(body_bytes=100)
-    sock = bench.connect(
-        door.address, b"POST / HTTP/1.1\r\n" + HOST + b"content-length: 9000000\r\n\r\n"
+        assert read_responses(harness.fetch(server.address, data).data)[0][0] == status
+    assert not harness.calls
+    server.limits = ServerLimits()
+    harness.connect(server.address, large + b"x" * 101)
+    assert len(harness.wait_for_calls(1).body) == 101
+    harness.connect(server.address, wide + b"\r\n\r\n")
+    harness.wait_for_calls(2)
+
+
+def test_an_error_reaches_a_caller_that_is_still_sending_its_body(harness):
+    server = harness.start_server(body_bytes=100)
+    sock = harness.connect(
+        server.address, b"POST / HTTP/1.1\r\n" + HOST + b"content-length: 9000000\r\n\r\n"
     )
-    told, sent = Told(sock), 0
+    received, sent = ReceivedBytes(sock), 0
 
     def push():
         nonlocal sent
@@ -501,49 +521,51 @@
             sent += sock.send(b"x" * 60_000)
         except OSError:
             pass
-        return told.look() or sent > 1_000_000
+        return received.poll() or sent > 1_000_000
 
-    bench.until(push)
+    harness.run_until(push)
     sock.shutdown(socket.SHUT_WR)
-    bench.until(told.look)
-    assert read_answers(told.data)[0][0] == 413 and not told.is_reset
+    harness.run_until(received.poll)
+    assert read_responses(received.data)[0][0] == 413 and not received.is_reset
 
 
-def test_slow_heads_get_408_and_silent_connections_are_closed_without_a_word(bench):
-    door = bench.door(head_us=50_000, idle_us=300_000)
-    assert read_answers(bench.ask(door.address, b"GET / HTTP/1.1\r\nhos").data)[0][0] == 408
-    assert bench.ask(door.address, b"").data == b""
-    assert bench.ask(door.address, b"\r\n").data == b""
+def test_slow_heads_get_408_and_idle_connections_are_closed_without_a_response(harness):
+    server = harness.start_server(head_us=50_000, idle_us=300_000)
+    assert read_responses(harness.fetch(server.address, b"GET / HTTP/1.1\r\nhos").data)[0][0] == 408
+    assert harness.fetch(server.address, b"").data == b""
+    assert harness.fetch(server.address, b"\r\n").data == b""
 
 
-def test_a_caller_that_never_closes_after_an_error_is_let_go(bench):
-    door = bench.door()
-    told = bench.ask(door.address, b"nonsense\r\n\r\n")
-    assert read_answers(told.data)[0][0] == 400 and door.connections
-    bench.until(lambda: not door.connections)
+def test_a_caller_that_never_closes_after_an_error_is_disconnected(harness):
+    server = harness.start_server()
+    received = harness.fetch(server.address, b"nonsense\r\n\r\n")
+    assert read_responses(received.data)[0][0] == 400 and server.connections
+    harness.run_until(lambda: not server.connections)
 
 
-def test_a_body_that_stalls_gets_408(bench):
-    door = bench.door(head_us=10_000_000, idle_us=50_000)
+def test_a_body_that_stalls_gets_408(harness):
+    server = harness.start_server(head_us=10_000_000, idle_us=50_000)
     assert (
-        read_answers(
-            bench.ask(
-                door.address, b"POST / HTTP/1.1\r\n" + HOST + b"content-length: 5\r\n\r\nab"
+        read_responses(
+            harness.fetch(
+                server.address, b"POST / HTTP/1.1\r\n" + HOST + b"content-length: 5\r\n\r\nab"
             ).data
         )[0][0]
         == 408
     )
 
 
-def test_an_open_call_is_not_idle(bench):
-    door = bench.door(idle_us=10_000, head_us=10_000)
-    told = Told(bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n"))
-    call = bench.calls_at_least(1)
-    checked_us = door.checked_us
-    bench.until(lambda: door.checked_us > checked_us + 400_000)
+def test_an_open_call_is_not_idle(harness):
+    server = harness.start_server(idle_us=10_000, head_us=10_000)
+    received = ReceivedBytes(
+        harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
+    )
+    call = harness.wait_for_calls(1)
+    checked_us = server.checked_us
+    harness.run_until(lambda: server.checked_us > checked_us + 400_000)
     call.answer(200, {}, b"late")
-    bench.until(lambda: told.look() or b"late" in told.data)
-    assert read_answers(told.data) == [(200, b"late")]
+    harness.run_until(lambda: received.poll() or b"late" in received.data)
+    assert read_responses(received.data) == [(200, b"late")]
 
 
 @pytest.mark.parametrize(
@@ -551,48 +573,52 @@
     [("finish", {"content-length": "10"}), ("cut", {"content-length": "10"}), ("cut", {})],
 )
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
-def test_an_answer_cut_short_never_looks_whole(bench, end, headers, version):
-    door = bench.door()
-    told = Told(bench.connect(door.address, b"GET / HTTP/" + version + b"\r\n" + HOST + b"\r\n"))
-    call = bench.calls_at_least(1)
+def test_an_aborted_response_never_looks_complete(harness, end, headers, version):
+    server = harness.start_server()
+    received = ReceivedBytes(
+        harness.connect(server.address, b"GET / HTTP/" + version + b"\r\n" + HOST + b"\r\n")
+    )
+    call = harness.wait_for_calls(1)
     call.begin(200, headers)
     call.write(b"12345")
-    bench.until(lambda: told.look() or b"12345" in told.data)
+    harness.run_until(lambda: received.poll() or b"12345" in received.data)
     getattr(call, end)()
     assert not call.write(b"more")
     call.finish()
-    bench.until(told.look)
-    assert told.is_reset or read_answers(told.data, closed=True) == [(200, None)]
-    assert b"more" not in told.data
+    harness.run_until(received.poll)
+    assert received.is_reset or read_responses(received.data, closed=True) == [(200, None)]
+    assert b"more" not in received.data
 
 
-def test_more_than_the_told_length_is_never_written(bench):
-    door = bench.door()
-    told = Told(bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n"))
-    call = bench.calls_at_least(1)
+def test_no_more_than_the_declared_length_is_written(harness):
+    server = harness.start_server()
+    received = ReceivedBytes(
+        harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
+    )
+    call = harness.wait_for_calls(1)
     call.begin(200, {"content-length": "3"})
     assert not call.write(b"12345")
-    bench.until(told.look)
-    assert b"1234" not in told.data
+    harness.run_until(received.poll)
+    assert b"1234" not in received.data
 
 
 @pytest.mark.parametrize("half", [True, False])
-def test_a_caller_that_leaves_is_told_once(bench, half):
-    door = bench.door()
-    sock = bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
-    call = bench.calls_at_least(1)
-    call.on_client_disconnect = lambda: bench.gone.append(call)
+def test_a_disconnect_of_the_caller_is_reported_once(harness, half):
+    server = harness.start_server()
+    sock = harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
+    call = harness.wait_for_calls(1)
+    call.on_client_disconnect = lambda: harness.gone.append(call)
     sock.shutdown(socket.SHUT_WR) if half else sock.close()
-    bench.until(lambda: bench.gone and not door.connections)
+    harness.run_until(lambda: harness.gone and not server.connections)
     call.answer(200, {}, b"too late")
     call.cut()
-    assert bench.gone == [call] and call.is_ended
+    assert harness.gone == [call] and call.is_ended
 
 
-def test_a_caller_that_does_not_read_holds_the_writer_up(bench):
-    door = bench.door()
-    sock = bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
-    call = bench.calls_at_least(1)
+def test_a_caller_that_does_not_read_blocks_the_writer(harness):
+    server = harness.start_server()
+    sock = harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
+    call = harness.wait_for_calls(1)
     rooms = []
     call.on_writable = lambda: rooms.append(True)
     call.begin(200, {})
@@ -600,32 +626,32 @@
     while call.write(b"x" * 30_000):
         written += 30_000
         assert written < 100_000_000
-        bench.loop.tick()
+        harness.loop.tick()
     written += 30_000
     assert not rooms
-    told = Told(sock)
-    bench.until(lambda: told.look() or rooms)
+    received = ReceivedBytes(sock)
+    harness.run_until(lambda: received.poll() or rooms)
     call.finish()
-    bench.until(lambda: told.look() or told.data.endswith(b"0\r\n\r\n"))
-    assert read_answers(told.data) == [(200, b"x" * written)]
-
-
-def test_connections_beyond_the_limit_take_the_place_of_idle_ones_only(bench):
-    door = bench.door(connections=2)
-    busy = Told(bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n"))
-    call = bench.calls_at_least(1)
-    idle = Told(bench.connect(door.address))
-    bench.until(lambda: len(door.connections) == 2)
-    bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
-    bench.until(idle.look)
-    bench.calls_at_least(2)
-    assert bench.ask(door.address, b"").data == b""
+    harness.run_until(lambda: received.poll() or received.data.endswith(b"0\r\n\r\n"))
+    assert read_responses(received.data) == [(200, b"x" * written)]
+
+
+def test_connections_beyond_the_limit_replace_only_idle_ones(harness):
+    server = harness.start_server(connections=2)
+    busy = ReceivedBytes(harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n"))
+    call = harness.wait_for_calls(1)
+    idle = ReceivedBytes(harness.connect(server.address))
+    harness.run_until(lambda: len(server.connections) == 2)
+    harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
+    harness.run_until(idle.poll)
+    harness.wait_for_calls(2)
+    assert harness.fetch(server.address, b"").data == b""
     call.answer(200, {}, b"kept")
-    bench.until(lambda: busy.look() or b"kept" in busy.data)
+    harness.run_until(lambda: busy.poll() or b"kept" in busy.data)
 
 
-def test_descriptors_running_out_neither_spins_nor_kills(bench, monkeypatch):
-    door = bench.door(echo)
+def test_running_out_of_descriptors_neither_busy_loops_nor_stops_the_server(harness, monkeypatch):
+    server = harness.start_server(echo)
     tries = []
 
     class Short:
@@ -636,26 +662,28 @@
         def close(self):
             pass
 
-    real, door.listener.sock = door.listener.sock, Short()
-    sock = bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
-    bench.until(lambda: tries)
+    real, server.listener.sock = server.listener.sock, Short()
+    sock = harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
+    harness.run_until(lambda: tries)
     turns = []
-    bench.until(lambda: turns.append(True) or len(turns) > 20)
+    harness.run_until(lambda: turns.append(True) or len(turns) > 20)
     assert len(tries) == 1
-    door.listener.sock = real
-    told = Told(sock)
-    bench.until(lambda: told.look() or b"GET " in told.data)
+    server.listener.sock = real
+    received = ReceivedBytes(sock)
+    harness.run_until(lambda: received.poll() or b"GET " in received.data)
 
 
-def test_an_answer_with_a_line_end_in_a_header_is_not_sent(bench):
-    door = bench.door()
-    told = Told(bench.connect(door.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n"))
-    call = bench.calls_at_least(1)
+def test_a_response_with_a_line_break_in_a_header_is_not_sent(harness):
+    server = harness.start_server()
+    received = ReceivedBytes(
+        harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
+    )
+    call = harness.wait_for_calls(1)
     with pytest.raises(ValueError):
         call.answer(200, {"x-one": "1\r\nx-two: 2"}, b"")
     call.answer(502, {}, b"")
-    bench.until(lambda: told.look() or told.data)
-    assert read_answers(told.data) == [(502, b"")]
+    harness.run_until(lambda: received.poll() or received.data)
+    assert read_responses(received.data) == [(502, b"")]
 
 
 TOKEN = st.text("abcdefghijklmnopqrstuvwxyz-", min_size=1, max_size=12)
@@ -669,8 +697,8 @@
     is_chunked=st.booleans(),
     cuts=st.lists(st.integers(0, 2_000), max_size=6),
 )
-def test_requests_arrive_the_same_however_they_are_cut_up(fields, parts, is_chunked, cuts):
-    bench = Bench()
+def test_requests_are_parsed_the_same_however_they_are_split(fields, parts, is_chunked, cuts):
+    harness = LoopHarness()
     try:
         body = b"".join(parts)
         head = "POST /p?q HTTP/1.1\r\nhost: a\r\n" + "".join(
@@ -685,18 +713,18 @@
             )
         else:
             data = head.encode() + b"content-length: %d\r\n\r\n" % len(body) + body
-        door = bench.door()
-        sock = bench.connect(door.address)
+        server = harness.start_server()
+        sock = harness.connect(server.address)
         places = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
         for begin, end in pairwise(places):
             sock.sendall(data[begin:end])
             for _ in range(2):
-                bench.loop.tick()
-        call = bench.calls_at_least(1)
+                harness.loop.tick()
+        call = harness.wait_for_calls(1)
         assert (call.method, call.path, call.body) == ("POST", "/p?q", body)
         assert call.fields[1:-1] == fields
     finally:
-        bench.close()
+        harness.close()
 
 
 @QUICK
@@ -727,69 +755,69 @@
         max_size=14,
     )
 )
-def test_no_bytes_break_the_door(pieces):
-    bench = Bench()
+def test_no_input_breaks_the_server(pieces):
+    harness = LoopHarness()
     try:
-        door = bench.door(echo)
-        sock = bench.connect(door.address, b"".join(pieces))
+        server = harness.start_server(echo)
+        sock = harness.connect(server.address, b"".join(pieces))
         sock.shutdown(socket.SHUT_WR)
-        told = Told(sock)
-        bench.until(told.look)
-        bench.until(lambda: not door.connections)
-        alive = bench.ask(
-            door.address,
+        received = ReceivedBytes(sock)
+        harness.run_until(received.poll)
+        harness.run_until(lambda: not server.connections)
+        alive = harness.fetch(
+            server.address,
             b"GET / HTTP/1.1\r\n" + HOST + b"\r\n",
             lambda data: data.endswith(b"GET "),
         )
-        assert read_answers(alive.data) == [(200, b"GET ")]
+        assert read_responses(alive.data) == [(200, b"GET ")]
     finally:
-        bench.close()
+        harness.close()
 
 
-# pooled connections
+# Pooled connections
 
 
-def test_a_kept_connection_is_used_again_and_the_newest_first(bench):
-    runner = Runner(bench, *[whole()] * 5)
-    first, second = Heard(), Heard()
-    for heard in (first, second):
-        bench.client.open(runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True)
-    runner.until(lambda: first.is_over() and second.is_over())
-    assert first.body == second.body == b"ok" and bench.client.count(runner.address) == 2
-    newest = bench.client.pools[runner.address].idle[-1]
-    third = Heard()
-    exchange = bench.client.open(
+def test_idle_connections_are_reused_newest_first(harness):
+    runner = FakeRunner(harness, *[response()] * 5)
+    first, second = RecordingHandler(), RecordingHandler()
+    for recorder in (first, second):
+        harness.client.open(runner.address, "GET", "/x", {}, b"", recorder.handler, keep_alive=True)
+    runner.run_until(lambda: first.is_over() and second.is_over())
+    assert first.body == second.body == b"ok" and harness.client.count(runner.address) == 2
+    newest = harness.client.pools[runner.address].idle[-1]
+    third = RecordingHandler()
+    exchange = harness.client.open(
         runner.address, "GET", "/x", {}, b"", third.handler, keep_alive=True
     )
     assert exchange.is_reused and exchange.connection is newest
-    runner.until(third.is_over)
-    assert third.is_whole and bench.client.opened == 2
-    assert b"connection" not in runner.got[-1]
+    runner.run_until(third.is_over)
+    assert third.is_whole and harness.client.opened == 2
+    assert b"connection" not in runner.request_heads[-1]
 
 
-def test_most_bounds_busy_and_idle_connections(bench):
-    runner = Runner(bench, whole(), whole())
-    one, two = Heard(), Heard()
-    assert bench.client.open(
+def test_max_connections_limits_busy_and_idle_connections(harness):
+    runner = FakeRunner(harness, response(), response())
+    one, two = RecordingHandler(), RecordingHandler()
+    assert harness.client.open(
         runner.address, "GET", "/x", {}, b"", one.handler, keep_alive=True, max_connections=1
     )
     assert (
-        bench.client.open(
+        harness.client.open(
             runner.address, "GET", "/x", {}, b"", two.handler, keep_alive=True, max_connections=1
         )
         is None
     )
-    runner.until(one.is_over)
-    assert bench.client.open(
+    runner.run_until(one.is_over)
+    assert harness.client.open(
         runner.address, "GET", "/x", {}, b"", two.handler, keep_alive=True, max_connections=1
     ).is_reused
-    runner.until(two.is_over)
-    assert bench.client.opened == 1 and not one.errors and not two.errors
+    runner.run_until(two.is_over)
+    assert harness.client.opened == 1 and not one.errors and not two.errors
 
 
-def test_the_request_goes_out_with_its_fields_in_order_and_the_host_told(bench):
-    runner = Runner(bench, whole())
-    heard = Heard()
+def test_a_request_is_sent_with_its_fields_in_order_and_the_given_host(harness):
+    runner = FakeRunner(harness, response())
+    recorder = RecordingHandler()
     fields = [
         ("Host", "old"),
         ("X-One", "1"),
@@ -797,18 +825,18 @@
         ("x-one", "3"),
         ("Content-Length", "9"),
     ]
-    bench.client.open(
+    harness.client.open(
         runner.address,
         "POST",
         "/a%2f?b",
         fields,
         b"",
-        heard.handler,
+        recorder.handler,
         keep_alive=True,
         host="new.example",
     )
-    runner.until(heard.is_over)
-    assert runner.got == [
+    runner.run_until(recorder.is_over)
+    assert runner.request_heads == [
         b"POST /a%2f?b HTTP/1.1\r\nhost: new.example\r\nX-One: 1\r\nX-Two: 2\r\nx-one: 3\r\ncontent-length: 0"
     ]
 
@@ -823,187 +851,187 @@
         ("/", {"x\n": "1"}),
     ],
 )
-def test_a_request_that_would_look_like_two_is_not_sent(bench, path, headers):
-    runner = Runner(bench)
+def test_a_request_that_could_be_parsed_as_two_is_not_sent(harness, path, headers):
+    runner = FakeRunner(harness)
     with pytest.raises(ValueError):
-        bench.client.open(
-            runner.address, "GET", path, headers, b"", Heard().handler, keep_alive=True
+        harness.client.open(
+            runner.address, "GET", path, headers, b"", RecordingHandler().handler, keep_alive=True
         )
-    assert not bench.client.count(runner.address)
+    assert not harness.client.count(runner.address)
 
 
 @pytest.mark.parametrize(
     "reply",
     [
-        whole(more=b"connection: close\r\n"),
-        whole() + b"surplus",
-        whole() + whole(b"second"),
-        (whole(), True),
-        whole().replace(b"1.1", b"1.0"),
-        whole(more=b"keep-alive: timeout=0\r\n"),
+        response(more=b"connection: close\r\n"),
+        response() + b"surplus",
+        response() + response(b"second"),
+        (response(), True),
+        response().replace(b"1.1", b"1.0"),
+        response(more=b"keep-alive: timeout=0\r\n"),
     ],
 )
-def test_a_connection_that_may_not_be_kept_is_not_kept(bench, reply):
-    runner = Runner(bench, reply, whole(b"next"))
+def test_a_connection_that_must_not_be_reused_is_closed(harness, reply):
+    runner = FakeRunner(harness, reply, response(b"next"))
     assert runner.call(keep_alive=True).body == b"ok"
-    runner.until(lambda: not bench.client.count(runner.address)) if isinstance(
+    runner.run_until(lambda: not harness.client.count(runner.address)) if isinstance(
         reply, tuple
     ) else None
     assert runner.call(keep_alive=True).body == b"next"
-    assert bench.client.opened == 2
+    assert harness.client.opened == 2
 
 
-def test_surplus_that_comes_while_idle_closes_the_connection(bench):
-    runner = Runner(bench, whole(), whole(b"next"))
+def test_unsolicited_bytes_close_an_idle_connection(harness):
+    runner = FakeRunner(harness, response(), response(b"next"))
     runner.call(keep_alive=True)
-    runner.connections[0][0].sendall(whole(b"surplus"))
-    runner.until(lambda: not bench.client.count(runner.address))
+    runner.connections[0][0].sendall(response(b"surplus"))
+    runner.run_until(lambda: not harness.client.count(runner.address))
     assert runner.call(keep_alive=True).body == b"next"
 
 
-@pytest.mark.parametrize("sign", [b"", b"late"])
-def test_a_close_or_surplus_not_yet_noticed_is_found_before_writing(bench, sign):
-    runner = Runner(bench, whole(), whole(b"next"))
+@pytest.mark.parametrize("late_bytes", [b"", b"late"])
+def test_a_pending_close_or_unsolicited_bytes_are_detected_before_reuse(harness, late_bytes):
+    runner = FakeRunner(harness, response(), response(b"next"))
     runner.call(keep_alive=True)
-    runner.connections[0][0].sendall(sign) if sign else runner.connections[0][0].close()
-    heard = Heard()
-    exchange = bench.client.open(
-        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True
+    runner.connections[0][0].sendall(late_bytes) if late_bytes else runner.connections[0][0].close()
+    recorder = RecordingHandler()
+    exchange = harness.client.open(
+        runner.address, "GET", "/x", {}, b"", recorder.handler, keep_alive=True
     )
     assert not exchange.is_reused
-    runner.until(heard.is_over)
-    assert heard.body == b"next" and not heard.errors and len(runner.got) == 2
+    runner.run_until(recorder.is_over)
+    assert recorder.body == b"next" and not recorder.errors and len(runner.request_heads) == 2
 
 
-def test_bytes_before_the_request_is_sent_are_not_its_response(bench):
-    runner = Runner(bench, whole(), whole(b"next"))
+def test_bytes_before_the_request_is_sent_are_not_its_response(harness):
+    runner = FakeRunner(harness, response(), response(b"next"))
     runner.call(keep_alive=True)
-    heard = Heard()
-    exchange = bench.client.open(
-        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True
+    recorder = RecordingHandler()
+    exchange = harness.client.open(
+        runner.address, "GET", "/x", {}, b"", recorder.handler, keep_alive=True
     )
     assert exchange.is_reused
-    exchange.connection.tcp.on_data(whole(b"surplus"))
-    runner.until(heard.is_over)
-    assert heard.body == b"next" and not heard.errors and bench.client.opened == 2
-    assert bench.client.count(runner.address) == 1 and len(runner.got) == 2
+    exchange.connection.tcp.on_data(response(b"surplus"))
+    runner.run_until(recorder.is_over)
+    assert recorder.body == b"next" and not recorder.errors and harness.client.opened == 2
+    assert harness.client.count(runner.address) == 1 and len(runner.request_heads) == 2
 
 
-def test_a_reused_connection_that_fails_at_the_first_write_is_replaced_silently(bench):
-    runner = Runner(bench, whole(), whole(b"next"))
+def test_a_reused_connection_that_fails_at_the_first_write_is_replaced(harness):
+    runner = FakeRunner(harness, response(), response(b"next"))
     runner.call(keep_alive=True)
-    heard = Heard()
-    exchange = bench.client.open(
-        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True, max_connections=1
+    recorder = RecordingHandler()
+    exchange = harness.client.open(
+        runner.address, "GET", "/x", {}, b"", recorder.handler, keep_alive=True, max_connections=1
     )
     assert exchange.is_reused
     exchange.connection.tcp.fail()
-    runner.until(heard.is_over)
-    assert heard.body == b"next" and not heard.errors and not exchange.is_reused
+    runner.run_until(recorder.is_over)
+    assert recorder.body == b"next" and not recorder.errors and not exchange.is_reused
 
 
-def test_a_reused_connection_that_dies_after_the_request_is_an_error_that_may_have_run(bench):
-    runner = Runner(bench, whole(), (b"", True))
+def test_a_reused_connection_that_closes_after_the_request_reports_that_it_may_have_run(harness):
+    runner = FakeRunner(harness, response(), (b"", True))
     runner.call(keep_alive=True)
     assert runner.call(keep_alive=True).errors == [True]
-    assert len(runner.got) == 2
+    assert len(runner.request_heads) == 2
 
 
-def test_idle_connections_are_closed_when_their_told_life_is_over(bench):
-    bench.client.idle_us = 1_000
-    runner = Runner(bench, whole(), whole(more=b"keep-alive: timeout=5, max=9\r\n"))
+def test_idle_connections_are_closed_at_their_keep_alive_timeout(harness):
+    harness.client.idle_us = 1_000
+    runner = FakeRunner(harness, response(), response(more=b"keep-alive: timeout=5, max=9\r\n"))
     runner.call(keep_alive=True)
-    runner.until(lambda: not bench.client.count(runner.address))
-    now_us = bench.loop.timer.now_us()
+    runner.run_until(lambda: not harness.client.count(runner.address))
+    now_us = harness.loop.timer.now_us()
     runner.call(keep_alive=True)
     assert (
         3_900_000
-        < bench.client.pools[runner.address].idle[0].idle_until_us - now_us
+        < harness.client.pools[runner.address].idle[0].idle_until_us - now_us
         <= 4_000_000 + DEADLINE_S * 1_000_000
     )
-    assert not bench.client.pools[runner.address].idle[0].tcp.is_closed
+    assert not harness.client.pools[runner.address].idle[0].tcp.is_closed
 
 
-def test_a_refused_connection_has_not_begun(bench):
+def test_a_refused_connection_reports_that_nothing_was_sent(harness):
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
-    heard = Heard()
-    assert bench.client.open(
-        f"127.0.0.1:{port}", "GET", "/x", {}, b"", heard.handler, keep_alive=True
+    recorder = RecordingHandler()
+    assert harness.client.open(
+        f"127.0.0.1:{port}", "GET", "/x", {}, b"", recorder.handler, keep_alive=True
     )
-    bench.until(heard.is_over)
-    assert heard.errors == [False] and not bench.client.count(f"127.0.0.1:{port}")
+    harness.run_until(recorder.is_over)
+    assert recorder.errors == [False] and not harness.client.count(f"127.0.0.1:{port}")
 
 
-def test_a_connection_that_does_not_come_up_has_not_begun(bench):
-    bench.client.connect_us = 30_000
+def test_a_connect_timeout_reports_that_nothing_was_sent(harness):
+    harness.client.connect_us = 30_000
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
-    bench.socks.append(listener)
+    harness.socks.append(listener)
     address = "127.0.0.1:%d" % listener.getsockname()[1]
     for _ in range(4):
         sock = socket.socket()
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
-        bench.socks.append(sock)
-    heard = Heard()
-    bench.client.open(address, "GET", "/x", {}, b"", heard.handler, keep_alive=True)
-    bench.until(heard.is_over)
-    assert heard.errors == [False]
+        harness.socks.append(sock)
+    recorder = RecordingHandler()
+    harness.client.open(address, "GET", "/x", {}, b"", recorder.handler, keep_alive=True)
+    harness.run_until(recorder.is_over)
+    assert recorder.errors == [False]
 
 
-def test_a_body_until_close_ends_with_the_close_and_not_with_a_reset(bench):
+def test_a_close_delimited_body_ends_with_a_close_but_not_with_a_reset(harness):
     reply = b"HTTP/1.1 200 OK\r\n\r\nbody"
-    runner = Runner(bench, (reply, True), reply)
-    heard = runner.call(keep_alive=True)
-    assert heard.is_whole and heard.body == b"body"
-    cut = Heard()
-    bench.client.open(runner.address, "GET", "/x", {}, b"", cut.handler, keep_alive=True)
-    runner.until(lambda: cut.body)
+    runner = FakeRunner(harness, (reply, True), reply)
+    recorder = runner.call(keep_alive=True)
+    assert recorder.is_whole and recorder.body == b"body"
+    cut = RecordingHandler()
+    harness.client.open(runner.address, "GET", "/x", {}, b"", cut.handler, keep_alive=True)
+    runner.run_until(lambda: cut.body)
     sock = runner.connections[-1][0]
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     sock.close()
-    runner.until(cut.is_over)
+    runner.run_until(cut.is_over)
     assert cut.errors == [True]
 
 
-def test_interim_answers_are_passed_over(bench):
-    runner = Runner(
-        bench, b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nx: y\r\n\r\n" + whole()
+def test_interim_responses_are_skipped(harness):
+    runner = FakeRunner(
+        harness, b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nx: y\r\n\r\n" + response()
     )
-    heard = runner.call(keep_alive=True)
-    assert (heard.status, heard.body) == (200, b"ok") and "x" not in heard.headers
+    recorder = runner.call(keep_alive=True)
+    assert (recorder.status, recorder.body) == (200, b"ok") and "x" not in recorder.headers
 
 
-def test_closing_an_exchange_closes_its_connection(bench):
-    runner = Runner(bench, b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n123")
-    heard = Heard()
-    exchange = bench.client.open(
-        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True
+def test_closing_an_exchange_closes_its_connection(harness):
+    runner = FakeRunner(harness, b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n123")
+    recorder = RecordingHandler()
+    exchange = harness.client.open(
+        runner.address, "GET", "/x", {}, b"", recorder.handler, keep_alive=True
     )
-    runner.until(lambda: heard.body)
+    runner.run_until(lambda: recorder.body)
     exchange.close()
     exchange.pause_reading()
     exchange.resume_reading()
-    assert not bench.client.count(runner.address)
-    bench.loop.tick()
-    assert not heard.is_over()
+    assert not harness.client.count(runner.address)
+    harness.loop.tick()
+    assert not recorder.is_over()
 
 
-def test_a_held_exchange_reads_on_when_released(bench):
-    runner = Runner(bench, b"HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\n123")
-    heard = Heard()
-    exchange = bench.client.open(
-        runner.address, "GET", "/x", {}, b"", heard.handler, keep_alive=True
+def test_a_paused_exchange_continues_when_resumed(harness):
+    runner = FakeRunner(harness, b"HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\n123")
+    recorder = RecordingHandler()
+    exchange = harness.client.open(
+        runner.address, "GET", "/x", {}, b"", recorder.handler, keep_alive=True
     )
-    runner.until(lambda: heard.body)
+    runner.run_until(lambda: recorder.body)
     exchange.pause_reading()
     runner.connections[0][0].sendall(b"456")
     turns = []
-    bench.until(lambda: turns.append(True) or len(turns) > 20)
-    assert heard.body == b"123"
+    harness.run_until(lambda: turns.append(True) or len(turns) > 20)
+    assert recorder.body == b"123"
     exchange.resume_reading()
-    runner.until(heard.is_over)
-    assert heard.body == b"123456" and heard.is_whole
+    runner.run_until(recorder.is_over)
+    assert recorder.body == b"123456" and recorder.is_whole
 
 
 @QUICK
@@ -1033,33 +1061,33 @@
     ),
     st.booleans(),
 )
-def test_whatever_a_runner_sends_the_hearer_hears_one_end_and_the_next_call_is_its_own(
+def test_whatever_a_runner_sends_the_handler_gets_one_outcome_and_the_next_call_is_unaffected(
     pieces, closes
 ):
-    bench = Bench()
+    harness = LoopHarness()
     try:
         data = b"".join(pieces)
-        runner = Runner(bench, (data, True), whole(b"next"))
-        heard = runner.call(keep_alive=True)
-        assert heard.is_whole != bool(heard.errors) and len(heard.errors) <= 1
-        if heard.is_whole:
-            assert read_answers(data, closed=True)[0] == (heard.status, heard.body)
+        runner = FakeRunner(harness, (data, True), response(b"next"))
+        recorder = runner.call(keep_alive=True)
+        assert recorder.is_whole != bool(recorder.errors) and len(recorder.errors) <= 1
+        if recorder.is_whole:
+            assert read_responses(data, closed=True)[0] == (recorder.status, recorder.body)
         else:
-            assert heard.errors == [True]
+            assert recorder.errors == [True]
         assert runner.call(keep_alive=True).body == b"next"
     finally:
-        bench.close()
+        harness.close()
 
 
-# lines and signals
+# Lines and signals
 
 
-def test_the_lines_of_one_turn_go_out_in_one_write(bench, monkeypatch):
-    runner = Runner(bench)
-    bench.client.send(runner.address, {"number": 0})
-    runner.until(lambda: runner.connections and runner.connections[0][1])
+def test_the_lines_of_one_turn_are_sent_in_one_write(harness, monkeypatch):
+    runner = FakeRunner(harness)
+    harness.client.send(runner.address, {"number": 0})
+    runner.run_until(lambda: runner.connections and runner.connections[0][1])
     sizes = []
-    tcp = bench.client.line_clients[runner.address].tcp
+    tcp = harness.client.line_clients[runner.address].tcp
 
     class Counted:
         def __getattr__(self, name):
@@ -1071,8 +1099,8 @@
 
     real, tcp.sock = tcp.sock, Counted()
     for number in range(1, 10):
-        bench.client.send(runner.address, {"number": number})
-    runner.until(lambda: runner.connections[0][1].count(b"\n") == 10)
+        harness.client.send(runner.address, {"number": number})
+    runner.run_until(lambda: runner.connections[0][1].count(b"\n") == 10)
     assert len(sizes) == 1
     assert [json.loads(line)["number"] for line in runner.connections[0][1].splitlines()] == list(
         range(10)
@@ -1080,9 +1108,9 @@
     assert real.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == 3_000
 
 
-def test_lines_arrive_however_they_are_cut_up(bench):
-    line_server = bench.loop.add_line_server("127.0.0.1:0")
-    sock = bench.connect(line_server.listener.address)
+def test_lines_are_parsed_however_they_are_split(harness):
+    line_server = harness.loop.add_line_server("127.0.0.1:0")
+    sock = harness.connect(line_server.listener.address)
     lines = [
         json.dumps({"say": "count", "name": "n", "back": "10.0.0.1:1", "a": number}).encode()
         for number in (1, 2, 3)
@@ -1090,31 +1118,31 @@
     data = lines[0] + b"\n" + lines[1] + b'\n\n[1]\n{"a":9}\n' + lines[2] + b"\n"
     for piece in (data[:5], data[5:90], data[90:], b'{"say":"count"}\n'):
         sock.sendall(piece)
-        bench.loop.tick()
-    bench.until(lambda: len(bench.loop.node.heard) == 3)
-    assert bench.loop.node.heard == [json.loads(line) for line in lines]
-    bench.until(lambda: [number for number, _ in bench.events] == [1006] * 3)
-    bench.loop.node.fault = ServiceError("too_busy")
+        harness.loop.tick()
+    harness.run_until(lambda: len(harness.loop.node.messages) == 3)
+    assert harness.loop.node.messages == [json.loads(line) for line in lines]
+    harness.run_until(lambda: [number for number, _ in harness.events] == [1006] * 3)
+    harness.loop.node.fault = ServiceError("too_busy")
     sock.sendall(lines[0] + b"\n" + lines[1] + b"\n")
-    bench.until(lambda: len(bench.loop.node.heard) == 5)
+    harness.run_until(lambda: len(harness.loop.node.messages) == 5)
     assert len(line_server.connections) == 1
-    assert [number for number, _ in bench.events] == [1006] * 3 + [1005] * 2
-    bench.events.clear()
+    assert [number for number, _ in harness.events] == [1006] * 3 + [1005] * 2
+    harness.events.clear()
     sock.sendall(b"no json\n")
-    bench.until(lambda: not line_server.connections)
-    assert [number for number, _ in bench.events] == [1006]
+    harness.run_until(lambda: not line_server.connections)
+    assert [number for number, _ in harness.events] == [1006]
 
 
-def test_hangup_calls_back_and_a_second_term_does_not_stop_a_drain(bench):
+def test_sighup_calls_back_and_a_second_sigterm_does_not_stop_a_drain(harness):
     calls = []
-    loop = bench.loop
+    loop = harness.loop
     loop.on_hangup = lambda: calls.append("hangup")
     loop._signal_handler(signal.SIGHUP, None)
-    bench.until(lambda: calls)
+    harness.run_until(lambda: calls)
     assert loop.node.on_drained is None
     for _ in range(2):
         loop._signal_handler(signal.SIGTERM, None)
-    bench.until(lambda: not len(loop._queue))
+    harness.run_until(lambda: not len(loop._queue))
     assert loop.node.on_drained is not None and loop.running
 
 
