--- a/packages/wire/src/linkhaven/wire/api_server.py
+++ b/packages/wire/src/linkhaven/wire/api_server.py
@@ -42,7 +42,7 @@
 class ApiCall(Call):
     """One call of linkhaven's own HTTP API, with the methods that send its response."""
 
-    __slots__ = ("server", "request", "response", "sock", "awaits_room")
+    __slots__ = ("server", "request", "response", "sock", "awaits_writable")
 
     def __init__(
         self, server: "ApiServer", request: Any, response_: Any, headers: dict[str, str]
@@ -54,7 +54,7 @@
         self.request = request
         self.response = response_
         self.sock = request.sock
-        self.awaits_room = False
+        self.awaits_writable = False
 
     def _set_head(self, status: int, headers: Any) -> None:
         self.response.status = status
@@ -91,7 +91,7 @@
         self.server.fire(stream(self.response, data))
         if self.server.unsent_bytes(self.sock) < HIGH_WATER_BYTES:
             return True
-        self.awaits_room = True
+        self.awaits_writable = True
         return False
 
     def finish(self) -> None:
@@ -112,9 +112,9 @@
 
     def on_bytes_sent(self, unsent_bytes: int) -> None:
         """Call `on_writable` for a waiting writer once fewer than `LOW_WATER_BYTES` are unsent."""
-        if not self.awaits_room or unsent_bytes >= LOW_WATER_BYTES:
+        if not self.awaits_writable or unsent_bytes >= LOW_WATER_BYTES:
             return
-        self.awaits_room = False
+        self.awaits_writable = False
         if self.on_writable:
             self.on_writable()
 
@@ -176,7 +176,7 @@
     def wake_writers(self) -> None:
         """Call `on_writable` for the waiting writers that may continue."""
         for call in list(self.calls.values()):
-            if call.awaits_room:
+            if call.awaits_writable:
                 call.on_bytes_sent(self.unsent_bytes(call.sock))
 
     @handler("connect", priority=1)
--- a/packages/wire/src/linkhaven/wire/client.py
+++ b/packages/wire/src/linkhaven/wire/client.py
@@ -55,7 +55,7 @@
         self.connect_us = CONNECT_US
         self.idle_us = IDLE_US
         self.user_timeout_us = USER_TIMEOUT_US
-        self.checked_us = 0
+        self.last_check_us = 0
 
     def call_later(self, callback: Callable[[], Any], delay_us: int = 0) -> None:
         """Call `callback` after `delay_us` microseconds, or in the next turn if it is 0."""
@@ -141,9 +141,9 @@
 
     def on_tick(self, now_us: int) -> None:
         """Close expired idle connections, at most once per `CHECK_INTERVAL_US`."""
-        if now_us - self.checked_us < CHECK_INTERVAL_US:
+        if now_us - self.last_check_us < CHECK_INTERVAL_US:
             return
-        self.checked_us = now_us
+        self.last_check_us = now_us
         for pool in list(self.pools.values()):
             if pool.idle:
                 pool.close_expired(now_us)
--- a/packages/wire/src/linkhaven/wire/console.py
+++ b/packages/wire/src/linkhaven/wire/console.py
@@ -54,17 +54,17 @@
     try:
         body = json.dumps(document) if document is not None else None
         conn.request(method, path, body, {"content-type": "application/json"})
-        answer = conn.getresponse()
-        answered = json.loads(answer.read() or b"null")
+        response = conn.getresponse()
+        result = json.loads(response.read() or b"null")
     except ConnectionRefusedError:
         raise ServiceError("unreachable", address=address) from None
-    except (OSError, ValueError, http.client.HTTPException) as fault:
-        raise ServiceError("unreachable", done="unknown", address=address, why=str(fault)) from None
+    except (OSError, ValueError, http.client.HTTPException) as error:
+        raise ServiceError("unreachable", done="unknown", address=address, why=str(error)) from None
     finally:
         conn.close()
-    if answer.status != http.client.OK:
-        raise read_error(answered, "unreachable")
-    return answered
+    if response.status != http.client.OK:
+        raise read_error(result, "unreachable")
+    return result
 
 
 def code_of(error: ServiceError) -> int:
@@ -134,15 +134,15 @@
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
-    except OSError as fault:
+    except OSError as error:
         raise ServiceError(
-            "bad_request", places=[{"place": path, "fault": fault.strerror}]
+            "bad_request", places=[{"place": path, "fault": error.strerror}]
         ) from None
     try:
         return json.loads(text)
-    except ValueError as fault:
+    except ValueError as error:
         raise ServiceError(
-            "bad_request", places=[{"place": path, "fault": f"not JSON: {fault}"}]
+            "bad_request", places=[{"place": path, "fault": f"not JSON: {error}"}]
         ) from None
 
 
@@ -155,7 +155,7 @@
         application.add(command)
     try:
         code = application.run()
-    except CleoError as fault:
-        print(fault, file=sys.stderr)
+    except CleoError as error:
+        print(error, file=sys.stderr)
         code = INVALID
     sys.exit(code)
--- a/packages/wire/src/linkhaven/wire/event_loop.py
+++ b/packages/wire/src/linkhaven/wire/event_loop.py
@@ -70,17 +70,17 @@
 """Number of lines logged from the end of an exception's traceback."""
 
 NS_PER_US = 1_000
-GONE_CALLER = errno.ENOTCONN
+CALLER_GONE_ERRNO = errno.ENOTCONN
 
 
-def is_caller_gone(fault: BaseException) -> bool:
+def is_caller_gone(error: BaseException) -> bool:
     """Whether a request could not be read because its caller had already reset the connection.
 
     circuits.web looks up the peer's address when it creates the request, which fails with ENOTCONN
     after a reset. No work was started, and there is nobody to respond to.
     Test: `test_a_caller_reset_before_the_request_is_read_is_not_logged`.
     """
-    return isinstance(fault, OSError) and fault.errno == GONE_CALLER
+    return isinstance(error, OSError) and error.errno == CALLER_GONE_ERRNO
 
 
 def event_loop_options(settings: dict[str, Any]) -> dict[str, Any]:
@@ -132,7 +132,7 @@
         super().__init__()
         self.code = 0
         self.is_stopping = False
-        self.checked_us = 0
+        self.last_check_us = 0
         self.on_hangup = on_hangup
         self.http_servers: list[HttpServer] = []
         self.log: Any = log or make_log(name, level)
@@ -170,8 +170,8 @@
         """Listen for lines from other nodes; raises ServiceError `address_taken`."""
         try:
             server = LineServer(address, self._on_line, self.poller, self.timer)
-        except OSError as fault:
-            raise ServiceError("address_taken", lines=address, why=fault.strerror) from None
+        except OSError as error:
+            raise ServiceError("address_taken", lines=address, why=error.strerror) from None
         server.register(self)
         return server
 
@@ -184,8 +184,8 @@
         """Listen for callers' requests to the fleet; raises ServiceError `address_taken`."""
         try:
             server = HttpServer(address, on_call, limits, self.poller, self.timer)
-        except OSError as fault:
-            raise ServiceError("address_taken", http=address, why=fault.strerror) from None
+        except OSError as error:
+            raise ServiceError("address_taken", http=address, why=error.strerror) from None
         server.register(self)
         self.http_servers.append(server)
         return server
@@ -193,14 +193,14 @@
     def _add_api(self, address: str, body_bytes: int, connections: int) -> ApiServer:
         try:
             server = ApiServer(address, self._on_call, body_bytes, connections)
-        except OSError as fault:
-            raise ServiceError("address_taken", http=address, why=fault.strerror) from None
+        except OSError as error:
+            raise ServiceError("address_taken", http=address, why=error.strerror) from None
         server.register(self)
         return server
 
     def _on_tick(self) -> int:
         """Tick the node and the connections; returns the microseconds until the next tick."""
-        rest_us = self.node.tick() or 0
+        delay_us = self.node.tick() or 0
         now_us = self.timer.now_us()
         self.client.on_tick(now_us)
         for server in self.http_servers:
@@ -208,12 +208,12 @@
         if self.api_server is not None:
             self.api_server.wake_writers()
             self._close_idle(self.api_server, now_us)
-        return max(self.timer.tick_us, rest_us)
+        return max(self.timer.tick_us, delay_us)
 
     def _close_idle(self, api_server: ApiServer, now_us: int) -> None:
-        if now_us - self.checked_us < IDLE_CHECK_INTERVAL_US:
+        if now_us - self.last_check_us < IDLE_CHECK_INTERVAL_US:
             return
-        self.checked_us = now_us
+        self.last_check_us = now_us
         api_server.close_idle(now_us)
 
     def tick(self, timeout: float = -1) -> None:
@@ -227,8 +227,8 @@
         try:
             time_left = self.timer.turn()
         except Exception:
-            kind, fault, trace = sys.exc_info()
-            self.fire(exception(kind, fault, trace, handler=self.timer.turn, fevent=None))
+            kind, error, trace = sys.exc_info()
+            self.fire(exception(kind, error, trace, handler=self.timer.turn, fevent=None))
             return
         self.poller.turn(0 if self._queue else time_left)
 
@@ -236,7 +236,7 @@
         """Run until stopped by a signal or `stop`; returns the exit code."""
         facts = {"http": self._http_address()}
         self.log(1001, **facts)
-        self._take_signals()
+        self._handle_signals()
         self._tune_collector()
         self.run()
         self.log(1003)
@@ -248,7 +248,7 @@
             return f"{self.api_server.host}:{self.api_server.port}"
         return self.http_servers[0].address if self.http_servers else None
 
-    def _take_signals(self) -> None:
+    def _handle_signals(self) -> None:
         """Ignore SIGPIPE and handle SIGHUP; circuits itself handles SIGTERM and SIGINT."""
         signals.signal(signals.SIGPIPE, signals.SIG_IGN)
         if threading.current_thread() is threading.main_thread():
@@ -278,12 +278,12 @@
     def _on_exception(
         self,
         kind: type[BaseException],
-        fault: BaseException,
+        error: BaseException,
         trace: Any,
         handler: Any = None,
         fevent: Any = None,
     ) -> None:
-        if is_caller_gone(fault):
+        if is_caller_gone(error):
             return
         lines = [line.strip() for line in trace] if isinstance(trace, list) else [str(trace)]
-        self.log(1005, fault=f"{kind.__name__}: {fault}", trace=lines[-TRACE_LINES:])
+        self.log(1005, fault=f"{kind.__name__}: {error}", trace=lines[-TRACE_LINES:])
--- a/packages/wire/src/linkhaven/wire/exchange.py
+++ b/packages/wire/src/linkhaven/wire/exchange.py
@@ -22,7 +22,7 @@
 
 from .connection_pool import PooledConnection
 from .http_heads import HeaderFields, gather_headers
-from .request_writer import answer_parser, write_request
+from .request_writer import response_parser, write_request
 
 US_PER_S = 1_000_000
 
@@ -59,7 +59,7 @@
         "idle_us",
         "is_over",
         "is_reused",
-        "is_answered",
+        "has_received_bytes",
     )
 
     def __init__(
@@ -83,8 +83,8 @@
         self.connection: PooledConnection = None  # type: ignore[assignment]  # set by `begin`
         self.is_over = False
         self.is_reused = False
-        self.is_answered = False
-        self.parser = answer_parser(method)
+        self.has_received_bytes = False
+        self.parser = response_parser(method)
         self.request = write_request(method, path, host or address, headers, body, keeps_connection)
 
     def begin(self, connection: PooledConnection) -> None:
@@ -93,7 +93,7 @@
         self.is_reused = connection.is_used
         connection.serve(self, self.request)
 
-    def _begin_again(self) -> None:
+    def _retry(self) -> None:
         """Retry on another connection; no byte of the request has been sent."""
         connection = self.source.take_connection(self.address, True, None)
         assert connection is not None  # no max_connections was given
@@ -102,15 +102,15 @@
     def on_data(self, data: bytes) -> None:
         """Process received bytes."""
         if not self.connection.tcp.has_begun:
-            return self._leave_spoiled_connection()
-        self.is_answered = True
+            return self._on_unsolicited_bytes()
+        self.has_received_bytes = True
         try:
             self.parser.receive_data(data)
             self._read_events()
         except h11.RemoteProtocolError:
             self._fail(has_begun=True)
 
-    def _leave_spoiled_connection(self) -> None:
+    def _on_unsolicited_bytes(self) -> None:
         """Handle bytes that came before the request was sent: they answer an earlier request.
 
         The request is still unsent. On a reused connection it is retried on another one, on a new
@@ -123,7 +123,7 @@
         connection = self.connection
         connection.exchange = None
         connection.close()
-        self._begin_again()
+        self._retry()
 
     def _read_events(self) -> None:
         while not self.is_over:
@@ -175,13 +175,13 @@
         """Handle the connection's end: retry, complete a close-delimited response, or fail."""
         if self.is_over:
             return
-        if self.is_reused and not has_begun and not self.is_answered:
-            return self._begin_again()
-        if is_eof and self.is_answered:
+        if self.is_reused and not has_begun and not self.has_received_bytes:
+            return self._retry()
+        if is_eof and self.has_received_bytes:
             with contextlib.suppress(h11.RemoteProtocolError):
                 self.parser.receive_data(b"")
                 self._read_events()
-        self._fail(has_begun or self.is_answered)
+        self._fail(has_begun or self.has_received_bytes)
 
     def _fail(self, has_begun: bool) -> None:
         if self.is_over:
--- a/packages/wire/src/linkhaven/wire/http_server.py
+++ b/packages/wire/src/linkhaven/wire/http_server.py
@@ -43,7 +43,7 @@
         self.clock = clock
         self.is_closing = False
         self.connections: set[ServerConnection] = set()
-        self.checked_us = 0
+        self.last_check_us = 0
         self.listener = Listener(poller, clock, address, self._on_accept)
         self.address = self.listener.address
 
@@ -57,7 +57,7 @@
         idle = [connection for connection in self.connections if connection.may_be_evicted()]
         if not idle:
             return False
-        min(idle, key=lambda connection: connection.since_us).close()
+        min(idle, key=lambda connection: connection.waiting_since_us).close()
         return True
 
     def on_connection_closed(self, connection: ServerConnection) -> None:
@@ -70,8 +70,8 @@
 
     def on_tick(self, now_us: int) -> None:
         """Check connection time-outs, at most once per `CHECK_INTERVAL_US`."""
-        if now_us - self.checked_us < CHECK_INTERVAL_US:
+        if now_us - self.last_check_us < CHECK_INTERVAL_US:
             return
-        self.checked_us = now_us
+        self.last_check_us = now_us
         for connection in list(self.connections):
             connection.check_timeouts(now_us)
--- a/packages/wire/src/linkhaven/wire/line_client.py
+++ b/packages/wire/src/linkhaven/wire/line_client.py
@@ -45,7 +45,7 @@
 class LineClient:
     """The connection for lines to one address; lines that can't be sent are dropped."""
 
-    __slots__ = ("owner", "address", "tcp", "failed_us", "begun_us", "is_renewed")
+    __slots__ = ("owner", "address", "tcp", "failed_us", "connecting_since_us", "has_reconnected")
 
     def __init__(self, owner: LineClientOwner, address: str) -> None:
         """Create a client that connects when the first line is sent."""
@@ -53,8 +53,8 @@
         self.address = address
         self.tcp: TcpConnection | None = None
         self.failed_us: int | None = None
-        self.begun_us = 0
-        self.is_renewed = False
+        self.connecting_since_us = 0
+        self.has_reconnected = False
 
     def send(self, line: bytes) -> None:
         """Send or drop a line; starts connecting if there is no connection."""
@@ -63,14 +63,14 @@
             now_us = self.owner.clock.now_us()
             if self.failed_us is not None and now_us - self.failed_us < RECONNECT_US:
                 return
-            self.is_renewed = False
+            self.has_reconnected = False
             tcp = self._connect(now_us)
         if tcp.unsent_bytes > UNSENT_BYTES:
             return
         tcp.send(line)
 
     def _connect(self, now_us: int) -> TcpConnection:
-        self.begun_us = now_us
+        self.connecting_since_us = now_us
         tcp = self.tcp = TcpConnection(self.owner.poller, self._on_data, self._on_close)
         tcp.connect(self.address, self.owner.user_timeout_us)
         self.owner.call_later(tcp.on_connect_timeout, self.owner.connect_us)
@@ -93,13 +93,13 @@
         if (
             tcp is None
             or tcp.is_open
-            or self.is_renewed
-            or now_us - self.begun_us < CONNECT_STALL_US
+            or self.has_reconnected
+            or now_us - self.connecting_since_us < CONNECT_STALL_US
         ):
             return
         unsent_lines = list(tcp.unsent)
         tcp.close()
-        self.is_renewed = True
+        self.has_reconnected = True
         tcp = self._connect(now_us)
         for line in unsent_lines:
             tcp.send(bytes(line))
--- a/packages/wire/src/linkhaven/wire/listener.py
+++ b/packages/wire/src/linkhaven/wire/listener.py
@@ -67,8 +67,8 @@
                 sock, _ = self.sock.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return
-            except OSError as fault:
-                if fault.errno in OUT_OF_DESCRIPTORS:
+            except OSError as error:
+                if error.errno in OUT_OF_DESCRIPTORS:
                     self.poller.unwatch(self.fileno)
                     self.clock.call_in(OUT_OF_DESCRIPTORS_PAUSE_US, self._watch)
                 return
--- a/packages/wire/src/linkhaven/wire/log.py
+++ b/packages/wire/src/linkhaven/wire/log.py
@@ -39,7 +39,7 @@
         self.name = name
         self.logger = logging.Logger(f"linkhaven.{name}", LEVELS[level])
         self.wall_ns = wall_ns
-        self.stamped: tuple[int | None, str] = (None, "")
+        self.cached_stamp: tuple[int | None, str] = (None, "")
         self.writer = LogWriter(handler, queue_lines, self._describe_loss)
 
     def __call__(self, number: int, /, **facts: Any) -> None:
@@ -64,12 +64,12 @@
 
     def _stamp(self) -> str:
         """The current time in UTC; the part up to whole seconds is cached."""
-        second, rest_ns = divmod(self.wall_ns(), NS_PER_S)
-        stamped, text = self.stamped
-        if second != stamped:
+        second, fraction_ns = divmod(self.wall_ns(), NS_PER_S)
+        cached_second, text = self.cached_stamp
+        if second != cached_second:
             text = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(second))
-            self.stamped = (second, text)
-        return f"{text}.{rest_ns // NS_PER_US:06d}Z"
+            self.cached_stamp = (second, text)
+        return f"{text}.{fraction_ns // NS_PER_US:06d}Z"
 
     def _describe_loss(self, dropped: int, refused: int, reason: str | None) -> str:
         facts = {"dropped": dropped, "refused": refused, "reason": reason}
--- a/packages/wire/src/linkhaven/wire/log_files.py
+++ b/packages/wire/src/linkhaven/wire/log_files.py
@@ -32,7 +32,7 @@
     handler's lock at exit.
     """
 
-    is_line_torn = False
+    ends_mid_line = False
     terminator: str
     stream: Any
 
@@ -43,19 +43,19 @@
     def emit(self, record: LogRecord) -> None:
         """Write the record's message; raises WriteRefusedError if it was not written completely."""
         data = (self.format(record) + self.terminator).encode(errors="backslashreplace")
-        if self.is_line_torn:
+        if self.ends_mid_line:
             data = b"\n" + data
         written = 0
         try:
             self.reopen_if_needed()
             while written < len(data):
                 written += self._write_some(data[written:])
-        except (OSError, ValueError) as fault:
-            reason = getattr(fault, "strerror", None) or str(fault)
-            raise WriteRefusedError(self._count_lines(data[:written]), reason) from fault
+        except (OSError, ValueError) as error:
+            reason = getattr(error, "strerror", None) or str(error)
+            raise WriteRefusedError(self._count_lines(data[:written]), reason) from error
         finally:
             if written:
-                self.is_line_torn = data[written - 1 : written] != b"\n"
+                self.ends_mid_line = data[written - 1 : written] != b"\n"
 
     def _write_some(self, data: bytes) -> int:
         written: int | None = self.stream.write(data)
@@ -64,7 +64,7 @@
         return written
 
     def _count_lines(self, written: bytes) -> int:
-        return max(0, written.count(b"\n") - self.is_line_torn)
+        return max(0, written.count(b"\n") - self.ends_mid_line)
 
     def reopen_if_needed(self) -> None:
         """Reopen the stream before a write if necessary; by default it never is."""
@@ -77,10 +77,10 @@
         """Open the file; raises ServiceError `settings_invalid` if that fails."""
         try:
             super().__init__(path)
-        except OSError as fault:
+        except OSError as error:
             raise ServiceError(
                 "settings_invalid",
-                places=[{"place": "log/file", "fault": f"{path}: {fault.strerror}"}],
+                places=[{"place": "log/file", "fault": f"{path}: {error.strerror}"}],
             ) from None
 
     def _open(self) -> Any:
--- a/packages/wire/src/linkhaven/wire/log_writer.py
+++ b/packages/wire/src/linkhaven/wire/log_writer.py
@@ -84,9 +84,9 @@
         """Wait until the lines queued so far are written; returns False on a time-out."""
         if self.thread is None:
             return True
-        mark = threading.Event()
-        self.lines.put(mark)
-        return mark.wait(timeout_seconds)
+        flush_event = threading.Event()
+        self.lines.put(flush_event)
+        return flush_event.wait(timeout_seconds)
 
     def close(self, timeout_seconds: float = FLUSH_SECONDS) -> bool:
         """Flush, stop the thread and close the handler; returns False on a time-out.
@@ -107,12 +107,12 @@
         signal.pthread_sigmask(signal.SIG_BLOCK, LOOP_SIGNALS)
         is_ended = False
         while not is_ended:
-            batch, mark = self._take_batch()
+            batch, flush_event = self._take_batch()
             if batch:
                 self._write(batch)
-            if mark is not None:
+            if flush_event is not None:
                 is_ended = self.is_closed
-                mark.set()
+                flush_event.set()
 
     def _take_batch(self) -> tuple[list[str], threading.Event | None]:
         """Wait for queued lines; returns a batch, and the event of a flush if one follows it."""
--- a/packages/wire/src/linkhaven/wire/poller.py
+++ b/packages/wire/src/linkhaven/wire/poller.py
@@ -85,5 +85,5 @@
         try:
             callback(*arguments)
         except Exception:
-            kind, fault, trace = sys.exc_info()
-            self.fire(exception(kind, fault, trace, handler=callback, fevent=None))
+            kind, error, trace = sys.exc_info()
+            self.fire(exception(kind, error, trace, handler=callback, fevent=None))
--- a/packages/wire/src/linkhaven/wire/request_writer.py
+++ b/packages/wire/src/linkhaven/wire/request_writer.py
@@ -10,7 +10,7 @@
 METHODS_WITH_BODY = frozenset(("POST", "PUT", "PATCH"))
 METHODS = METHODS_WITH_BODY | {"GET", "HEAD", "DELETE", "OPTIONS"}
 
-KNOWN_REQUESTS: dict[str, h11.Request] = {}
+REQUEST_TEMPLATES: dict[str, h11.Request] = {}
 """By method, the h11 request that puts a response parser into the right state."""
 
 END_OF_REQUEST = h11.EndOfMessage()
@@ -38,16 +38,16 @@
     return write_head(f"{method} {path} HTTP/1.1", fields) + body
 
 
-def answer_parser(method: str) -> h11.Connection:
+def response_parser(method: str) -> h11.Connection:
     """Create a parser for the response to a request with this method.
 
     The request itself is encoded without h11, which is cheaper.
     """
-    request = KNOWN_REQUESTS.get(method)
+    request = REQUEST_TEMPLATES.get(method)
     if request is None:
         request = h11.Request(method=method, target="/", headers=[("host", "-")])
         if method in METHODS:
-            KNOWN_REQUESTS[method] = request
+            REQUEST_TEMPLATES[method] = request
     parser = h11.Connection(h11.CLIENT)
     parser.send(request)
     parser.send(END_OF_REQUEST)
--- a/packages/wire/src/linkhaven/wire/server_call.py
+++ b/packages/wire/src/linkhaven/wire/server_call.py
@@ -36,12 +36,12 @@
 
     tcp: TcpConnection
     is_http_1_0: bool
-    closes_after_answer: bool
+    closes_after_response: bool
 
     def connection_fields(self) -> Fields:
         """Return the `Connection` field of a response, if it needs one."""
 
-    def on_answered(self) -> None:
+    def on_response_sent(self) -> None:
         """Handle the end of a complete response."""
 
     def close(self, by_reset: bool = False) -> None:
@@ -76,7 +76,7 @@
     __slots__ = (
         "connection",
         "fields",
-        "awaits_room",
+        "awaits_writable",
         "has_no_body",
         "is_chunked",
         "bytes_left",
@@ -95,7 +95,7 @@
         super().__init__(method, path, headers, body)
         self.connection = connection
         self.fields = fields
-        self.awaits_room = False
+        self.awaits_writable = False
         self.has_no_body = method == "HEAD"
         self.is_chunked = False
         self.bytes_left: int | None = None
@@ -113,7 +113,7 @@
         data = write_status(status, fields + self.connection.connection_fields()) + body
         self.is_begun = self.is_ended = True
         self.connection.tcp.send(data)
-        self.connection.on_answered()
+        self.connection.on_response_sent()
 
     def _length_of(self, status: int, headers: HeaderFields, body: bytes) -> int | None:
         """The Content-Length of a complete response; None if it has none."""
@@ -143,7 +143,7 @@
         elif length is not None:
             self.bytes_left = length
         elif self.connection.is_http_1_0:
-            self.connection.closes_after_answer = True
+            self.connection.closes_after_response = True
         else:
             self.is_chunked = True
             fields.append(("transfer-encoding", "chunked"))
@@ -169,7 +169,7 @@
             tcp.send(data)
         if tcp.unsent_bytes <= HIGH_WATER_BYTES:
             return True
-        self.awaits_room = True
+        self.awaits_writable = True
         return False
 
     def finish(self) -> None:
@@ -181,7 +181,7 @@
         self.is_ended = True
         if self.is_chunked:
             self.connection.tcp.send(LAST_CHUNK)
-        self.connection.on_answered()
+        self.connection.on_response_sent()
 
     def cut(self) -> None:
         """Abort the response so that the caller sees it as incomplete.
@@ -196,8 +196,8 @@
 
     def on_bytes_sent(self, unsent_bytes: int) -> None:
         """Call `on_writable` for a waiting writer once fewer than `LOW_WATER_BYTES` are unsent."""
-        if not self.awaits_room or self.is_ended or unsent_bytes >= LOW_WATER_BYTES:
+        if not self.awaits_writable or self.is_ended or unsent_bytes >= LOW_WATER_BYTES:
             return
-        self.awaits_room = False
+        self.awaits_writable = False
         if self.on_writable:
             self.on_writable()
--- a/packages/wire/src/linkhaven/wire/server_connection.py
+++ b/packages/wire/src/linkhaven/wire/server_connection.py
@@ -61,9 +61,9 @@
         "reader",
         "call",
         "unread",
-        "since_us",
+        "waiting_since_us",
         "idle_limit_us",
-        "closes_after_answer",
+        "closes_after_response",
         "is_http_1_0",
         "is_closing",
         "is_lingering",
@@ -75,7 +75,7 @@
         self.server = server
         self.unread = b""
         self.call: ServerCall | None = None
-        self.closes_after_answer = False
+        self.closes_after_response = False
         self.is_http_1_0 = False
         self.is_closing = False
         self.is_lingering = False
@@ -86,13 +86,13 @@
     def _await_request(self) -> None:
         self.reader = RequestReader()
         self.has_sent_continue = False
-        self.since_us = self.server.clock.now_us()
+        self.waiting_since_us = self.server.clock.now_us()
         self.idle_limit_us = self.server.limits.idle_us
 
     def connection_fields(self) -> Fields:
         """Return the `Connection` field of a response, if it needs one."""
-        self.closes_after_answer = self.closes_after_answer or self.server.is_closing
-        return [("connection", "close")] if self.closes_after_answer else []
+        self.closes_after_response = self.closes_after_response or self.server.is_closing
+        return [("connection", "close")] if self.closes_after_response else []
 
     def _on_data(self, data: bytes) -> None:
         if self.is_closing:
@@ -112,7 +112,7 @@
         if request is not None:
             return self._on_request(request)
         if self.reader.has_head or self.reader.has_begun != had_begun:
-            self.since_us = self.server.clock.now_us()
+            self.waiting_since_us = self.server.clock.now_us()
         if not self.has_sent_continue and self.reader.awaits_continue():
             self.has_sent_continue = True
             self.tcp.send(CONTINUE)
@@ -120,7 +120,7 @@
     def _on_request(self, request: ReceivedRequest) -> None:
         self.unread = request.unread
         self.is_http_1_0 = request.is_http_1_0
-        self.closes_after_answer = request.closes
+        self.closes_after_response = request.closes
         call = self.call = ServerCall(
             self, request.method, request.target, request.headers, request.fields, request.body
         )
@@ -130,12 +130,12 @@
             call.cut()
             raise
 
-    def on_answered(self) -> None:
+    def on_response_sent(self) -> None:
         """Handle the end of a complete response: close, or continue with the next request."""
         self.call = None
-        if self.closes_after_answer:
+        if self.closes_after_response:
             self.is_closing = True
-            self.since_us = self.server.clock.now_us()
+            self.waiting_since_us = self.server.clock.now_us()
             if not self.tcp.unsent_bytes:
                 self.server.poller.call_soon(self._on_sent)
             return
@@ -169,7 +169,7 @@
         has_no_body = self.reader.is_head_request()
         self.reader.drop()
         self.is_closing = self.is_lingering = True
-        self.since_us = self.server.clock.now_us()
+        self.waiting_since_us = self.server.clock.now_us()
         self.tcp.send(head if has_no_body else head + body)
 
     def _on_sent(self) -> None:
@@ -178,7 +178,7 @@
         if self.call is not None:
             return self.call.on_bytes_sent(self.tcp.unsent_bytes)
         if not self.reader.has_begun:
-            self.since_us = self.server.clock.now_us()
+            self.waiting_since_us = self.server.clock.now_us()
         if not self.is_closing or self.tcp.unsent_bytes:
             return
         if not self.is_lingering and not self.unread:
@@ -212,7 +212,7 @@
         """
         if self.call is not None:
             return
-        limits, spent_us = self.server.limits, now_us - self.since_us
+        limits, spent_us = self.server.limits, now_us - self.waiting_since_us
         if self.is_closing:
             if spent_us > (limits.idle_us if self.tcp.unsent_bytes else LINGER_US):
                 self.close()
--- a/packages/wire/src/linkhaven/wire/settings.py
+++ b/packages/wire/src/linkhaven/wire/settings.py
@@ -133,9 +133,9 @@
     """
     try:
         settings: dict[str, Any] = SETTINGS[program].check(document)
-    except t.DataError as fault:
+    except t.DataError as error:
         raise ServiceError(
-            "settings_invalid", places=sorted(list_places(fault), key=lambda place: place["place"])
+            "settings_invalid", places=sorted(list_places(error), key=lambda place: place["place"])
         ) from None
     if settings["lines"] == settings["http"]:
         raise invalid_setting("http", "is the same address as lines")
@@ -150,10 +150,10 @@
     try:
         with open(path, encoding="utf-8") as file:
             document = yaml.safe_load(file)
-    except OSError as fault:
-        raise invalid_setting(path, fault.strerror) from None
-    except yaml.YAMLError as fault:
-        raise invalid_setting(path, f"not YAML or JSON: {' '.join(str(fault).split())}") from None
+    except OSError as error:
+        raise invalid_setting(path, error.strerror) from None
+    except yaml.YAMLError as error:
+        raise invalid_setting(path, f"not YAML or JSON: {' '.join(str(error).split())}") from None
     if not isinstance(document, dict):
         raise invalid_setting(path, "is not a mapping of keys")
     return document
--- a/packages/wire/src/linkhaven/wire/timer.py
+++ b/packages/wire/src/linkhaven/wire/timer.py
@@ -72,6 +72,6 @@
             heapq.heappop(self.timers)[2]()
         if now_us >= self.due_us:
             self.due_us = now_us + self.tick_us
-            rest_us = self.on_tick()
-            if rest_us is not None:
-                self.due_us = now_us + rest_us
+            delay_us = self.on_tick()
+            if delay_us is not None:
+                self.due_us = now_us + delay_us
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -396,7 +396,7 @@
     def on_close(self, has_begun, is_eof):
         if not self.is_over:
             self.close()
-            self.handler.on_end() if self.is_answered else self.handler.on_error(has_begun)
+            self.handler.on_end() if self.has_received_bytes else self.handler.on_error(has_begun)
 
     monkeypatch.setattr(exchange.Exchange, "on_close", on_close)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -561,8 +561,8 @@
         harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
     )
     call = harness.wait_for_calls(1)
-    checked_us = server.checked_us
-    harness.run_until(lambda: server.checked_us > checked_us + 400_000)
+    last_check_us = server.last_check_us
+    harness.run_until(lambda: server.last_check_us > last_check_us + 400_000)
     call.answer(200, {}, b"late")
     harness.run_until(lambda: received.poll() or b"late" in received.data)
     assert read_responses(received.data) == [(200, b"late")]
