--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -51,7 +51,7 @@
             is_queued = request.state == states.QUEUED
             may_be_sent = request.has_begun or request.attempts > 0
             error = (
-                ServiceError("runner_lost", why="an exception while the attempt was started")
+                ServiceError("runner_lost", why="a fault at its start")
                 if may_be_sent
                 else ServiceError("no_runner", retry_us=self.node.bounds.retry_least_us)
             )
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -75,7 +75,7 @@
             raise ServiceError(
                 "claim_unavailable",
                 retry_us=self._retry_after_us(),
-                why="this router holds as many keys as the configuration permits",
+                why="this router keeps as many keys as the plan allows",
             )
 
         def step(value):
--- a/packages/router/src/linkhaven/router/relay.py
+++ b/packages/router/src/linkhaven/router/relay.py
@@ -55,7 +55,7 @@
             request.head = head
         is_same_run = request.run == run or self.attempts.runner_client.allows_run_change
         if not run or not is_same_run or after != request.written:
-            self._end_broken("the stream begins at another run or piece than requested")
+            self._end_broken("another run or place than asked for")
 
     def _end_broken(self, why):
         self.request.runner_call.abandon()
@@ -67,7 +67,7 @@
             return
         request, node = self.request, self.attempts.node
         if not self.attempts.runner_client.follows(request, piece):
-            return self._end_broken("a gap, a repeated piece or another run")
+            return self._end_broken("a gap, a repeat or a foreign run")
         now_us = node.now_us()
         request.progress_us = now_us
         self.attempts.roster.note_alive(self.runner)
@@ -78,7 +78,7 @@
         )
         tokens = piece.document.get("tokens", 1)
         if not isinstance(tokens, int) or tokens < 0:
-            return self._end_broken("a piece without a valid token count")
+            return self._end_broken("a piece without its tokens")
         self.attempts.placement.grow_decode(self.runner, self.attempt, tokens)
         node.relay_piece(request, piece, tokens, now_us)
 
@@ -87,7 +87,7 @@
         if self.is_over():
             return
         if piece is not None and piece.document.get("count") != self.request.written:
-            return self._end_broken("the final count differs from the pieces")
+            return self._end_broken("an end that does not count the pieces")
         self.attempts.leave_runner(self.request)
         self.attempts.node.end_done(self.request)
 
--- a/packages/router/src/linkhaven/router/silence.py
+++ b/packages/router/src/linkhaven/router/silence.py
@@ -39,14 +39,14 @@
         Reports the runner of a stalled attempt to the roster as unresponsive.
         """
         if self._should_fail_over(request, now_us):
-            return "its runner is unresponsive"
+            return "its runner is dark"
         if request.state == states.DECODING and self._is_decode_stalled(request, now_us):
             self.attempts.roster.note_unresponsive(request.runner)
             return "no progress"
         is_reading = request.state == states.READING and not request.parked
         if is_reading and self._is_prefill_stalled(request, now_us):
             self.attempts.roster.note_unresponsive(request.runner)
-            return "no answer to the prefill"
+            return "no answer to the read"
         return None
 
     def _waiting_since_us(self, now_us):
