--- a/packages/configuration/src/linkhaven/configuration/snapshot.py
+++ b/packages/configuration/src/linkhaven/configuration/snapshot.py
@@ -14,7 +14,7 @@
     takes it from its register again, a router from the replicas.
     """
 
-    __slots__ = ("version", "value", "configuration", "highest_version", "on_new")
+    __slots__ = ("version", "value", "configuration", "highest_version", "change_listeners")
 
     def __init__(self) -> None:
         """Nothing is in force yet."""
@@ -22,7 +22,7 @@
         self.value: Record | None = None
         self.configuration: Configuration | None = None
         self.highest_version = 0
-        self.on_new: list[Callable[[], None]] = []
+        self.change_listeners: list[Callable[[], None]] = []
 
     @property
     def is_behind(self) -> bool:
@@ -52,6 +52,6 @@
         self.version = version_of(record)
         self.value = record
         self.highest_version = self.version
-        for notify in self.on_new:
+        for notify in self.change_listeners:
             notify()
         return True
--- a/packages/credit/src/linkhaven/credit/quota_owner.py
+++ b/packages/credit/src/linkhaven/credit/quota_owner.py
@@ -61,7 +61,7 @@
         self.won_us: dict[int, int] = {}
         self.life_us = slice_life_us(node.bounds)
         node.register_handler(QuotaRequest, self.on_quota_request)
-        snapshot.on_new.append(self.apply_configuration)
+        snapshot.change_listeners.append(self.apply_configuration)
 
     # shards
 
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -198,7 +198,7 @@
         self.queue_limits_us = {}
         self.typical_tokens = {}
         self.on_end = []
-        self.snapshot.on_new.append(self._apply_configuration)
+        self.snapshot.change_listeners.append(self._apply_configuration)
         self.roster.on_new.append(self.wake_queue)
         self.map_handlers["want_image"] = self._on_configuration_request
         self.systems += [
--- a/packages/stage/src/linkhaven/stage/quota_costs.py
+++ b/packages/stage/src/linkhaven/stage/quota_costs.py
@@ -111,7 +111,7 @@
         self.owner = self._node("core-1", "10.0.0.1:7000", self.owner_lines)
         shards = SoleOwner()
         configuration: Any = SimpleNamespace(tenants={TENANT: UNBOUNDED})
-        snapshot: Any = SimpleNamespace(configuration=configuration, version=1, on_new=[])
+        snapshot: Any = SimpleNamespace(configuration=configuration, version=1, change_listeners=[])
         QuotaOwner(self.owner, shards, snapshot).on_shard_won(0)
         first_number = int(time.time() * 1_000_000)
         self.quotas = TenantQuotas(
--- a/packages/stage/src/linkhaven/stage/soak/sabotage.py
+++ b/packages/stage/src/linkhaven/stage/soak/sabotage.py
@@ -72,7 +72,7 @@
         self.value, self.version = record, record["mark"]
         self.highest_version = record["mark"]
         self.configuration = decode_configuration(record["plan"])
-        for notify in self.on_new:
+        for notify in self.change_listeners:
             notify()
         return True
 
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -30,12 +30,12 @@
     def __init__(self, tenants):
         self.version = 1
         self.configuration = SimpleNamespace(tenants=tenants)
-        self.on_new = []
+        self.change_listeners = []
 
     def take(self, tenants):
         self.version += 1
         self.configuration = SimpleNamespace(tenants=tenants)
-        for notify in self.on_new:
+        for notify in self.change_listeners:
             notify()
 
 
@@ -138,7 +138,9 @@
             self, fleet, NUM_SHARDS, first_number, self.send_to_runner, self.refuse
         )
         self.quotas.apply_configuration(snapshot.configuration)
-        snapshot.on_new.append(lambda: self.quotas.apply_configuration(snapshot.configuration))
+        snapshot.change_listeners.append(
+            lambda: self.quotas.apply_configuration(snapshot.configuration)
+        )
 
     def serve_tenant(self, tenant):
         self.serial += 1
--- a/tests/test_revoked_keys.py
+++ b/tests/test_revoked_keys.py
@@ -165,7 +165,7 @@
         for runner in world.node.roster.runners.values():
             runner.is_switching = False
 
-    world.node.snapshot.on_new.insert(0, open_runners)
+    world.node.snapshot.change_listeners.insert(0, open_runners)
     world.put(REVOKED)
     assert [call.status for call in calls] == [401] * 3
     assert world.sent == []
