--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -110,7 +110,7 @@
     def on_watch_request(self, message: Sections) -> None:
         """Take the sections of a request, as soon as it comes."""
 
-    def add_watch_facts(self, request: Sections, response: Sections) -> None:
+    def add_watch_sections(self, request: Sections, response: Sections) -> None:
         """Add sections to a response."""
 
     def is_watch_urgent(self, request: Sections) -> bool:
@@ -281,7 +281,7 @@
         )
         if is_current and record and version_of(record) > request.version:
             self._add_document(request, record, response)
-        self.sections.add_watch_facts(poll.message, response)
+        self.sections.add_watch_sections(poll.message, response)
         self.node.send_untyped(request.reply_to, WATCH_RESPONSE, **response)
 
     def _add_document(self, request: WatchRequest, record: Record, response: Sections) -> None:
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -83,7 +83,7 @@
 class WatcherSections(Protocol):
     """The other parts of a router that talk with the core inside of watch messages."""
 
-    def add_watch_facts(self, request: Sections, replica_id: str) -> None:
+    def add_watch_sections(self, request: Sections, replica_id: str) -> None:
         """Add sections to a poll of a replica."""
 
     def is_short_of_shares(self) -> bool:
@@ -226,7 +226,7 @@
         if wants_document and self.missing is not None:
             self.missing.tried.add(replica_id)
         fields = self._request_fields(poll, wants_document)
-        self.sections.add_watch_facts(fields, replica_id)
+        self.sections.add_watch_sections(fields, replica_id)
         self.node.send_untyped(destination[0], WATCH_REQUEST, **fields)
 
     def _request_fields(self, poll: ReplicaPoll, wants_document: bool) -> Sections:
--- a/packages/controller/src/linkhaven/controller/figure_relay.py
+++ b/packages/controller/src/linkhaven/controller/figure_relay.py
@@ -35,7 +35,7 @@
         if self.field in message:
             self._replace(message["name"], message[self.field])
 
-    def add_watch_facts(self, request: dict[str, Any], response: dict[str, Any]) -> None:
+    def add_watch_sections(self, request: dict[str, Any], response: dict[str, Any]) -> None:
         """Add the sums of the other routers' rows, if this router reported its own."""
         if self.field in request:
             response[self.field] = self.of_others(request["name"])
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -308,7 +308,7 @@
             self.group_usage.on_watch_request,
         ]
         self.watch_contributors = [
-            self.publisher.add_watch_facts,
+            self.publisher.add_watch_sections,
             self.quota_allocator.add_shares,
         ]
 
@@ -317,7 +317,7 @@
         for listener in self.watch_listeners:
             listener(message)
 
-    def add_watch_facts(self, request: dict[str, Any], response: dict[str, Any]) -> None:
+    def add_watch_sections(self, request: dict[str, Any], response: dict[str, Any]) -> None:
         """Let each contributor add its section to the response to a watch request."""
         for contributor in self.watch_contributors:
             contributor(request, response)
--- a/packages/controller/src/linkhaven/controller/role_orders.py
+++ b/packages/controller/src/linkhaven/controller/role_orders.py
@@ -137,7 +137,7 @@
         """The changes in flight in one pool."""
         return [change for change in self.changes.values() if change.pool == pool]
 
-    def add_watch_facts(self, response: dict[str, Any]) -> None:
+    def add_watch_sections(self, response: dict[str, Any]) -> None:
         """Add the runners that are changing or have just changed to a watch response."""
         if self.lease.is_held():
             response[ROLE_BALANCER] = {
--- a/packages/controller/src/linkhaven/controller/runner_list_publisher.py
+++ b/packages/controller/src/linkhaven/controller/runner_list_publisher.py
@@ -44,18 +44,18 @@
         self.balancer = balancer
         self.relays = relays
 
-    def add_watch_facts(self, request: dict[str, Any], response: dict[str, Any]) -> None:
+    def add_watch_sections(self, request: dict[str, Any], response: dict[str, Any]) -> None:
         """Add the list or its changes if this node publishes it, and the role changes."""
         rank = self._rank()
         if rank is not None and self.discovery.is_ready():
             known_rank, known_serial = request.get(RUNNER_LIST) or (None, None)
             for relay in self.relays:
-                relay.add_watch_facts(request, response)
+                relay.add_watch_sections(request, response)
             response[RUNNER_LIST] = {
                 "fence": rank,
                 **self.discovery.document(known_serial if known_rank == rank else None),
             }
-        self.balancer.orders.add_watch_facts(response)
+        self.balancer.orders.add_watch_sections(response)
 
     def is_urgent(self, request: dict[str, Any]) -> bool:
         """Whether the router hasn't yet received some change of roles or of the runner list."""
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -279,7 +279,7 @@
         """Whether requests or retries here wait for a larger share of their allowance."""
         return self.retry_budget.was_refused_recently() or self.admission.is_waiting()
 
-    def add_watch_facts(self, facts, seat):
+    def add_watch_sections(self, facts, seat):
         """Add this router's reports to a watch request to the replica at `seat`.
 
         Demand, usage and load are reported only to the replicas whose singleton roles use them.
