--- a/packages/configuration/src/linkhaven/configuration/long_poll.py
+++ b/packages/configuration/src/linkhaven/configuration/long_poll.py
@@ -77,15 +77,15 @@
             limits_us.append(bounds.plan_stale_us // 3)
         return max(bounds.news_hold_us, min(limits_us))
 
-    def hold_us(self, replica_id: str, is_short_of_shares: bool, now_us: int) -> int:
+    def hold_us(self, replica_id: str, needs_larger_share: bool, now_us: int) -> int:
         """Return the hold of the next poll of a replica.
 
-        `is_short_of_shares`: this router waits for a larger share than it has.
+        `needs_larger_share`: this router waits for a larger share than it has.
         """
         longest_us = self.longest_us()
         if longest_us == self.bounds.news_hold_us:
             return longest_us
-        if is_short_of_shares and self.is_sender(replica_id, SHARES, now_us):
+        if needs_larger_share and self.is_sender(replica_id, SHARES, now_us):
             return self.bounds.news_hold_us
         if self.is_sender(replica_id, RUNNER_LIST, now_us):
             return max(self.bounds.news_hold_us, longest_us // 2)
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -86,7 +86,7 @@
     def add_watch_sections(self, request: Sections, replica_id: str) -> None:
         """Add sections to a poll of a replica."""
 
-    def is_short_of_shares(self) -> bool:
+    def needs_larger_share(self) -> bool:
         """Whether this router waits for a larger share than it has."""
 
     def on_watch_response(self, response: Sections, sent_us: int) -> None:
@@ -219,7 +219,7 @@
         poll.request_id = f"{self.serial}"
         poll.sent_us = now_us
         poll.destination = destination
-        is_short = self.sections.is_short_of_shares()
+        is_short = self.sections.needs_larger_share()
         poll.hold_us = self.hold.hold_us(replica_id, is_short, now_us)
         if wants_document is None:
             wants_document = self._is_source(replica_id, now_us)
@@ -266,7 +266,7 @@
 
     def on_tick(self, now_us: int) -> None:
         """Poll again where a response is overdue, and elsewhere for a document that is missing."""
-        is_short = self.sections.is_short_of_shares()
+        is_short = self.sections.needs_larger_share()
         for replica_id, destination in self.directory.replicas().items():
             poll = self.polls.get(replica_id)
             if poll is None or self._is_due(replica_id, poll, destination, is_short, now_us):
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -275,7 +275,7 @@
     def _count_routers(self):
         return 1 + len(self.membership.live_members("router"))
 
-    def is_short_of_shares(self):
+    def needs_larger_share(self):
         """Whether requests or retries here wait for a larger share of their allowance."""
         return self.retry_budget.was_refused_recently() or self.admission.is_waiting()
 
