--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -24,8 +24,8 @@
     digests_of,
     document_digest_of,
     document_of,
+    expanded_record,
     has_blobs,
-    opened_record,
     source_digest_of,
     source_text_of,
     with_document,
@@ -160,9 +160,9 @@
         digest = source_digest_of(record)
         return None if digest is None else self.text_of(digest)
 
-    def opened(self, record: Record) -> dict:
+    def expanded(self, record: Record) -> dict:
         """Return the record with both parts in it. They must be here."""
-        return opened_record(record, self.document_of(record), self.source_text_of(record))
+        return expanded_record(record, self.document_of(record), self.source_text_of(record))
 
     def with_document(self, record: Record) -> dict:
         """Return the record with its document in it, as a snapshot takes it. It must be here."""
--- a/packages/configuration/src/linkhaven/configuration/commands.py
+++ b/packages/configuration/src/linkhaven/configuration/commands.py
@@ -134,12 +134,12 @@
 
 
 def _revised(record: Record, document: dict) -> Contents:
-    """Return the contents of an opened record with its document changed, and all else as it is."""
+    """Return the contents of an expanded record with another document, and all else unchanged."""
     return Contents(document, source_text_of(record), revision_of(record), overlay_of(record))
 
 
-def _opened(record: Record | None, reader: RecordReader) -> Record:
-    return reader.opened(record) if record else {}
+def _expanded(record: Record | None, reader: RecordReader) -> Record:
+    return reader.expanded(record) if record else {}
 
 
 class ConfigurationCommands:
@@ -204,14 +204,14 @@
         patch = read_mapping_patch(command)
 
         def make(record: Record | None, reader: RecordReader) -> Contents:
-            opened = _opened(record, reader)
-            if source_text_of(opened) is not None:
+            expanded = _expanded(record, reader)
+            if source_text_of(expanded) is not None:
                 raise document_invalid_at(".", "came as a document; its sender changes it by name")
-            if not opened:
+            if not expanded:
                 raise ServiceError("plan_absent")
-            document = apply_to_mappings(document_of(opened), patch, PATCHED_SECTIONS)
+            document = apply_to_mappings(document_of(expanded), patch, PATCHED_SECTIONS)
             decode_configuration(document)
-            return _revised(opened, document)
+            return _revised(expanded, document)
 
         self._commit(call, command, make, command)
 
@@ -220,15 +220,15 @@
         command = check_document(item.schema, read_json(call.body))
 
         def make(record: Record | None, reader: RecordReader) -> Contents:
-            opened = _opened(record, reader)
-            if source_text_of(opened) is not None:
-                contents = _revised(opened, document_of(opened))
+            expanded = _expanded(record, reader)
+            if source_text_of(expanded) is not None:
+                contents = _revised(expanded, document_of(expanded))
                 overlay = overlay_of(record)
                 contents.overlay = item.edit_overlay(contents.document, overlay, name, command)
                 return contents
-            document = item.edit_document(document_of(opened) if opened else {}, name, command)
+            document = item.edit_document(document_of(expanded) if expanded else {}, name, command)
             decode_configuration(document)
-            return _revised(opened, document)
+            return _revised(expanded, document)
 
         self._commit(call, command, make, command)
 
--- a/packages/configuration/src/linkhaven/configuration/records.py
+++ b/packages/configuration/src/linkhaven/configuration/records.py
@@ -12,7 +12,7 @@
 | `bodies` | the digests of the blobs: of the document and, where there is one, the source text |
 | `overlay` | what our own commands changed beside a source text (`overlay.py`) |
 | `taken` | the newest committed updates (`history.py`) |
-| `plan`, `document` | the document and the source text themselves: in an opened record |
+| `plan`, `document` | the document and the source text themselves: in an expanded record |
 
 A record that was written before blobs stood apart has no `bodies`, and its parts in it.
 
@@ -33,7 +33,7 @@
 """The names of a record's blobs."""
 
 SHOWN_FIELDS = ("mark", "put_id", "plan", "document", "revision", "overlay")
-"""What `GET /v1/plan` shows of an opened record; its history and digests stay inside."""
+"""What `GET /v1/plan` shows of an expanded record; its history and digests stay inside."""
 
 SOURCE_TEXT, TENANTS = "document", "tenants"
 """What an operator's text is called in a record, and the tenants in a document."""
@@ -99,12 +99,12 @@
 
 
 def document_of(record: Record) -> dict:
-    """Return the document of an opened record, or of one that holds its parts."""
+    """Return the document of an expanded record, or of one that holds its parts."""
     return record["plan"]
 
 
 def source_text_of(record: Record) -> str | None:
-    """Return the source text of an opened record, or of one that holds its parts."""
+    """Return the source text of an expanded record, or of one that holds its parts."""
     return record.get("document")
 
 
@@ -118,7 +118,7 @@
     return {name: record[name] for name in record if name != "plan"}
 
 
-def opened_record(record: Record, document: dict, source_text: str | None) -> dict[str, Any]:
+def expanded_record(record: Record, document: dict, source_text: str | None) -> dict[str, Any]:
     """Return the record with both parts in it."""
     return {**record, "plan": document, "document": source_text}
 
@@ -160,7 +160,7 @@
 
 
 def shown_record(record: Record, effective_document: dict) -> dict[str, Any]:
-    """Return what operators are shown of an opened record, with the overlay applied.
+    """Return what operators are shown of an expanded record, with the overlay applied.
 
     A source text with tenants has their API keys in it, and is shown to its sender only.
     """
--- a/packages/configuration/src/linkhaven/configuration/store.py
+++ b/packages/configuration/src/linkhaven/configuration/store.py
@@ -78,7 +78,7 @@
     def source_text_of(self, record: Record) -> str | None:
         """Return the source text of a record whose blobs are here."""
 
-    def opened(self, record: Record) -> dict:
+    def expanded(self, record: Record) -> dict:
         """Return the record with both parts in it."""
 
     def with_document(self, record: Record) -> dict:
@@ -218,7 +218,7 @@
         self.snapshot = snapshot
 
     def read_record(self, on_result: ReadDone) -> None:
-        """Call `on_result(error, record)` with the opened record that a majority has accepted.
+        """Call `on_result(error, record)` with the expanded record that a majority has accepted.
 
         The record is None before the first update. One whose blobs can't be had is an error: it is
         never shown in part.
@@ -236,7 +236,7 @@
             if not has_all:
                 return on_result(missing_blobs_error(), None)
             self.publish(record)
-            on_result(None, self.blobs.opened(record))
+            on_result(None, self.blobs.expanded(record))
 
         self.proposer.read(REGISTER_KEY, on_read)
 
--- a/packages/configuration/src/linkhaven/configuration/updates.py
+++ b/packages/configuration/src/linkhaven/configuration/updates.py
@@ -32,7 +32,7 @@
     def source_text_of(self, record: Record) -> str | None:
         """Return the source text of a record, None where it has none."""
 
-    def opened(self, record: Record) -> dict:
+    def expanded(self, record: Record) -> dict:
         """Return the record with both parts in it."""
 
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -93,7 +93,7 @@
 
     def read(self, done):
         value = self.blobs.replica.register_state("plan").value
-        done(None, self.blobs.opened(value) if value else None)
+        done(None, self.blobs.expanded(value) if value else None)
 
     monkeypatch.setattr(ConfigurationStore, "read_record", read)
 
