--- a/packages/configuration/src/linkhaven/configuration/blob_exchange.py
+++ b/packages/configuration/src/linkhaven/configuration/blob_exchange.py
@@ -76,7 +76,7 @@
 
         `hint` is the address of a node that likely has them.
         """
-        missing = [digest for digest in digests if not self.blobs.is_here(digest)]
+        missing = [digest for digest in digests if not self.blobs.has_blob(digest)]
         if not missing:
             return resume()
         now_us = self.node.now_us()
@@ -131,14 +131,14 @@
         """Keep the blobs, and resume what waited for them."""
         for digest, packed in message.blobs.items():
             self.blobs.take(digest, packed)
-        for operation in self.pending.take_ready(self.blobs.is_here):
+        for operation in self.pending.take_ready(self.blobs.has_blob):
             operation.resume()
 
     def on_tick(self, now_us: int) -> None:
         """Give up what waited too long, and ask again for what is needed still."""
         accepted = self.blobs.accepted_digests()
         for digest in accepted:
-            if not self.blobs.is_here(digest):
+            if not self.blobs.has_blob(digest):
                 self.pending.want(digest)
         for operation in self.pending.take_late(now_us):
             operation.give_up()
--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -125,7 +125,7 @@
 
     # reading records
 
-    def is_here(self, digest: str) -> bool:
+    def has_blob(self, digest: str) -> bool:
         """Whether a blob is in memory."""
         return digest in self.packed
 
--- a/packages/configuration/src/linkhaven/configuration/pending_blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/pending_blobs.py
@@ -71,9 +71,9 @@
         """Return all blobs that operations wait for, also those of them that are here."""
         return {digest for operation in self.operations for digest in operation.digests}
 
-    def take_ready(self, is_here: Callable[[str], bool]) -> list[PendingOperation]:
+    def take_ready(self, has_blob: Callable[[str], bool]) -> list[PendingOperation]:
         """Return the operations whose blobs are all here; they wait no more."""
-        ready = [one for one in self.operations if all(map(is_here, one.digests))]
+        ready = [one for one in self.operations if all(map(has_blob, one.digests))]
         self.operations = [one for one in self.operations if one not in ready]
         return ready
 
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -301,7 +301,7 @@
 
     def _packed_changes(self, base: str, digest: str) -> str | None:
         """Return the packed changes between two documents, None where the whole is no longer."""
-        if not self.blobs.is_here(base):
+        if not self.blobs.has_blob(base):
             return None
         key = (base, digest)
         if key not in self.changes:
