--- a/packages/configuration/src/linkhaven/configuration/__init__.py
+++ b/packages/configuration/src/linkhaven/configuration/__init__.py
@@ -25,7 +25,7 @@
     RequestKind,
     RetryBudgetSettings,
     Tenant,
-    write_record,
+    record_to_dict,
 )
 from .document_diff import diff_documents
 from .overlay import apply_overlay, effective_configuration
@@ -67,5 +67,5 @@
     "decode_configuration",
     "apply_overlay",
     "write_document",
-    "write_record",
+    "record_to_dict",
 ]
--- a/packages/configuration/src/linkhaven/configuration/document.py
+++ b/packages/configuration/src/linkhaven/configuration/document.py
@@ -278,6 +278,6 @@
         return tenant.priority
 
 
-def write_record(record: msgspec.Struct) -> dict[str, Any]:
+def record_to_dict(record: msgspec.Struct) -> dict[str, Any]:
     """Return a record under the document's names, with what the document omitted."""
     return msgspec.to_builtins(record)
--- a/packages/controller/src/linkhaven/controller/group_usage.py
+++ b/packages/controller/src/linkhaven/controller/group_usage.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from linkhaven.api import ServiceError
-from linkhaven.configuration import ConfigurationSnapshot, ConfigurationStore, write_record
+from linkhaven.configuration import ConfigurationSnapshot, ConfigurationStore, record_to_dict
 from linkhaven.consensus import Replica
 from linkhaven.runtime import Node
 
@@ -75,7 +75,7 @@
         usages = [usage for usage, at_us in self.reports.values() if not self._is_old(at_us)]
         groups = {
             name: {
-                **write_record(group),
+                **record_to_dict(group),
                 "kinds": sorted(
                     kind for kind, of in configuration.kinds.items() if of.group == name
                 ),
--- a/tests/test_configuration_records.py
+++ b/tests/test_configuration_records.py
@@ -7,7 +7,7 @@
 import trafaret as t
 
 from linkhaven.api import ServiceError
-from linkhaven.configuration import decode_configuration, document, schema, write_record
+from linkhaven.configuration import decode_configuration, document, record_to_dict, schema
 
 KIND = {"group": "g", "ttft_us": 2, "tpot_us": 1, "deadline_us": 3}
 DOCUMENT = {"groups": {"g": {}}, "kinds": {"k": KIND}, "pools": {"p": {}}}
@@ -107,7 +107,7 @@
 
 
 def test_what_a_document_omits_has_its_default():
-    written = write_record(decode_configuration(DOCUMENT))
+    written = record_to_dict(decode_configuration(DOCUMENT))
     assert json.loads(json.dumps(written)) == DEFAULTS
 
 
@@ -121,7 +121,7 @@
 @pytest.mark.parametrize("weight, text", [(2, "2"), (2.0, "2.0"), (1.50, "1.5")])
 def test_a_number_is_shown_as_it_was_sent(weight, text):
     configuration = decode_configuration({**DOCUMENT, "groups": {"g": {"weight": weight}}})
-    assert repr(write_record(configuration.groups["g"])["weight"]) == text
+    assert repr(record_to_dict(configuration.groups["g"])["weight"]) == text
 
 
 def test_decoding_leaves_the_document_as_it_was_and_keeps_its_order():
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -7,7 +7,7 @@
     decode_configuration,
     effective_configuration,
     list_document_faults,
-    write_record,
+    record_to_dict,
 )
 from linkhaven.configuration.history import (
     KEPT_UPDATES,
@@ -156,7 +156,7 @@
         code(core.put(4, 9, "next", {**PLAN, "kinds": {"k": kind("g"), "new": kind("h")}})) is None
     )
     laid = in_force(core)
-    assert write_record(laid.groups["g"].allowance) == credit and set(laid.kinds) == {"k", "new"}
+    assert record_to_dict(laid.groups["g"].allowance) == credit and set(laid.kinds) == {"k", "new"}
     assert code(core.put(9, 11, "third", PLAN)) is None
     assert in_force(core).kinds["other"].group == "mine"
     core.world.run_for(SECOND)
@@ -224,7 +224,7 @@
         }
     )
     assert configuration.groups[name].allowance is None
-    assert write_record(configuration.pools[name]) == {
+    assert record_to_dict(configuration.pools[name]) == {
         "conns": 256,
         "health": "/health",
         "slots": 0,
