--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -25,7 +25,7 @@
     return {"groups": {"g": {"weight": weight}}, "kinds": {"k": kind}}
 
 
-def started(seed=1, count=3, **bounds):
+def make_started_core(seed=1, count=3, **bounds):
     core = SimCore(seed, **bounds).bootstrap(count)
     assert core.wait_voting(count)
     core.world.run_for(SECOND)
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_member_that_lost_the_blob_delivery_asks_and_votes_only_with_it_on_disk(seed):
-    core = started(seed)
+    core = make_started_core(seed)
     watch = VoteWatch(core)
     lost = []
     for name in ("core-2", "core-3"):
@@ -161,7 +161,7 @@
 
 
 def test_no_member_votes_while_the_blob_cant_be_had_and_the_update_has_no_clear_answer():
-    core = started()
+    core = make_started_core()
     watch = VoteWatch(core)
     for name in ("core-2", "core-3"):
         drop(core.machines[name])
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("loses", (0, 1, 2))
 def test_a_member_killed_between_blob_and_vote_has_both_or_neither(seed, loses):
-    core = started(seed)
+    core = make_started_core(seed)
     watch = VoteWatch(core)
     host = core.machines["core-2"]
     told = put(core, 1, wait=False)
@@ -200,7 +200,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_newcomer_gets_the_blobs_that_it_lacks_before_it_votes(seed):
-    core = started(seed)
+    core = make_started_core(seed)
     for revision in range(1, 4):
         assert is_taken(put(core, revision))
     core.machines["core-3"].kill()
@@ -217,7 +217,7 @@
 
 
 def test_a_newcomer_without_the_blobs_doesnt_vote():
-    core = started()
+    core = make_started_core()
     assert is_taken(put(core, 1))
     core.machines["core-3"].kill()
     newcomer = core.add("core-9")
@@ -228,7 +228,7 @@
 
 
 def test_a_full_disk_gives_no_vote_and_a_mended_one_keeps_blob_and_vote():
-    core = started()
+    core = make_started_core()
     watch = VoteWatch(core)
     full = core.machines["core-2"]
     full.disk.is_full = True
@@ -241,7 +241,7 @@
 
 
 def test_full_disks_at_a_majority_leave_the_update_without_a_clear_answer():
-    core = started()
+    core = make_started_core()
     router = with_router(core)
     assert is_taken(put(core, 1))
     for name in ("core-2", "core-3"):
@@ -252,7 +252,7 @@
 
 
 def test_a_replica_that_retires_forgets_what_its_disk_had():
-    core = started()
+    core = make_started_core()
     assert is_taken(put(core, 1))
     host = core.machines["core-3"]
     assert host.node.blobs.synced
@@ -267,7 +267,7 @@
 
 
 def test_a_promise_names_the_ballot_alone_where_the_proposer_holds_its_value():
-    core = started()
+    core = make_started_core()
     assert is_taken(put(core, 1))
     told, hear = [], core.machines["core-2"].node.handlers[Promise]
 
@@ -293,7 +293,7 @@
 
 @pytest.mark.parametrize("packed", ("", "junk", pack_blob("another"), pack_blob("x")[:-4]))
 def test_a_blob_that_is_not_the_one_of_its_digest_is_refused(packed):
-    core = started()
+    core = make_started_core()
     host = core.machines["core-2"]
     digest = digest_of("x")
     host.node.dispatch(
@@ -306,7 +306,7 @@
 
 
 def test_a_blob_spoiled_on_the_disk_is_had_from_another_replica_before_it_is_sent():
-    core = started()
+    core = make_started_core()
     assert is_taken(put(core, 1))
     host = core.machines["core-2"]
     host.kill()
@@ -325,7 +325,7 @@
 
 
 def test_a_value_whose_blob_nobody_has_is_never_shown_or_sent():
-    core = started()
+    core = make_started_core()
     assert is_taken(put(core, 1))
     for host in core.machines.values():
         host.node.blobs.packed.clear()
@@ -340,7 +340,7 @@
 
 
 def test_what_a_disk_holds_and_a_restart_reads_is_bounded_whatever_the_number_of_changes():
-    core = started()
+    core = make_started_core()
     for revision in range(1, 4 * KEPT_BLOBS):
         assert is_taken(put(core, revision))
     for host in core.machines.values():
@@ -355,7 +355,7 @@
 
 
 def test_a_value_written_before_blobs_stood_apart_is_still_read_and_built_on():
-    core = started()
+    core = make_started_core()
     value = {
         "mark": 4,
         "put_id": "revision-7",
@@ -413,7 +413,7 @@
 
 
 def test_routers_without_a_replica_in_their_zone_spread_over_the_replicas():
-    core = started()
+    core = make_started_core()
     routers = [
         add_router(core, f"router-{place}", "far", f"10.5.0.{place}:7000") for place in range(1, 10)
     ]
@@ -423,7 +423,7 @@
 
 @pytest.mark.parametrize("how", ("killed", "frozen", "cut off", "behind"))
 def test_a_router_whose_nearest_replica_is_silent_or_behind_gets_the_blob_at_once_elsewhere(how):
-    core = started()
+    core = make_started_core()
     router = with_router(core)
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
@@ -443,7 +443,7 @@
 
 
 def test_a_router_that_hears_the_digest_first_is_confirmed_by_it_when_the_blob_comes():
-    core = started()
+    core = make_started_core()
     router = with_router(core)
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
@@ -459,7 +459,7 @@
 
 @pytest.mark.parametrize("spoiled_part", ("body", "changes", "both"))
 def test_a_router_refuses_a_spoiled_blob_and_has_it_from_another_replica(spoiled_part):
-    core = started()
+    core = make_started_core()
     router = with_router(core)
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
@@ -482,7 +482,7 @@
 
 
 def test_two_replicas_that_name_two_documents_for_one_version_are_told_apart():
-    core = started()
+    core = make_started_core()
     router = with_router(core)
     assert is_taken(put(core, 1))
     core.world.run_for(SECOND)
@@ -500,7 +500,7 @@
 
 
 def test_responses_between_changes_carry_no_blob_and_no_document():
-    core = started()
+    core = make_started_core()
     router = with_router(core)
     assert is_taken(put(core, 1))
     told, hear = [], router.node.map_handlers["news"]
@@ -535,7 +535,7 @@
 ):
     with monkeypatch.context() as patch:
         patch.setattr(owner, name, sabotage)
-        core = started()
+        core = make_started_core()
         watch = VoteWatch(core)
         put(core, 1)
         assert watch.bare
@@ -545,7 +545,7 @@
 
 
 def test_a_router_of_an_earlier_version_is_sent_the_document_whole():
-    core = started()
+    core = make_started_core()
     assert is_taken(put(core, 1))
     told = []
 
@@ -567,7 +567,7 @@
 
 
 def test_a_router_takes_a_document_that_a_replica_of_an_earlier_version_sends_whole():
-    core = started()
+    core = make_started_core()
     router = with_router(core)
     watcher = router.node.watcher
     value = {
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -38,7 +38,7 @@
     return core
 
 
-class Answered(Call):
+class RecordedCall(Call):
     __slots__ = ("status", "document")
 
     def answer(self, status, headers, body):
@@ -49,7 +49,7 @@
 def command(core, method, path, **document):
     """One of our own commands, at any seat."""
     expect = core.read()[1]["mark"]
-    call = Answered(
+    call = RecordedCall(
         method,
         path,
         {},
@@ -261,7 +261,7 @@
     core.world.run_for(2 * SECOND)
     assert code(core.put(0, 4, "text", PLAN)) is None
     for revision in (4, 6):
-        call = Answered("GET", "/v1/groups", {}, b"")
+        call = RecordedCall("GET", "/v1/groups", {}, b"")
         core.machines["core-9"].node.serve(call)
         assert core.world.wait_for(lambda call=call: call.is_ended, SECOND, 10_000)
         assert (call.status, set(call.document["groups"]), call.document["routers"]) == (
@@ -350,7 +350,7 @@
 
 def put_whole(core, expect, put_id, plan, name="core-2", path="/v1/plan", part=None):
     document = {"expect": expect, "put_id": put_id, **(part or {"plan": plan})}
-    call = Answered("PUT", path, {}, json.dumps(document).encode())
+    call = RecordedCall("PUT", path, {}, json.dumps(document).encode())
     core.machines[name].node.serve(call)
     core.world.wait_for(lambda: call.is_ended, 5 * SECOND, 10_000)
     return call.status, call.document
--- a/tests/test_native_api_keys.py
+++ b/tests/test_native_api_keys.py
@@ -5,7 +5,7 @@
 
 import pytest
 from keyed_router import ClientCall
-from test_blobs import add_router, started
+from test_blobs import add_router, make_started_core
 
 from linkhaven.configuration import digest_api_key
 from linkhaven.consensus import Outcome, UpdateAction
@@ -54,7 +54,7 @@
 
 
 def test_the_native_interface_accepts_only_keys_of_tenants():
-    core = started()
+    core = make_started_core()
     router = add_router(core)
     results = core.put(0, 1, "text", DOCUMENT)
     assert results[0][0] is None
@@ -75,7 +75,7 @@
 
 
 def test_an_idempotency_key_of_one_tenant_is_free_for_another():
-    core = started()
+    core = make_started_core()
     router = add_router(core)
     tenants = {name: {"keys": [digest_api_key(name)]} for name in ("t-1", "t-2")}
     once = {**KIND, "repeatable": False}
@@ -101,7 +101,7 @@
 
 
 def test_a_claim_for_the_former_tenant_admits_no_request_of_the_new_one():
-    core = started()
+    core = make_started_core()
     router = add_router(core)
     once = {**KIND, "repeatable": False}
     mine = {"keys": [digest_api_key(KEY)]}
--- a/tests/test_patch.py
+++ b/tests/test_patch.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from test_documents import Answered, code, command, in_force, kind, make_core
+from test_documents import RecordedCall, code, command, in_force, kind, make_core
 
 from linkhaven.api import ServiceError
 from linkhaven.configuration.patch import (
@@ -258,7 +258,7 @@
 def test_our_own_patch_changes_the_plan_by_name_once():
     core = make_core()
     plan = {"groups": {"g": {}, "h": {}}, "kinds": {"k": kind("g"), "other": kind("h")}}
-    call = Answered(
+    call = RecordedCall(
         "PUT", "/v1/plan", {}, write_json({"expect": 0, "put_id": "first", "plan": plan})
     )
     core.machines["core-1"].node.serve(call)
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from test_blobs import MS, add_router, started
+from test_blobs import MS, add_router, make_started_core
 
 from linkhaven.configuration.changes import apply_changes, diff_of, read_changes
 from linkhaven.configuration.packing import open_packed, pack_blob, write_document
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_change_of_a_large_plan_costs_a_router_little(seed):
-    core, dice = started(), random.Random(seed)
+    core, dice = make_started_core(), random.Random(seed)
     router = add_router(core)
     heard, plan = listen(router), large(dice)
     put(core, 1, plan)
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("how", ("text", "items", "base", "shape"))
 def test_changes_that_lead_elsewhere_are_dropped_and_the_whole_is_asked_for(how):
-    core, dice = started(), random.Random(1)
+    core, dice = make_started_core(), random.Random(1)
     router = add_router(core)
 
     def spoil(message):
@@ -125,7 +125,7 @@
 
 
 def test_a_router_that_starts_again_and_one_far_behind_get_the_whole():
-    core, dice = started(), random.Random(2)
+    core, dice = make_started_core(), random.Random(2)
     router = add_router(core)
     plan = large(dice, 60)
     put(core, 1, plan)
--- a/tests/test_tenant_patches.py
+++ b/tests/test_tenant_patches.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from test_documents import Answered, command, kind, make_core
+from test_documents import RecordedCall, command, kind, make_core
 from test_patch import DOCUMENT, patch, put, shown
 
 from linkhaven.configuration import digest_api_key
@@ -97,7 +97,7 @@
     held = {"keys": [digest_api_key("k-1")]}
     plan = {"groups": {"g": {}}, "kinds": {"k": kind("g")}, "tenants": {"t-1": held}}
     first = write_json({"expect": 0, "put_id": "first", "plan": plan})
-    call = Answered("PUT", "/v1/plan", {}, first)
+    call = RecordedCall("PUT", "/v1/plan", {}, first)
     core.machines["core-2"].node.serve(call)
     core.world.wait_for(lambda: call.is_ended, 5 * SECOND, 10_000)
     shared = {"t-2": {"keys": [digest_api_key("k-1")]}}
@@ -117,7 +117,7 @@
 
 def test_our_own_interface_shows_no_key_of_a_configuration_that_came_as_a_text():
     core = keyed_core()
-    call = Answered("GET", "/v1/plan", {}, b"")
+    call = RecordedCall("GET", "/v1/plan", {}, b"")
     core.machines["core-2"].node.serve(call)
     core.world.wait_for(lambda: call.is_ended, 5 * SECOND, 10_000)
     assert call.document["revision"] == 4
