--- a/packages/configuration/src/linkhaven/configuration/blob_exchange.py
+++ b/packages/configuration/src/linkhaven/configuration/blob_exchange.py
@@ -1,14 +1,15 @@
-"""Brings blobs to where they are needed, between the nodes of the core.
+"""Transfers blobs between the controller nodes.
 
 A proposer sends the blobs of a new record to each replica once, right before the accept that names
-them. Whoever lacks one asks for it: first whoever sent the record, then each replica in turn.
+them. A node that lacks a blob requests it, first from the sender of the record, then from each
+replica in turn.
 
-| message | met with | then |
+| message | condition | action |
 | --- | --- | --- |
-| `BlobRequest` | any of the blobs here | they are sent back |
-| `BlobRequest` | none of them here | nothing: the asker tries the next replica |
-| `BlobDelivery` | blobs whose text fits their digest | kept; operations that have all now resume |
-| `BlobDelivery` | any other | dropped and logged; it is asked for again |
+| `BlobRequest` | this node has any of the blobs | they are sent back |
+| `BlobRequest` | this node has none of them | ignored: the requester tries the next replica |
+| `BlobDelivery` | a text matches its digest | kept; operations with all their blobs resume |
+| `BlobDelivery` | any other blob | dropped and logged; it is requested again |
 """
 
 from collections.abc import Callable
@@ -21,12 +22,12 @@
 from .pending_blobs import PENDING_TIMEOUT_US, PendingBlobs, PendingOperation, WantedBlob
 from .records import Record, digests_of
 
-REQUEST_AGAIN_US = 100_000
-"""After how long without the blob the next replica is asked."""
+REQUEST_RETRY_US = 100_000
+"""Time without a response after which a blob is requested from the next replica."""
 
 
 class ExchangeNode(Protocol):
-    """What the exchange needs of its node."""
+    """What the exchange requires of its node."""
 
     address: str
     systems: list[Callable[[int], None]]
@@ -35,21 +36,21 @@
         """Return this node's monotonic time."""
 
     def send(self, address: str, message: Any, /) -> None:
-        """Send a message; nothing says whether it arrives."""
+        """Send a message; delivery isn't guaranteed."""
 
     def register_handler(self, message_type: Any, handler: Callable[[Any], None], /) -> None:
-        """Have messages of a type handed to a handler."""
+        """Register the handler of messages of a type."""
 
 
 class Directory(Protocol):
-    """Where the replicas are."""
+    """The addresses of the replicas."""
 
     def replicas(self) -> dict[str, tuple[str, int]]:
-        """Return the address and incarnation of each replica, by its id."""
+        """Return the address and incarnation of each replica, by replica id."""
 
 
 class BlobExchange:
-    """Sends, asks for and receives blobs, and resumes what waits for them."""
+    """Sends, requests and receives blobs, and resumes the operations that wait for them."""
 
     __slots__ = ("node", "directory", "blobs", "pending")
 
@@ -65,16 +66,17 @@
         node.register_handler(BlobDelivery, self.on_blob_delivery)
         node.systems.append(self.on_tick)
 
-    def when_here(
+    def when_available(
         self,
         digests: list[str],
         resume: Callable[[], None],
         give_up: Callable[[], None],
         hint: str | None = None,
     ) -> None:
-        """Call `resume` now, or as soon as all blobs have come, else `give_up` after a time.
+        """Call `resume` once all blobs are here, or `give_up` after `PENDING_TIMEOUT_US`.
 
-        `hint` is the address of a node that likely has them.
+        `resume` is called immediately if none is missing. `hint` is the address of a node that
+        likely has the blobs.
         """
         missing = [digest for digest in digests if not self.blobs.has_blob(digest)]
         if not missing:
@@ -84,12 +86,12 @@
         self.pending.add(operation, missing, hint)
         self._send_requests(now_us)
 
-    def gather(self, record: Record, on_gathered: Callable[[bool], Any]) -> None:
-        """Call `on_gathered` with whether all blobs that the record names are here."""
-        self.when_here(digests_of(record), lambda: on_gathered(True), lambda: on_gathered(False))
+    def fetch_blobs(self, record: Record, on_fetched: Callable[[bool], Any]) -> None:
+        """Fetch missing blobs of a record; call `on_fetched` with whether all are here."""
+        self.when_available(digests_of(record), lambda: on_fetched(True), lambda: on_fetched(False))
 
     def send_texts(self, texts: list[str]) -> None:
-        """Keep texts that were made here and send them to each replica."""
+        """Store texts that were made on this node and send them to each replica."""
         blobs = {digest: self.blobs.packed[digest] for digest in map(self.blobs.put, texts)}
         for address, _ in self.directory.replicas().values():
             if blobs and address != self.node.address:
@@ -99,7 +101,7 @@
         asked: dict[str, list[str]] = {}
         for digest, wanted in self.pending.wanted.items():
             last_us = wanted.requested_us
-            if last_us is not None and now_us - last_us < REQUEST_AGAIN_US:
+            if last_us is not None and now_us - last_us < REQUEST_RETRY_US:
                 continue
             source = self._source_of(wanted)
             wanted.requested_us = now_us
@@ -110,7 +112,7 @@
             self.node.send(address, BlobRequest(digests=digests))
 
     def _source_of(self, wanted: WantedBlob) -> str | None:
-        """Return whom to ask next: the hint first, then each replica in turn."""
+        """Return the address to ask next: the hint first, then each replica in turn."""
         if wanted.attempts == 0 and wanted.hint not in (None, self.node.address):
             return wanted.hint
         others = [
@@ -121,26 +123,26 @@
         return others[wanted.attempts % len(others)] if others else None
 
     def on_blob_request(self, message: BlobRequest) -> None:
-        """Send those of the blobs that are here."""
+        """Send back those of the requested blobs that are here."""
         packed = self.blobs.packed
         blobs = {digest: packed[digest] for digest in message.digests if digest in packed}
         if blobs and message.reply_to is not UNSET:
             self.node.send(message.reply_to, BlobDelivery(blobs=blobs))
 
     def on_blob_delivery(self, message: BlobDelivery) -> None:
-        """Keep the blobs, and resume what waited for them."""
+        """Store the blobs and resume operations whose blobs are now all here."""
         for digest, packed in message.blobs.items():
             self.blobs.take(digest, packed)
         for operation in self.pending.take_ready(self.blobs.has_blob):
             operation.resume()
 
     def on_tick(self, now_us: int) -> None:
-        """Give up what waited too long, and ask again for what is needed still."""
+        """Give up operations whose time is over; request blobs that are still needed."""
         accepted = self.blobs.accepted_digests()
         for digest in accepted:
             if not self.blobs.has_blob(digest):
                 self.pending.want(digest)
-        for operation in self.pending.take_late(now_us):
+        for operation in self.pending.take_expired(now_us):
             operation.give_up()
-        self.pending.forget_unneeded({*accepted, *self.pending.digests()})
+        self.pending.drop_unneeded({*accepted, *self.pending.digests()})
         self._send_requests(now_us)
--- a/packages/configuration/src/linkhaven/configuration/blob_guard.py
+++ b/packages/configuration/src/linkhaven/configuration/blob_guard.py
@@ -1,9 +1,9 @@
-"""Holds back each message that brings records to a replica until the records' blobs are here.
+"""Delays messages that bring records to a replica until the records' blobs are here.
 
-A replica votes for a record only with its blobs on the disk: else a majority could vote for a
-record whose document nobody has. An accept that names a missing blob therefore waits, and so does
-what a recovering replica is sent; the blobs are written right before the message is handled.
-Test: `test_without_its_mechanism_a_vote_for_a_blob_that_isnt_synced_is_found` takes the guard out.
+A replica votes for a record only with its blobs on disk. Otherwise a majority could vote for a
+record whose document no node has. An accept that names a missing blob therefore waits, and so does
+the state sent to a recovering replica. The blobs are written right before the message is handled.
+Test: `test_without_its_mechanism_a_vote_for_a_blob_that_isnt_synced_is_found` removes the guard.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,7 +18,7 @@
 
 
 class GuardedNode(Protocol):
-    """The node, as far as it hands messages to handlers by their kind."""
+    """The node, with its message handlers by message type."""
 
     handlers: dict[Any, Callable[[Any], None]]
 
@@ -32,14 +32,14 @@
 
 
 class BlobGuard:
-    """Stands before the replica's handlers; it owns no state."""
+    """Wraps the replica's message handlers; it owns no state."""
 
     __slots__ = ("node", "replica", "blobs", "exchange")
 
     def __init__(
         self, node: GuardedNode, replica: Voter, blobs: BlobStore, exchange: BlobExchange
     ) -> None:
-        """Take the place of the replica's handlers: create it after the replica."""
+        """Wrap the replica's handlers, which must already be registered."""
         self.node = node
         self.replica = replica
         self.blobs = blobs
@@ -62,7 +62,7 @@
                 self.blobs.write_ahead(digests)
                 handle(message)
 
-            self.exchange.when_here(digests, resume, lambda: None, reply_address_of(message))
+            self.exchange.when_available(digests, resume, lambda: None, reply_address_of(message))
 
         self.node.handlers[message_type] = handle_with_blobs
 
--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -33,7 +33,7 @@
 
 DISK_PREFIX = "body/"
 
-KEPT_BLOBS = 24
+MAX_CACHED_BLOBS = 24
 """Blobs in memory beyond which those go that no record, write or operation needs, oldest first."""
 
 
@@ -78,7 +78,7 @@
 class PendingDigests(Protocol):
     """The operations that wait for blobs."""
 
-    def on_stored(self, digest: str) -> None:
+    def on_blob_stored(self, digest: str) -> None:
         """A blob is here now."""
 
     def digests(self) -> set[str]:
@@ -195,13 +195,13 @@
 
     def _keep(self, digest: str, packed: str) -> None:
         self.packed[digest] = packed
-        self.pending.on_stored(digest)
-        if len(self.packed) > KEPT_BLOBS:
+        self.pending.on_blob_stored(digest)
+        if len(self.packed) > MAX_CACHED_BLOBS:
             self._evict({digest, *self.accepted_digests(), *self.writing, *self.pending.digests()})
 
     def _evict(self, needed: set[str]) -> None:
         for other in list(self.packed):
-            if len(self.packed) <= KEPT_BLOBS:
+            if len(self.packed) <= MAX_CACHED_BLOBS:
                 return
             if other not in needed:
                 del self.packed[other]
--- a/packages/configuration/src/linkhaven/configuration/command_update.py
+++ b/packages/configuration/src/linkhaven/configuration/command_update.py
@@ -24,16 +24,21 @@
 class CommandUpdate:
     """One update by a command; see `ConfigurationUpdate`."""
 
-    __slots__ = ("expected", "key", "digest", "make", "needs_blobs")
+    __slots__ = ("expected", "key", "digest", "make_contents", "needs_blobs")
 
     def __init__(
-        self, expected: int, update_id: str, digest: str, make: MakeContents, needs_blobs: bool
+        self,
+        expected: int,
+        update_id: str,
+        digest: str,
+        make_contents: MakeContents,
+        needs_blobs: bool,
     ) -> None:
         """`expected`: the version that the command builds on; `digest`: of all that it says."""
         self.expected = expected
         self.key = update_id
         self.digest = digest
-        self.make = make
+        self.make_contents = make_contents
         self.needs_blobs = needs_blobs
 
     @property
@@ -64,4 +69,4 @@
 
     def contents(self, record: Record | None, reader: RecordReader) -> Contents:
         """Return what it makes of the record; raises ServiceError where it doesn't fit."""
-        return self.make(record, reader)
+        return self.make_contents(record, reader)
--- a/packages/configuration/src/linkhaven/configuration/commands.py
+++ b/packages/configuration/src/linkhaven/configuration/commands.py
@@ -21,7 +21,7 @@
 )
 from .patch import apply_to_mappings, read_mapping_patch
 from .records import (
-    NOTHING_SHOWN,
+    EMPTY_SHOWN_RECORD,
     Overlay,
     Record,
     document_of,
@@ -111,26 +111,28 @@
     return _without_item(document, "kinds", name)
 
 
-def _put_group_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
+def _put_group_in_overlay(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
     return put_overlay_group(document, overlay, name, fields["group"])
 
 
-def _remove_group_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
+def _remove_group_from_overlay(
+    document: dict, overlay: Overlay, name: str, fields: dict
+) -> Overlay:
     return remove_overlay_group(document, overlay, name)
 
 
-def _attach_kind_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
+def _attach_kind_in_overlay(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
     return attach_overlay_kind(document, overlay, name, fields["kind"])
 
 
-def _reject_beside(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
+def _reject_kind_removal(document: dict, overlay: Overlay, name: str, fields: dict) -> Overlay:
     raise document_invalid_at(f"kinds/{name}", "is its document's; its sender removes it")
 
 
-PUT_GROUP = ItemCommand("GroupPut", _put_group, _put_group_beside)
-REMOVE_GROUP = ItemCommand("PartRemove", _remove_group, _remove_group_beside)
-PUT_KIND = ItemCommand("KindPut", _put_kind, _attach_kind_beside)
-REMOVE_KIND = ItemCommand("PartRemove", _remove_kind, _reject_beside)
+PUT_GROUP = ItemCommand("GroupPut", _put_group, _put_group_in_overlay)
+REMOVE_GROUP = ItemCommand("PartRemove", _remove_group, _remove_group_from_overlay)
+PUT_KIND = ItemCommand("KindPut", _put_kind, _attach_kind_in_overlay)
+REMOVE_KIND = ItemCommand("PartRemove", _remove_kind, _reject_kind_removal)
 
 
 def _revised(record: Record, document: dict) -> Contents:
@@ -180,7 +182,7 @@
             if error is not None:
                 return call.answer_error(error)
             if record is None:
-                return call.answer_json(200, NOTHING_SHOWN)
+                return call.answer_json(200, EMPTY_SHOWN_RECORD)
             effective = apply_overlay(document_of(record), overlay_of(record))
             call.answer_json(200, shown_record(record, effective))
 
--- a/packages/configuration/src/linkhaven/configuration/confirmation.py
+++ b/packages/configuration/src/linkhaven/configuration/confirmation.py
@@ -1,23 +1,27 @@
-"""Up to when a majority of the replicas has confirmed the version in force at a watcher.
+"""The time as of which a majority of the replicas has confirmed a watcher's version.
 
-A response confirms the version as of the moment when its poll was sent: a newer one may have come
-into force since then (Gray & Cheriton, Leases, 1989: the holder counts from before the request).
+A response confirms the version as of the time its poll was sent, since a newer version may have
+come into force after that (Gray & Cheriton, Leases, 1989: a holder's term is counted from before
+the request was sent).
 """
 
 from collections.abc import Mapping
 
 
 class MajorityConfirmation:
-    """Owns, by replica, when the newest poll that it confirmed was sent, and its incarnation.
+    """Owns, by replica, the send time of the newest poll that it confirmed, and its incarnation.
 
-    Invariant: `confirmed_us` counts only replicas of their newest known incarnation, since an older
-    one may have lost what it acknowledged.
+    `confirmed_us` is the time as of which a majority has confirmed the version, in microseconds of
+    the node's monotonic clock; None before the first such majority.
+
+    Invariant: `confirmed_us` counts only replicas in their newest known incarnation, since an older
+    incarnation may have lost what it acknowledged.
     """
 
     __slots__ = ("majority", "by_replica", "confirmed_us")
 
     def __init__(self, majority: int) -> None:
-        """Nothing is confirmed yet; `majority`: how many replicas must have confirmed."""
+        """`majority` is the number of replicas that must have confirmed the version."""
         self.majority = majority
         self.by_replica: dict[str, tuple[int, int]] = {}
         self.confirmed_us: int | None = None
@@ -29,9 +33,9 @@
         incarnation: int,
         replicas: Mapping[str, tuple[str, int]],
     ) -> None:
-        """Note that a replica confirmed a poll of `sent_us`.
+        """Record that a replica confirmed a poll that was sent at `sent_us`.
 
-        `replicas` has the address and the newest known incarnation of each replica.
+        `replicas` maps each replica to its address and newest known incarnation.
         """
         before_us, _ = self.by_replica.get(replica_id, (sent_us, 0))
         self.by_replica[replica_id] = (max(before_us, sent_us), incarnation)
--- a/packages/configuration/src/linkhaven/configuration/document_diff.py
+++ b/packages/configuration/src/linkhaven/configuration/document_diff.py
@@ -1,11 +1,11 @@
-"""What an operator's document would change in the one in force, for people to read."""
+"""What an operator's document would change in the one in force, in human-readable form."""
 
 from collections.abc import Iterator
 from typing import Any, TypedDict
 
 
 class DocumentDifference(TypedDict):
-    """One field that differs, as `plan diff` shows it; None where it isn't there."""
+    """One differing field, as `plan diff` shows it; a value is None if the field is absent."""
 
     place: str
     held: Any
@@ -13,7 +13,7 @@
 
 
 def diff_documents(held: dict, wanted: dict, prefix: str = "") -> Iterator[DocumentDifference]:
-    """Give each place where two documents differ, with both values, in the order of names."""
+    """Yield each place where two documents differ, with both values, sorted by name."""
     for name in sorted({*held, *wanted}):
         place = f"{prefix}{name}"
         old, new = held.get(name), wanted.get(name)
--- a/packages/configuration/src/linkhaven/configuration/document_faults.py
+++ b/packages/configuration/src/linkhaven/configuration/document_faults.py
@@ -1,6 +1,6 @@
-"""What is wrong with a document, by place, and the error that says so.
+"""Faults of a document, each with the path of its field, and the error that reports them.
 
-The error is `plan_invalid`, and its remedy (`linkhaven.api.errors`) is to mend each place listed.
+The error is `plan_invalid`; its remedy (`linkhaven.api.errors`) is to correct each listed place.
 """
 
 from typing import TypedDict
@@ -9,10 +9,10 @@
 
 
 class DocumentFault(TypedDict):
-    """One fault, as the error's `places` list it."""
+    """One fault, as an entry of the error's `places`."""
 
     place: str
-    """The path of names to the field, with `/` between them; `.` for the whole document."""
+    """The path to the field, its names separated by `/`; `.` for the whole document."""
 
     fault: str
 
@@ -28,16 +28,16 @@
 
 
 class FaultCollector:
-    """Collects the faults of one document, so that all of them are told at once."""
+    """Collects the faults of one document, so that one error reports all of them."""
 
     __slots__ = ("faults",)
 
     def __init__(self) -> None:
-        """Nothing is wrong yet."""
+        """Start without faults."""
         self.faults: list[DocumentFault] = []
 
     def add(self, place: str, fault: str) -> None:
-        """Note one fault."""
+        """Add one fault."""
         self.faults.append({"place": place, "fault": fault})
 
     def raise_if_any(self) -> None:
--- a/packages/configuration/src/linkhaven/configuration/document_update.py
+++ b/packages/configuration/src/linkhaven/configuration/document_update.py
@@ -32,14 +32,14 @@
     version of this program committed which kept no history.
     """
 
-    __slots__ = ("expected", "key", "digest", "make", "needs_blobs", "source_text")
+    __slots__ = ("expected", "key", "digest", "make_document", "needs_blobs", "source_text")
 
     def __init__(
         self,
         base: int,
         revision: int,
         digest: str,
-        make: MakeDocument,
+        make_document: MakeDocument,
         needs_blobs: bool,
         source_text: str | None,
     ) -> None:
@@ -47,7 +47,7 @@
         self.expected = base
         self.key = revision
         self.digest = digest
-        self.make = make
+        self.make_document = make_document
         self.needs_blobs = needs_blobs
         self.source_text = source_text
 
@@ -90,7 +90,7 @@
     def contents(self, record: Record | None, reader: RecordReader) -> Contents:
         """Return what it makes of the record; raises `plan_invalid` where it doesn't fit."""
         current = reader.source_text_of(record) if self.needs_blobs and record else None
-        source_text, document = self.make(current)
+        source_text, document = self.make_document(current)
         decode_configuration(document)
         return Contents(document, source_text, self.key, overlay_of(record))
 
--- a/packages/configuration/src/linkhaven/configuration/long_poll.py
+++ b/packages/configuration/src/linkhaven/configuration/long_poll.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-SMALL_FLEET = 17
+SMALL_FLEET_ROUTERS = 17
 """Up to so many routers each replica holds polls for the usual time only."""
 
-LONGEST_US = 800_000
+MAX_HOLD_US = 800_000
 """The longest hold in any fleet."""
 
-HOLDER_US = 3_000_000
+SECTION_SENDER_TTL_US = 3_000_000
 """For how long a replica that sent a section of a lease holder counts as that holder."""
 
 RUNNER_LIST, SHARES = "roster", "shares"
@@ -59,20 +59,20 @@
 
         In a small fleet every replica counts, so that a new holder of a lease is told all at once.
         """
-        if self.count_routers() <= SMALL_FLEET:
+        if self.count_routers() <= SMALL_FLEET_ROUTERS:
             return True
         senders = [
             other
             for (name, other), sent_us in self.sent_us.items()
-            if name == section and now_us - sent_us < HOLDER_US
+            if name == section and now_us - sent_us < SECTION_SENDER_TTL_US
         ]
         return not senders or replica_id in senders
 
     def longest_us(self) -> int:
         """Return the hold at a replica on whose leases this router doesn't wait."""
         bounds = self.bounds
-        grown_us = bounds.news_hold_us * self.count_routers() // SMALL_FLEET
-        limits_us = [LONGEST_US, bounds.lease_us // 3, grown_us]
+        grown_us = bounds.news_hold_us * self.count_routers() // SMALL_FLEET_ROUTERS
+        limits_us = [MAX_HOLD_US, bounds.lease_us // 3, grown_us]
         if bounds.plan_stale_us is not None:
             limits_us.append(bounds.plan_stale_us // 3)
         return max(bounds.news_hold_us, min(limits_us))
--- a/packages/configuration/src/linkhaven/configuration/pending_blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/pending_blobs.py
@@ -1,16 +1,16 @@
-"""What waits for blobs that aren't here yet, and which of those are asked for."""
+"""Operations that wait for missing blobs, and the blobs to request."""
 
 from collections.abc import Callable, Iterable
 
-PENDING_MOST = 32
-"""Operations that wait at a time; the oldest is given up for a new one beyond that."""
+MAX_PENDING_OPERATIONS = 32
+"""Bound of waiting operations; at the bound the oldest is given up for a new one."""
 
 PENDING_TIMEOUT_US = 2_000_000
-"""How long an operation waits for its blobs."""
+"""How long an operation waits for its blobs before it is given up."""
 
 
 class PendingOperation:
-    """An operation that goes on once its blobs are here, or is given up at a time."""
+    """An operation that resumes once its blobs are here, or is given up at `until_us`."""
 
     __slots__ = ("digests", "resume", "give_up", "until_us")
 
@@ -29,60 +29,60 @@
 
 
 class WantedBlob:
-    """A blob that is asked for: of whom first, and when it was last."""
+    """A blob to request: whom to ask first, when it was last requested and how often."""
 
     __slots__ = ("hint", "requested_us", "attempts")
 
     def __init__(self, hint: str | None) -> None:
-        """`hint`: the address of a node that likely has it, None where none is known."""
+        """`hint` is the address of a node that likely has it, None if none is known."""
         self.hint = hint
         self.requested_us: int | None = None
         self.attempts = 0
 
 
 class PendingBlobs:
-    """The operations that wait, and the blobs that they want; it sends nothing itself."""
+    """Owns the waiting operations and the wanted blobs; `blob_exchange.py` sends the requests."""
 
     __slots__ = ("operations", "wanted")
 
     def __init__(self) -> None:
-        """Nothing waits yet."""
+        """Start without operations."""
         self.operations: list[PendingOperation] = []
         self.wanted: dict[str, WantedBlob] = {}
 
     def add(self, operation: PendingOperation, missing: Iterable[str], hint: str | None) -> None:
-        """Have an operation wait, and want its missing blobs."""
-        if len(self.operations) >= PENDING_MOST:
+        """Add an operation and mark its missing blobs as wanted."""
+        if len(self.operations) >= MAX_PENDING_OPERATIONS:
             self.operations.pop(0).give_up()
         self.operations.append(operation)
         for digest in missing:
             self.want(digest, hint)
 
     def want(self, digest: str, hint: str | None = None) -> None:
-        """Want a blob, unless it is wanted already."""
+        """Mark a blob as wanted, if it isn't already."""
         if digest not in self.wanted:
             self.wanted[digest] = WantedBlob(hint)
 
-    def on_stored(self, digest: str) -> None:
-        """Want a blob no more, as it is here now."""
+    def on_blob_stored(self, digest: str) -> None:
+        """Drop a blob from the wanted ones, as it is here now."""
         self.wanted.pop(digest, None)
 
     def digests(self) -> set[str]:
-        """Return all blobs that operations wait for, also those of them that are here."""
+        """Return all blobs that operations wait for, including those already here."""
         return {digest for operation in self.operations for digest in operation.digests}
 
     def take_ready(self, has_blob: Callable[[str], bool]) -> list[PendingOperation]:
-        """Return the operations whose blobs are all here; they wait no more."""
+        """Remove and return the operations whose blobs are all here."""
         ready = [one for one in self.operations if all(map(has_blob, one.digests))]
         self.operations = [one for one in self.operations if one not in ready]
         return ready
 
-    def take_late(self, now_us: int) -> list[PendingOperation]:
-        """Return the operations whose time is over; they wait no more."""
-        late = [one for one in self.operations if now_us >= one.until_us]
-        self.operations = [one for one in self.operations if one not in late]
-        return late
+    def take_expired(self, now_us: int) -> list[PendingOperation]:
+        """Remove and return the operations whose time is over."""
+        expired = [one for one in self.operations if now_us >= one.until_us]
+        self.operations = [one for one in self.operations if one not in expired]
+        return expired
 
-    def forget_unneeded(self, needed: set[str]) -> None:
-        """Want only blobs that are needed still."""
+    def drop_unneeded(self, needed: set[str]) -> None:
+        """Keep only wanted blobs that are still needed."""
         self.wanted = {digest: one for digest, one in self.wanted.items() if digest in needed}
--- a/packages/configuration/src/linkhaven/configuration/snapshot.py
+++ b/packages/configuration/src/linkhaven/configuration/snapshot.py
@@ -8,16 +8,17 @@
 
 
 class ConfigurationSnapshot:
-    """Owns the newest configuration here, and the highest version heard of; neither goes back.
+    """Owns the newest configuration here and the highest known version; neither decreases.
 
-    `value` is the record, with its document in it. The snapshot isn't kept on disk: a controller
-    takes it from its register again, a router from the replicas.
+    `value` is the record with its document included. `change_listeners` are called after each
+    change. The snapshot isn't stored on disk: after a restart a controller reads it from its
+    register, a router from the replicas.
     """
 
     __slots__ = ("version", "value", "configuration", "highest_version", "change_listeners")
 
     def __init__(self) -> None:
-        """Nothing is in force yet."""
+        """Start without a configuration."""
         self.version = 0
         self.value: Record | None = None
         self.configuration: Configuration | None = None
@@ -26,25 +27,25 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether a newer version than the one here was heard of."""
+        """Whether a newer version than the one here is known."""
         return self.highest_version > self.version
 
     def observe_version(self, version: int) -> None:
-        """Note a version that another node named."""
+        """Record a version that another node named."""
         if version > self.highest_version:
             self.highest_version = version
 
     def is_newer(self, record: Record | None) -> bool:
-        """Whether a record is newer than the one here, and not older than one heard of."""
+        """Whether a record is newer than the one here and not older than the highest known."""
         if record is None:
             return False
         version = version_of(record)
         return version > self.version and version >= self.highest_version
 
     def take(self, record: Record) -> bool:
-        """Put a record with its document in force here, if it is newer; return whether it is.
+        """Put a record, with its document included, in force if it is newer; return whether it is.
 
-        Invariant: the version in force never goes back. Test: the sabotage `take_any_image`.
+        Invariant: the version in force never decreases. Test: the sabotage `take_any_image`.
         """
         if not self.is_newer(record):
             return False
--- a/packages/configuration/src/linkhaven/configuration/store.py
+++ b/packages/configuration/src/linkhaven/configuration/store.py
@@ -30,10 +30,10 @@
 from .snapshot import ConfigurationSnapshot
 from .updates import ConfigurationUpdate, Contents
 
-GATHER_ATTEMPTS = 3
+FETCH_ATTEMPTS = 3
 """How often an update begins anew because blobs that it builds on were missing here."""
 
-RETRY_US = 1_000_000
+RETRY_AFTER_US = 1_000_000
 """When a sender may come again whose update could not be decided now."""
 
 
@@ -88,8 +88,8 @@
 class Exchange(Protocol):
     """What brings blobs here and to the replicas."""
 
-    def gather(self, record: Record, on_gathered: Callable[[bool], Any]) -> None:
-        """Fetch the record's blobs where they are missing; `on_gathered` hears whether all came."""
+    def fetch_blobs(self, record: Record, on_fetched: Callable[[bool], Any]) -> None:
+        """Fetch the record's blobs where they are missing; `on_fetched` hears whether all came."""
 
     def send_texts(self, texts: list[str]) -> None:
         """Keep texts, and send them to all replicas ahead of the accept that names them."""
@@ -109,7 +109,7 @@
 def missing_blobs_error() -> ServiceError:
     """Return the error where the blobs of the newest record can't be had now."""
     return ServiceError(
-        "core_unready", done="no", retry_us=RETRY_US, why="no seat gave the body of the plan"
+        "core_unready", done="no", retry_us=RETRY_AFTER_US, why="no seat gave the body of the plan"
     )
 
 
@@ -125,7 +125,7 @@
         self.store = store
         self.update = update
         self.on_result = on_result
-        self.attempts_left = GATHER_ATTEMPTS
+        self.attempts_left = FETCH_ATTEMPTS
         self.missing: Record | None = None
 
     def start(self) -> None:
@@ -170,7 +170,7 @@
 
     def _on_outcome(self, outcome: str, value: Any) -> None:
         if outcome == Outcome.STOPPED and self.missing is not None and value.code == "core_unready":
-            return self.store.exchange.gather(self.missing, self._on_gathered)
+            return self.store.exchange.fetch_blobs(self.missing, self._on_fetched)
         self.store.log_outcome(outcome, value, self.update)
         if outcome != Outcome.CHOSEN:
             return self.on_result(self._error_of(outcome, value), None)
@@ -179,7 +179,7 @@
         version = committed.version if committed is not None else version_of(value)
         self.on_result(None, CommitResult(version, self.update.key))
 
-    def _on_gathered(self, has_all: bool) -> None:
+    def _on_fetched(self, has_all: bool) -> None:
         self.attempts_left -= 1
         if not has_all or self.attempts_left == 0:
             return self.on_result(missing_blobs_error(), None)
@@ -189,8 +189,10 @@
         if outcome == Outcome.STOPPED:
             return value
         if outcome == Outcome.UNKNOWN:
-            return ServiceError("put_unknown", retry_us=RETRY_US, put_id=self.update.update_id)
-        return ServiceError("core_unready", retry_us=RETRY_US, why=value)
+            return ServiceError(
+                "put_unknown", retry_us=RETRY_AFTER_US, put_id=self.update.update_id
+            )
+        return ServiceError("core_unready", retry_us=RETRY_AFTER_US, why=value)
 
 
 class ConfigurationStore:
@@ -226,13 +228,13 @@
 
         def on_read(outcome: str, record: Any) -> None:
             if outcome != Outcome.CHOSEN:
-                error = ServiceError("core_unready", done="no", retry_us=RETRY_US, why=record)
+                error = ServiceError("core_unready", done="no", retry_us=RETRY_AFTER_US, why=record)
                 return on_result(error, None)
             if record is None:
                 return on_result(None, None)
-            self.exchange.gather(record, lambda has_all: on_gathered(has_all, record))
+            self.exchange.fetch_blobs(record, lambda has_all: on_fetched(has_all, record))
 
-        def on_gathered(has_all: bool, record: Record) -> None:
+        def on_fetched(has_all: bool, record: Record) -> None:
             if not has_all:
                 return on_result(missing_blobs_error(), None)
             self.publish(record)
@@ -268,11 +270,11 @@
         if not self.snapshot.is_newer(record):
             return
 
-        def on_gathered(has_all: bool) -> None:
+        def on_fetched(has_all: bool) -> None:
             if has_all:
                 self.snapshot.take(self.blobs.with_document(record))
 
-        self.exchange.gather(record, on_gathered)
+        self.exchange.fetch_blobs(record, on_fetched)
 
     def log_outcome(self, outcome: str, value: Any, update: ConfigurationUpdate) -> None:
         """Log what became of an update."""
--- a/packages/configuration/src/linkhaven/configuration/validation.py
+++ b/packages/configuration/src/linkhaven/configuration/validation.py
@@ -15,10 +15,10 @@
 from .document_faults import DocumentFault, document_invalid
 from .schema import DOCUMENT, GROUP, KIND, NAME, TENANT
 
-CACHED_ITEMS_MOST = 8_192
+MAX_DECODED_ITEMS = 8_192
 """More than the groups, kinds and tenants of two versions of a large document."""
 
-_decoded_items: LRUCache = LRUCache(CACHED_ITEMS_MOST)
+_decoded_items: LRUCache = LRUCache(MAX_DECODED_ITEMS)
 """Groups, kinds and tenants that were checked before, by their schema, name and text, so that a
 change of a large document checks and decodes only what it changed.
 Test: `test_only_changed_parts_of_a_plan_are_checked_again`.
@@ -70,10 +70,10 @@
         tenants = _decode_tenants(document)
     except (t.DataError, AttributeError, KeyError, TypeError, ValueError):
         return msgspec.convert(DOCUMENT.check(document), Configuration)
-    parts_apart: dict[str, dict] = {"groups": {}, "kinds": {}}
+    empty_sections: dict[str, dict] = {"groups": {}, "kinds": {}}
     if tenants is not None:
-        parts_apart["tenants"] = {}
-    checked = DOCUMENT.check({**document, **parts_apart})
+        empty_sections["tenants"] = {}
+    checked = DOCUMENT.check({**document, **empty_sections})
     rest = msgspec.convert(checked, Configuration)
     return msgspec.structs.replace(rest, groups=groups, kinds=kinds, tenants=tenants)
 
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -9,7 +9,7 @@
 | answered at once | it comes, and a newer version is in force | version and document |
 | held | it comes, and nothing is newer | until one of the following |
 | answered | a newer version comes into force | version and document |
-| answered | a long hold, after `URGENT_US`, and a section is urgent | version and sections |
+| answered | a long hold, after `MIN_LONG_HOLD_US`, and a section is urgent | version and sections |
 | answered | its hold is over, or `answer_all` | version and sections |
 | replaced | the router polls again | the older one is never answered |
 
@@ -44,13 +44,13 @@
 from .records import REGISTER_KEY, Record, published_record, version_of
 from .snapshot import ConfigurationSnapshot
 
-READ_AGAIN_US = 100_000
+READ_RETRY_US = 100_000
 """The least time between two reads of the register by a replica that may be behind."""
 
-URGENT_US = 100_000
+MIN_LONG_HOLD_US = 100_000
 """How long a long poll is held at least, also where a section is urgent."""
 
-KEPT_CHANGES = 16
+CHANGES_CACHE_SIZE = 16
 """The changes between so many pairs of documents are kept packed: many routers ask for them."""
 
 
@@ -127,7 +127,7 @@
         self.request = request
         self.message = message
         self.until_us = now_us + hold_us
-        self.urgent_us = now_us + min(URGENT_US, hold_us)
+        self.urgent_us = now_us + min(MIN_LONG_HOLD_US, hold_us)
 
 
 class WatchServer:
@@ -170,7 +170,7 @@
         self.polled_us = node.now_us()
         self.is_reading = False
         self.read_us = 0
-        self.changes: LRUCache = LRUCache(KEPT_CHANGES)
+        self.changes: LRUCache = LRUCache(CHANGES_CACHE_SIZE)
         node.map_handlers[WATCH_REQUEST] = self.on_watch_request
         node.systems.append(self.on_tick)
 
@@ -315,7 +315,7 @@
 
     def _read(self, now_us: int) -> None:
         """Learn from a majority what is in force; one read at a time."""
-        if self.is_reading or now_us - self.read_us < READ_AGAIN_US:
+        if self.is_reading or now_us - self.read_us < READ_RETRY_US:
             return
         self.is_reading = True
         self.read_us = now_us
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -10,7 +10,7 @@
 | none sent | tick | sent |
 | open | its response | taken, and the next poll is sent |
 | open | another response | dropped: it is late and says nothing |
-| open | tick, hold and `LATE_US` over | sent again |
+| open | tick, hold and `RESPONSE_GRACE_US` over | sent again |
 | open, long hold | tick, the replica moved, or the hold would now be shorter | sent again |
 
 | a current response | version here | then |
@@ -42,7 +42,7 @@
 from .records import Record
 from .snapshot import ConfigurationSnapshot
 
-LATE_US = 350_000
+RESPONSE_GRACE_US = 350_000
 """How long after its hold a response may come, before the poll is sent again."""
 
 LEASE_HOLDER_SECTIONS = ("roster", "steward", "shares")
@@ -253,7 +253,7 @@
         poll = self.polls.get(replica_id)
         if poll is None:
             return False
-        longest_us = max(self.node.bounds.news_hold_us, poll.hold_us) + LATE_US
+        longest_us = max(self.node.bounds.news_hold_us, poll.hold_us) + RESPONSE_GRACE_US
         return now_us - poll.answered_us > longest_us
 
     def _by_nearness(self) -> list[str]:
@@ -282,7 +282,7 @@
         now_us: int,
     ) -> bool:
         """Whether no response is awaited, none can come any more, or it would come too late."""
-        if poll.request_id is None or now_us - poll.sent_us > poll.hold_us + LATE_US:
+        if poll.request_id is None or now_us - poll.sent_us > poll.hold_us + RESPONSE_GRACE_US:
             return True
         usual_us = self.node.bounds.news_hold_us
         if poll.hold_us == usual_us or now_us - poll.sent_us < usual_us:
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -5,7 +5,7 @@
 import pytest
 
 from linkhaven.configuration.blob_guard import BlobGuard
-from linkhaven.configuration.blobs import KEPT_BLOBS, BlobStore
+from linkhaven.configuration.blobs import MAX_CACHED_BLOBS, BlobStore
 from linkhaven.configuration.history import digest_of
 from linkhaven.configuration.messages import BlobDelivery, read_watch_response
 from linkhaven.configuration.packing import BlobMismatchError, open_blob, pack_blob
@@ -341,17 +341,17 @@
 
 def test_what_a_disk_holds_and_a_restart_reads_is_bounded_whatever_the_number_of_changes():
     core = make_started_core()
-    for revision in range(1, 4 * KEPT_BLOBS):
+    for revision in range(1, 4 * MAX_CACHED_BLOBS):
         assert is_taken(put(core, revision))
     for host in core.machines.values():
-        assert len(host.node.blobs.packed) <= KEPT_BLOBS
+        assert len(host.node.blobs.packed) <= MAX_CACHED_BLOBS
         assert len(bodies_on_disk(host)) <= 4
         assert len(json.dumps(host.disk.synced)) < 8_000
     host = core.machines["core-3"]
     host.kill()
     host.start()
     assert core.wait_voting(3)
-    assert core.read("core-3")[1]["revision"] == 4 * KEPT_BLOBS - 1
+    assert core.read("core-3")[1]["revision"] == 4 * MAX_CACHED_BLOBS - 1
 
 
 def test_a_value_written_before_blobs_stood_apart_is_still_read_and_built_on():
