--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -1,11 +1,11 @@
-"""The blobs of this node: documents and source texts by the digest of their content.
+"""The blobs of this node: documents and source texts, addressed by the digest of their content.
 
-A record names its blobs by digest and is small, so votes carry little. Blobs are stored apart from
-the votes, in memory and, at a replica, on its disk under `body/<digest>`.
+A record names its blobs by digest, which keeps records and votes small. Blobs are stored separately
+from the votes, in memory and, at a replica, on disk under `body/<digest>`.
 
-Invariant: no vote is on the disk before the blobs that its record names. `write_ahead` is called
-before the vote is written, in the same turn, and the disk keeps the writes of one turn together or
-not at all. Test: `test_without_its_mechanism_a_vote_for_a_blob_that_isnt_synced_is_found`.
+Invariant: no vote is on disk before the blobs that its record names. `write_ahead` is called before
+the vote is written, in the same turn, and the disk syncs the writes of one turn together or not at
+all. Test: `test_without_its_mechanism_a_vote_for_a_blob_that_isnt_synced_is_found`.
 """
 
 from collections import OrderedDict
@@ -32,23 +32,27 @@
 )
 
 DISK_PREFIX = "body/"
+"""The prefix of a blob's key on disk."""
 
 MAX_CACHED_BLOBS = 24
-"""Blobs in memory beyond which those go that no record, write or operation needs, oldest first."""
+"""Blobs in memory; beyond it, blobs that nothing needs are evicted, oldest first.
+
+Needed are blobs of the accepted record, of running writes and of waiting operations.
+"""
 
 
 class Disk(Protocol):
-    """The records of this node on its disk."""
+    """The stored records of this node."""
 
     def load(self) -> dict[str, Any]:
-        """Return all records, as they were at the start."""
+        """Return all records, as they were on disk at the start."""
 
     def write(self, records: dict[str, Any], on_synced: Callable[[bool], None], /) -> None:
-        """Write records, None deletes one; those of one turn are synced together or not at all."""
+        """Write records (None deletes one); those of one turn are synced all or none."""
 
 
 class StorePorts(Protocol):
-    """What the blob store needs of its node's ports."""
+    """What the blob store requires of its node's ports."""
 
     storage: Disk
 
@@ -57,19 +61,19 @@
 
 
 class StoreNode(Protocol):
-    """What the blob store needs of its node."""
+    """What the blob store requires of its node."""
 
     ports: StorePorts
 
 
 class RegisterState(Protocol):
-    """What a replica accepted last under one key."""
+    """The value that a replica accepted last for one key."""
 
     value: Any
 
 
 class Replica(Protocol):
-    """The replica of this node; it may be none yet, and then has accepted nothing."""
+    """The replica of this node; before the node has a replica, nothing is accepted."""
 
     def register_state(self, key: str, /) -> RegisterState:
         """Return the state of a key."""
@@ -79,14 +83,14 @@
     """The operations that wait for blobs."""
 
     def on_blob_stored(self, digest: str) -> None:
-        """A blob is here now."""
+        """Note that a blob is here now."""
 
     def digests(self) -> set[str]:
-        """Return all blobs that operations wait for, also those of them that are here."""
+        """Return all blobs that operations wait for, including those already here."""
 
 
 def name_blobs(document: dict, source_text: str | None) -> tuple[dict[str, str], dict[str, str]]:
-    """Return the digest of each part of a record, and the text of each digest."""
+    """Return the digest of each blob of a record by its name, and each text by its digest."""
     texts = {DOCUMENT_BLOB: write_document(document)}
     if source_text is not None:
         texts[SOURCE_BLOB] = source_text
@@ -95,16 +99,16 @@
 
 
 class BlobStore:
-    """Owns the blobs in memory and on disk; it sends nothing (`blob_exchange.py` does).
+    """Owns the blobs in memory and on disk; `blob_exchange.py` sends and requests them.
 
-    `packed` holds the blobs in memory, packed, oldest first; `synced` and `writing` say which of
-    them the disk has, and which are on their way there.
+    `packed` holds the packed blobs in memory, oldest first; `synced` has the digests of those on
+    disk, `writing` of those being written.
     """
 
     __slots__ = ("node", "replica", "pending", "packed", "synced", "writing")
 
     def __init__(self, node: StoreNode, replica: Replica, pending: PendingDigests) -> None:
-        """Load what the disk has; a blob that isn't the one of its digest is left out."""
+        """Load the blobs on disk, except those whose text doesn't match their digest."""
         self.node = node
         self.replica = replica
         self.pending = pending
@@ -119,11 +123,14 @@
                 self.synced.add(key[len(DISK_PREFIX) :])
 
     def on_replica_retired(self) -> None:
-        """A retired replica deletes all its records; what is being written counts for nothing."""
+        """Forget what is on disk: a retired replica deletes all its records.
+
+        Writes that are still running are ignored when they finish.
+        """
         self.synced.clear()
         self.writing.clear()
 
-    # reading records
+    # Reading
 
     def has_blob(self, digest: str) -> bool:
         """Whether a blob is in memory."""
@@ -134,13 +141,13 @@
         return all(digest in self.packed for digest in digests_of(record))
 
     def has_document(self, record: Record | None) -> bool:
-        """Whether the record's document is here, be it in the record itself as formerly."""
+        """Whether the record's document is here, as a blob or in a record of an earlier version."""
         if record is None or not has_blobs(record):
             return record is not None
         return document_digest_of(record) in self.packed
 
     def packed_document(self, record: Record) -> tuple[str, str]:
-        """Return the digest of the record's document, and the document packed. It must be here."""
+        """Return the digest of the record's document and the packed document. It must be here."""
         if has_blobs(record):
             digest = document_digest_of(record)
             return digest, self.packed[digest]
@@ -148,41 +155,41 @@
         return digest_of(text), pack_blob(text)
 
     def document_of(self, record: Record) -> dict:
-        """Return the document of a record. It must be here."""
+        """Return the document of a record, which must be here."""
         if not has_blobs(record):
             return document_of(record)
         return read_json(self.text_of(document_digest_of(record)))
 
     def source_text_of(self, record: Record) -> str | None:
-        """Return the source text of a record, None where it has none. It must be here."""
+        """Return the source text of a record, None if it has none. It must be here."""
         if not has_blobs(record):
             return source_text_of(record)
         digest = source_digest_of(record)
         return None if digest is None else self.text_of(digest)
 
     def expanded(self, record: Record) -> dict:
-        """Return the record with both parts in it. They must be here."""
+        """Return the record with its document and source text included. They must be here."""
         return expanded_record(record, self.document_of(record), self.source_text_of(record))
 
     def with_document(self, record: Record) -> dict:
-        """Return the record with its document in it, as a snapshot takes it. It must be here."""
+        """Return the record with its document included, as snapshots store it. It must be here."""
         return with_document(record, self.document_of(record))
 
     def text_of(self, digest: str) -> str:
         """Return the text of a blob that is here."""
         return open_blob(digest, self.packed[digest])
 
-    # taking blobs
+    # Storing
 
     def put(self, text: str) -> str:
-        """Keep a text that was made here; return its digest."""
+        """Store a text that was made on this node; return its digest."""
         digest = digest_of(text)
         if digest not in self.packed:
             self._keep(digest, pack_blob(text))
         return digest
 
     def take(self, digest: str, packed: str) -> bool:
-        """Keep a blob that came from elsewhere; return whether it is the one of its digest."""
+        """Store a packed blob from disk or another node; return whether it matches its digest."""
         if digest in self.packed:
             return True
         try:
@@ -207,15 +214,15 @@
                 del self.packed[other]
 
     def accepted_digests(self) -> list[str]:
-        """Return the blobs of the record that this node's replica accepted last."""
+        """Return the digests of the record that this node's replica accepted last."""
         return digests_of(self.replica.register_state(REGISTER_KEY).value)
 
-    # the disk
+    # Disk
 
     def write_ahead(self, digests: Iterable[str]) -> None:
-        """Write the blobs that the disk lacks, and delete those that no vote names any more.
+        """Write the blobs that aren't on disk, and delete those that no vote names any more.
 
-        Called before a vote that names the blobs is written, in the same turn.
+        Must be called before a vote that names the blobs is written, in the same turn.
         """
         lacking = [digest for digest in digests if digest not in {*self.synced, *self.writing}]
         dropped = self.synced.difference(digests, self.accepted_digests())
@@ -227,7 +234,7 @@
         records.update({f"{DISK_PREFIX}{digest}": self.packed[digest] for digest in lacking})
 
         def on_synced(is_kept: bool) -> None:
-            # A replica that retired meanwhile has cleared `writing`: its write counts for nothing.
+            # If the replica retired meanwhile, `writing` was cleared and this write is ignored.
             written = self.writing.intersection(lacking)
             self.writing.difference_update(written)
             if is_kept:
--- a/packages/configuration/src/linkhaven/configuration/command_update.py
+++ b/packages/configuration/src/linkhaven/configuration/command_update.py
@@ -1,12 +1,12 @@
-"""Updates by our own commands: each names the version that it builds on, as a compare-and-set.
+"""Updates by native commands; each names the version that it expects, as a compare-and-set.
 
-| record | command | answer |
+| version of the record | command | result |
 | --- | --- | --- |
-| any | committed before, with the same digest | acknowledged as before |
-| any | another command was committed under its id | `put_id_used` |
-| at the expected version | | committed |
-| beyond | may have been committed before the history begins | `put_unknown` |
-| elsewhere | | `mark_conflict` |
+| any | already committed, with the same digest | acknowledged again with the same result |
+| any | another command was committed with its id | `put_id_used` |
+| the expected one | | committed |
+| newer | may have been committed before the history begins | `put_unknown` |
+| any other | | `mark_conflict` |
 """
 
 from collections.abc import Callable
@@ -18,11 +18,11 @@
 from .updates import Contents, RecordReader
 
 MakeContents = Callable[[Record | None, RecordReader], Contents]
-"""Returns what a command makes of a record; raises ServiceError where it doesn't fit."""
+"""Returns the contents of a record after a command; raises ServiceError if it isn't valid."""
 
 
 class CommandUpdate:
-    """One update by a command; see `ConfigurationUpdate`."""
+    """One update by a native command; see `ConfigurationUpdate`."""
 
     __slots__ = ("expected", "key", "digest", "make_contents", "needs_blobs")
 
@@ -34,7 +34,7 @@
         make_contents: MakeContents,
         needs_blobs: bool,
     ) -> None:
-        """`expected`: the version that the command builds on; `digest`: of all that it says."""
+        """`expected` is the version that the command expects, `digest` that of its content."""
         self.expected = expected
         self.key = update_id
         self.digest = digest
@@ -43,13 +43,13 @@
 
     @property
     def update_id(self) -> str:
-        """What the update is called in logs and in the record: as its sender calls it."""
+        """The id of the update in logs and in the record, as given by its sender."""
         return self.key
 
     def is_committed(self, record: Record | None) -> bool:
-        """Whether this very update was committed before.
+        """Whether this same update was committed before.
 
-        In a record of an earlier version of this program, which kept no history, its id tells.
+        Records of an earlier version of this program have no history; there the id decides.
         """
         committed = find_update(record, self.key)
         if committed is not None:
@@ -57,7 +57,7 @@
         return record is not None and not has_history(record) and update_id_of(record) == self.key
 
     def rejection(self, record: Record | None) -> ServiceError | None:
-        """Return why it can't be committed on this record; None where it may be."""
+        """Return why it can't be committed on this record, None if it can."""
         version = version_of(record)
         if find_update(record, self.key) is not None:
             return ServiceError("put_id_used", put_id=self.key)
@@ -68,5 +68,5 @@
         return ServiceError("mark_conflict", expect=self.expected, mark=version)
 
     def contents(self, record: Record | None, reader: RecordReader) -> Contents:
-        """Return what it makes of the record; raises ServiceError where it doesn't fit."""
+        """Return the updated contents of the record; raises ServiceError if they aren't valid."""
         return self.make_contents(record, reader)
--- a/packages/configuration/src/linkhaven/configuration/document_update.py
+++ b/packages/configuration/src/linkhaven/configuration/document_update.py
@@ -1,15 +1,15 @@
-"""Updates by a foreign operator: its source text replaced whole, or patched.
+"""Updates by an operator on the platform interface: its source text is replaced or patched.
 
-The operator numbers its texts itself. An update names the revision that it builds on and the one
-that it makes, as a compare-and-set.
+The operator numbers its texts itself. An update names its base revision and its new revision, as a
+compare-and-set.
 
-| record | update `base` to `revision` | answer |
+| revision of the record | update from `base` to `revision` | result |
 | --- | --- | --- |
-| any | committed before, with the same digest | acknowledged as before |
-| at `base` | `revision` higher | committed |
-| at `base` | `revision` not higher | `revision_old` |
-| beyond | `revision` may have been committed before the history begins | `put_unknown` |
-| elsewhere | | `revision_conflict` |
+| any | already committed, with the same digest | acknowledged again with the same result |
+| `base` | `revision` is higher | committed |
+| `base` | `revision` isn't higher | `revision_old` |
+| higher | `revision` may have been committed before the history begins | `put_unknown` |
+| any other | | `revision_conflict` |
 """
 
 from collections.abc import Callable
@@ -22,14 +22,14 @@
 from .validation import decode_configuration
 
 MakeDocument = Callable[[str | None], tuple[str, dict]]
-"""Given the source text in force, returns the next one and the document made from it."""
+"""Given the source text in force, returns the next one and the document derived from it."""
 
 
 class DocumentUpdate:
     """One update of the source text; see `ConfigurationUpdate`.
 
-    `source_text` is the text of a replacement, None for a patch: by it an update is known that a
-    version of this program committed which kept no history.
+    `source_text` is the text of a replacement, None for a patch. It identifies an update that was
+    committed by an earlier version of this program, which kept no history.
     """
 
     __slots__ = ("expected", "key", "digest", "make_document", "needs_blobs", "source_text")
@@ -43,7 +43,7 @@
         needs_blobs: bool,
         source_text: str | None,
     ) -> None:
-        """`base` and `revision`: the sender's numbers of the text before and after it."""
+        """`base` and `revision` are the sender's revisions before and after the update."""
         self.expected = base
         self.key = revision
         self.digest = digest
@@ -53,11 +53,11 @@
 
     @property
     def update_id(self) -> str:
-        """What the update is called in logs and in the record."""
+        """The id of the update in logs and in the record."""
         return f"revision-{self.key}"
 
     def is_committed(self, record: Record | None) -> bool:
-        """Whether this very update was committed before."""
+        """Whether this same update was committed before."""
         committed = find_update(record, self.key)
         if committed is not None:
             return committed.digest == self.digest
@@ -69,7 +69,7 @@
         )
 
     def rejection(self, record: Record | None) -> ServiceError | None:
-        """Return why it can't be committed on this record; None where it may be."""
+        """Return why it can't be committed on this record, None if it can."""
         current = revision_of(record)
         if current == self.expected:
             if self.key > current:
@@ -80,7 +80,7 @@
         return ServiceError("revision_conflict", base=self.expected, revision=current)
 
     def _may_be_forgotten(self, record: Record | None, current: int) -> bool:
-        """Whether it may have been committed before the history of the record begins."""
+        """Whether it may have been committed before the record's history begins."""
         return (
             self.expected < self.key <= current
             and find_update(record, self.key) is None
@@ -88,7 +88,10 @@
         )
 
     def contents(self, record: Record | None, reader: RecordReader) -> Contents:
-        """Return what it makes of the record; raises `plan_invalid` where it doesn't fit."""
+        """Return the updated contents of the record.
+
+        Raises ServiceError `plan_invalid` if the document isn't valid.
+        """
         current = reader.source_text_of(record) if self.needs_blobs and record else None
         source_text, document = self.make_document(current)
         decode_configuration(document)
@@ -96,7 +99,7 @@
 
 
 def replacement(base: int, revision: int, source_text: str, document: dict) -> DocumentUpdate:
-    """Return the update that puts a source text in place of the one of revision `base`."""
+    """Return the update that replaces the source text of revision `base`."""
     return DocumentUpdate(
         base,
         revision,
@@ -110,6 +113,6 @@
 def patch_update(base: int, revision: int, patch: str, merge: MakeDocument) -> DocumentUpdate:
     """Return the update that patches the source text of revision `base`.
 
-    `patch` is the text of the patch, by which it is known when it is submitted again.
+    `patch` is the text of the patch, which identifies it when it is submitted again.
     """
     return DocumentUpdate(base, revision, digest_of_json(["patch", patch]), merge, True, None)
--- a/packages/configuration/src/linkhaven/configuration/history.py
+++ b/packages/configuration/src/linkhaven/configuration/history.py
@@ -1,10 +1,10 @@
-"""The committed updates that a record remembers, so that a resubmitted one is answered as before.
+"""The history of committed updates in a record, which makes resubmitted updates idempotent.
 
-A sender whose answer was lost submits the same update again, also after others were committed on
-top of it. The record therefore carries one small row for each update, newest last: the version
-that it got, its key, the digest of what was submitted, and the sender's revision in force after
-it. Versions and revisions only rise, so the oldest row says how far back the history knows
-everything. Test: `test_without_the_history_a_winner_that_is_sent_late_is_refused`.
+A sender that didn't get the response submits the same update again, possibly after others were
+committed on top of it. The record therefore contains one small row for each update, newest last:
+its version, its key, the digest of what was submitted, and the sender's revision in force after it.
+Versions and revisions only increase, so the history is complete from its oldest row on.
+Test: `test_without_the_history_a_winner_that_is_sent_late_is_refused`.
 """
 
 import hashlib
@@ -14,78 +14,81 @@
 from .records import Record, revision_of, version_of
 
 KEPT_UPDATES = 128
-"""Rows that a record keeps: each vote carries them all."""
+"""The number of rows in a record; bounded, since each vote contains all of them."""
 
 DIGEST_DIGITS = 24
 UPDATE_DIGEST_DIGITS = 16
 HISTORY_FIELD = "taken"
 
 UpdateKey = int | str
-"""What an update is known by: the revision of a source text, or the id of one of our commands."""
+"""The key of an update: the revision of a source text, or the id of a native command."""
 
 
 def digest_of(text: str) -> str:
-    """Return the name of a text by its content, in hexadecimal digits of SHA-256."""
+    """Return the first `DIGEST_DIGITS` hexadecimal digits of a text's SHA-256."""
     return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_DIGITS]
 
 
 def digest_of_update(text: str) -> str:
-    """Tell two updates under one key apart; shorter, since each vote carries many."""
+    """Return the digest that tells updates with one key apart.
+
+    It is shorter than that of a blob, since each vote contains many of them.
+    """
     return digest_of(text)[:UPDATE_DIGEST_DIGITS]
 
 
 def digest_of_json(document: Any) -> str:
-    """Return the same of a document in JSON, however its members are ordered."""
+    """Return `digest_of_update` of a JSON document, independent of the order of its members."""
     return digest_of_update(json.dumps(document, sort_keys=True, separators=(",", ":")))
 
 
 class CommittedUpdate:
-    """One update that was acknowledged, or may have been."""
+    """One committed update; its sender may or may not have received the response."""
 
     __slots__ = ("version", "key", "digest", "revision")
 
     def __init__(self, version: int, key: UpdateKey, digest: str, revision: int) -> None:
-        """`revision` is the sender's number of the source text that is in force after it."""
+        """`revision` is the sender's revision number of the source text in force after it."""
         self.version = version
         self.key = key
         self.digest = digest
         self.revision = revision
 
     def as_row(self) -> list:
-        """Return the update as the record keeps it, as short as it can be."""
+        """Return the update as it is stored; the revision is left out if it equals the key."""
         if self.key == self.revision:
             return [self.version, self.key, self.digest]
         return [self.version, self.key, self.digest, self.revision]
 
 
 def read_row(version: int, key: Any, digest: str, revision: int | None = None) -> CommittedUpdate:
-    """Read the fields of a row that `as_row` wrote."""
+    """Return the update of a row that `as_row` returned."""
     return CommittedUpdate(version, key, digest, key if revision is None else revision)
 
 
 def has_history(record: Record) -> bool:
-    """Whether a record keeps a history; one of an earlier version of this program doesn't."""
+    """Whether a record has a history; one of an earlier version of this program hasn't."""
     return HISTORY_FIELD in record
 
 
 def read_history(record: Record | None) -> list[CommittedUpdate]:
-    """Return the updates that a record remembers, oldest first."""
+    """Return the updates in the history of a record, oldest first."""
     return [read_row(*row) for row in (record or {}).get(HISTORY_FIELD, ())]
 
 
 def extend_history(record: Record | None, update: CommittedUpdate) -> list[list]:
-    """Return the rows of the record that the update makes of this one."""
+    """Return the history rows of the record that follows this one by the update."""
     rows = (record or {}).get(HISTORY_FIELD, [])
     return [*rows, update.as_row()][-KEPT_UPDATES:]
 
 
 def find_update(record: Record | None, key: UpdateKey) -> CommittedUpdate | None:
-    """Return the update as it was committed, None where the history has no row of it."""
+    """Return the update with this key from the history, None if it isn't there."""
     return next((update for update in read_history(record) if update.key == key), None)
 
 
 def knows_version(record: Record | None, version: int) -> bool:
-    """Whether the history tells which update, if any, got this version."""
+    """Whether the history is complete for this version."""
     if record is None:
         return True
     history = read_history(record)
@@ -93,7 +96,7 @@
 
 
 def knows_revision(record: Record | None, revision: int) -> bool:
-    """Whether a source text under this number that isn't in the history surely wasn't committed."""
+    """Whether a source text of this revision that isn't in the history was never committed."""
     if record is None:
         return True
     history = read_history(record)
--- a/packages/configuration/src/linkhaven/configuration/store.py
+++ b/packages/configuration/src/linkhaven/configuration/store.py
@@ -1,13 +1,14 @@
-"""Reads the newest configuration from the register, and commits updates of it there.
+"""Reads the newest configuration from the consensus register and commits updates to it.
 
-An update is a compare-and-set of the whole record, in one Paxos proposal (Lamport, Paxos Made
-Simple 2.2): the proposer reads the newest value at a majority and asks here what becomes of it.
+An update is a compare-and-set of the whole record in one Paxos proposal (Lamport, Paxos Made
+Simple, 2.2): the proposer reads the newest value from a majority and calls back here to get the
+next value.
 
-| outcome of the proposal | meaning | answer |
+| outcome of the proposal | meaning | result |
 | --- | --- | --- |
-| `chosen` | the record that the update made, or one that has it already, is chosen | the version |
-| `stopped` | the update may not be committed on the record that was found | its rejection |
-| `unknown` | a majority may choose it yet: the sender submits it again, unchanged | `put_unknown` |
+| `chosen` | the updated record, or one that already contains the update, is chosen | the version |
+| `stopped` | the update can't be committed on the record that was found | its rejection |
+| `unknown` | may still be chosen: the sender resubmits the update unchanged | `put_unknown` |
 | other | no majority answered, nothing was accepted | `core_unready` |
 """
 
@@ -31,25 +32,24 @@
 from .updates import ConfigurationUpdate, Contents
 
 FETCH_ATTEMPTS = 3
-"""How often an update begins anew because blobs that it builds on were missing here."""
+"""How often an update is proposed if blobs that it depends on are missing here."""
 
 RETRY_AFTER_US = 1_000_000
-"""When a sender may come again whose update could not be decided now."""
-
+"""The retry delay that is returned if an update can't be decided now."""
 
 ReadDone = Callable[[ServiceError | None, Any], Any]
-"""Called once with an error and None, or None and what was read."""
+"""Called once, with an error and None, or with None and the result."""
 
 
 class EventLog(Protocol):
-    """Where events go, by their numbers in `linkhaven.api.events`."""
+    """Logs events by their numbers in `linkhaven.api.events`."""
 
     def log(self, number: int, **facts: Any) -> None:
         """Log one event."""
 
 
 class StoreNode(Protocol):
-    """What the store needs of its node."""
+    """What the store requires of its node."""
 
     ports: EventLog
 
@@ -60,14 +60,14 @@
     def propose(
         self, key: str, update: Callable[[Any], tuple[str, Any]], on_result: Callable, /
     ) -> None:
-        """Propose what `update` makes of the newest value; call `on_result(outcome, value)`."""
+        """Propose what `update` returns for the newest value; call `on_result(outcome, value)`."""
 
     def read(self, key: str, on_result: Callable, /) -> None:
         """Call `on_result(outcome, value)` with the newest value that a majority has accepted."""
 
 
 class Blobs(Protocol):
-    """The blob store, as far as the store of records needs it."""
+    """What the configuration store requires of the blob store."""
 
     def has(self, record: Record) -> bool:
         """Whether all blobs that the record names are here."""
@@ -79,49 +79,49 @@
         """Return the source text of a record whose blobs are here."""
 
     def expanded(self, record: Record) -> dict:
-        """Return the record with both parts in it."""
+        """Return the record with its document and source text included."""
 
     def with_document(self, record: Record) -> dict:
-        """Return the record with its document in it."""
+        """Return the record with its document included."""
 
 
 class Exchange(Protocol):
-    """What brings blobs here and to the replicas."""
+    """Fetches blobs and sends them to the replicas."""
 
     def fetch_blobs(self, record: Record, on_fetched: Callable[[bool], Any]) -> None:
-        """Fetch the record's blobs where they are missing; `on_fetched` hears whether all came."""
+        """Fetch missing blobs of a record; call `on_fetched` with whether all are here."""
 
     def send_texts(self, texts: list[str]) -> None:
-        """Keep texts, and send them to all replicas ahead of the accept that names them."""
+        """Store texts and send them to all replicas, ahead of the accept that names them."""
 
 
 class CommitResult:
-    """What a sender is told of its committed update, now or when it came before."""
+    """The result of a committed update, also of one that was committed before."""
 
     __slots__ = ("version", "key")
 
     def __init__(self, version: int, key: int | str) -> None:
-        """`key`: the sender's revision, or the id of its command."""
+        """`key` is the sender's revision number, or the id of its command."""
         self.version = version
         self.key = key
 
 
 def missing_blobs_error() -> ServiceError:
-    """Return the error where the blobs of the newest record can't be had now."""
+    """Return the error for a newest record whose blobs can't be fetched now."""
     return ServiceError(
         "core_unready", done="no", retry_us=RETRY_AFTER_US, why="no seat gave the body of the plan"
     )
 
 
 class Commit:
-    """One update on its way through the register."""
+    """The commit of one update, with retries while blobs are missing."""
 
     __slots__ = ("store", "update", "on_result", "attempts_left", "missing")
 
     def __init__(
         self, store: "ConfigurationStore", update: ConfigurationUpdate, on_result: ReadDone
     ) -> None:
-        """`on_result(error, result)` is called once, with a `CommitResult` if it is committed."""
+        """`on_result(error, result)` is called once, with a `CommitResult` on success."""
         self.store = store
         self.update = update
         self.on_result = on_result
@@ -129,12 +129,12 @@
         self.missing: Record | None = None
 
     def start(self) -> None:
-        """Propose the update, on whatever record is the newest."""
+        """Propose the update on the newest record."""
         self.missing = None
         self.store.proposer.propose(REGISTER_KEY, self._apply, self._on_outcome)
 
     def _apply(self, record: Record | None) -> tuple[str, Any]:
-        """Return what becomes of the record; asked anew in each round of the proposal."""
+        """Return the action and value for the record; called in each round of the proposal."""
         if self.update.is_committed(record):
             return UpdateAction.KEEP, None
         rejection = self.update.rejection(record)
@@ -151,9 +151,9 @@
         return UpdateAction.SET, self._next_record(record, contents)
 
     def _next_record(self, record: Record | None, contents: Contents) -> dict[str, Any]:
-        """Return the record that the update makes, its blobs on their way to all replicas.
+        """Return the updated record, after sending its new blobs to all replicas.
 
-        They go ahead of the accept, so that a replica has them when it is to vote.
+        Blobs are sent ahead of the accept, so that replicas have them when they vote.
         """
         update = self.update
         digests, texts = name_blobs(contents.document, contents.source_text)
@@ -196,10 +196,11 @@
 
 
 class ConfigurationStore:
-    """The configuration as a majority of the replicas has it.
+    """Reads and writes the configuration that a majority of the replicas has accepted.
 
-    It owns no state: records are the register's, blobs the blob store's, and what this node knows
-    to be in force the snapshot's, which is told of each record that is read or committed here.
+    It owns no state: the register holds the record, the blob store the blobs, and the snapshot what
+    this node knows to be in force. Each record that is read or committed here is published to the
+    snapshot.
     """
 
     __slots__ = ("node", "proposer", "blobs", "exchange", "snapshot")
@@ -212,7 +213,7 @@
         exchange: Exchange,
         snapshot: ConfigurationSnapshot,
     ) -> None:
-        """Store the collaborators."""
+        """`node` logs events; the other parameters are the parts described above."""
         self.node = node
         self.proposer = proposer
         self.blobs = blobs
@@ -222,8 +223,8 @@
     def read_record(self, on_result: ReadDone) -> None:
         """Call `on_result(error, record)` with the expanded record that a majority has accepted.
 
-        The record is None before the first update. One whose blobs can't be had is an error: it is
-        never shown in part.
+        The record is None before the first update. If its blobs can't be fetched, the result is
+        an error: a record is never shown in part.
         """
 
         def on_read(outcome: str, record: Any) -> None:
@@ -243,13 +244,13 @@
         self.proposer.read(REGISTER_KEY, on_read)
 
     def commit(self, update: ConfigurationUpdate, on_result: ReadDone) -> None:
-        """Commit an update; call `on_result(error, result)` once, with a `CommitResult` if so."""
+        """Commit an update; call `on_result(error, result)` once, see `Commit`."""
         Commit(self, update, on_result).start()
 
     def put_document(
         self, base: int, revision: int, source_text: str, document: dict, on_result: ReadDone
     ) -> None:
-        """Commit a foreign operator's source text in place of the one of revision `base`."""
+        """Commit an operator's source text as replacement of the one of revision `base`."""
         self.commit(replacement(base, revision, source_text, document), on_result)
 
     def patch_document(
@@ -257,15 +258,15 @@
     ) -> None:
         """Commit a patch of the source text of revision `base`.
 
-        `merge(source_text)` returns the next text and its document, or raises ServiceError; it is
-        given None where no text is in force.
+        `merge(source_text)` returns the next text and its document, or raises ServiceError; the
+        argument is None if no text is in force.
         """
         self.commit(patch_update(base, revision, patch, merge), on_result)
 
     def publish(self, record: Record) -> None:
-        """Have the snapshot take a chosen record as soon as its document is here.
+        """Put a chosen record into the snapshot as soon as its document is here.
 
-        Who made an update has the document; who repeats one may not.
+        The node that made an update has the document; one that was sent it again may not.
         """
         if not self.snapshot.is_newer(record):
             return
@@ -277,7 +278,7 @@
         self.exchange.fetch_blobs(record, on_fetched)
 
     def log_outcome(self, outcome: str, value: Any, update: ConfigurationUpdate) -> None:
-        """Log what became of an update."""
+        """Log the outcome of an update."""
         log = self.node.ports.log
         if outcome == Outcome.CHOSEN:
             log(1301, mark=version_of(value), put_id=update.update_id)
--- a/packages/configuration/src/linkhaven/configuration/updates.py
+++ b/packages/configuration/src/linkhaven/configuration/updates.py
@@ -1,4 +1,4 @@
-"""What every update of the configuration has, whichever way it came in."""
+"""The interface of configuration updates, common to native commands and operators' texts."""
 
 from typing import Protocol
 
@@ -9,14 +9,14 @@
 
 
 class Contents:
-    """What an update puts in force."""
+    """The contents of a record that an update produces."""
 
     __slots__ = ("document", "source_text", "revision", "overlay")
 
     def __init__(
         self, document: dict, source_text: str | None, revision: int, overlay: Overlay
     ) -> None:
-        """Where our own command made it, `source_text` is None and `revision` unchanged."""
+        """`source_text` is None if none is in force; native commands don't change `revision`."""
         self.document = document
         self.source_text = source_text
         self.revision = revision
@@ -24,24 +24,24 @@
 
 
 class RecordReader(Protocol):
-    """Opens records whose blobs are here; the blob store is one."""
+    """Reads the parts of records whose blobs are here; implemented by the blob store."""
 
     def document_of(self, record: Record) -> dict:
         """Return the document of a record."""
 
     def source_text_of(self, record: Record) -> str | None:
-        """Return the source text of a record, None where it has none."""
+        """Return the source text of a record, None if it has none."""
 
     def expanded(self, record: Record) -> dict:
-        """Return the record with both parts in it."""
+        """Return the record with its document and source text included."""
 
 
 class ConfigurationUpdate(Protocol):
-    """One update: how it is known, whether a record takes it, and what it makes of the record."""
+    """One update: its identity, whether a record accepts it, and the contents it produces."""
 
     @property
     def key(self) -> UpdateKey:
-        """What the history knows the update by."""
+        """The key of the update in the history."""
 
     @property
     def digest(self) -> str:
@@ -49,21 +49,21 @@
 
     @property
     def expected(self) -> int:
-        """The version or revision that it builds on."""
+        """The version or revision that the update expects to be in force."""
 
     @property
     def needs_blobs(self) -> bool:
-        """Whether it changes parts of the record before it."""
+        """Whether the contents of the record before it are needed to apply it."""
 
     @property
     def update_id(self) -> str:
-        """What the update is called in logs and in the record."""
+        """The id of the update in logs and in the record."""
 
     def is_committed(self, record: Record | None) -> bool:
-        """Whether this very update was committed before."""
+        """Whether this same update was committed before."""
 
     def rejection(self, record: Record | None) -> ServiceError | None:
-        """Return why it can't be committed on this record; None where it may be."""
+        """Return why it can't be committed on this record, None if it can."""
 
     def contents(self, record: Record | None, reader: RecordReader) -> Contents:
-        """Return what it makes of the record; raises ServiceError where it doesn't fit."""
+        """Return the updated contents of the record; raises ServiceError if they aren't valid."""
