--- a/packages/configuration/src/linkhaven/configuration/changes.py
+++ b/packages/configuration/src/linkhaven/configuration/changes.py
@@ -1,7 +1,7 @@
-"""What differs between two documents, so that a router is sent that and not the whole.
+"""The difference between two documents, which routers are sent instead of the whole document.
 
-The difference names its result only by the result's digest, which the receiver checks: whatever
-goes wrong on the way, a document that isn't the one of its digest is never taken.
+Changes are sent with the digest of their result, which the receiver checks: a document without the
+expected digest is never taken, whatever fault caused the difference.
 Test: `test_changes_that_lead_elsewhere_are_dropped_and_the_whole_is_asked_for`.
 """
 
@@ -13,17 +13,17 @@
 from linkhaven.runtime import read_json, write_json
 
 PARTS = ("groups", "kinds", "pools")
-"""The fields of a document whose items change one by one; any other is sent whole if it differs."""
+"""Fields of a document whose items are compared one by one; others are sent whole."""
 
 
 class DocumentChanges(msgspec.Struct, frozen=True):
-    """What makes one document of another, under the names that it has on the wire."""
+    """The changes that turn one document into another, with their wire names."""
 
     upserts: dict[str, dict]
     """By part: the items to set, by name."""
 
     removals: dict[str, list[str]]
-    """By part: the names of items to drop."""
+    """By part: the names of items to remove."""
 
     replaced_fields: dict[str, Any] = field(name="rest")
     """Other fields of the document to set, by name."""
@@ -36,12 +36,12 @@
 
 
 def read_changes(text: str) -> DocumentChanges:
-    """Read what `write` wrote; raises msgspec.ValidationError or ServiceError for anything else."""
+    """Read what `write` returned; raises ValidationError or ServiceError for other input."""
     return msgspec.convert(read_json(text), DocumentChanges)
 
 
 def diff_of(old: dict[str, Any], new: dict[str, Any]) -> DocumentChanges:
-    """Return what makes the document `new` of the document `old`."""
+    """Return the changes that turn the document `old` into `new`."""
     upserts: dict[str, dict] = {}
     removals: dict[str, list[str]] = {}
     for part in PARTS:
@@ -64,7 +64,7 @@
 
 
 def apply_changes(document: dict[str, Any], changes: DocumentChanges) -> dict[str, Any]:
-    """Return the document with the changes applied; the one given stays as it is."""
+    """Return the document with the changes applied; the argument isn't modified."""
     changed = {
         name: value for name, value in document.items() if name not in changes.dropped_fields
     }
--- a/packages/configuration/src/linkhaven/configuration/long_poll.py
+++ b/packages/configuration/src/linkhaven/configuration/long_poll.py
@@ -1,27 +1,27 @@
 """How long a replica may hold a router's poll, by the fleet's size and the replica's leases.
 
-All routers poll every replica, so with the fleet the hold grows. A replica answers at once what
-can't wait, whatever the hold.
+All routers poll all replicas, so the hold grows with the fleet to bound the load. A replica answers
+earlier than its hold if there is something urgent.
 """
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
 SMALL_FLEET_ROUTERS = 17
-"""Up to so many routers each replica holds polls for the usual time only."""
+"""Up to this number of routers, each replica holds polls only for the usual time."""
 
 MAX_HOLD_US = 800_000
 """The longest hold in any fleet."""
 
 SECTION_SENDER_TTL_US = 3_000_000
-"""For how long a replica that sent a section of a lease holder counts as that holder."""
+"""How long a replica counts as holder of a lease after sending the holder's section."""
 
 RUNNER_LIST, SHARES = "roster", "shares"
-"""Sections that only the holder of a lease sends, by their names on the wire."""
+"""Sections that only a lease holder sends, by their names on the wire."""
 
 
 class HoldBounds(Protocol):
-    """The bounds of a deployment, as far as holds depend on them; times in microseconds."""
+    """The settings of a deployment that holds depend on, in microseconds."""
 
     news_hold_us: int
     lease_us: int
@@ -29,17 +29,17 @@
 
 
 class LongPollHold:
-    """How long the polls of one router are held; it owns which replica sent which section last.
+    """Computes the hold of one router's polls; owns when each replica last sent which section.
 
-    At small fleets every replica holds them for `news_hold_us`. Larger ones stay within a third of
-    a lease, and of `plan_stale_us` where that is set. The replica that sends the list of runners
-    holds half as long.
+    In small fleets all replicas hold polls for `news_hold_us`. In larger fleets a hold is at most a
+    third of a lease, and of `plan_stale_us` if that is set. The replica that sends the runner list
+    holds polls half as long.
     """
 
     __slots__ = ("bounds", "count_routers", "sent_us")
 
     def __init__(self, bounds: HoldBounds, count_routers: Callable[[], int]) -> None:
-        """`count_routers()` gives how many routers are known to run, this one among them."""
+        """`count_routers()` returns the number of routers known to run, including this one."""
         self.bounds = bounds
         self.count_routers = count_routers
         self.sent_us: dict[tuple[str, str], int] = {}
@@ -47,7 +47,7 @@
     def note_response(
         self, replica_id: str, response: Mapping[str, Any], sections: Iterable[str], now_us: int
     ) -> None:
-        """Note which of the sections of lease holders this replica sent."""
+        """Record which of these sections, sent by lease holders, a response contains."""
         for section in sections:
             if section in response:
                 self.sent_us[(section, replica_id)] = now_us
@@ -55,9 +55,9 @@
                 self.sent_us.pop((section, replica_id), None)
 
     def is_sender(self, replica_id: str, section: str, now_us: int) -> bool:
-        """Whether this replica sent the section lately; any may be the one while none did.
+        """Whether this replica recently sent the section, or no replica did.
 
-        In a small fleet every replica counts, so that a new holder of a lease is told all at once.
+        In a small fleet always True, so that a new lease holder gets all reports at once.
         """
         if self.count_routers() <= SMALL_FLEET_ROUTERS:
             return True
@@ -69,7 +69,7 @@
         return not senders or replica_id in senders
 
     def longest_us(self) -> int:
-        """Return the hold at a replica on whose leases this router doesn't wait."""
+        """Return the hold at a replica whose leases don't matter to this router."""
         bounds = self.bounds
         grown_us = bounds.news_hold_us * self.count_routers() // SMALL_FLEET_ROUTERS
         limits_us = [MAX_HOLD_US, bounds.lease_us // 3, grown_us]
@@ -80,7 +80,7 @@
     def hold_us(self, replica_id: str, needs_larger_share: bool, now_us: int) -> int:
         """Return the hold of the next poll of a replica.
 
-        `needs_larger_share`: this router waits for a larger share than it has.
+        `needs_larger_share` is whether this router waits for a larger share than it has.
         """
         longest_us = self.longest_us()
         if longest_us == self.bounds.news_hold_us:
--- a/packages/configuration/src/linkhaven/configuration/messages.py
+++ b/packages/configuration/src/linkhaven/configuration/messages.py
@@ -1,8 +1,8 @@
-"""The messages of this package, their names on the wire bound to those of the code.
+"""The messages of this package, with the wire name of each field.
 
-A watch request and its response carry optional sections of other packages (demand, shares, runner
-list and so on). Those aren't typed here: a section stands in the map of the message, under the name
-that its owner gave it, and passes through as it is.
+A watch request and its response contain optional sections of other packages (demand, shares, runner
+list and so on). Sections aren't typed here: each is an entry of the message map, under the name
+that its package defines, and is passed on unchanged.
 """
 
 from collections.abc import Mapping
@@ -15,29 +15,29 @@
 from .records import Record
 
 WATCH_REQUEST, WATCH_RESPONSE = "ask", "news"
-"""The kinds of the messages of a watch on the wire."""
+"""The message kinds of a watch on the wire."""
 
 Sections = dict[str, Any]
-"""A watch message as it goes over the wire, with the sections of other packages in it."""
+"""A watch message as sent, including the sections of other packages."""
 
 
 class BlobDelivery(Message, tag="bodies", frozen=True):
-    """Packed blobs by digest: sent ahead of an accept that names them, or as an answer."""
+    """Packed blobs by digest, sent ahead of an accept that names them or in response."""
 
     blobs: dict[str, str] = field(name="bodies")
 
 
 class BlobRequest(Message, tag="want_bodies", frozen=True):
-    """Asks for the blobs of these digests; the answer has those that are there."""
+    """Requests the blobs with these digests; the response contains those that the node has."""
 
     digests: list[str]
 
 
 class WatchRequest(Struct, frozen=True, kw_only=True):
-    """A router's poll of one replica: it is answered once there is something newer, or at its end.
+    """A router's poll of one replica, answered when there is a newer version or its hold ends.
 
-    `heard_version`, `wants_document`, `held_digest` and `hold_us` are missing from a router of an
-    earlier version: it is sent every document whole, and held for the usual time.
+    `heard_version`, `wants_document`, `held_digest` and `hold_us` are missing in requests of
+    routers of an earlier version: they are sent each document whole and held for the usual time.
     """
 
     reply_to: str = field(name="back")
@@ -46,27 +46,27 @@
     """The version in force at the router."""
 
     heard_version: int | UnsetType = field(default=UNSET, name="heard")
-    """The highest version that the router has heard of."""
+    """The highest version that the router knows of."""
 
     wants_document: bool | UnsetType = field(default=UNSET, name="wants_plan")
-    """Whether this replica is the one that is to send the document."""
+    """Whether this replica is to send the document."""
 
     known: dict[str, int]
-    """The incarnation of each replica, as the router knows it."""
+    """The newest incarnation of each replica that the router knows."""
 
     held_digest: str | UnsetType = field(default=UNSET, name="holds")
-    """The digest of the document at the router, on which changes may build."""
+    """The digest of the router's document, which may be the base of changes."""
 
     hold_us: int | UnsetType = UNSET
-    """How long the replica may hold the poll, where that isn't the usual time."""
+    """How long the replica may hold the poll, if not for the usual time."""
 
 
 class WatchResponse(Struct, frozen=True, kw_only=True):
-    """What a replica answers a poll with.
+    """A replica's response to a poll.
 
-    A newer document comes in one of three ways: as changes to the one that the router holds, as a
-    packed blob, or, from a replica of an earlier version, inside the record. A replica that isn't
-    the router's source names only its digest.
+    A newer document is sent in one of three ways: as changes to the router's document, as a packed
+    blob, or, by a replica of an earlier version, inside the record. A replica that isn't the
+    router's source sends only its digest.
     """
 
     id: str
@@ -85,7 +85,7 @@
 
 
 def read_watch_request(message: Mapping[str, Any]) -> WatchRequest:
-    """Return the request in a map as it came; raises KeyError where a field is missing."""
+    """Return the request in a message map; raises KeyError if a required field is missing."""
     return WatchRequest(
         reply_to=message["back"],
         id=message["id"],
@@ -99,7 +99,7 @@
 
 
 def read_watch_response(message: Mapping[str, Any]) -> WatchResponse:
-    """Return the response in a map as it came; raises KeyError where a field is missing."""
+    """Return the response in a message map; raises KeyError if a required field is missing."""
     return WatchResponse(
         id=message["id"],
         replica_id=message["seat"],
@@ -124,7 +124,7 @@
     held_digest: str | None,
     hold_us: int | None,
 ) -> Sections:
-    """Return the fields of a request, to which sections are added; None leaves a field out."""
+    """Return a request without sections; fields that are None are left out."""
     fields: Sections = {
         "id": request_id,
         "mark": version,
@@ -147,7 +147,7 @@
     version: int,
     known: dict[str, int],
 ) -> Sections:
-    """Return the fields of a response, to which a document and sections are added."""
+    """Return a response without document and sections."""
     return {
         "id": request_id,
         "seat": replica_id,
@@ -159,22 +159,22 @@
 
 
 def add_digest(response: Sections, digest: str) -> None:
-    """Name the document in force."""
+    """Add the digest of the document in force."""
     response["digest"] = digest
 
 
 def add_blob(response: Sections, record: Record, packed: str) -> None:
-    """Add a published record and its document, packed."""
+    """Add a published record and its packed document."""
     response["body"] = packed
     response["plan"] = record
 
 
 def add_changes(response: Sections, record: Record, base_digest: str, changes: str) -> None:
-    """Add a published record and the changes that lead to its document, packed."""
+    """Add a published record and the packed changes from the base to its document."""
     response["base"], response["changes"] = base_digest, changes
     response["plan"] = record
 
 
 def add_whole_record(response: Sections, record: Record) -> None:
-    """Add a record with its document in it, for a router of an earlier version."""
+    """Add a record with its document included, for a router of an earlier version."""
     response["plan"] = record
--- a/packages/configuration/src/linkhaven/configuration/received.py
+++ b/packages/configuration/src/linkhaven/configuration/received.py
@@ -1,4 +1,4 @@
-"""What a watcher has received: the published record, and its document packed."""
+"""What a watcher has received: the published record and its packed document."""
 
 from typing import Any, Protocol
 
@@ -21,39 +21,39 @@
 
 
 class EventLog(Protocol):
-    """Where events go, by their numbers in `linkhaven.api.events`."""
+    """Logs events by their numbers in `linkhaven.api.events`."""
 
     def log(self, number: int, **facts: Any) -> None:
         """Log one event."""
 
 
 class ReceivedConfiguration:
-    """Owns the published record that the snapshot was taken from, and its document packed.
+    """Owns the published record that the snapshot was taken from, and its packed document.
 
-    Invariant: a document is taken only if it is the one of the digest that its record names,
-    whatever way it came.
+    Invariant: a document is taken only if it has the digest that its record names, however it was
+    sent.
     Test: `test_a_router_refuses_a_spoiled_blob_and_has_it_from_another_replica`.
     """
 
     __slots__ = ("ports", "snapshot", "record", "packed", "accepts_changes")
 
     def __init__(self, ports: EventLog, snapshot: ConfigurationSnapshot) -> None:
-        """Nothing was received yet."""
+        """`snapshot` is what received configurations are put into."""
         self.ports = ports
         self.snapshot = snapshot
         self.record: Record | None = None
         self.packed: str | None = None
-        """None where the document came as changes: it is packed when it is asked for."""
+        """None if the document came as changes: it is packed on demand."""
 
         self.accepts_changes = True
-        """False after changes that led elsewhere, until a whole document was taken."""
+        """False after changes that gave another digest, until a whole document was taken."""
 
     def digest(self) -> str | None:
         """Return the digest of the document in force here, None before the first."""
         return None if self.record is None else document_digest_of(self.record)
 
     def packed_configuration(self) -> tuple[Record, str] | None:
-        """Return the record and its document packed; None before there was one."""
+        """Return the record and its packed document, None before the first."""
         if self.record is None:
             return None
         if self.packed is None:
@@ -61,7 +61,7 @@
         return self.record, self.packed
 
     def take_blob(self, record: Record, packed: str) -> bool:
-        """Take a document that came whole; return whether it is in force now."""
+        """Take a whole packed document; return whether it is in force now."""
         digest = document_digest_of(record)
         try:
             document = read_json(open_blob(digest, packed))
@@ -71,14 +71,15 @@
         return self._take(record, document, packed)
 
     def take_whole_record(self, record: Record) -> bool:
-        """Take a record of a replica of an earlier version, which has the document in it."""
+        """Take a record that includes its document, from a replica of an earlier version."""
         text = write_document(document_of(record))
         return self.take_blob(published_record_of_earlier(record, digest_of(text)), pack_blob(text))
 
     def take_changes(self, record: Record, base_digest: str, packed_changes: str) -> bool:
-        """Take changes to the document here; return whether their result is in force now.
+        """Apply changes to the document here; return whether their result is in force now.
 
-        Whatever doesn't lead to the document of the digest is dropped, and the whole is asked for.
+        If the result doesn't have the record's digest, it is dropped and the next poll requests the
+        whole document.
         Test: `test_changes_that_lead_elsewhere_are_dropped_and_the_whole_is_asked_for`.
         """
         digest = document_digest_of(record)
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -1,17 +1,17 @@
-"""The side of a replica in a watch: long polls of routers, held until there is something newer.
+"""The replica's side of a watch: long polls of routers, held until there is a newer version.
 
-A document goes only to a router that asks this replica for it, as the changes to the one that the
-router holds where these are shorter. Every other response carries the version and the digest, which
-say that the configuration is in force.
+Only a router that requests the document from this replica is sent it, as changes to the document
+that the router has if these are smaller. All other responses contain the version and the digest,
+which confirm that the configuration is in force.
 
-| a poll is | when | then |
+| event | action on a poll | response |
 | --- | --- | --- |
-| answered at once | it comes, and a newer version is in force | version and document |
-| held | it comes, and nothing is newer | until one of the following |
-| answered | a newer version comes into force | version and document |
-| answered | a long hold, after `MIN_LONG_HOLD_US`, and a section is urgent | version and sections |
-| answered | its hold is over, or `answer_all` | version and sections |
-| replaced | the router polls again | the older one is never answered |
+| it arrives, and a newer version is in force | answered at once | version and document |
+| it arrives, and no version is newer | held until one of the following | |
+| a newer version comes into force | answered | version and document |
+| a section is urgent, after `MIN_LONG_HOLD_US` of a long hold | answered | version and sections |
+| its hold is over, or `answer_all` | answered | version and sections |
+| the router polls again | replaced | none |
 
 A replica that isn't current (it doesn't vote, knows of a newer version, lacks the document, or has
 lost contact with a majority) answers with `is_current` false, which confirms nothing.
@@ -45,17 +45,17 @@
 from .snapshot import ConfigurationSnapshot
 
 READ_RETRY_US = 100_000
-"""The least time between two reads of the register by a replica that may be behind."""
+"""The minimum time between two register reads of a replica that may be behind."""
 
 MIN_LONG_HOLD_US = 100_000
-"""How long a long poll is held at least, also where a section is urgent."""
+"""The minimum hold of a poll with a long hold, also if a section is urgent."""
 
 CHANGES_CACHE_SIZE = 16
-"""The changes between so many pairs of documents are kept packed: many routers ask for them."""
+"""Pairs of documents whose packed changes are cached, since many routers request them."""
 
 
 class ServerNode(Protocol):
-    """What the server needs of its node."""
+    """What the server requires of its node."""
 
     bounds: Any
     ports: Any
@@ -70,7 +70,7 @@
 
 
 class WatchedReplica(Protocol):
-    """The replica of this node, with the register's newest record."""
+    """The replica of this node, with the record that it accepted last."""
 
     directory: Any
     replica_id: Any
@@ -81,49 +81,49 @@
         """Whether it may vote now."""
 
     def register_state(self, key: str, /) -> Any:
-        """Return what was accepted last under a key."""
+        """Return the state of the register with this key; `value` was accepted last."""
 
     def is_known_chosen(self, key: str, /) -> bool:
-        """Whether that is known to be chosen."""
+        """Whether the value accepted last is known to be chosen."""
 
     def all_incarnations(self) -> dict[str, int]:
-        """Return the incarnation of each replica, as it is known here."""
+        """Return the newest known incarnation of each replica, by replica id."""
 
 
 class RegisterReader(Protocol):
-    """The proposer, as far as it reads."""
+    """Reads the consensus register; implemented by the proposer."""
 
     def read(self, key: str, on_result: Callable[[str, Any], None], /) -> None:
         """Call `on_result(outcome, value)` with the newest value that a majority has accepted."""
 
 
 class QuorumContact(Protocol):
-    """Whether a majority of the replicas was heard from lately."""
+    """Recent contact with a majority of the replicas."""
 
     def is_held(self) -> bool:
-        """Whether it was."""
+        """Whether a majority of the replicas has answered recently."""
 
 
 class ServerSections(Protocol):
-    """The other parts of a controller that talk with routers inside of watch messages."""
+    """The controller's sections in watch messages, for its other parts."""
 
     def on_watch_request(self, message: Sections) -> None:
-        """Take the sections of a request, as soon as it comes."""
+        """Process the sections of a request when it arrives."""
 
     def add_watch_sections(self, request: Sections, response: Sections) -> None:
         """Add sections to a response."""
 
     def is_watch_urgent(self, request: Sections) -> bool:
-        """Whether the router lacks something that can't wait for the end of a long hold."""
+        """Whether a section for this router can't wait for the end of a long hold."""
 
 
 class Poll:
-    """One poll that is held."""
+    """One held poll; `until_us` is the end of its hold, `urgent_us` that of its minimum hold."""
 
     __slots__ = ("request", "message", "until_us", "urgent_us")
 
     def __init__(self, request: WatchRequest, message: Sections, now_us: int, hold_us: int) -> None:
-        """`message` is the request as it came, with its sections."""
+        """`message` is the request as received, with its sections."""
         self.request = request
         self.message = message
         self.until_us = now_us + hold_us
@@ -131,7 +131,7 @@
 
 
 class WatchServer:
-    """Owns the polls that are held, one a router; nothing of it outlives the process."""
+    """Owns the held polls, one for each router; its state isn't persistent."""
 
     __slots__ = (
         "node",
@@ -174,7 +174,7 @@
         node.map_handlers[WATCH_REQUEST] = self.on_watch_request
         node.systems.append(self.on_tick)
 
-    # what is in force
+    # State of this replica
 
     def _record(self) -> Record | None:
         return self.replica.register_state(REGISTER_KEY).value
@@ -184,10 +184,10 @@
         return version_of(self._record())
 
     def is_current(self) -> bool:
-        """Whether what this replica has may be handed out as in force.
+        """Whether the record of this replica may be sent to routers as the one in force.
 
-        It is the newest known, and a majority was heard lately: without that a newer one could be
-        in force. Test: the sabotage `serve_without_contact`.
+        It must be the newest known, and a majority must have answered recently: otherwise a newer
+        one could be in force. Test: the sabotage `serve_without_contact`.
         """
         return self._is_newest_known() and self.contact.is_held()
 
@@ -199,10 +199,10 @@
             and self.blobs.has(self._record())
         )
 
-    # polls
+    # Polls
 
     def on_watch_request(self, message: Sections) -> None:
-        """Hold a poll, or answer it where a newer version is in force."""
+        """Hold a poll, or answer it at once if a newer version is in force."""
         now_us = self.polled_us = self.node.now_us()
         request = read_watch_request(message)
         self.replica.directory.learn_incarnations(request.known)
@@ -225,21 +225,21 @@
         return self.held_version() > known
 
     def answer_waiting(self) -> None:
-        """Answer the polls for which a newer version is in force."""
+        """Answer the held polls of routers with an older version than the one in force."""
         for poll in list(self.polls.values()):
             if self._has_newer_for(poll.request):
                 self._answer(poll)
 
     def answer_all(self) -> None:
-        """Answer all polls now, whatever there is to say."""
+        """Answer all held polls now, also without a newer version."""
         for poll in list(self.polls.values()):
             self._answer(poll)
 
     def shorten_holds(self) -> None:
-        """End long holds soon, each at its own moment.
+        """End long holds within `news_hold_us`, each at a random time.
 
-        Answered together, routers would go on polling together, and place by the same figures at
-        the same time.
+        Routers that were answered together would go on polling together, and would place requests
+        by the same load data at the same time.
         """
         now_us, usual_us = self.node.now_us(), self.node.bounds.news_hold_us
         for poll in self.polls.values():
@@ -248,7 +248,7 @@
                 poll.until_us = min(poll.until_us, soon_us)
 
     def on_tick(self, now_us: int) -> None:
-        """Answer polls whose hold is over, and read the register where this replica is behind."""
+        """Answer polls whose hold is over; read the register if this replica may be behind."""
         if not self._is_newest_known() and self.replica.is_voting:
             self._read(now_us)
         for poll in list(self.polls.values()):
@@ -256,14 +256,14 @@
                 self._answer(poll)
 
     def _is_urgent(self, poll: Poll, now_us: int) -> bool:
-        """Whether a router that asked for a long hold must be told something before its end."""
+        """Whether a poll with a long hold must be answered before its end."""
         return (
             poll.request.hold_us is not UNSET
             and now_us >= poll.urgent_us
             and self.sections.is_watch_urgent(poll.message)
         )
 
-    # responses
+    # Responses
 
     def _answer(self, poll: Poll) -> None:
         request = poll.request
@@ -300,7 +300,7 @@
             add_changes(response, published, base, changes)
 
     def _packed_changes(self, base: str, digest: str) -> str | None:
-        """Return the packed changes between two documents, None where the whole is no longer."""
+        """Return the packed changes between two documents, None if the whole isn't larger."""
         if not self.blobs.has_blob(base):
             return None
         key = (base, digest)
@@ -311,10 +311,10 @@
             self.changes[key] = changes if len(changes) < len(whole) else None
         return self.changes[key]
 
-    # reading the register
+    # Register reads
 
     def _read(self, now_us: int) -> None:
-        """Learn from a majority what is in force; one read at a time."""
+        """Read the record in force from a majority; one read at a time."""
         if self.is_reading or now_us - self.read_us < READ_RETRY_US:
             return
         self.is_reading = True
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -1,22 +1,22 @@
-"""The side of a router in a watch: one open long poll at every replica.
+"""The router's side of a watch: one open long poll at each replica.
 
-The version in force is confirmed as of the sending of the polls that a majority of the replicas has
-answered. The document comes from the source, which is the nearest replica that answers; the others
-name it by its digest. Where the source is silent or behind for `body_wait_us` after another replica
-has named a newer version, one that named it is asked at once.
+The version in force is confirmed as of the send time of the polls that a majority of the replicas
+has answered. The document comes from the source, which is the nearest responsive replica; the
+others only send its digest. If the source is silent or behind for `body_wait_us` after another
+replica has named a newer version, a replica that named it is polled for the document.
 
-| state of a poll | met with | then |
+| state of a poll | event | action |
 | --- | --- | --- |
 | none sent | tick | sent |
-| open | its response | taken, and the next poll is sent |
-| open | another response | dropped: it is late and says nothing |
-| open | tick, hold and `RESPONSE_GRACE_US` over | sent again |
+| open | its response | processed, and the next poll is sent |
+| open | another response | dropped: it belongs to an earlier poll |
+| open | tick, hold and `RESPONSE_GRACE_US` are over | sent again |
 | open, long hold | tick, the replica moved, or the hold would now be shorter | sent again |
 
-| a current response | version here | then |
+| current response | version here | action |
 | --- | --- | --- |
-| brings the document | older | taken if it fits its digest; who named it confirms it |
-| names a newer version | older | the document is missing: asked for where it is named |
+| contains the document | older | taken if it has its digest; replicas that named it confirm it |
+| names a newer version | older | the document is missing: requested from replicas that named it |
 | names the same version and digest | same | confirmed by this replica |
 | names another digest | same | logged (1305), confirms nothing |
 """
@@ -43,14 +43,14 @@
 from .snapshot import ConfigurationSnapshot
 
 RESPONSE_GRACE_US = 350_000
-"""How long after its hold a response may come, before the poll is sent again."""
+"""How long after the end of its hold a response may arrive before the poll is sent again."""
 
 LEASE_HOLDER_SECTIONS = ("roster", "steward", "shares")
-"""Sections that only holders of leases send, by their names on the wire."""
+"""Sections that only lease holders send, by their names on the wire."""
 
 
 class WatcherNode(Protocol):
-    """What the watcher needs of its node."""
+    """What the watcher requires of its node."""
 
     name: str
     bounds: Any
@@ -66,22 +66,22 @@
 
 
 class ReplicaDirectory(Protocol):
-    """Where the replicas are, and in which zone."""
+    """The addresses and zones of the replicas."""
 
     me: Any
 
     def replicas(self) -> dict[str, tuple[str, int]]:
-        """Return the address and incarnation of each replica, by its id."""
+        """Return the address and incarnation of each replica, by replica id."""
 
     def replica_members(self) -> dict[str, Any]:
-        """Return the member that each replica runs on."""
+        """Return the cluster member that runs each replica, by replica id."""
 
     def learn_incarnations(self, known: dict[str, int], /) -> None:
-        """Take newer incarnations of replicas."""
+        """Record newer incarnations of replicas."""
 
 
 class WatcherSections(Protocol):
-    """The other parts of a router that talk with the core inside of watch messages."""
+    """The router's sections in watch messages, for its other parts."""
 
     def add_watch_sections(self, request: Sections, replica_id: str) -> None:
         """Add sections to a poll of a replica."""
@@ -90,42 +90,43 @@
         """Whether this router waits for a larger share than it has."""
 
     def on_watch_response(self, response: Sections, sent_us: int) -> None:
-        """Take the sections of a response to a poll that was sent at `sent_us`."""
+        """Process the sections of a response to a poll that was sent at `sent_us`."""
 
 
 @lru_cache(maxsize=1024)
 def rendezvous_rank(router: str, replica_id: str) -> bytes:
-    """Return where a replica stands in one router's order of those that are equally near.
+    """Return the sort key of a replica among equally near ones, for one router.
 
-    Highest random weight (Thaler & Ravishankar, 1998): routers spread over the replicas.
+    Rendezvous hashing (highest random weight; Thaler & Ravishankar, 1998) spreads the routers over
+    the replicas.
     """
     return hashlib.blake2b(f"{router}/{replica_id}".encode(), digest_size=4).digest()
 
 
 class ReplicaPoll:
-    """The poll at one replica; `request_id` is None while none is open."""
+    """The poll at one replica; `request_id` is None while no poll is open."""
 
     __slots__ = ("request_id", "sent_us", "hold_us", "destination", "answered_us")
 
     def __init__(self, now_us: int) -> None:
-        """None was sent yet."""
+        """Start without an open poll."""
         self.request_id: str | None = None
         self.sent_us = 0
         self.hold_us = 0
         self.destination: tuple[str, int] | None = None
-        """The address and incarnation of the replica to which it was sent."""
+        """The address and incarnation of the replica that it was sent to."""
 
         self.answered_us = now_us
-        """When the replica answered last; at first, when it was polled first."""
+        """When the replica last responded; before that, when it was first polled."""
 
 
 class MissingDocument:
-    """A newer version that replicas have named and whose document has not come yet."""
+    """A newer version that replicas have named and whose document hasn't arrived yet."""
 
     __slots__ = ("version", "named_by", "tried", "request_us")
 
     def __init__(self, version: int, request_us: int) -> None:
-        """`request_us`: when it is asked for where it was named, if it hasn't come by then."""
+        """`request_us` is when to request it from a replica that named it."""
         self.version = version
         self.named_by: dict[str, tuple[str | None, int, int]] = {}
         """By replica: the digest that it named, when its poll was sent, and its incarnation."""
@@ -135,7 +136,7 @@
 
 
 class ConfigurationWatcher:
-    """Owns the open polls and the document that is missing; nothing of it outlives the process."""
+    """Owns the open polls and the missing document; its state isn't persistent."""
 
     __slots__ = (
         "node",
@@ -159,7 +160,10 @@
         majority: int,
         count_routers: Callable[[], int],
     ) -> None:
-        """Register the handler of responses and the timer."""
+        """Register the handler of responses and the timer.
+
+        `count_routers()` returns the number of running routers, see `LongPollHold`.
+        """
         self.node = node
         self.directory = directory
         self.snapshot = snapshot
@@ -173,16 +177,16 @@
         node.map_handlers[WATCH_RESPONSE] = self.on_watch_response
         node.systems.append(self.on_tick)
 
-    # what is in force
+    # Freshness
 
     def has_confirmation(self) -> bool:
-        """Whether a majority has confirmed anything since the start."""
+        """Whether a majority has confirmed any version since the start."""
         return self.confirmation.confirmed_us is not None
 
     def is_fresh(self) -> bool:
-        """Whether the configuration here may be served by now.
+        """Whether requests may be served by the configuration here.
 
-        With `plan_stale_us` set, a majority must have confirmed it within that time.
+        If `plan_stale_us` is set, a majority must have confirmed it within that time.
         """
         if self.snapshot.configuration is None:
             return False
@@ -190,19 +194,19 @@
         return stale_us is None or self.is_newest_within(stale_us)
 
     def is_confirmed_within(self, age_us: int) -> bool:
-        """Whether a majority has confirmed, as of at most `age_us` ago, that none was newer."""
+        """Whether a majority has confirmed the version as of at most `age_us` ago."""
         confirmed_us = self.confirmation.confirmed_us
         return confirmed_us is not None and self.node.now_us() - confirmed_us <= age_us
 
     def is_newest_within(self, age_us: int) -> bool:
-        """Whether it was confirmed so, and no newer version was heard of."""
+        """Whether it was confirmed within `age_us` and no newer version is known."""
         return not self.snapshot.is_behind and self.is_confirmed_within(age_us)
 
     def packed_configuration(self) -> tuple[Record, str] | None:
-        """Return the published record and its document packed; None before there was one."""
+        """Return the published record and its packed document, None before the first."""
         return self.received.packed_configuration()
 
-    # polls
+    # Polls
 
     def _poll(
         self,
@@ -211,7 +215,7 @@
         now_us: int,
         wants_document: bool | None = None,
     ) -> None:
-        """Send a poll; `wants_document` None: if the replica is the source."""
+        """Send a poll; `wants_document` None requests the document if the replica is the source."""
         poll = self.polls.get(replica_id)
         if poll is None:
             poll = self.polls[replica_id] = ReplicaPoll(now_us)
@@ -265,7 +269,7 @@
         )
 
     def on_tick(self, now_us: int) -> None:
-        """Poll again where a response is overdue, and elsewhere for a document that is missing."""
+        """Repeat overdue polls, and request a missing document from another replica."""
         is_short = self.sections.needs_larger_share()
         for replica_id, destination in self.directory.replicas().items():
             poll = self.polls.get(replica_id)
@@ -281,7 +285,7 @@
         is_short: bool,
         now_us: int,
     ) -> bool:
-        """Whether no response is awaited, none can come any more, or it would come too late."""
+        """Whether no poll is open, or its response is overdue, can't arrive or would be late."""
         if poll.request_id is None or now_us - poll.sent_us > poll.hold_us + RESPONSE_GRACE_US:
             return True
         usual_us = self.node.bounds.news_hold_us
@@ -292,7 +296,7 @@
         return is_short and self.hold.hold_us(replica_id, True, now_us) < poll.hold_us
 
     def _request_missing(self, now_us: int) -> None:
-        """Ask the next replica that named the missing document, when its time has come."""
+        """Request the missing document from the next replica that named it, when it is time."""
         missing, replicas = self.missing, self.directory.replicas()
         if missing is None or now_us < missing.request_us:
             return
@@ -306,10 +310,10 @@
         replica_id = (untried or named_by)[0]
         self._poll(replica_id, replicas[replica_id], now_us, wants_document=True)
 
-    # responses
+    # Responses
 
     def on_watch_response(self, message: Sections) -> None:
-        """Take the response to the poll that is open at a replica; any other is late."""
+        """Process the response to the open poll at a replica; drop any other."""
         response = read_watch_response(message)
         replica_id = response.replica_id
         poll = self.polls.get(replica_id)
@@ -339,7 +343,7 @@
         self._confirm(response.replica_id, sent_us, response.incarnation)
 
     def _take_document(self, response: WatchResponse) -> bool:
-        """Take the document that a response brings; return whether it is in force now."""
+        """Take the document in a response, if any; return whether it is in force now."""
         record = response.record
         if record is UNSET:
             return False
@@ -350,7 +354,7 @@
         return self.received.take_whole_record(record)
 
     def _on_document_taken(self) -> None:
-        """Nothing is missing any more; who named the document that came confirms it."""
+        """Clear the missing document; replicas that named the digest in force confirm it."""
         missing = self.missing
         if missing is None or missing.version > self.snapshot.version:
             return
@@ -372,9 +376,9 @@
         missing.named_by[response.replica_id] = (digest, sent_us, response.incarnation)
 
     def _has_other_digest(self, response: WatchResponse) -> bool:
-        """Whether a replica names another document for the version that is in force here.
+        """Whether a replica names another digest for the version that is in force here.
 
-        Never while the register chooses one value for each version.
+        This can't happen while the register chooses one value for each version.
         """
         held_digest = self.received.digest()
         if response.digest is UNSET or held_digest is None or response.digest == held_digest:
