--- a/packages/configuration/src/linkhaven/configuration/__init__.py
+++ b/packages/configuration/src/linkhaven/configuration/__init__.py
@@ -1,10 +1,12 @@
-"""The operators' configuration: its form and checks, its store, and how routers follow it.
+"""The operators' configuration: its schema and checks, its store, and its distribution to routers.
 
-A *document* is the configuration as JSON, stored and sent as it came; a `Configuration` is the
-typed record that all other packages read. Documents: `schema` (form), `document` (records and
-defaults), `validation` (checks, decoding), `document_faults` (errors), `patch` (changes by name),
-`overlay` (our commands beside a foreign operator's text), `document_diff` (for people), `changes`
-(for routers). On the wire and in commands a document is called `plan`.
+A *document* is the configuration as JSON, stored and sent as received; a `Configuration` is the
+typed record that all other packages read. On the wire and in commands a document is called `plan`.
+
+Documents: `schema` (fields and values), `document` (records and defaults), `validation` (checks and
+decoding), `document_faults` (errors), `patch` (changes by name), `overlay` (native commands on top
+of an operator's text), `document_diff` (differences for operators), `changes` (differences for
+routers).
 """
 
 from .api_keys import digest_api_key
--- a/packages/configuration/src/linkhaven/configuration/commands.py
+++ b/packages/configuration/src/linkhaven/configuration/commands.py
@@ -1,7 +1,7 @@
-"""Our own commands over HTTP: show, check, put and patch the configuration, and edit parts of it.
+"""The native HTTP commands: show, check, put and patch the configuration, and edit its items.
 
-Each command that changes something becomes one `CommandUpdate`. Where a foreign operator's source
-text is in force, groups and kinds are edited beside it, in the overlay; the rest is its sender's.
+Each command that changes the configuration becomes one `CommandUpdate`. While an operator's source
+text is in force, groups and kinds are edited in the overlay; all else belongs to its sender.
 """
 
 from collections.abc import Callable
@@ -35,28 +35,28 @@
 from .validation import decode_configuration, list_document_faults
 
 PATCHED_SECTIONS = ("groups", "kinds", "pools", "tenants")
-"""The mappings of a document whose items are patched by name."""
+"""The mappings of a document whose items can be patched by name."""
 
 ENVELOPE_FIELDS = ("expect", "put_id")
-"""What a command says beside what it asks for."""
+"""Fields of a command that aren't part of the requested change."""
 
 
 class Call(Protocol):
-    """One HTTP request to us, and its answer."""
+    """One HTTP request and its response."""
 
     method: str
     path: str
     body: bytes
 
     def answer_json(self, status: int, document: Any) -> None:
-        """Answer with a document."""
+        """Respond with a JSON document."""
 
     def answer_error(self, error: ServiceError) -> None:
-        """Answer with an error, under its own status."""
+        """Respond with an error and its HTTP status."""
 
 
 class HttpNode(Protocol):
-    """The node, as far as it hands calls to handlers by method and path."""
+    """The node, with its HTTP handlers by method and path."""
 
     routes: dict[tuple[str, str], Callable]
 
@@ -69,12 +69,12 @@
 
 
 class ItemCommand:
-    """One command on a group or kind: its schema, and how it edits a document or an overlay."""
+    """A command on a group or kind: its schema and how it edits a document or an overlay."""
 
     __slots__ = ("schema", "edit_document", "edit_overlay")
 
     def __init__(self, schema: str, edit_document: EditDocument, edit_overlay: EditOverlay) -> None:
-        """`schema` names the form of the command's body in linkhaven.yaml."""
+        """`schema` is the name of the command body's schema in linkhaven.yaml."""
         self.schema = schema
         self.edit_document = edit_document
         self.edit_overlay = edit_overlay
@@ -103,7 +103,11 @@
 
 
 def _remove_group(document: dict, name: str, fields: dict) -> dict:
-    """Remove a group to which no kind is attached: then no queued work is lost by surprise."""
+    """Remove a group.
+
+    The check of the result rejects the removal while a kind is attached to the group, so that no
+    queued request is lost unexpectedly.
+    """
     return _without_item(document, "groups", name)
 
 
@@ -145,7 +149,7 @@
 
 
 class ConfigurationCommands:
-    """The handlers of the native interface to the configuration, of any controller node."""
+    """The HTTP handlers of the native configuration interface, at any controller node."""
 
     __slots__ = ("store",)
 
@@ -169,14 +173,14 @@
         return lambda call, name: self.on_item_command(call, name, command)
 
     def on_check(self, call: Call) -> None:
-        """Say whether a document is valid; raises `plan_invalid` with each place that isn't."""
+        """Check a document; raises ServiceError `plan_invalid` with all its faults."""
         faults = list_document_faults(read_json(call.body))
         if faults:
             raise ServiceError("plan_invalid", places=faults)
         call.answer_json(200, {"fits": True})
 
     def on_show(self, call: Call) -> None:
-        """Answer with the newest configuration that a majority has accepted."""
+        """Respond with the newest configuration that a majority has accepted."""
 
         def on_read(error: ServiceError | None, record: Record | None) -> None:
             if error is not None:
@@ -189,7 +193,7 @@
         self.store.read_record(on_read)
 
     def on_put(self, call: Call) -> None:
-        """Replace the whole document; a source text is then no longer in force."""
+        """Replace the whole document; a source text is no longer in force afterwards."""
         command = check_document("PlanPut", read_json(call.body))
         document = command["plan"]
         decode_configuration(document)
@@ -237,7 +241,7 @@
     def _commit(
         self, call: Call, command: dict, make: MakeContents, asked: dict, needs_blobs: bool = True
     ) -> None:
-        """Commit a command and answer it. `asked` is what it is known by when it is sent again."""
+        """Commit a command and respond; `asked` identifies the command when it is sent again."""
         digest = digest_of_command(call, asked)
         update = CommandUpdate(command["expect"], command["put_id"], digest, make, needs_blobs)
 
@@ -250,6 +254,6 @@
 
 
 def digest_of_command(call: Call, asked: dict) -> str:
-    """Return the digest of what a command asks for, and where; its id and version stay out."""
+    """Return the digest of a command's method, path and change, without `ENVELOPE_FIELDS`."""
     fields = {name: asked[name] for name in asked if name not in ENVELOPE_FIELDS}
     return digest_of_json([call.method, call.path.partition("?")[0], fields])
--- a/packages/configuration/src/linkhaven/configuration/overlay.py
+++ b/packages/configuration/src/linkhaven/configuration/overlay.py
@@ -1,7 +1,8 @@
-"""Our own commands for groups and kinds, kept beside a document that a foreign operator sends.
+"""Changes by native commands on top of a document that an operator sends on the platform interface.
 
-Such a document is its sender's: our commands don't alter its bytes. What they change is stored as
-an overlay, which survives the next document, and is applied to whatever document is in force.
+Native commands don't modify the operator's source text. Their changes to groups and kinds are
+stored as an overlay, which is kept when the document is replaced and is applied to the document in
+force.
 """
 
 from .document import Configuration, RequestKind
@@ -13,7 +14,7 @@
 def apply_overlay(document: dict, overlay: Overlay) -> dict:
     """Return a document with an overlay applied to it.
 
-    A kind stays in its document's group while the one that it is attached to isn't there.
+    A kind stays in its document's group while the group that it is attached to doesn't exist.
     """
     groups = {**document["groups"], **overlay["groups"]}
     kinds = {
@@ -26,15 +27,15 @@
 
 
 def effective_configuration(record: Record) -> Configuration:
-    """Return the configuration that a record with its document in it puts in force.
+    """Return the configuration of a record with its document included.
 
-    Raises ServiceError `plan_invalid`, which none does that was checked before it was stored.
+    Raises ServiceError `plan_invalid` if it isn't valid; a stored record was checked before.
     """
     return decode_configuration(apply_overlay(document_of(record), overlay_of(record)))
 
 
 def put_overlay_group(document: dict, overlay: Overlay, name: str, group: dict) -> Overlay:
-    """Return the overlay with a group set. Raises ServiceError `plan_invalid` if it doesn't fit."""
+    """Return the overlay with a group set; raises ServiceError `plan_invalid` if invalid."""
     groups = {**overlay["groups"], name: group}
     return _checked(document, {**overlay, "groups": groups})
 
@@ -42,7 +43,7 @@
 def remove_overlay_group(document: dict, overlay: Overlay, name: str) -> Overlay:
     """Return the overlay without a group.
 
-    Raises ServiceError `plan_invalid` if the overlay lacks it, or a kind is attached to it.
+    Raises ServiceError `plan_invalid` if it isn't in the overlay or a kind is attached to it.
     """
     if name not in overlay["groups"]:
         raise document_invalid_at(
@@ -55,8 +56,8 @@
 def attach_overlay_kind(document: dict, overlay: Overlay, name: str, kind: dict) -> Overlay:
     """Return the overlay with a kind of the document attached to another group, or to its own.
 
-    Only the group of `kind` may differ from the document's; everything else about a kind is its
-    sender's. Raises ServiceError `plan_invalid` where more differs or the group isn't there.
+    Only the group of `kind` may differ from the document's; its other fields belong to the sender
+    of the document. Raises ServiceError `plan_invalid` if more differs or the group doesn't exist.
     """
     own = document["kinds"].get(name)
     if own is None:
@@ -74,14 +75,14 @@
 
 
 def _decode_kind(document: dict, name: str, kind: dict) -> RequestKind:
-    """Read a kind as a document of only this one would have it; raises `plan_invalid`."""
+    """Decode a kind as the only one of a document; raises ServiceError `plan_invalid`."""
     return decode_configuration({**document, "kinds": {name: kind}}).kinds[name]
 
 
 def _checked(document: dict, overlay: Overlay) -> Overlay:
-    """Return the overlay if it fits, and each kind of the document finds the group that it names.
+    """Return the overlay if it is valid on the document, else raise ServiceError `plan_invalid`.
 
-    Raises ServiceError `plan_invalid`.
+    Each kind of the document that it attaches must name an existing group.
     """
     effective = apply_overlay(document, overlay)
     for name, group in overlay["kinds"].items():
--- a/packages/configuration/src/linkhaven/configuration/patch.py
+++ b/packages/configuration/src/linkhaven/configuration/patch.py
@@ -1,9 +1,9 @@
-"""Changes of named items: what a patch adds, replaces and removes, apart from how items are stored.
+"""Patches that add, replace and remove named items of a document.
 
-A patch names the parts of a document that it changes. Each part holds items with unique names,
-either as a list of items that carry a `name` or as a mapping from names to items. Items that the
-patch doesn't name keep their content and their order; a replaced item keeps its place, and a new
-one comes last. Nothing here alters the document that it is given.
+A patch names the parts of a document that it changes. Each part contains items with unique names,
+either as a list of items with a `name` field or as a mapping from names to items. Items that the
+patch doesn't name keep their content and order; a replaced item keeps its position, and a new item
+is added at the end. The document passed in is never modified.
 
 Each function that reads or applies a patch raises ServiceError `plan_invalid` with the place of
 each fault, and then changes nothing. Tests: tests/test_patch.py.
@@ -31,11 +31,11 @@
         return sorted({*self.upserts, *self.removals})
 
 
-# reading a patch
+# Reading a patch
 
 
 def read_list_patch(document: dict[str, Any]) -> Patch:
-    """Read a patch whose upserts are lists of items that carry their names."""
+    """Read a patch whose upserts are lists of items with a `name` field."""
     faults = FaultCollector()
     upserts = {
         part: _read_items(part, items, faults)
@@ -100,7 +100,7 @@
     return names
 
 
-# applying a patch
+# Applying a patch
 
 
 def apply_to_lists(
@@ -108,7 +108,7 @@
 ) -> dict[str, Any]:
     """Return the document with the patch applied to its lists of named items.
 
-    `known_parts` may be patched also where the document lacks them.
+    `known_parts` may be patched even if the document lacks them.
     """
     faults = FaultCollector()
     patched = dict(document)
@@ -148,7 +148,7 @@
 def _check_names(
     patch: Patch, part: str, existing: Collection[str], faults: FaultCollector
 ) -> None:
-    """Note an item that is both changed and removed, and a removal of what isn't there."""
+    """Add faults for items both upserted and removed, and for removals of missing items."""
     upserts = patch.upserts.get(part, {})
     for name in patch.removals.get(part, ()):
         if name in upserts:
--- a/packages/configuration/src/linkhaven/configuration/schema.py
+++ b/packages/configuration/src/linkhaven/configuration/schema.py
@@ -1,7 +1,7 @@
-"""The form of an operator's document: its fields and the values that each may have.
+"""The schema of an operator's document: its fields and their allowed values.
 
-Defaults stand in `document.py`, how fields must fit together in `validation.py`. A field that isn't
-named here is a fault: it would else be dropped without a word.
+`document.py` defines the defaults, `validation.py` checks the consistency between fields. An
+unknown field is a fault, since it would otherwise be ignored silently.
 """
 
 import trafaret as t
@@ -9,13 +9,13 @@
 from linkhaven.api.fields import number, whole
 
 DURATION_US = whole(gte=1, lte=86_400_000_000)
-"""A time in microseconds, up to a day."""
+"""A time in microseconds, from 1 to one day."""
 
 NAME = t.Regexp(r"^[A-Za-z0-9._-]{1,128}\Z")
 """The name of a group, a kind, a pool or a tenant."""
 
 REQUESTS = number(least=0, most=1e15)
-"""Requests, or requests a second: finite, so that what is computed from them is."""
+"""Requests, or requests per second; bounded so that values computed from them are finite."""
 
 ALLOWANCE = t.Dict({t.Key("tokens"): whole(gte=0), t.Key("period_us"): DURATION_US})
 
--- a/packages/configuration/src/linkhaven/configuration/validation.py
+++ b/packages/configuration/src/linkhaven/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Checks an operator's document, whole, and decodes it to the `Configuration` that code reads."""
+"""Checks an operator's whole document and decodes it to a `Configuration`."""
 
 from collections.abc import Iterator
 from typing import Any, Protocol, cast
@@ -16,24 +16,24 @@
 from .schema import DOCUMENT, GROUP, KIND, NAME, TENANT
 
 MAX_DECODED_ITEMS = 8_192
-"""More than the groups, kinds and tenants of two versions of a large document."""
+"""Cache size; more than the groups, kinds and tenants of two versions of a large document."""
 
 _decoded_items: LRUCache = LRUCache(MAX_DECODED_ITEMS)
-"""Groups, kinds and tenants that were checked before, by their schema, name and text, so that a
-change of a large document checks and decodes only what it changed.
+"""Cache of checked groups, kinds and tenants by schema, name and text, so that a change of a large
+document checks and decodes only what it changed.
 Test: `test_only_changed_parts_of_a_plan_are_checked_again`.
 """
 
 
 class _Schema(Protocol):
     def check(self, value: Any) -> Any:
-        """Return the value as checked, or raise trafaret.DataError."""
+        """Return the checked value, or raise trafaret.DataError."""
 
 
 def decode_configuration(document: Any) -> Configuration:
-    """Check a document and return the configuration that it says, with defaults for what it omits.
+    """Check a document and return its configuration, with defaults for omitted fields.
 
-    Raises ServiceError `plan_invalid` with each place that doesn't fit, in the order of places.
+    Raises ServiceError `plan_invalid` with all faults, sorted by place.
     """
     faults: list[DocumentFault] = []
     configuration = None
@@ -48,7 +48,7 @@
 
 
 def list_document_faults(document: Any) -> list[DocumentFault]:
-    """Return each place of a document that doesn't fit, none where it is valid."""
+    """Return the faults of a document, an empty list if it is valid."""
     try:
         decode_configuration(document)
     except ServiceError as error:
@@ -57,7 +57,7 @@
 
 
 def _decode(document: Any) -> Configuration:
-    """Raise trafaret.DataError with each place that doesn't fit the schema."""
+    """Decode a document; raises trafaret.DataError with each place that violates the schema."""
     try:
         groups = {
             name: _decode_item(GROUP, Group, name, item)
@@ -79,7 +79,7 @@
 
 
 def _decode_tenants(document: Any) -> dict[str, Tenant] | None:
-    """The tenants of a document, None where it has no such part."""
+    """Return the tenants of a document, None if it has no such field."""
     if "tenants" not in document:
         return None
     return {
@@ -96,8 +96,8 @@
     return decoded
 
 
-# How fields must fit together. The document may be of any form here: the schema's faults and these
-# are told at once, so that an operator mends all in one go.
+# Consistency between fields. The document may have any form here: schema faults and these faults
+# are reported together, so that an operator can correct all of them at once.
 
 
 def _list_inconsistencies(document: Any) -> list[DocumentFault]:
@@ -119,7 +119,7 @@
 
 
 def _list_shared_keys(tenants: Any) -> Iterator[DocumentFault]:
-    """Tenants that hold a key of another one, which would leave open whose requests they are."""
+    """Yield tenants with a key of another tenant: the owner of a request would be ambiguous."""
     owners: dict[str, str] = {}
     for name, tenant in tenants.items() if isinstance(tenants, dict) else ():
         digests = tenant.get("keys") if isinstance(tenant, dict) else None
@@ -152,7 +152,7 @@
 def _list_route_faults(
     name: str, kind: dict, owners: dict[tuple[str, str], str]
 ) -> Iterator[DocumentFault]:
-    """`owners` holds the kind of each route so far, and gets this one's."""
+    """Yield a fault for a route of another kind; `owners` collects the kind of each route."""
     route = kind.get("door")
     if not isinstance(route, dict) or not isinstance(route.get("host"), str):
         return
