--- a/packages/configuration/src/linkhaven/configuration/blob_exchange.py
+++ b/packages/configuration/src/linkhaven/configuration/blob_exchange.py
@@ -98,20 +98,20 @@
                 self.node.send(address, BlobDelivery(blobs=blobs))
 
     def _send_requests(self, now_us: int) -> None:
-        asked: dict[str, list[str]] = {}
+        digests_by_address: dict[str, list[str]] = {}
         for digest, wanted in self.pending.wanted.items():
             last_us = wanted.requested_us
             if last_us is not None and now_us - last_us < REQUEST_RETRY_US:
                 continue
-            source = self._source_of(wanted)
+            next_address = self._address_to_ask(wanted)
             wanted.requested_us = now_us
             wanted.attempts += 1
-            if source is not None:
-                asked.setdefault(source, []).append(digest)
-        for address, digests in asked.items():
+            if next_address is not None:
+                digests_by_address.setdefault(next_address, []).append(digest)
+        for address, digests in digests_by_address.items():
             self.node.send(address, BlobRequest(digests=digests))
 
-    def _source_of(self, wanted: WantedBlob) -> str | None:
+    def _address_to_ask(self, wanted: WantedBlob) -> str | None:
         """Return the address to ask next: the hint first, then each replica in turn."""
         if wanted.attempts == 0 and wanted.hint not in (None, self.node.address):
             return wanted.hint
--- a/packages/configuration/src/linkhaven/configuration/blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/blobs.py
@@ -224,20 +224,20 @@
 
         Must be called before a vote that names the blobs is written, in the same turn.
         """
-        lacking = [digest for digest in digests if digest not in {*self.synced, *self.writing}]
+        missing = [digest for digest in digests if digest not in {*self.synced, *self.writing}]
         dropped = self.synced.difference(digests, self.accepted_digests())
-        if not lacking and not dropped:
+        if not missing and not dropped:
             return
-        self.writing.update(lacking)
+        self.writing.update(missing)
         self.synced.difference_update(dropped)
         records: dict[str, str | None] = {f"{DISK_PREFIX}{digest}": None for digest in dropped}
-        records.update({f"{DISK_PREFIX}{digest}": self.packed[digest] for digest in lacking})
+        records.update({f"{DISK_PREFIX}{digest}": self.packed[digest] for digest in missing})
 
-        def on_synced(is_kept: bool) -> None:
+        def on_synced(is_synced: bool) -> None:
             # If the replica retired meanwhile, `writing` was cleared and this write is ignored.
-            written = self.writing.intersection(lacking)
+            written = self.writing.intersection(missing)
             self.writing.difference_update(written)
-            if is_kept:
+            if is_synced:
                 self.synced.update(written)
 
         self.node.ports.storage.write(records, on_synced)
--- a/packages/configuration/src/linkhaven/configuration/command_update.py
+++ b/packages/configuration/src/linkhaven/configuration/command_update.py
@@ -13,7 +13,7 @@
 
 from linkhaven.api import ServiceError
 
-from .history import find_update, has_history, knows_version
+from .history import covers_version, find_update, has_history
 from .records import Record, update_id_of, version_of
 from .updates import Contents, RecordReader
 
@@ -63,7 +63,7 @@
             return ServiceError("put_id_used", put_id=self.key)
         if version == self.expected:
             return None
-        if self.expected < version and not knows_version(record, self.expected + 1):
+        if self.expected < version and not covers_version(record, self.expected + 1):
             return ServiceError("put_unknown", put_id=self.key)
         return ServiceError("mark_conflict", expect=self.expected, mark=version)
 
--- a/packages/configuration/src/linkhaven/configuration/commands.py
+++ b/packages/configuration/src/linkhaven/configuration/commands.py
@@ -239,10 +239,10 @@
         self._commit(call, command, make, command)
 
     def _commit(
-        self, call: Call, command: dict, make: MakeContents, asked: dict, needs_blobs: bool = True
+        self, call: Call, command: dict, make: MakeContents, change: dict, needs_blobs: bool = True
     ) -> None:
-        """Commit a command and respond; `asked` identifies the command when it is sent again."""
-        digest = digest_of_command(call, asked)
+        """Commit a command and respond; `change` identifies the command when it is sent again."""
+        digest = digest_of_command(call, change)
         update = CommandUpdate(command["expect"], command["put_id"], digest, make, needs_blobs)
 
         def on_result(error: ServiceError | None, result: CommitResult) -> None:
@@ -253,7 +253,7 @@
         self.store.commit(update, on_result)
 
 
-def digest_of_command(call: Call, asked: dict) -> str:
+def digest_of_command(call: Call, change: dict) -> str:
     """Return the digest of a command's method, path and change, without `ENVELOPE_FIELDS`."""
-    fields = {name: asked[name] for name in asked if name not in ENVELOPE_FIELDS}
+    fields = {name: change[name] for name in change if name not in ENVELOPE_FIELDS}
     return digest_of_json([call.method, call.path.partition("?")[0], fields])
--- a/packages/configuration/src/linkhaven/configuration/document_update.py
+++ b/packages/configuration/src/linkhaven/configuration/document_update.py
@@ -16,7 +16,7 @@
 
 from linkhaven.api import ServiceError
 
-from .history import digest_of_json, digest_of_update, find_update, knows_revision
+from .history import covers_revision, digest_of_json, digest_of_update, find_update
 from .records import Record, overlay_of, revision_of, source_text_of
 from .updates import Contents, RecordReader
 from .validation import decode_configuration
@@ -75,16 +75,16 @@
             if self.key > current:
                 return None
             return ServiceError("revision_old", given=self.key, revision=current)
-        if self._may_be_forgotten(record, current):
+        if self._may_precede_history(record, current):
             return ServiceError("put_unknown", put_id=self.update_id)
         return ServiceError("revision_conflict", base=self.expected, revision=current)
 
-    def _may_be_forgotten(self, record: Record | None, current: int) -> bool:
+    def _may_precede_history(self, record: Record | None, current: int) -> bool:
         """Whether it may have been committed before the record's history begins."""
         return (
             self.expected < self.key <= current
             and find_update(record, self.key) is None
-            and not knows_revision(record, self.key)
+            and not covers_revision(record, self.key)
         )
 
     def contents(self, record: Record | None, reader: RecordReader) -> Contents:
--- a/packages/configuration/src/linkhaven/configuration/history.py
+++ b/packages/configuration/src/linkhaven/configuration/history.py
@@ -87,7 +87,7 @@
     return next((update for update in read_history(record) if update.key == key), None)
 
 
-def knows_version(record: Record | None, version: int) -> bool:
+def covers_version(record: Record | None, version: int) -> bool:
     """Whether the history is complete for this version."""
     if record is None:
         return True
@@ -95,7 +95,7 @@
     return version >= (history[0].version if history else version_of(record) + 1)
 
 
-def knows_revision(record: Record | None, revision: int) -> bool:
+def covers_revision(record: Record | None, revision: int) -> bool:
     """Whether a source text of this revision that isn't in the history was never committed."""
     if record is None:
         return True
--- a/packages/configuration/src/linkhaven/configuration/long_poll.py
+++ b/packages/configuration/src/linkhaven/configuration/long_poll.py
@@ -71,8 +71,8 @@
     def longest_us(self) -> int:
         """Return the hold at a replica whose leases don't matter to this router."""
         bounds = self.bounds
-        grown_us = bounds.news_hold_us * self.count_routers() // SMALL_FLEET_ROUTERS
-        limits_us = [MAX_HOLD_US, bounds.lease_us // 3, grown_us]
+        scaled_us = bounds.news_hold_us * self.count_routers() // SMALL_FLEET_ROUTERS
+        limits_us = [MAX_HOLD_US, bounds.lease_us // 3, scaled_us]
         if bounds.plan_stale_us is not None:
             limits_us.append(bounds.plan_stale_us // 3)
         return max(bounds.news_hold_us, min(limits_us))
--- a/packages/configuration/src/linkhaven/configuration/pending_blobs.py
+++ b/packages/configuration/src/linkhaven/configuration/pending_blobs.py
@@ -73,16 +73,18 @@
 
     def take_ready(self, has_blob: Callable[[str], bool]) -> list[PendingOperation]:
         """Remove and return the operations whose blobs are all here."""
-        ready = [one for one in self.operations if all(map(has_blob, one.digests))]
-        self.operations = [one for one in self.operations if one not in ready]
+        ready = [
+            operation for operation in self.operations if all(map(has_blob, operation.digests))
+        ]
+        self.operations = [operation for operation in self.operations if operation not in ready]
         return ready
 
     def take_expired(self, now_us: int) -> list[PendingOperation]:
         """Remove and return the operations whose time is over."""
-        expired = [one for one in self.operations if now_us >= one.until_us]
-        self.operations = [one for one in self.operations if one not in expired]
+        expired = [operation for operation in self.operations if now_us >= operation.until_us]
+        self.operations = [operation for operation in self.operations if operation not in expired]
         return expired
 
     def drop_unneeded(self, needed: set[str]) -> None:
         """Keep only wanted blobs that are still needed."""
-        self.wanted = {digest: one for digest, one in self.wanted.items() if digest in needed}
+        self.wanted = {digest: wanted for digest, wanted in self.wanted.items() if digest in needed}
