--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -1,4 +1,8 @@
-"""Bodies of plans and documents: held and synced before a vote, had once by each router."""
+"""Blobs of documents and source texts: synced before a vote, sent once to each router.
+
+Guards against a majority that votes for a record whose document no node has, and against routers
+that take a document other than the one whose digest the record names.
+"""
 
 import json
 
@@ -20,7 +24,7 @@
 MS = 1_000
 
 
-def plan_of(weight):
+def make_plan(weight):
     kind = {"group": "g", "ttft_us": 1, "tpot_us": 1, "deadline_us": 9}
     return {"groups": {"g": {"weight": weight}}, "kinds": {"k": kind}}
 
@@ -32,47 +36,47 @@
     return core
 
 
-def put(core, revision, name="core-1", wait=True):
-    """The document `revision` on the one before it."""
-    told = core.put(
-        revision - 1, revision, f"text {revision}", plan_of(float(revision)), name, wait
+def put_revision(core, revision, name="core-1", wait=True):
+    """Put the source text `revision` on top of the one before it."""
+    results = core.put(
+        revision - 1, revision, f"text {revision}", make_plan(float(revision)), name, wait
     )
-    return told
+    return results
 
 
-def is_taken(told):
-    return bool(told) and told[0][0] is None
+def is_committed(results):
+    return bool(results) and results[0][0] is None
 
 
-def drop(host, kind=BlobDelivery, is_dropped=lambda message: True):
-    """The node hears none of these messages; the list of what it missed."""
-    hear, missed = host.node.handlers[kind], []
+def drop_messages(host, kind=BlobDelivery, is_dropped=lambda message: True):
+    """Drop these messages at a node; return the list of those dropped."""
+    handle, dropped = host.node.handlers[kind], []
 
-    def hear_some(message):
+    def handle_some(message):
         if is_dropped(message):
-            missed.append(message)
+            dropped.append(message)
         else:
-            hear(message)
+            handle(message)
 
-    host.node.handlers[kind] = hear_some
-    return missed
+    host.node.handlers[kind] = handle_some
+    return dropped
 
 
-def bodies_on_disk(host):
+def blobs_on_disk(host):
     return {key[len("body/") :] for key in host.disk.synced if key.startswith("body/")}
 
 
-class VoteWatch:
-    """Every yes to an accept of a plan, and whether the voter's disk had what the value names."""
+class VoteObserver:
+    """Records votes for a configuration, and those whose blobs weren't on the voter's disk."""
 
     def __init__(self, core):
         self.votes = []
-        self.bare = []
+        self.without_blobs = []
         for host in core.machines.values():
             if host.node is not None:
-                self.watch(host)
+                self.observe(host)
 
-    def watch(self, host):
+    def observe(self, host):
         send = host.node.ports.network.send
 
         class Network:
@@ -92,8 +96,8 @@
         if record is None or record[2] is None:
             return
         self.votes.append(host.name)
-        if not set(digests_of(record[2])) <= bodies_on_disk(host):
-            self.bare.append((host.name, record[2]))
+        if not set(digests_of(record[2])) <= blobs_on_disk(host):
+            self.without_blobs.append((host.name, record[2]))
 
 
 def add_router(core, name="router-1", zone="z", address="10.5.0.1:7000"):
@@ -115,68 +119,70 @@
     return router
 
 
-def with_router(core, **place):
+def start_router(core, **place):
     router = add_router(core, **place)
     core.world.run_for(2 * SECOND)
     return router
 
 
-def weight_at(router):
+def weight_in_force(router):
     configuration = router.node.snapshot.configuration
     return configuration and configuration.groups["g"].weight
 
 
-def source_of(router):
-    """The host of the seat whose answers bring the body."""
+def source_host(router):
+    """Return the host of the replica that sends documents to a router."""
     watcher = router.node.watcher
     now_us = router.node.now_us()
-    seats = router.node.membership.replicas()
-    (source,) = [seat for seat in seats if watcher._is_source(seat, now_us)]
-    return next(host for host in router.world.hosts.values() if host.address == seats[source][0])
+    replicas = router.node.membership.replicas()
+    (source,) = [replica_id for replica_id in replicas if watcher._is_source(replica_id, now_us)]
+    return next(host for host in router.world.hosts.values() if host.address == replicas[source][0])
 
 
 # Votes
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_member_that_lost_the_blob_delivery_asks_and_votes_only_with_it_on_disk(seed):
+def test_a_member_that_lost_a_blob_requests_it_and_votes_only_with_it_on_disk(seed):
     core = make_started_core(seed)
-    watch = VoteWatch(core)
-    lost = []
+    observer = VoteObserver(core)
+    received_by = []
     for name in ("core-2", "core-3"):
-        missed = drop(core.machines[name], is_dropped=lambda m, name=name: not lost.count(name))
-        hear = core.machines[name].node.handlers[BlobDelivery]
+        dropped = drop_messages(
+            core.machines[name], is_dropped=lambda m, name=name: not received_by.count(name)
+        )
+        handle = core.machines[name].node.handlers[BlobDelivery]
 
-        def hear_once_lost(message, name=name, hear=hear):
-            hear(message)
-            lost.append(name)
+        def handle_and_count(message, name=name, handle=handle):
+            handle(message)
+            received_by.append(name)
 
-        core.machines[name].node.handlers[BlobDelivery] = hear_once_lost
-        assert missed == []
-    assert is_taken(put(core, 1))
+        core.machines[name].node.handlers[BlobDelivery] = handle_and_count
+        assert dropped == []
+    assert is_committed(put_revision(core, 1))
     core.world.run_for(SECOND)
-    assert {"core-2", "core-3"} <= set(lost)
-    assert set(watch.votes) == set(core.machines) and not watch.bare
-    assert len({frozenset(bodies_on_disk(host)) for host in core.machines.values()}) == 1
+    assert {"core-2", "core-3"} <= set(received_by)
+    assert set(observer.votes) == set(core.machines) and not observer.without_blobs
+    assert len({frozenset(blobs_on_disk(host)) for host in core.machines.values()}) == 1
 
 
-def test_no_member_votes_while_the_blob_cant_be_had_and_the_update_has_no_clear_answer():
+def test_no_member_votes_without_the_blob_and_the_outcome_of_the_update_is_unknown():
     core = make_started_core()
-    watch = VoteWatch(core)
+    observer = VoteObserver(core)
     for name in ("core-2", "core-3"):
-        drop(core.machines[name])
-    told = put(core, 1)
-    assert told[0][0].code == "put_unknown"
-    assert set(watch.votes) == {"core-1"} and not watch.bare
+        drop_messages(core.machines[name])
+    results = put_revision(core, 1)
+    assert results[0][0].code == "put_unknown"
+    assert set(observer.votes) == {"core-1"} and not observer.without_blobs
 
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("loses", (0, 1, 2))
 def test_a_member_killed_between_blob_and_vote_has_both_or_neither(seed, loses):
     core = make_started_core(seed)
-    watch = VoteWatch(core)
+    observer = VoteObserver(core)
     host = core.machines["core-2"]
-    told = put(core, 1, wait=False)
+    results = put_revision(core, 1, wait=False)
     core.world.wait_for(
         lambda: host.disk.waiting or "cell/plan" in host.disk.synced, SECOND, 100 + 37 * seed
     )
@@ -185,106 +191,106 @@
     host.kill()
     record = host.disk.synced.get("cell/plan")
     if record and record[2]:
-        assert set(digests_of(record[2])) <= bodies_on_disk(host)
+        assert set(digests_of(record[2])) <= blobs_on_disk(host)
     core.world.run_for(SECOND)
     host.start()
-    watch.watch(host)
+    observer.observe(host)
     assert core.wait_voting(3)
-    assert core.world.wait_for(lambda: told, 5 * SECOND)
-    assert is_taken(told)
-    assert is_taken(put(core, 2, "core-3"))
+    assert core.world.wait_for(lambda: results, 5 * SECOND)
+    assert is_committed(results)
+    assert is_committed(put_revision(core, 2, "core-3"))
     core.world.run_for(SECOND)
-    assert not watch.bare
+    assert not observer.without_blobs
     assert core.read("core-2")[1]["document"] == "text 2"
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_newcomer_gets_the_blobs_that_it_lacks_before_it_votes(seed):
+def test_a_new_replica_gets_missing_blobs_before_it_votes(seed):
     core = make_started_core(seed)
     for revision in range(1, 4):
-        assert is_taken(put(core, revision))
+        assert is_committed(put_revision(core, revision))
     core.machines["core-3"].kill()
-    newcomer = core.add("core-9")
-    newcomer.start()
-    watch = VoteWatch(core)
+    joining = core.add("core-9")
+    joining.start()
+    observer = VoteObserver(core)
     assert core.wait_voting(3)
-    named = set(digests_of(newcomer.node.replica.register_state("plan").value))
-    assert named and named <= bodies_on_disk(newcomer)
+    named_digests = set(digests_of(joining.node.replica.register_state("plan").value))
+    assert named_digests and named_digests <= blobs_on_disk(joining)
     core.machines["core-1"].kill()
     error, value = core.read("core-9")
-    assert (error, value["document"], value["plan"]) == (None, "text 3", plan_of(3.0))
-    assert not watch.bare
+    assert (error, value["document"], value["plan"]) == (None, "text 3", make_plan(3.0))
+    assert not observer.without_blobs
 
 
-def test_a_newcomer_without_the_blobs_doesnt_vote():
+def test_a_new_replica_without_the_blobs_does_not_vote():
     core = make_started_core()
-    assert is_taken(put(core, 1))
+    assert is_committed(put_revision(core, 1))
     core.machines["core-3"].kill()
-    newcomer = core.add("core-9")
-    newcomer.start()
-    drop(newcomer)
+    joining = core.add("core-9")
+    joining.start()
+    drop_messages(joining)
     core.world.run_for(8 * SECOND)
     assert "core-9" not in core.voting().values()
 
 
-def test_a_full_disk_gives_no_vote_and_a_mended_one_keeps_blob_and_vote():
+def test_a_replica_with_a_full_disk_does_not_vote_and_one_with_space_stores_blob_and_vote():
     core = make_started_core()
-    watch = VoteWatch(core)
+    observer = VoteObserver(core)
     full = core.machines["core-2"]
     full.disk.is_full = True
-    assert is_taken(put(core, 1))
-    assert "core-2" not in watch.votes and not bodies_on_disk(full)
+    assert is_committed(put_revision(core, 1))
+    assert "core-2" not in observer.votes and not blobs_on_disk(full)
     full.disk.mend()
-    assert is_taken(put(core, 2, "core-3"))
+    assert is_committed(put_revision(core, 2, "core-3"))
     core.world.run_for(SECOND)
-    assert "core-2" in watch.votes and not watch.bare
+    assert "core-2" in observer.votes and not observer.without_blobs
 
 
-def test_full_disks_at_a_majority_leave_the_update_without_a_clear_answer():
+def test_full_disks_at_a_majority_leave_the_outcome_of_an_update_unknown():
     core = make_started_core()
-    router = with_router(core)
-    assert is_taken(put(core, 1))
+    router = start_router(core)
+    assert is_committed(put_revision(core, 1))
     for name in ("core-2", "core-3"):
         core.machines[name].disk.is_full = True
-    assert put(core, 2)[0][0].code in ("put_unknown", "core_unready")
+    assert put_revision(core, 2)[0][0].code in ("put_unknown", "core_unready")
     core.world.run_for(SECOND)
-    assert weight_at(router) == 1.0
+    assert weight_in_force(router) == 1.0
 
 
-def test_a_replica_that_retires_forgets_what_its_disk_had():
+def test_a_retired_replica_forgets_which_blobs_were_on_disk():
     core = make_started_core()
-    assert is_taken(put(core, 1))
+    assert is_committed(put_revision(core, 1))
     host = core.machines["core-3"]
     assert host.node.blobs.synced
     host.node.replica.on_superseded(host.node.replica.incarnation + 1)
     assert not host.node.blobs.synced
     core.world.run_for(10 * MS)
-    assert not bodies_on_disk(host)
-    watch = VoteWatch(core)
+    assert not blobs_on_disk(host)
+    observer = VoteObserver(core)
     assert core.wait_voting(3)
-    assert is_taken(put(core, 2))
-    assert not watch.bare
+    assert is_committed(put_revision(core, 2))
+    assert not observer.without_blobs
 
 
-def test_a_promise_names_the_ballot_alone_where_the_proposer_holds_its_value():
+def test_a_promise_omits_a_value_that_the_proposer_already_has():
     core = make_started_core()
-    assert is_taken(put(core, 1))
-    told, hear = [], core.machines["core-2"].node.handlers[Promise]
+    assert is_committed(put_revision(core, 1))
+    messages, handle = [], core.machines["core-2"].node.handlers[Promise]
 
     def keep(message):
-        told.append(message)
-        hear(message)
+        messages.append(message)
+        handle(message)
 
     core.machines["core-2"].node.handlers[Promise] = keep
-    assert is_taken(put(core, 2, "core-2"))
+    assert is_committed(put_revision(core, 2, "core-2"))
     assert core.read("core-2")[1]["document"] == "text 2"
-    of_plan = [message for message in told if message.accepted]
+    of_plan = [message for message in messages if message.accepted]
     assert len(of_plan) >= 4 and all(message.value is None for message in of_plan)
     core.machines["core-2"].node.replica.registers.states["plan"].accepted = None
     assert core.read("core-2")[1]["document"] == "text 2"
 
 
-# Bodies that are wrong or gone
+# Wrong and missing blobs
 
 
 def events(core, number):
@@ -305,18 +311,18 @@
         open_blob(digest, packed)
 
 
-def test_a_blob_spoiled_on_the_disk_is_had_from_another_replica_before_it_is_sent():
+def test_a_blob_corrupted_on_disk_is_fetched_from_another_replica_before_it_is_sent():
     core = make_started_core()
-    assert is_taken(put(core, 1))
+    assert is_committed(put_revision(core, 1))
     host = core.machines["core-2"]
     host.kill()
-    for digest in bodies_on_disk(host):
+    for digest in blobs_on_disk(host):
         host.disk.synced[f"body/{digest}"] = pack_blob("spoiled")
     host.start()
     assert len(events(core, 1304)) == 2
-    missed = drop(host)
+    dropped = drop_messages(host)
     core.world.run_for(4 * SECOND)
-    assert missed and not host.node.watch_server.is_current()
+    assert dropped and not host.node.watch_server.is_current()
     host.kill()
     host.start()
     assert core.wait_voting(3)
@@ -324,28 +330,28 @@
     assert core.read("core-2")[1]["document"] == "text 1"
 
 
-def test_a_value_whose_blob_nobody_has_is_never_shown_or_sent():
+def test_a_record_whose_blob_no_node_has_is_never_shown_or_sent():
     core = make_started_core()
-    assert is_taken(put(core, 1))
+    assert is_committed(put_revision(core, 1))
     for host in core.machines.values():
         host.node.blobs.packed.clear()
         host.node.snapshot.__init__()
-    router = with_router(core)
+    router = start_router(core)
     assert core.read()[0].code == "core_unready"
     assert router.node.snapshot.configuration is None
     assert not any(host.node.watch_server.is_current() for host in core.machines.values())
-    assert is_taken(put(core, 2))
+    assert is_committed(put_revision(core, 2))
     core.world.run_for(SECOND)
-    assert core.read()[1]["document"] == "text 2" and weight_at(router) == 2.0
+    assert core.read()[1]["document"] == "text 2" and weight_in_force(router) == 2.0
 
 
-def test_what_a_disk_holds_and_a_restart_reads_is_bounded_whatever_the_number_of_changes():
+def test_stored_data_is_bounded_regardless_of_the_number_of_changes():
     core = make_started_core()
     for revision in range(1, 4 * MAX_CACHED_BLOBS):
-        assert is_taken(put(core, revision))
+        assert is_committed(put_revision(core, revision))
     for host in core.machines.values():
         assert len(host.node.blobs.packed) <= MAX_CACHED_BLOBS
-        assert len(bodies_on_disk(host)) <= 4
+        assert len(blobs_on_disk(host)) <= 4
         assert len(json.dumps(host.disk.synced)) < 8_000
     host = core.machines["core-3"]
     host.kill()
@@ -354,12 +360,12 @@
     assert core.read("core-3")[1]["revision"] == 4 * MAX_CACHED_BLOBS - 1
 
 
-def test_a_value_written_before_blobs_stood_apart_is_still_read_and_built_on():
+def test_a_record_of_a_version_without_blobs_is_still_read_and_updated():
     core = make_started_core()
     value = {
         "mark": 4,
         "put_id": "revision-7",
-        "plan": plan_of(7.0),
+        "plan": make_plan(7.0),
         "document": "text 7",
         "revision": 7,
         "overlay": {"groups": {}, "kinds": {}},
@@ -367,29 +373,29 @@
     for host in core.machines.values():
         register = RegisterState([5, "core-1"], [5, "core-1"], value)
         host.node.replica.registers.states["plan"] = register
-    router = with_router(core)
-    assert weight_at(router) == 7.0
+    router = start_router(core)
+    assert weight_in_force(router) == 7.0
     assert core.read()[1]["document"] == "text 7"
-    assert is_taken(core.put(6, 7, "text 7", plan_of(7.0)))
-    assert is_taken(put(core, 8))
+    assert is_committed(core.put(6, 7, "text 7", make_plan(7.0)))
+    assert is_committed(put_revision(core, 8))
     core.world.run_for(SECOND)
-    assert weight_at(router) == 8.0
+    assert weight_in_force(router) == 8.0
 
 
 # Routers
 
 
-def bodies_heard(router):
-    """Counts the answers that bring a body, whole or as changes: (seat's name, mark)."""
-    heard, hear = [], router.node.map_handlers["news"]
+def record_documents(router):
+    """Record responses with a document, whole or as changes: (name of the node, version)."""
+    received, handle = [], router.node.map_handlers["news"]
 
     def count(message):
         if "body" in message or "changes" in message:
-            heard.append((message["name"], message["mark"]))
-        hear(message)
+            received.append((message["name"], message["mark"]))
+        handle(message)
 
     router.node.map_handlers["news"] = count
-    return heard
+    return received
 
 
 @pytest.mark.parametrize("count", (3, 5))
@@ -403,13 +409,13 @@
     near.disk.host = near
     near.start()
     assert core.wait_voting(count)
-    router = with_router(core, zone="y")
-    heard = bodies_heard(router)
+    router = start_router(core, zone="y")
+    received = record_documents(router)
     for revision in range(1, 21):
-        assert is_taken(put(core, revision))
+        assert is_committed(put_revision(core, revision))
         core.world.run_for(100 * MS)
-        assert weight_at(router) == float(revision)
-    assert heard == [("core-2", revision) for revision in range(1, 21)]
+        assert weight_in_force(router) == float(revision)
+    assert received == [("core-2", revision) for revision in range(1, 21)]
 
 
 def test_routers_without_a_replica_in_their_zone_spread_over_the_replicas():
@@ -418,16 +424,16 @@
         add_router(core, f"router-{place}", "far", f"10.5.0.{place}:7000") for place in range(1, 10)
     ]
     core.world.run_for(2 * SECOND)
-    assert {source_of(router).name for router in routers} == set(core.machines)
+    assert {source_host(router).name for router in routers} == set(core.machines)
 
 
 @pytest.mark.parametrize("how", ("killed", "frozen", "cut off", "behind"))
 def test_a_router_whose_nearest_replica_is_silent_or_behind_gets_the_blob_at_once_elsewhere(how):
     core = make_started_core()
-    router = with_router(core)
-    assert is_taken(put(core, 1))
+    router = start_router(core)
+    assert is_committed(put_revision(core, 1))
     core.world.run_for(SECOND)
-    source = source_of(router)
+    source = source_host(router)
     others = [name for name in core.machines if name != source.name]
     if how == "killed":
         source.kill()
@@ -437,33 +443,33 @@
         core.world.cut([source.name], [*others, router.name])
     if how == "behind":
         core.world.cut([source.name], others)
-    told = put(core, 2, others[0], wait=False)
-    assert core.world.wait_for(lambda: told, SECOND, 1 * MS) and is_taken(told)
-    assert core.world.wait_for(lambda: weight_at(router) == 2.0, 200 * MS, 1 * MS)
+    results = put_revision(core, 2, others[0], wait=False)
+    assert core.world.wait_for(lambda: results, SECOND, 1 * MS) and is_committed(results)
+    assert core.world.wait_for(lambda: weight_in_force(router) == 2.0, 200 * MS, 1 * MS)
 
 
-def test_a_router_that_hears_the_digest_first_is_confirmed_by_it_when_the_blob_comes():
+def test_a_digest_received_before_its_blob_counts_as_confirmation_once_the_blob_arrives():
     core = make_started_core()
-    router = with_router(core)
-    assert is_taken(put(core, 1))
+    router = start_router(core)
+    assert is_committed(put_revision(core, 1))
     core.world.run_for(SECOND)
-    source = source_of(router)
+    source = source_host(router)
     core.world.slow[(source.name, router.name)] = 20 * MS
-    told = put(core, 2, wait=False)
+    results = put_revision(core, 2, wait=False)
     watcher = router.node.watcher
     assert core.world.wait_for(lambda: watcher.missing is not None, SECOND, 1 * MS)
     assert router.node.snapshot.is_behind and not watcher.is_fresh()
-    assert core.world.wait_for(lambda: weight_at(router) == 2.0, 200 * MS, 1 * MS)
-    assert is_taken(told) and watcher.is_fresh() and watcher.missing is None
+    assert core.world.wait_for(lambda: weight_in_force(router) == 2.0, 200 * MS, 1 * MS)
+    assert is_committed(results) and watcher.is_fresh() and watcher.missing is None
 
 
 @pytest.mark.parametrize("spoiled_part", ("body", "changes", "both"))
 def test_a_router_refuses_a_spoiled_blob_and_has_it_from_another_replica(spoiled_part):
     core = make_started_core()
-    router = with_router(core)
-    assert is_taken(put(core, 1))
+    router = start_router(core)
+    assert is_committed(put_revision(core, 1))
     core.world.run_for(SECOND)
-    source, hear, spoiled = source_of(router), router.node.map_handlers["news"], []
+    source, handle, spoiled = source_host(router), router.node.map_handlers["news"], []
     router.node.watcher.received.accepts_changes = spoiled_part != "body"
     core.world.run_for(SECOND)
 
@@ -473,62 +479,62 @@
             if part in message and is_spoiled:
                 spoiled.append(message["mark"])
                 message[part] = pack_blob("another text")
-        hear(message)
+        handle(message)
 
     router.node.map_handlers["news"] = spoil
-    assert is_taken(put(core, 2))
-    assert core.world.wait_for(lambda: weight_at(router) == 2.0, 400 * MS, 1 * MS)
+    assert is_committed(put_revision(core, 2))
+    assert core.world.wait_for(lambda: weight_in_force(router) == 2.0, 400 * MS, 1 * MS)
     assert spoiled and len(events(core, 1304)) == len(spoiled)
 
 
-def test_two_replicas_that_name_two_documents_for_one_version_are_told_apart():
+def test_a_replica_that_names_another_digest_for_the_version_in_force_is_detected():
     core = make_started_core()
-    router = with_router(core)
-    assert is_taken(put(core, 1))
+    router = start_router(core)
+    assert is_committed(put_revision(core, 1))
     core.world.run_for(SECOND)
     watcher, snapshot = router.node.watcher, router.node.snapshot
 
-    def naming(digest):
+    def response_naming(digest):
         message = {"id": "1", "seat": "a", "incarnation": 1, "is_current": True, "known": {}}
         message |= {"mark": snapshot.version, "digest": digest}
         return read_watch_response(message)
 
-    assert watcher._has_other_digest(naming("0" * 24))
+    assert watcher._has_other_digest(response_naming("0" * 24))
     assert events(core, 1305)[0][3]["named"] == "0" * 24
     held = watcher.packed_configuration()[0]["bodies"]["plan"]
-    assert not watcher._has_other_digest(naming(held))
+    assert not watcher._has_other_digest(response_naming(held))
 
 
 def test_responses_between_changes_carry_no_blob_and_no_document():
     core = make_started_core()
-    router = with_router(core)
-    assert is_taken(put(core, 1))
-    told, hear = [], router.node.map_handlers["news"]
+    router = start_router(core)
+    assert is_committed(put_revision(core, 1))
+    messages, handle = [], router.node.map_handlers["news"]
 
     def keep(message):
-        told.append(message)
-        hear(message)
+        messages.append(message)
+        handle(message)
 
     router.node.map_handlers["news"] = keep
     core.world.run_for(2 * SECOND)
-    assert told[3:] and not any({"body", "plan", "digest"} & set(one) for one in told[3:])
-    assert "text 1" not in json.dumps(told)
+    assert messages[3:] and not any({"body", "plan", "digest"} & set(one) for one in messages[3:])
+    assert "text 1" not in json.dumps(messages)
 
 
-# What holds it: taken out, it is found
+# Each mechanism is necessary: without it, the fault is found
 
 
-def let_votes_pass(store, say, values_of):
-    """In place of BlobGuard._guard: nothing waits for a blob."""
+def guard_nothing(store, say, values_of):
+    """Replace BlobGuard._guard, so that no message waits for its blobs."""
 
 
 def write_nothing(store, digests):
-    """In place of BlobStore.write_ahead: blobs stay in memory."""
+    """Replace BlobStore.write_ahead, so that blobs stay in memory."""
 
 
 @pytest.mark.parametrize(
     "owner, name, sabotage",
-    [(BlobGuard, "_guard", let_votes_pass), (BlobStore, "write_ahead", write_nothing)],
+    [(BlobGuard, "_guard", guard_nothing), (BlobStore, "write_ahead", write_nothing)],
 )
 def test_without_its_mechanism_a_vote_for_a_blob_that_isnt_synced_is_found(
     monkeypatch, owner, name, sabotage
@@ -536,44 +542,44 @@
     with monkeypatch.context() as patch:
         patch.setattr(owner, name, sabotage)
         core = make_started_core()
-        watch = VoteWatch(core)
-        put(core, 1)
-        assert watch.bare
+        observer = VoteObserver(core)
+        put_revision(core, 1)
+        assert observer.without_blobs
 
 
-# Versions side by side
+# Compatibility with earlier versions
 
 
 def test_a_router_of_an_earlier_version_is_sent_the_document_whole():
     core = make_started_core()
-    assert is_taken(put(core, 1))
-    told = []
+    assert is_committed(put_revision(core, 1))
+    messages = []
 
-    class Earlier:
-        """Hears what the seat answers."""
+    class RecordingNetwork:
+        """Records the responses of the replica."""
 
         @staticmethod
         def send(address, message):
-            told.append(message)
+            messages.append(message)
 
     replica = core.machines["core-1"].node
-    replica.ports.network = Earlier
+    replica.ports.network = RecordingNetwork
     ask = {"say": "ask", "name": "old", "back": "10.5.0.9:7000", "id": "1", "mark": 0}
     facts = {"known": {}, "credit": {}, "usage": {}, "extra": [0, 0], "evidence": [], "fences": {}}
     replica.watch_listeners.clear()
     replica.watch_contributors.clear()
     replica.watch_server.on_watch_request({**ask, **facts})
-    assert told[0]["plan"]["plan"] == plan_of(1.0) and "body" not in told[0]
+    assert messages[0]["plan"]["plan"] == make_plan(1.0) and "body" not in messages[0]
 
 
 def test_a_router_takes_a_document_that_a_replica_of_an_earlier_version_sends_whole():
     core = make_started_core()
-    router = with_router(core)
+    router = start_router(core)
     watcher = router.node.watcher
     value = {
         "mark": 3,
         "put_id": "p",
-        "plan": plan_of(3.0),
+        "plan": make_plan(3.0),
         "document": None,
         "revision": 0,
         "overlay": {"groups": {}, "kinds": {}},
@@ -581,6 +587,6 @@
     message = {"id": "1", "seat": "a", "mark": 3, "incarnation": 1, "plan": value}
     response = read_watch_response({**message, "is_current": True, "known": {}})
     watcher._on_current_response(response, watcher.polls["a"].sent_us)
-    assert weight_at(router) == 3.0 and watcher.missing is None
+    assert weight_in_force(router) == 3.0 and watcher.missing is None
     held, body = watcher.packed_configuration()
-    assert json.loads(open_blob(held["bodies"]["plan"], body)) == plan_of(3.0)
+    assert json.loads(open_blob(held["bodies"]["plan"], body)) == make_plan(3.0)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,3 +1,9 @@
+"""Commits of configurations: source texts of operators, native commands and overlays.
+
+Guards against updates that are committed twice, lost or applied to another base after lost
+responses, concurrent updates or partitions.
+"""
+
 import json
 
 import pytest
@@ -46,8 +52,8 @@
         self.status, self.document = status, json.loads(body)
 
 
-def command(core, method, path, **document):
-    """One of our own commands, at any seat."""
+def send_command(core, method, path, **document):
+    """Send a native command to core-2; return the HTTP status and the response."""
     expect = core.read()[1]["mark"]
     call = RecordedCall(
         method,
@@ -64,15 +70,15 @@
     return effective_configuration(core.read()[1])
 
 
-def code(told):
-    error, _ = told[0]
+def error_code(results):
+    error, _ = results[0]
     return error and error.code
 
 
-def test_a_document_is_kept_as_it_was_sent_and_sent_again_it_is_taken():
+def test_a_document_is_stored_as_sent_and_acknowledged_when_sent_again():
     core = make_core()
-    assert code(core.put(0, 4, "text", PLAN)) is None
-    assert code(core.put(0, 4, "text", PLAN, "core-3")) is None
+    assert error_code(core.put(0, 4, "text", PLAN)) is None
+    assert error_code(core.put(0, 4, "text", PLAN, "core-3")) is None
     error, value = core.read("core-2")
     assert (error, value["mark"], value["document"], value["revision"], value["plan"]) == (
         None,
@@ -84,94 +90,98 @@
     assert value["overlay"] == {"groups": {}, "kinds": {}}
 
 
-def test_a_wrong_base_an_old_revision_and_a_bad_plan_are_told_apart():
+def test_a_wrong_base_an_old_revision_and_an_invalid_plan_have_different_errors():
     core = make_core()
-    assert code(core.put(3, 4, "text", PLAN)) == "revision_conflict"
+    assert error_code(core.put(3, 4, "text", PLAN)) == "revision_conflict"
     core.put(0, 4, "text", PLAN)
-    assert code(core.put(0, 9, "next", PLAN)) == "revision_conflict"
-    assert code(core.put(0, 4, "other text", PLAN)) == "revision_conflict"
-    assert code(core.put(4, 4, "other text", PLAN)) == "revision_old"
-    assert code(core.put(4, 3, "other text", PLAN)) == "revision_old"
-    assert code(core.put(4, 6, "next", {"groups": {}, "kinds": {}})) == "plan_invalid"
-    assert code(core.put(0, 6, "next", {"groups": {}, "kinds": {}})) == "revision_conflict"
+    assert error_code(core.put(0, 9, "next", PLAN)) == "revision_conflict"
+    assert error_code(core.put(0, 4, "other text", PLAN)) == "revision_conflict"
+    assert error_code(core.put(4, 4, "other text", PLAN)) == "revision_old"
+    assert error_code(core.put(4, 3, "other text", PLAN)) == "revision_old"
+    assert error_code(core.put(4, 6, "next", {"groups": {}, "kinds": {}})) == "plan_invalid"
+    assert error_code(core.put(0, 6, "next", {"groups": {}, "kinds": {}})) == "revision_conflict"
     assert core.read()[1]["revision"] == 4
-    assert code(core.put(4, 6, "next", PLAN)) is None
+    assert error_code(core.put(4, 6, "next", PLAN)) is None
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_of_two_documents_on_one_base_exactly_one_is_taken(seed):
+def test_of_concurrent_documents_on_one_base_exactly_one_is_committed(seed):
     core = make_core(seed)
-    told = [
+    results = [
         core.put(0, 5 + place, f"text {place}", PLAN, name, wait=False)
         for place, name in enumerate(core.machines)
     ]
-    core.world.wait_for(lambda: all(told), 5 * SECOND)
-    assert sorted(str(code(one)) for one in told) == [
+    core.world.wait_for(lambda: all(results), 5 * SECOND)
+    assert sorted(str(error_code(one)) for one in results) == [
         "None",
         "revision_conflict",
         "revision_conflict",
     ]
-    won = next(place for place, one in enumerate(told) if code(one) is None)
-    assert core.read()[1]["document"] == f"text {won}"
+    winner = next(place for place, one in enumerate(results) if error_code(one) is None)
+    assert core.read()[1]["document"] == f"text {winner}"
 
 
 def test_a_put_of_unknown_outcome_says_so_and_can_be_sent_again_unchanged():
     core = make_core()
-    lone, others = core.machines["core-1"], ["core-2", "core-3"]
-    told = core.put(0, 5, "text", PLAN, "core-1", wait=False)
-    hear = lone.node.handlers[Promise]
+    proposer_host, others = core.machines["core-1"], ["core-2", "core-3"]
+    results = core.put(0, 5, "text", PLAN, "core-1", wait=False)
+    handle = proposer_host.node.handlers[Promise]
 
     def cut_after(message):
-        hear(message)
+        handle(message)
         if message.replica_id != "a":
             core.world.cut(["core-1"], others)
 
-    lone.node.handlers[Promise] = cut_after
-    core.world.wait_for(lambda: told, 5 * SECOND)
-    assert code(told) == "put_unknown"
+    proposer_host.node.handlers[Promise] = cut_after
+    core.world.wait_for(lambda: results, 5 * SECOND)
+    assert error_code(results) == "put_unknown"
     core.world.heal()
     core.world.run_for(2 * SECOND)
-    assert code(core.put(0, 5, "text", PLAN, "core-2")) is None
+    assert error_code(core.put(0, 5, "text", PLAN, "core-2")) is None
     assert core.read("core-3")[1]["document"] == "text"
 
 
-def test_without_a_majority_a_put_and_a_read_are_refused():
+def test_without_a_majority_puts_and_reads_are_rejected():
     core = make_core()
     core.machines["core-2"].kill()
     core.machines["core-3"].kill()
-    assert code(core.put(0, 5, "text", PLAN, "core-1")) == "core_unready"
+    assert error_code(core.put(0, 5, "text", PLAN, "core-1")) == "core_unready"
     assert core.read("core-1")[0].code == "core_unready"
 
 
-def test_what_our_commands_lay_over_a_document_survives_the_next_one():
+def test_the_overlay_of_native_commands_survives_the_next_document():
     core = make_core()
     core.put(0, 4, "text", PLAN)
     credit = {"tokens": 100, "period_us": SECOND}
-    assert command(core, "PUT", "/v1/groups/g", group={"credit": credit})[0] == 200
-    assert command(core, "PUT", "/v1/groups/mine", group={"credit": credit})[0] == 200
-    assert command(core, "PUT", "/v1/kinds/other", kind=kind("mine"))[0] == 200
+    assert send_command(core, "PUT", "/v1/groups/g", group={"credit": credit})[0] == 200
+    assert send_command(core, "PUT", "/v1/groups/mine", group={"credit": credit})[0] == 200
+    assert send_command(core, "PUT", "/v1/kinds/other", kind=kind("mine"))[0] == 200
     value = core.read()[1]
     assert (value["document"], value["revision"], value["plan"]) == ("text", 4, PLAN)
     assert (
-        code(core.put(4, 9, "next", {**PLAN, "kinds": {"k": kind("g"), "new": kind("h")}})) is None
+        error_code(core.put(4, 9, "next", {**PLAN, "kinds": {"k": kind("g"), "new": kind("h")}}))
+        is None
     )
-    laid = in_force(core)
-    assert record_to_dict(laid.groups["g"].allowance) == credit and set(laid.kinds) == {"k", "new"}
-    assert code(core.put(9, 11, "third", PLAN)) is None
+    effective = in_force(core)
+    assert record_to_dict(effective.groups["g"].allowance) == credit and set(effective.kinds) == {
+        "k",
+        "new",
+    }
+    assert error_code(core.put(9, 11, "third", PLAN)) is None
     assert in_force(core).kinds["other"].group == "mine"
     core.world.run_for(SECOND)
     assert {
         host.node.snapshot.configuration.groups["g"].allowance.tokens
         for host in core.machines.values()
     } == {100}
-    assert command(core, "DELETE", "/v1/groups/mine")[1]["code"] == "plan_invalid"
-    assert command(core, "PUT", "/v1/kinds/other", kind=kind("h"))[0] == 200
-    assert command(core, "DELETE", "/v1/groups/mine")[0] == 200
-    assert command(core, "DELETE", "/v1/groups/g")[0] == 200
+    assert send_command(core, "DELETE", "/v1/groups/mine")[1]["code"] == "plan_invalid"
+    assert send_command(core, "PUT", "/v1/kinds/other", kind=kind("h"))[0] == 200
+    assert send_command(core, "DELETE", "/v1/groups/mine")[0] == 200
+    assert send_command(core, "DELETE", "/v1/groups/g")[0] == 200
     assert in_force(core) == decode_configuration(PLAN)
 
 
-def test_an_attachment_of_an_unknown_kind_or_to_an_unknown_group_is_refused():
+def test_attaching_an_unknown_kind_or_to_an_unknown_group_is_rejected():
     core = make_core()
     core.put(0, 4, "text", PLAN)
     for path, document in (
@@ -179,9 +189,9 @@
         ("k", kind("nowhere")),
         ("k", {**kind("h"), "ttft_us": 2}),
     ):
-        status, told = command(core, "PUT", f"/v1/kinds/{path}", kind=document)
-        assert (status, told["code"]) == (422, "plan_invalid"), path
-    assert command(core, "DELETE", "/v1/kinds/k")[1]["code"] == "plan_invalid"
+        status, response = send_command(core, "PUT", f"/v1/kinds/{path}", kind=document)
+        assert (status, response["code"]) == (422, "plan_invalid"), path
+    assert send_command(core, "DELETE", "/v1/kinds/k")[1]["code"] == "plan_invalid"
     assert core.read()[1]["mark"] == 1
 
 
@@ -206,7 +216,7 @@
         ({"kinds": {"k": kind("g", attempts=-1)}}, "kinds/k/attempts"),
     ],
 )
-def test_a_plan_with_pools_and_doors_that_clash_is_told_where(changed, place):
+def test_conflicting_pools_and_routes_are_reported_with_their_place(changed, place):
     assert place in [found["place"] for found in list_document_faults({**PLAN, **changed})]
 
 
@@ -238,7 +248,7 @@
     assert (kind_in_force.max_attempts, kind_in_force.priority) == (0, 0)
 
 
-def test_a_group_without_an_allowance_is_never_short_and_asks_no_share():
+def test_a_group_without_an_allowance_is_never_limited_and_requests_no_share():
     plan = LICENSING.plan()
     plan["groups"] = {**plan["groups"], "seats": {"weight": 1.0}}
     fleet = SimFleet(LICENSING, 3, routers=2, plan=plan).start()
@@ -255,11 +265,11 @@
     assert sum(node.admission.accounts["seats"].spent_tokens for node in routers) > 0
 
 
-def test_a_spare_tells_the_groups_of_the_plan_in_force():
+def test_a_node_without_a_replica_shows_the_groups_of_the_plan_in_force():
     core = make_core()
     core.add("core-9").start()
     core.world.run_for(2 * SECOND)
-    assert code(core.put(0, 4, "text", PLAN)) is None
+    assert error_code(core.put(0, 4, "text", PLAN)) is None
     for revision in (4, 6):
         call = RecordedCall("GET", "/v1/groups", {}, b"")
         core.machines["core-9"].node.serve(call)
@@ -269,7 +279,7 @@
             {"g", "h"},
             0,
         )
-        assert code(core.put(revision, revision + 2, "later", PLAN)) is None
+        assert error_code(core.put(revision, revision + 2, "later", PLAN)) is None
         assert call.document["mark"] == revision // 2 - 1
 
 
@@ -299,56 +309,56 @@
     )
 
 
-def chain(core, count, first=3, name=None):
-    """Documents 3, 5, 7 and so on, each on the one before it."""
+def commit_revisions(core, count, first=3, name=None):
+    """Put source texts 3, 5, 7 and so on, each on top of the one before it."""
     revisions = [0, *range(first, first + 2 * count, 2)]
     for base, revision in zip(revisions, revisions[1:], strict=False):
-        assert code(core.put(base, revision, f"text {revision}", PLAN, name)) is None
+        assert error_code(core.put(base, revision, f"text {revision}", PLAN, name)) is None
     return revisions[-1]
 
 
-def test_a_document_that_was_taken_is_acknowledged_again_after_later_changes():
+def test_a_committed_document_is_acknowledged_again_after_later_changes():
     core = make_core()
-    chain(core, 3)
+    commit_revisions(core, 3)
     for name in core.machines:
-        error, taken = core.put(0, 3, "text 3", PLAN, name)[0]
-        assert (error, taken.version, taken.key) == (None, 1, 3)
-        assert code(core.put(3, 5, "text 5", PLAN, name)) is None
+        error, committed = core.put(0, 3, "text 3", PLAN, name)[0]
+        assert (error, committed.version, committed.key) == (None, 1, 3)
+        assert error_code(core.put(3, 5, "text 5", PLAN, name)) is None
     value = core.read()[1]
     assert (value["mark"], value["revision"], value["document"]) == (3, 7, "text 7")
 
 
-def test_a_number_that_another_document_took_stays_refused_after_later_changes():
+def test_a_revision_of_another_document_stays_rejected_after_later_changes():
     core = make_core()
-    chain(core, 3)
-    assert code(core.put(0, 3, "another text", PLAN)) == "revision_conflict"
-    assert code(core.put(3, 5, "another text", PLAN)) == "revision_conflict"
-    assert code(core.put(0, 4, "between", PLAN)) == "revision_conflict"
+    commit_revisions(core, 3)
+    assert error_code(core.put(0, 3, "another text", PLAN)) == "revision_conflict"
+    assert error_code(core.put(3, 5, "another text", PLAN)) == "revision_conflict"
+    assert error_code(core.put(0, 4, "between", PLAN)) == "revision_conflict"
     assert core.read()[1]["document"] == "text 7"
 
 
-def test_an_order_older_than_the_history_has_no_clear_answer_and_a_newer_one_has():
+def test_the_outcome_is_unknown_only_for_updates_older_than_the_history():
     core = make_core()
-    last = chain(core, KEPT_UPDATES + 2)
+    last = commit_revisions(core, KEPT_UPDATES + 2)
     assert len(core.read()[1]["taken"]) == KEPT_UPDATES
-    assert code(core.put(0, 3, "text 3", PLAN)) == "put_unknown"
-    assert code(core.put(3, 5, "another text", PLAN)) == "put_unknown"
-    assert code(core.put(5, 7, "text 7", PLAN)) is None
-    assert code(core.put(5, 7, "another text", PLAN)) == "revision_conflict"
-    assert code(core.put(0, last + 2, "new", PLAN)) == "revision_conflict"
+    assert error_code(core.put(0, 3, "text 3", PLAN)) == "put_unknown"
+    assert error_code(core.put(3, 5, "another text", PLAN)) == "put_unknown"
+    assert error_code(core.put(5, 7, "text 7", PLAN)) is None
+    assert error_code(core.put(5, 7, "another text", PLAN)) == "revision_conflict"
+    assert error_code(core.put(0, last + 2, "new", PLAN)) == "revision_conflict"
     assert core.read()[1]["revision"] == last
 
 
-def test_the_history_of_the_longest_row_of_orders_stays_small():
+def test_the_size_of_the_history_is_bounded():
     rows = []
     for mark in range(1, 3 * KEPT_UPDATES):
-        taken = CommittedUpdate(mark, 10_000 + mark, digest_of_update(str(mark)), 10_000 + mark)
-        rows = extend_history({"taken": rows}, taken)
+        committed = CommittedUpdate(mark, 10_000 + mark, digest_of_update(str(mark)), 10_000 + mark)
+        rows = extend_history({"taken": rows}, committed)
     assert len(rows) == KEPT_UPDATES
     assert len(json.dumps(rows)) < 5_000
 
 
-def put_whole(core, expect, put_id, plan, name="core-2", path="/v1/plan", part=None):
+def put_document(core, expect, put_id, plan, name="core-2", path="/v1/plan", part=None):
     document = {"expect": expect, "put_id": put_id, **(part or {"plan": plan})}
     call = RecordedCall("PUT", path, {}, json.dumps(document).encode())
     core.machines[name].node.serve(call)
@@ -359,98 +369,100 @@
 def test_a_native_put_is_acknowledged_again_with_its_own_mark_after_later_changes():
     core = make_core()
     other = {**PLAN, "groups": {"g": {"weight": 2.0}, "h": {}}}
-    assert put_whole(core, 0, "first", PLAN)[0] == 200
-    assert put_whole(core, 1, "second", other)[0] == 200
+    assert put_document(core, 0, "first", PLAN)[0] == 200
+    assert put_document(core, 1, "second", other)[0] == 200
     group = {"group": {"weight": 3.0}}
-    assert put_whole(core, 2, "third", None, path="/v1/groups/g", part=group)[0] == 200
+    assert put_document(core, 2, "third", None, path="/v1/groups/g", part=group)[0] == 200
     for name in core.machines:
-        assert put_whole(core, 0, "first", PLAN, name) == (200, {"mark": 1, "put_id": "first"})
-        again = put_whole(core, 2, "third", None, name, "/v1/groups/g", group)
+        assert put_document(core, 0, "first", PLAN, name) == (200, {"mark": 1, "put_id": "first"})
+        again = put_document(core, 2, "third", None, name, "/v1/groups/g", group)
         assert again == (200, {"mark": 3, "put_id": "third"})
-    assert put_whole(core, 0, "another", PLAN)[1]["code"] == "mark_conflict"
+    assert put_document(core, 0, "another", PLAN)[1]["code"] == "mark_conflict"
     assert core.read()[1]["mark"] == 3
 
 
-def test_a_put_id_that_another_change_took_is_refused_on_every_mark():
+def test_a_put_id_of_another_change_is_rejected_on_every_mark():
     core = make_core()
     other = {**PLAN, "groups": {"g": {"weight": 2.0}, "h": {}}}
-    assert put_whole(core, 0, "first", PLAN)[0] == 200
+    assert put_document(core, 0, "first", PLAN)[0] == 200
     for expect in (0, 1):
-        status, told = put_whole(core, expect, "first", other)
-        assert (status, told["code"]) == (409, "put_id_used")
+        status, response = put_document(core, expect, "first", other)
+        assert (status, response["code"]) == (409, "put_id_used")
     assert core.read()[1]["mark"] == 1
 
 
-def test_a_native_put_older_than_the_history_has_no_clear_answer():
+def test_the_outcome_of_a_native_put_older_than_the_history_is_unknown():
     core = make_core()
-    chain(core, KEPT_UPDATES + 1)
-    status, told = put_whole(core, 0, "first", PLAN)
-    assert (status, told["code"]) == (504, "put_unknown")
-    assert put_whole(core, 1, "first", PLAN)[1]["code"] == "mark_conflict"
+    commit_revisions(core, KEPT_UPDATES + 1)
+    status, response = put_document(core, 0, "first", PLAN)
+    assert (status, response["code"]) == (504, "put_unknown")
+    assert put_document(core, 1, "first", PLAN)[1]["code"] == "mark_conflict"
 
 
-def without_answers(host, message_type):
-    """The node hears none of these any more, until the returned function is called."""
-    hear = host.node.handlers[message_type]
+def drop_messages_until_restored(host, message_type):
+    """Drop these messages at a node until the returned function is called."""
+    handle = host.node.handlers[message_type]
     host.node.handlers[message_type] = lambda message: None
 
-    def mend():
-        host.node.handlers[message_type] = hear
+    def restore():
+        host.node.handlers[message_type] = handle
 
-    return mend
+    return restore
 
 
 @pytest.mark.parametrize("is_same", (True, False))
-def test_a_proposer_whose_answers_were_lost_finds_its_order_below_a_later_change(is_same):
-    """Its accept was chosen, its answers are lost, and another change went on top."""
+def test_a_proposer_whose_responses_were_lost_finds_its_update_below_a_later_change(is_same):
+    """The value is chosen, the responses are lost, and another change is committed on top."""
     core = make_core()
-    lone = core.machines["core-1"]
-    mend = without_answers(lone, Accepted)
-    told = core.put(0, 3, "text 3", PLAN, "core-1", wait=False)
+    proposer_host = core.machines["core-1"]
+    restore = drop_messages_until_restored(proposer_host, Accepted)
+    results = core.put(0, 3, "text 3", PLAN, "core-1", wait=False)
     core.world.run_for(100_000)
-    assert not told
+    assert not results
     rival = "text 3" if is_same else "another text"
-    assert (code(core.put(0, 3, rival, PLAN, "core-2")) is None) == is_same
-    assert code(core.put(3, 5, "text 5", PLAN, "core-3")) is None
-    mend()
-    core.world.wait_for(lambda: told, 5 * SECOND, 10_000)
-    error, taken = told[0]
-    assert (error, taken.version, taken.key) == (None, 1, 3)
+    assert (error_code(core.put(0, 3, rival, PLAN, "core-2")) is None) == is_same
+    assert error_code(core.put(3, 5, "text 5", PLAN, "core-3")) is None
+    restore()
+    core.world.wait_for(lambda: results, 5 * SECOND, 10_000)
+    error, committed = results[0]
+    assert (error, committed.version, committed.key) == (None, 1, 3)
     assert core.read()[1]["document"] == "text 5"
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_of_two_documents_under_one_number_never_both_are_taken(seed):
+def test_of_two_documents_with_one_revision_only_one_is_committed(seed):
     core = make_core(seed)
-    told = [
+    results = [
         core.put(0, 3, f"text of {name}", PLAN, name, wait=False)
         for name in list(core.machines)[:2]
     ]
-    core.world.wait_for(lambda: all(told), 5 * SECOND, 10_000)
-    assert sorted(str(code(one)) for one in told) == ["None", "revision_conflict"]
-    won = next(place for place, one in enumerate(told) if code(one) is None)
-    assert code(core.put(3, 5, "on top", PLAN)) is None
+    core.world.wait_for(lambda: all(results), 5 * SECOND, 10_000)
+    assert sorted(str(error_code(one)) for one in results) == ["None", "revision_conflict"]
+    winner = next(place for place, one in enumerate(results) if error_code(one) is None)
+    assert error_code(core.put(3, 5, "on top", PLAN)) is None
     for place, name in enumerate(list(core.machines)[:2]):
-        again = code(core.put(0, 3, f"text of {name}", PLAN, "core-3"))
-        assert again == (None if place == won else "revision_conflict")
+        again = error_code(core.put(0, 3, f"text of {name}", PLAN, "core-3"))
+        assert again == (None if place == winner else "revision_conflict")
 
 
-def drop(host, message_type, is_dropped):
-    hear = host.node.handlers[message_type]
+def drop_matching(host, message_type, is_dropped):
+    handle = host.node.handlers[message_type]
     host.node.handlers[message_type] = lambda message: (
-        None if is_dropped(message) else hear(message)
+        None if is_dropped(message) else handle(message)
     )
 
 
 def test_no_order_is_refused_for_a_value_that_may_yet_lose_to_it():
-    """A rival's value stands at one seat only; the order stands at another, under a higher ballot.
+    """One replica has accepted a rival's value, another the update with a higher ballot.
 
-    Who refused the order for the rival's value would see it in force all the same."""
+    A proposer that rejected the update because of the rival's value could later see the update in
+    force.
+    """
     core = make_core()
     rules = {name: set() for name in core.machines}
     for name, host in core.machines.items():
         for kind in (Prepare, Accept):
-            drop(host, kind, lambda m, name=name: (type(m), m.sender) in rules[name])
+            drop_matching(host, kind, lambda m, name=name: (type(m), m.sender) in rules[name])
     rules["core-2"] = rules["core-3"] = {(Accept, "core-1")}
     core.put(0, 5, "rival", PLAN, "core-1", wait=False)
     core.world.run_for(50_000)
@@ -464,16 +476,16 @@
     core.machines["core-2"].node.proposer.counter = 60
     again = core.put(0, 7, "order", PLAN, "core-2", wait=False)
     core.world.run_for(50_000)
-    is_refused = bool(again) and code(again) == "revision_conflict"
+    is_refused = bool(again) and error_code(again) == "revision_conflict"
     for rule in rules.values():
         rule.clear()
     core.world.wait_for(lambda: first and again, 5 * SECOND, 10_000)
     revision = core.read()[1]["revision"]
     assert not (is_refused and revision == 7)
-    assert (code(again) is None) == (revision == 7)
+    assert (error_code(again) is None) == (revision == 7)
 
 
-def test_options_of_a_node_stand_for_the_settings_of_the_same_names():
+def test_command_line_options_of_a_node_set_the_settings_of_the_same_names():
     tester = CommandTester(program.CheckCommand())
     place = "--name core-1 --zone z --lines 127.0.0.1:7001 --http 127.0.0.1:8001"
     place += "".join(f" --seed 127.0.0.1:{port}" for port in (7002, 7003, 7004))
--- a/tests/test_patch.py
+++ b/tests/test_patch.py
@@ -1,9 +1,9 @@
-"""Changes by name: of a document that another door's sender put, and of the plan itself."""
+"""Patches by name: of a document sent on the platform interface, and of a native plan."""
 
 import json
 
 import pytest
-from test_documents import RecordedCall, code, command, in_force, kind, make_core
+from test_documents import RecordedCall, error_code, in_force, kind, make_core, send_command
 
 from linkhaven.api import ServiceError
 from linkhaven.configuration.patch import (
@@ -41,18 +41,18 @@
 }
 
 
-class OperatorCall(Call):
-    """An operator's call with what was answered."""
+class RecordedOperatorCall(Call):
+    """A request on the platform interface that records its response."""
 
-    __slots__ = ("status", "answered")
+    __slots__ = ("status", "response_body")
 
     def answer(self, status, headers, body):
         self.is_ended = True
-        self.status, self.answered = status, body
+        self.status, self.response_body = status, body
 
 
-def operate(core, name, method, path, body=b"", base=0, wait=True):
-    call = OperatorCall(method, path, {"base-version": str(base)}, body)
+def send_request(core, name, method, path, body=b"", base=0, wait=True):
+    call = RecordedOperatorCall(method, path, {"base-version": str(base)}, body)
     node = core.machines[name].node
     OperatorDoor(node.configuration_store, 0.2, 10).serve(call)
     if wait:
@@ -61,20 +61,22 @@
 
 
 def put(core, document=DOCUMENT, base=0, name="core-1"):
-    return operate(core, name, "POST", "/Configuration.Replace", write_json(document), base).status
+    return send_request(
+        core, name, "POST", "/Configuration.Replace", write_json(document), base
+    ).status
 
 
 def patch(core, base, revision, upserts=None, removals=None, name="core-1", wait=True):
-    order = {"revision": revision, "upserts": upserts or {}, "removals": removals or {}}
-    body = write_json(order)
-    return operate(core, name, "POST", "/Configuration.Update", body, base, wait)
+    patch_body = {"revision": revision, "upserts": upserts or {}, "removals": removals or {}}
+    body = write_json(patch_body)
+    return send_request(core, name, "POST", "/Configuration.Update", body, base, wait)
 
 
 def shown(core, name="core-2"):
-    return operate(core, name, "GET", "/Configuration.Describe").answered
+    return send_request(core, name, "GET", "/Configuration.Describe").response_body
 
 
-# the change itself
+# Applying patches
 
 
 def test_items_are_replaced_in_place_added_last_and_removed():
@@ -93,7 +95,7 @@
 
 
 @pytest.mark.parametrize(
-    "order, place",
+    "patch_body, place",
     [
         (
             {"upserts": {"route_rules": [{"name": "r-1"}, {"name": "r-1"}]}},
@@ -113,26 +115,26 @@
         ({"upserts": {"nothing": [{"name": "x"}]}}, "nothing"),
     ],
 )
-def test_a_patch_that_does_not_fit_is_refused_with_its_place(order, place):
-    with pytest.raises(ServiceError) as refused:
-        apply_to_lists(DOCUMENT, read_list_patch(order), PARTS)
-    assert refused.value.code == "plan_invalid"
-    assert place in [found["place"] for found in refused.value.detail["places"]]
+def test_an_invalid_patch_is_rejected_with_its_place(patch_body, place):
+    with pytest.raises(ServiceError) as rejected:
+        apply_to_lists(DOCUMENT, read_list_patch(patch_body), PARTS)
+    assert rejected.value.code == "plan_invalid"
+    assert place in [fault["place"] for fault in rejected.value.detail["places"]]
 
 
-def test_a_patch_of_mappings_keeps_to_known_parts():
-    order = {"upserts": {"kinds": {"k": {"new": 1}}}, "removals": {"groups": ["g"]}}
+def test_a_patch_of_mappings_changes_only_known_parts():
+    patch_body = {"upserts": {"kinds": {"k": {"new": 1}}}, "removals": {"groups": ["g"]}}
     plan = {"groups": {"g": {}, "h": {}}, "kinds": {}, "taichi": {}}
-    changed = apply_to_mappings(plan, read_mapping_patch(order), ("groups", "kinds"))
+    changed = apply_to_mappings(plan, read_mapping_patch(patch_body), ("groups", "kinds"))
     assert changed == {"groups": {"h": {}}, "kinds": {"k": {"new": 1}}, "taichi": {}}
     with pytest.raises(ServiceError):
         apply_to_mappings(plan, Patch({"taichi": {"moves": {}}}, {}), ("groups", "kinds"))
 
 
-# at the register
+# Committing patches
 
 
-def test_a_patch_is_acknowledged_shown_whole_and_byte_stable_from_any_member():
+def test_a_patched_document_is_shown_whole_and_byte_identical_by_all_nodes():
     core = make_core()
     assert put(core) == 200
     added = {**ROUTE, "name": "r-3", "path_prefix": "/c/"}
@@ -176,7 +178,7 @@
     assert shown(core) == before and core.read()[1]["revision"] == 4
 
 
-def test_wrong_base_old_revision_sent_again_and_another_under_the_same_number():
+def test_status_for_wrong_base_old_revision_repeated_patch_and_reused_revision():
     core = make_core()
     assert patch(core, 0, 3, {"route_rules": [ROUTE]}).status == 422
     put(core)
@@ -192,24 +194,24 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_of_a_patch_and_a_whole_configuration_on_one_base_one_is_taken(seed):
+def test_of_concurrent_patches_and_a_replacement_on_one_base_one_is_committed(seed):
     core = make_core(seed)
     put(core)
     whole = write_json({**DOCUMENT, "revision": 7})
     calls = [
         patch(core, 4, 7, {}, {"route_rules": ["r-1"]}, "core-1", wait=False),
-        operate(core, "core-2", "POST", "/Configuration.Replace", whole, 4, wait=False),
+        send_request(core, "core-2", "POST", "/Configuration.Replace", whole, 4, wait=False),
         patch(core, 4, 8, {}, {"route_rules": ["r-2"]}, "core-3", wait=False),
     ]
     core.world.wait_for(lambda: all(call.is_ended for call in calls), 5 * SECOND, 10_000)
     assert sorted(call.status for call in calls) == [200, 412, 412]
-    won = next(place for place, call in enumerate(calls) if call.status == 200)
+    winner = next(place for place, call in enumerate(calls) if call.status == 200)
     routes = [item["name"] for item in json.loads(shown(core))["route_rules"]]
-    assert routes == [["r-2"], ["r-1", "r-2"], ["r-1"]][won]
+    assert routes == [["r-2"], ["r-1", "r-2"], ["r-1"]][winner]
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_patch_with_a_lost_answer_is_acknowledged_again_after_a_restart(seed):
+def test_a_patch_whose_response_was_lost_is_acknowledged_again_after_a_restart(seed):
     core = make_core(seed)
     put(core)
     call = patch(core, 4, 9, {}, {"route_rules": ["r-1"]}, "core-1", wait=False)
@@ -228,7 +230,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_member_that_lacks_the_document_gathers_it_for_a_patch(seed):
+def test_a_node_without_the_document_fetches_it_for_a_patch(seed):
     core = make_core(seed)
     put(core)
     store = core.machines["core-2"].node.blobs
@@ -239,12 +241,12 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_patch_at_a_member_that_is_cut_off_is_never_half_taken(seed):
+def test_a_patch_at_a_partitioned_node_is_never_partly_committed(seed):
     core = make_core(seed)
     put(core)
     core.world.cut(["core-1"], ["core-2", "core-3"])
-    lone = patch(core, 4, 9, {}, {"route_rules": ["r-1"]}, "core-1")
-    assert lone.status in (503, 504)
+    isolated = patch(core, 4, 9, {}, {"route_rules": ["r-1"]}, "core-1")
+    assert isolated.status in (503, 504)
     assert patch(core, 4, 9, {}, {"route_rules": ["r-2"]}, "core-2").status == 200
     core.world.heal()
     core.world.run_for(2 * SECOND)
@@ -252,10 +254,10 @@
     assert [item["name"] for item in json.loads(shown(core))["route_rules"]] == ["r-1"]
 
 
-# our own interface
+# Native interface
 
 
-def test_our_own_patch_changes_the_plan_by_name_once():
+def test_a_native_patch_changes_the_plan_by_name_once():
     core = make_core()
     plan = {"groups": {"g": {}, "h": {}}, "kinds": {"k": kind("g"), "other": kind("h")}}
     call = RecordedCall(
@@ -263,23 +265,27 @@
     )
     core.machines["core-1"].node.serve(call)
     core.world.wait_for(lambda: call.is_ended, 5 * SECOND, 10_000)
-    change = {
+    requested_change = {
         "upserts": {"kinds": {"new": kind("g")}},
         "removals": {"kinds": ["other"], "groups": ["h"]},
     }
-    assert command(core, "PATCH", "/v1/plan", **change)[0] == 200
-    laid = in_force(core)
-    assert set(laid.kinds) == {"k", "new"} and set(laid.groups) == {"g"}
-    again = command(core, "PATCH", "/v1/plan", expect=1, put_id="/v1/plan/1", **change)
+    assert send_command(core, "PATCH", "/v1/plan", **requested_change)[0] == 200
+    effective = in_force(core)
+    assert set(effective.kinds) == {"k", "new"} and set(effective.groups) == {"g"}
+    again = send_command(
+        core, "PATCH", "/v1/plan", expect=1, put_id="/v1/plan/1", **requested_change
+    )
     assert again == (200, {"mark": 2, "put_id": "/v1/plan/1"})
-    status, told = command(core, "PATCH", "/v1/plan", removals={"groups": ["g"]})
-    assert (status, told["code"]) == (422, "plan_invalid")
+    status, response = send_command(core, "PATCH", "/v1/plan", removals={"groups": ["g"]})
+    assert (status, response["code"]) == (422, "plan_invalid")
     assert core.read()[1]["mark"] == 2
 
 
-def test_our_own_patch_leaves_a_document_to_its_sender():
+def test_a_native_patch_of_an_operators_document_is_rejected():
     core = make_core()
-    assert code(core.put(0, 4, "text", {"groups": {"g": {}}, "kinds": {"k": kind("g")}})) is None
-    status, told = command(core, "PATCH", "/v1/plan", removals={"kinds": ["k"]})
-    assert (status, told["code"]) == (422, "plan_invalid") and "its sender" in str(told)
+    assert (
+        error_code(core.put(0, 4, "text", {"groups": {"g": {}}, "kinds": {"k": kind("g")}})) is None
+    )
+    status, response = send_command(core, "PATCH", "/v1/plan", removals={"kinds": ["k"]})
+    assert (status, response["code"]) == (422, "plan_invalid") and "its sender" in str(response)
     assert core.read()[1]["mark"] == 1
--- a/tests/test_tenant_patches.py
+++ b/tests/test_tenant_patches.py
@@ -1,9 +1,9 @@
-"""Tenants changed by name, on the platform's interface and on ours."""
+"""Patches of tenants by name, on the platform interface and on the native one."""
 
 import json
 
 import pytest
-from test_documents import RecordedCall, command, kind, make_core
+from test_documents import RecordedCall, kind, make_core, send_command
 from test_patch import DOCUMENT, patch, put, shown
 
 from linkhaven.configuration import digest_api_key
@@ -11,17 +11,17 @@
 
 SECOND = 1_000_000
 ONE, TWO = {"name": "t-1", "api_keys": ["k-1"]}, {"name": "t-2", "api_keys": ["k-2", "k-3"]}
-KEYED = {**DOCUMENT, "tenants": [ONE, TWO]}
+DOCUMENT_WITH_TENANTS = {**DOCUMENT, "tenants": [ONE, TWO]}
 
 
-def keyed_core():
+def make_core_with_tenants():
     core = make_core()
-    assert put(core, KEYED) == 200
+    assert put(core, DOCUMENT_WITH_TENANTS) == 200
     return core
 
 
 def tenants_in_force(core):
-    """By tenant, the digests of its keys, as every replica has them."""
+    """Return the key digests of each tenant, which must be equal at all nodes."""
     core.world.run_for(SECOND)
     (in_force,) = {
         tuple(
@@ -41,17 +41,17 @@
         [{"name": "t-1", "api_keys": ["k-9"]}, {"name": "t-3", "api_keys": ["k-9"]}],
     ],
 )
-def test_a_patch_that_makes_two_tenants_share_a_key_is_refused_and_changes_nothing(tenants):
-    core = keyed_core()
+def test_a_patch_that_makes_two_tenants_share_a_key_is_rejected_and_changes_nothing(tenants):
+    core = make_core_with_tenants()
     before = shown(core)
-    refused = patch(core, 4, 9, {"tenants": tenants})
-    assert refused.status == 422
-    assert b"k-" not in refused.answered
+    rejected = patch(core, 4, 9, {"tenants": tenants})
+    assert rejected.status == 422
+    assert b"k-" not in rejected.response_body
     assert shown(core) == before
 
 
 def test_a_key_moves_from_one_tenant_to_another_in_one_patch():
-    core = keyed_core()
+    core = make_core_with_tenants()
     moved = [{"name": "t-1", "api_keys": ["k-1", "k-2"]}, {"name": "t-2", "api_keys": ["k-3"]}]
     assert patch(core, 4, 9, {"tenants": moved}).status == 200
     assert tenants_in_force(core) == {
@@ -60,15 +60,15 @@
     }
 
 
-def test_a_tenant_that_loses_all_keys_stays_and_one_that_is_removed_goes():
-    core = keyed_core()
+def test_a_tenant_without_keys_is_kept_and_a_removed_tenant_is_not():
+    core = make_core_with_tenants()
     emptied = [{"name": "t-1", "api_keys": []}]
     assert patch(core, 4, 9, {"tenants": emptied}, {"tenants": ["t-2"]}).status == 200
     assert tenants_in_force(core) == {"t-1": ()}
 
 
-def test_once_all_tenants_are_removed_keys_are_still_asked_for():
-    core = keyed_core()
+def test_keys_are_still_required_after_all_tenants_are_removed():
+    core = make_core_with_tenants()
     assert patch(core, 4, 9, {}, {"tenants": ["t-1", "t-2"]}).status == 200
     assert json.loads(shown(core))["tenants"] == []
     assert tenants_in_force(core) == {}
@@ -81,8 +81,8 @@
     assert tenants_in_force(core) == {"t-1": (digest_api_key("k-1"),)}
 
 
-def test_a_race_in_which_each_change_alone_would_do_never_leaves_a_shared_key():
-    core = keyed_core()
+def test_concurrent_patches_that_are_valid_alone_never_leave_a_shared_key():
+    core = make_core_with_tenants()
     calls = [
         patch(core, 4, 9, {"tenants": [{"name": name, "api_keys": ["k-new"]}]}, {}, machine, False)
         for name, machine in (("t-3", "core-1"), ("t-4", "core-2"))
@@ -92,7 +92,7 @@
     assert len([name for name in tenants_in_force(core) if name in ("t-3", "t-4")]) == 1
 
 
-def test_tenants_are_changed_by_name_on_our_own_interface():
+def test_tenants_are_patched_by_name_on_the_native_interface():
     core = make_core()
     held = {"keys": [digest_api_key("k-1")]}
     plan = {"groups": {"g": {}}, "kinds": {"k": kind("g")}, "tenants": {"t-1": held}}
@@ -101,22 +101,26 @@
     core.machines["core-2"].node.serve(call)
     core.world.wait_for(lambda: call.is_ended, 5 * SECOND, 10_000)
     shared = {"t-2": {"keys": [digest_api_key("k-1")]}}
-    status, refused = command(core, "PATCH", "/v1/plan", upserts={"tenants": shared})
-    assert (status, refused["code"]) == (422, "plan_invalid")
-    change = {"upserts": {"tenants": shared}, "removals": {"tenants": ["t-1"]}}
-    assert command(core, "PATCH", "/v1/plan", **change)[0] == 200
+    status, rejected = send_command(core, "PATCH", "/v1/plan", upserts={"tenants": shared})
+    assert (status, rejected["code"]) == (422, "plan_invalid")
+    requested_change = {"upserts": {"tenants": shared}, "removals": {"tenants": ["t-1"]}}
+    assert send_command(core, "PATCH", "/v1/plan", **requested_change)[0] == 200
     assert tenants_in_force(core) == {"t-2": (digest_api_key("k-1"),)}
 
 
-def test_a_configuration_sent_whole_with_a_shared_key_is_refused_and_shows_no_key():
-    core = keyed_core()
-    shared = {**KEYED, "revision": 9, "tenants": [ONE, {"name": "t-2", "api_keys": ["k-1"]}]}
+def test_a_replacement_with_a_shared_key_is_rejected():
+    core = make_core_with_tenants()
+    shared = {
+        **DOCUMENT_WITH_TENANTS,
+        "revision": 9,
+        "tenants": [ONE, {"name": "t-2", "api_keys": ["k-1"]}],
+    }
     assert put(core, shared, 4) == 422
-    assert json.loads(shown(core)) == json.loads(write_json(KEYED))
+    assert json.loads(shown(core)) == json.loads(write_json(DOCUMENT_WITH_TENANTS))
 
 
-def test_our_own_interface_shows_no_key_of_a_configuration_that_came_as_a_text():
-    core = keyed_core()
+def test_the_native_interface_shows_no_key_of_an_operators_document():
+    core = make_core_with_tenants()
     call = RecordedCall("GET", "/v1/plan", {}, b"")
     core.machines["core-2"].node.serve(call)
     core.world.wait_for(lambda: call.is_ended, 5 * SECOND, 10_000)
