--- a/tests/test_configuration_records.py
+++ b/tests/test_configuration_records.py
@@ -1,4 +1,4 @@
-"""The typed configuration: its names and defaults, and that a document's values survive in it."""
+"""The typed configuration: its field names and defaults, and its values from a document."""
 
 import json
 
@@ -68,8 +68,8 @@
     "floor": 0.02,
     "tenants": None,
 }
-"""What a document that says the least puts in force, as 6c079fa filled it; None where that had no
-field."""
+"""The configuration of a minimal document, with the defaults of commit 6c079fa; None for fields
+that it didn't have."""
 
 SCHEMAS = [
     (schema.ALLOWANCE, document.Allowance),
@@ -84,8 +84,8 @@
 
 
 def inner_schema(outer, name):
-    (found,) = [key.trafaret for key in outer.keys if key.name == name]
-    return found
+    (inner,) = [key.trafaret for key in outer.keys if key.name == name]
+    return inner
 
 
 INNER_SCHEMAS = [
@@ -106,7 +106,7 @@
     assert [not key.optional for key in form.keys] == [field.required for field in fields]
 
 
-def test_what_a_document_omits_has_its_default():
+def test_omitted_fields_have_their_defaults():
     written = record_to_dict(decode_configuration(DOCUMENT))
     assert json.loads(json.dumps(written)) == DEFAULTS
 
@@ -145,7 +145,7 @@
         ({"taichi": {"new": 1}}, "taichi/new"),
     ],
 )
-def test_an_unknown_field_is_a_fault_with_its_place(changed, place):
-    with pytest.raises(ServiceError) as refused:
+def test_an_unknown_field_is_reported_with_its_place(changed, place):
+    with pytest.raises(ServiceError) as rejected:
         decode_configuration({**DOCUMENT, **changed})
-    assert [found["place"] for found in refused.value.detail["places"]] == [place]
+    assert [fault["place"] for fault in rejected.value.detail["places"]] == [place]
--- a/tests/test_large_plans.py
+++ b/tests/test_large_plans.py
@@ -1,4 +1,4 @@
-"""What a router spends on a plan of many kinds: by what changes and is asked, not by its size."""
+"""The cost of a large plan depends on its changes and its requests, not on its size."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return {"group": group, "ttft_us": ttft_us, "tpot_us": 1, "deadline_us": 9_000_000, **more}
 
 
-def large(count=MANY):
+def make_large_plan(count=MANY):
     return {
         "groups": {f"g-{place}": {} for place in range(count)},
         "kinds": {f"k-{place}": kind(f"g-{place}") for place in range(count)},
@@ -23,7 +23,7 @@
 
 
 class CountingCheck:
-    """A check that counts how often it is asked."""
+    """A schema that counts its checks."""
 
     def __init__(self, check):
         self.inner = check
@@ -37,15 +37,15 @@
 def test_only_changed_parts_of_a_plan_are_checked_again(monkeypatch):
     kinds = CountingCheck(validation.KIND)
     monkeypatch.setattr(validation, "KIND", kinds)
-    first = decode_configuration(large())
+    first = decode_configuration(make_large_plan())
     assert kinds.count == MANY
-    changed = large()
+    changed = make_large_plan()
     changed["kinds"]["k-7"]["priority"] = 3
     del changed["kinds"]["k-9"]
     second = decode_configuration(changed)
     assert kinds.count == MANY + 1
     assert second.kinds["k-7"].priority == 3 and "k-9" not in second.kinds
-    assert first.kinds["k-7"].priority == 0 and first == decode_configuration(large())
+    assert first.kinds["k-7"].priority == 0 and first == decode_configuration(make_large_plan())
 
 
 @pytest.mark.parametrize(
@@ -58,28 +58,28 @@
         ({"kinds": []}, "kinds"),
     ],
 )
-def test_a_part_that_does_not_fit_is_named_beside_many_that_do(wrong, place):
-    decode_configuration(large(3))
-    with pytest.raises(ServiceError) as refused:
-        decode_configuration({**large(3), **wrong})
-    assert any(found["place"].startswith(place) for found in refused.value.detail["places"])
+def test_an_invalid_item_among_valid_ones_is_reported_with_its_place(wrong, place):
+    decode_configuration(make_large_plan(3))
+    with pytest.raises(ServiceError) as rejected:
+        decode_configuration({**make_large_plan(3), **wrong})
+    assert any(fault["place"].startswith(place) for fault in rejected.value.detail["places"])
 
 
-def slow_rooms(configuration):
-    """What `queue_limits_by_group` says, kind by kind."""
-    rooms = {}
+def expected_limits(configuration):
+    """Return what `queue_limits_by_group` must return, computed kind by kind."""
+    limits = {}
     for group in configuration.groups:
         own = [one.ttft_us for one in configuration.kinds.values()]
         others = [one.ttft_us for one in configuration.kinds.values() if one.group != group]
-        rooms[group] = min(others or own, default=NO_BOUND_US)
-    return rooms
+        limits[group] = min(others or own, default=NO_BOUND_US)
+    return limits
 
 
 @pytest.mark.parametrize(
     "targets",
     [{}, {"a": [5]}, {"a": [5, 3]}, {"a": [5], "b": [7]}, {"a": [9, 2], "b": [2], "c": [4]}],
 )
-def test_the_room_of_a_group_is_the_tightest_target_of_the_others(targets):
+def test_the_queue_limit_of_a_group_is_the_lowest_target_of_the_others(targets):
     kinds = {
         f"{group}-{place}": kind(group, ttft_us)
         for group, times in targets.items()
@@ -88,17 +88,17 @@
     configuration = decode_configuration(
         {"groups": {"a": {}, "b": {}, "c": {}, "d": {}}, "kinds": kinds}
     )
-    assert queue_limits_by_group(configuration) == slow_rooms(configuration)
+    assert queue_limits_by_group(configuration) == expected_limits(configuration)
 
 
-class Asked:
+class QueuedRequest:
     """A request of one group."""
 
     prompt_tokens, answer_tokens, deadline_us, queued_us = 10, 4, 9_000_000, 0
 
 
-class Looked:
-    """Counts how often any group's account is looked at by the scheduler."""
+class CountingAccounts:
+    """Counts how often the scheduler looks up a group's account."""
 
     def __init__(self, accounts):
         self.accounts = accounts
@@ -112,14 +112,14 @@
 def test_groups_without_requests_cost_nothing_between_changes():
     node = type("Router", (), {"systems": [], "now_us": lambda self: 0})()
     queues = AdmissionQueues(node, lambda: 1_000, lambda request, error: None)
-    queues.apply_configuration(decode_configuration(large()))
-    looked = queues.scheduler.accounts = Looked(queues.accounts)
+    queues.apply_configuration(decode_configuration(make_large_plan()))
+    accounts = queues.scheduler.accounts = CountingAccounts(queues.accounts)
     for name in ("g-3", "g-900"):
-        queues.enqueue(name, Asked())
+        queues.enqueue(name, QueuedRequest())
     assert queues.is_waiting()
     started = []
     queues.serve(lambda request: started.append(request) or True)
-    assert len(started) == 2 and not queues.is_waiting() and looked.count < 20
+    assert len(started) == 2 and not queues.is_waiting() and accounts.count < 20
     queues.tick(1_000_000)
     assert set(queues.active) == {"g-3", "g-900"}
     for place in range(2, 60):
--- a/tests/test_long_poll.py
+++ b/tests/test_long_poll.py
@@ -1,4 +1,4 @@
-"""How long seats hold a router's asks, by the fleet's size, the bounds and the duties."""
+"""The hold of a router's polls, by the fleet's size, the deployment's settings and leases."""
 
 import pytest
 
@@ -10,17 +10,17 @@
 )
 from linkhaven.runtime import Bounds
 
-PARTS = ("roster", "steward", "shares")
+SECTIONS = ("roster", "steward", "shares")
 
 
-def pace_of(routers, **bounds):
+def make_hold(routers, **bounds):
     return LongPollHold(Bounds(**bounds), lambda: routers)
 
 
 @pytest.mark.parametrize("routers", [1, 3, SMALL_FLEET_ROUTERS])
-def test_a_small_fleet_asks_at_full_pace(routers):
-    pace = pace_of(routers)
-    assert {pace.hold_us(seat, False, 0) for seat in "abc"} == {Bounds().news_hold_us}
+def test_a_small_fleet_polls_with_the_usual_hold(routers):
+    hold = make_hold(routers)
+    assert {hold.hold_us(replica_id, False, 0) for replica_id in "abc"} == {Bounds().news_hold_us}
 
 
 @pytest.mark.parametrize("routers", [18, 40, 80, 340])
@@ -28,37 +28,37 @@
 @pytest.mark.parametrize("lease_us", [3_000_000, 1_200_000])
 def test_a_hold_stays_within_a_third_of_what_it_must_renew(routers, stale_us, lease_us):
     bounds = Bounds(plan_stale_us=stale_us, lease_us=lease_us)
-    pace = LongPollHold(bounds, lambda: routers)
-    longest_us = pace.longest_us()
+    hold = LongPollHold(bounds, lambda: routers)
+    longest_us = hold.longest_us()
     assert bounds.news_hold_us <= longest_us <= MAX_HOLD_US
     assert longest_us * 3 <= max(3 * bounds.news_hold_us, lease_us)
     if stale_us is not None:
         assert longest_us * 3 <= max(3 * bounds.news_hold_us, stale_us)
 
 
-def test_the_replicas_that_matter_are_polled_more_often_at_a_large_fleet():
-    pace = pace_of(80, plan_stale_us=None)
-    pace.note_response("a", {"roster": {}, "steward": {}}, PARTS, 0)
-    pace.note_response("b", {"shares": {}}, PARTS, 0)
-    assert pace.hold_us("c", False, 0) == pace.longest_us() == MAX_HOLD_US
-    assert pace.hold_us("a", False, 0) == MAX_HOLD_US // 2
-    assert pace.hold_us("b", False, 0) == MAX_HOLD_US
-    assert pace.hold_us("b", True, 0) == Bounds().news_hold_us
-    assert pace.hold_us("c", True, 0) == MAX_HOLD_US
+def test_lease_holders_are_polled_more_often_in_a_large_fleet():
+    hold = make_hold(80, plan_stale_us=None)
+    hold.note_response("a", {"roster": {}, "steward": {}}, SECTIONS, 0)
+    hold.note_response("b", {"shares": {}}, SECTIONS, 0)
+    assert hold.hold_us("c", False, 0) == hold.longest_us() == MAX_HOLD_US
+    assert hold.hold_us("a", False, 0) == MAX_HOLD_US // 2
+    assert hold.hold_us("b", False, 0) == MAX_HOLD_US
+    assert hold.hold_us("b", True, 0) == Bounds().news_hold_us
+    assert hold.hold_us("c", True, 0) == MAX_HOLD_US
 
 
-def test_a_small_fleet_lets_every_replica_count():
-    pace = pace_of(SMALL_FLEET_ROUTERS)
-    pace.note_response("a", {"roster": {}}, PARTS, 0)
-    assert all(pace.is_sender(seat, "roster", 0) for seat in "abc")
+def test_in_a_small_fleet_each_replica_counts_as_sender():
+    hold = make_hold(SMALL_FLEET_ROUTERS)
+    hold.note_response("a", {"roster": {}}, SECTIONS, 0)
+    assert all(hold.is_sender(replica_id, "roster", 0) for replica_id in "abc")
 
 
-def test_while_no_replica_sends_a_section_any_may():
-    pace = pace_of(80)
-    assert all(pace.is_sender(seat, "roster", 0) for seat in "abc")
-    pace.note_response("a", {"roster": {}}, PARTS, 0)
-    assert [seat for seat in "abc" if pace.is_sender(seat, "roster", 0)] == ["a"]
-    pace.note_response("b", {"roster": {}}, PARTS, 0)
-    pace.note_response("a", {}, PARTS, 0)
-    assert [seat for seat in "abc" if pace.is_sender(seat, "roster", 0)] == ["b"]
-    assert all(pace.is_sender(seat, "roster", SECTION_SENDER_TTL_US) for seat in "abc")
+def test_each_replica_counts_as_sender_while_none_sends_a_section():
+    hold = make_hold(80)
+    assert all(hold.is_sender(replica_id, "roster", 0) for replica_id in "abc")
+    hold.note_response("a", {"roster": {}}, SECTIONS, 0)
+    assert [replica_id for replica_id in "abc" if hold.is_sender(replica_id, "roster", 0)] == ["a"]
+    hold.note_response("b", {"roster": {}}, SECTIONS, 0)
+    hold.note_response("a", {}, SECTIONS, 0)
+    assert [replica_id for replica_id in "abc" if hold.is_sender(replica_id, "roster", 0)] == ["b"]
+    assert all(hold.is_sender(replica_id, "roster", SECTION_SENDER_TTL_US) for replica_id in "abc")
