--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,7 +8,7 @@
 import pytest
 
 from linkhaven.api import CATALOGUE, ServiceError
-from linkhaven.configuration import decode_configuration, write_record
+from linkhaven.configuration import decode_configuration, record_to_dict
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers, status_of
 from linkhaven.platform.programs import SettingsWatch
@@ -81,10 +81,10 @@
 def test_a_configuration_of_the_platform_is_a_plan_of_ours():
     configuration = decode_configuration(translate_configuration(document(), 0.2, 43))
     kind = configuration.kinds["r-a1"]
-    assert write_record(kind.route) == {"host": "one.example", "prefix": "/a/"}
+    assert record_to_dict(kind.route) == {"host": "one.example", "prefix": "/a/"}
     assert kind.is_idempotent and kind.is_resumable and kind.max_attempts == 2
     assert (kind.ttft_us, kind.deadline_us, kind.max_gap_us) == (800_000, 8_000_000, 300_000)
-    assert write_record(configuration.retry_budget) == {"share": 0.2, "margin": 43}
+    assert record_to_dict(configuration.retry_budget) == {"share": 0.2, "margin": 43}
 
 
 def test_a_stream_that_cannot_be_resumed_is_run_once():
