--- a/packages/configuration/src/linkhaven/configuration/blob_exchange.py
+++ b/packages/configuration/src/linkhaven/configuration/blob_exchange.py
@@ -75,8 +75,8 @@
     ) -> None:
         """Call `resume` once all blobs are here, or `give_up` after `PENDING_TIMEOUT_US`.
 
-        `resume` is called immediately if none is missing. `hint` is the address of a node that
-        likely has the blobs.
+        `resume` is called immediately if none is missing; `give_up` is called early if too many
+        operations wait. `hint` is the address of a node that likely has the blobs.
         """
         missing = [digest for digest in digests if not self.blobs.has_blob(digest)]
         if not missing:
--- a/packages/configuration/src/linkhaven/configuration/changes.py
+++ b/packages/configuration/src/linkhaven/configuration/changes.py
@@ -2,7 +2,7 @@
 
 Changes are sent with the digest of their result, which the receiver checks: a document without the
 expected digest is never taken, whatever fault caused the difference.
-Test: `test_changes_that_lead_elsewhere_are_dropped_and_the_whole_is_asked_for`.
+Test: `test_changes_with_a_wrong_result_are_dropped_and_the_whole_is_requested`.
 """
 
 from typing import Any
--- a/packages/configuration/src/linkhaven/configuration/received.py
+++ b/packages/configuration/src/linkhaven/configuration/received.py
@@ -32,7 +32,7 @@
 
     Invariant: a document is taken only if it has the digest that its record names, however it was
     sent.
-    Test: `test_a_router_refuses_a_spoiled_blob_and_has_it_from_another_replica`.
+    Test: `test_a_router_rejects_a_corrupted_blob_and_gets_it_from_another_replica`.
     """
 
     __slots__ = ("ports", "snapshot", "record", "packed", "accepts_changes")
@@ -80,7 +80,7 @@
 
         If the result doesn't have the record's digest, it is dropped and the next poll requests the
         whole document.
-        Test: `test_changes_that_lead_elsewhere_are_dropped_and_the_whole_is_asked_for`.
+        Test: `test_changes_with_a_wrong_result_are_dropped_and_the_whole_is_requested`.
         """
         digest = document_digest_of(record)
         try:
@@ -93,11 +93,11 @@
 
     def _changed_document(self, digest: str, base_digest: str, packed_changes: str) -> dict:
         if self.snapshot.value is None or self.digest() != base_digest:
-            raise BlobMismatchError(f"the plan held here isn't {base_digest}")
+            raise BlobMismatchError(f"the document in force isn't the base {base_digest}")
         changes = read_changes(open_packed(packed_changes))
         document = apply_changes(document_of(self.snapshot.value), changes)
         if digest_of(write_document(document)) != digest:
-            raise BlobMismatchError(f"the changes don't lead to the plan named {digest}")
+            raise BlobMismatchError(f"the changed document doesn't have the digest {digest}")
         return document
 
     def _take(self, record: Record, document: dict, packed: str | None) -> bool:
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -463,28 +463,28 @@
     assert is_committed(results) and watcher.is_fresh() and watcher.missing is None
 
 
-@pytest.mark.parametrize("spoiled_part", ("body", "changes", "both"))
-def test_a_router_refuses_a_spoiled_blob_and_has_it_from_another_replica(spoiled_part):
+@pytest.mark.parametrize("corrupted_part", ("body", "changes", "both"))
+def test_a_router_rejects_a_corrupted_blob_and_gets_it_from_another_replica(corrupted_part):
     core = make_started_core()
     router = start_router(core)
     assert is_committed(put_revision(core, 1))
     core.world.run_for(SECOND)
-    source, handle, spoiled = source_host(router), router.node.map_handlers["news"], []
-    router.node.watcher.received.accepts_changes = spoiled_part != "body"
+    source, handle, corrupted = source_host(router), router.node.map_handlers["news"], []
+    router.node.watcher.received.accepts_changes = corrupted_part != "body"
     core.world.run_for(SECOND)
 
-    def spoil(message):
+    def corrupt(message):
         for part in ("body", "changes"):
-            is_spoiled = spoiled_part in (part, "both") and message["name"] == source.name
-            if part in message and is_spoiled:
-                spoiled.append(message["mark"])
+            is_corrupted = corrupted_part in (part, "both") and message["name"] == source.name
+            if part in message and is_corrupted:
+                corrupted.append(message["mark"])
                 message[part] = pack_blob("another text")
         handle(message)
 
-    router.node.map_handlers["news"] = spoil
+    router.node.map_handlers["news"] = corrupt
     assert is_committed(put_revision(core, 2))
     assert core.world.wait_for(lambda: weight_in_force(router) == 2.0, 400 * MS, 1 * MS)
-    assert spoiled and len(events(core, 1304)) == len(spoiled)
+    assert corrupted and len(events(core, 1304)) == len(corrupted)
 
 
 def test_a_replica_that_names_another_digest_for_the_version_in_force_is_detected():
--- a/tests/test_plan_changes.py
+++ b/tests/test_plan_changes.py
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("how", ("text", "items", "base", "shape"))
-def test_changes_that_lead_elsewhere_are_dropped_and_the_whole_is_asked_for(how):
+def test_changes_with_a_wrong_result_are_dropped_and_the_whole_is_requested(how):
     core, rng = make_started_core(), random.Random(1)
     router = add_router(core)
 
