--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,7 @@
-"""What a process imports before it serves: libraries that it may never need are not among it."""
+"""What a process imports at startup.
+
+Guards against a slow start caused by imports of libraries that the process may never need.
+"""
 
 import subprocess
 import sys
@@ -13,23 +16,23 @@
 
 
 @pytest.mark.parametrize("part", ["router", "controller"])
-def test_a_start_imports_no_library_that_only_some_processes_use(part):
-    told = subprocess.run(
+def test_startup_does_not_import_libraries_used_by_some_processes_only(part):
+    result = subprocess.run(
         [sys.executable, "-c", PROGRAM.format(part=part)],
         capture_output=True,
         check=True,
         text=True,
     )
-    assert told.stdout.strip() == ""
+    assert result.stdout.strip() == ""
 
 
-def test_a_package_tool_that_was_imported_before_is_left_alone():
+def test_an_already_imported_pkg_resources_is_kept():
     program = (
         "import sys, types; own = types.ModuleType('pkg_resources');"
         "own.declare_namespace = lambda name: None; sys.modules['pkg_resources'] = own;"
         "import linkhaven.wire; print(sys.modules['pkg_resources'] is own)"
     )
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", program], capture_output=True, check=True, text=True
     )
-    assert told.stdout.strip() == "True"
+    assert result.stdout.strip() == "True"
