--- a/packages/wire/src/linkhaven/wire/console.py
+++ b/packages/wire/src/linkhaven/wire/console.py
@@ -67,7 +67,7 @@
     return result
 
 
-def code_of(error: ServiceError) -> int:
+def exit_code_of(error: ServiceError) -> int:
     """The exit code for an error."""
     if error.code in ("settings_invalid", "address_taken"):
         return INVALID
@@ -86,7 +86,7 @@
         except ServiceError as error:
             self.line_error(f"<error>{error.code}</error> (done: {error.done}): {error.remedy}")
             self._show_detail(error.detail)
-            return code_of(error)
+            return exit_code_of(error)
 
     def act(self) -> Any:
         """Perform the command; returns an exit code, or None for `DONE`."""
--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -198,7 +198,7 @@
         return mask | (WRITE if self.end.can_send() else 0)
 
 
-class Net:
+class SimNetwork:
     """Replaces the module `socket` and the kernel's epoll."""
 
     def __init__(self):
@@ -337,10 +337,10 @@
         chunks = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
         return head.encode() + b"Transfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
 
-    def events(self, after, most=EVENTS_PER_STREAM):
+    def events(self, after, last=EVENTS_PER_STREAM):
         return [
             b"id: %d\ndata: %b %d\n\n" % (number, self.id.encode(), number)
-            for number in range(after + 1, most + 1)
+            for number in range(after + 1, last + 1)
         ]
 
     def runs(self):
@@ -577,9 +577,11 @@
 
     def check_runs(self):
         for request in self.caller_requests.values():
-            most = ROUTES[request.kind]["max_attempts"]
+            max_attempts = ROUTES[request.kind]["max_attempts"]
             require(
-                len(request.runs()) <= most, "BUDGET", f"{request.id}: {len(request.runs())} runs"
+                len(request.runs()) <= max_attempts,
+                "BUDGET",
+                f"{request.id}: {len(request.runs())} runs",
             )
 
     def on_head(self, request, status, headers):
@@ -631,7 +633,7 @@
     """One router with its HTTP server and pools, and simulated runners and callers."""
 
     def __init__(self):
-        self.net = Net()
+        self.net = SimNetwork()
         self.clock = SimClock()
         self.poller = SimPoller(self.net)
         self.real_socket = tcp_connection.socket
@@ -666,11 +668,11 @@
             DOOR_ADDRESS, self.node.serve_request, ServerLimits(), self.poller, self.clock
         )
         self.listener = self.server.listener.sock
-        self._take_plan()
+        self._apply_plan()
         self.list_serial = 0
         self.publish_runners()
 
-    def _take_plan(self):
+    def _apply_plan(self):
         routes = [
             {
                 "name": f"r-{kind}",
@@ -804,8 +806,8 @@
         reading = [caller for caller in self.callers if not caller.is_over]
         return runners + [caller.end for caller in reading if caller.end.receive_window is None]
 
-    def run_for(self, span_us):
-        end_us = self.clock.us + span_us
+    def run_for(self, duration_us):
+        end_us = self.clock.us + duration_us
         while self.clock.us < end_us:
             self.clock.us += min(100 * MS, end_us - self.clock.us)
             self.settle()
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -251,18 +251,18 @@
         if arrival.written is None:
             arrival.written = int(arrival.headers.get("last-event-id", 0))
             data = self.world.stream_head(sent)
-        upto = min(EVENTS_PER_STREAM, arrival.written + pieces)
-        data += b"".join(chunk(event) for event in sent.events(arrival.written, upto))
-        arrival.written = upto
+        last = min(EVENTS_PER_STREAM, arrival.written + pieces)
+        data += b"".join(chunk(event) for event in sent.events(arrival.written, last))
+        arrival.written = last
         if end == "goes on":
             connection.send(data)
             return self.world.settle()
         arrival.runner.unanswered.remove(arrival)
         if end == "ends":
-            data += b"".join(chunk(event) for event in sent.events(upto)) + b"0\r\n\r\n"
+            data += b"".join(chunk(event) for event in sent.events(last)) + b"0\r\n\r\n"
             connection.send(data)
             return self.world.settle()
-        event = b"".join(sent.events(upto))
+        event = b"".join(sent.events(last))
         if event:
             data += chunk(event)[:rest]
         connection.send(data)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -66,7 +66,7 @@
         self.loop.node.ports.log = lambda number, **facts: self.events.append((number, facts))
         self.socks = []
         self.calls = []
-        self.gone = []
+        self.disconnected_calls = []
 
     def run_until(self, condition):
         end = time.monotonic() + DEADLINE_S
@@ -607,20 +607,20 @@
     server = harness.start_server()
     sock = harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
     call = harness.wait_for_calls(1)
-    call.on_client_disconnect = lambda: harness.gone.append(call)
+    call.on_client_disconnect = lambda: harness.disconnected_calls.append(call)
     sock.shutdown(socket.SHUT_WR) if half else sock.close()
-    harness.run_until(lambda: harness.gone and not server.connections)
+    harness.run_until(lambda: harness.disconnected_calls and not server.connections)
     call.answer(200, {}, b"too late")
     call.cut()
-    assert harness.gone == [call] and call.is_ended
+    assert harness.disconnected_calls == [call] and call.is_ended
 
 
 def test_a_caller_that_does_not_read_blocks_the_writer(harness):
     server = harness.start_server()
     sock = harness.connect(server.address, b"GET / HTTP/1.1\r\n" + HOST + b"\r\n")
     call = harness.wait_for_calls(1)
-    rooms = []
-    call.on_writable = lambda: rooms.append(True)
+    writable_calls = []
+    call.on_writable = lambda: writable_calls.append(True)
     call.begin(200, {})
     written = 0
     while call.write(b"x" * 30_000):
@@ -628,9 +628,9 @@
         assert written < 100_000_000
         harness.loop.tick()
     written += 30_000
-    assert not rooms
+    assert not writable_calls
     received = ReceivedBytes(sock)
-    harness.run_until(lambda: received.poll() or rooms)
+    harness.run_until(lambda: received.poll() or writable_calls)
     call.finish()
     harness.run_until(lambda: received.poll() or received.data.endswith(b"0\r\n\r\n"))
     assert read_responses(received.data) == [(200, b"x" * written)]
