--- a/tests/keyed_router.py
+++ b/tests/keyed_router.py
@@ -106,7 +106,7 @@
 
     def begin(self, status, **headers):
         extra_headers = {name.replace("_", "-"): value for name, value in headers.items()}
-        own_headers = {names.REQUEST_ID: self.headers.get(names.REQUEST_ID), names.SEAL: "s"}
+        own_headers = {names.REQUEST_ID: self.headers.get(names.REQUEST_ID), names.RESPONSE_SEAL: "s"}
         self.handler.on_head(status, {**own_headers, **extra_headers})
 
     def begin_stream(self, *numbers):
--- a/tests/test_api_keys.py
+++ b/tests/test_api_keys.py
@@ -40,7 +40,7 @@
     world.ask(KEY)
     world.sent[0].give_handle()
     decode = world.sent[1]
-    assert names.SOURCE in decode.headers
+    assert names.KV_SOURCE in decode.headers
     assert_shows_the_tenant_only(decode)
 
 
@@ -80,7 +80,7 @@
     world.sent[0].handler.on_error(True)
     world.run(SECOND)
     resumed = world.sent[1]
-    assert resumed.headers[names.RESUME] == "2"
+    assert resumed.headers[names.LAST_EVENT_ID] == "2"
     assert_shows_the_tenant_only(resumed)
 
 
@@ -88,7 +88,7 @@
     world = KeyedRouter()
     world.ask(KEY, last_event_id="7")
     (resumed,) = world.sent
-    assert resumed.headers[names.RESUME] == "7"
+    assert resumed.headers[names.LAST_EVENT_ID] == "7"
     assert_shows_the_tenant_only(resumed)
 
 
@@ -137,7 +137,7 @@
     call = world.ask(*keys)
     assert (call.status, call.code(), call.was_cut) == (401, code, False)
     assert world.sent == []
-    assert names.AGAIN not in call.answer_headers
+    assert names.RETRY_AFTER not in call.answer_headers
 
 
 def test_a_refused_request_adds_nothing_to_retry_budget_or_group_usage():
@@ -210,7 +210,7 @@
     world.run(3 * SECOND)
     call = world.ask("key-new")
     assert (call.status, call.code()) == (503, "api_key_unconfirmed")
-    assert float(call.answer_headers[names.AGAIN]) == 0.1
+    assert float(call.answer_headers[names.RETRY_AFTER]) == 0.1
     assert world.ask(KEY, id="r-2").status is None
 
 
@@ -233,7 +233,7 @@
     world.run(3 * SECOND)
     call = world.ask(KEY, route="added")
     assert (call.status, call.code()) == (503, "plan_stale")
-    assert float(call.answer_headers[names.AGAIN]) == 0.1
+    assert float(call.answer_headers[names.RETRY_AFTER]) == 0.1
     world.core.world.heal()
     world.run(SECOND)
     assert world.ask(KEY, route="added", id="r-2").status is None
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -310,7 +310,7 @@
         self.heard.append((error.code, error.done, has_begun))
 
 
-EVENTS = {"content-type": "text/event-stream", names.SEAL: "s", names.REQUEST_ID: "r-1"}
+EVENTS = {"content-type": "text/event-stream", names.RESPONSE_SEAL: "s", names.REQUEST_ID: "r-1"}
 
 
 def stream(written=0):
@@ -344,7 +344,7 @@
 @pytest.mark.parametrize("more", [EVENTS, {names.REQUEST_ID: "r-1"}])
 def test_a_success_without_a_seal_reaches_nobody(more):
     part, handler = stream()
-    part.on_head(200, {name: value for name, value in more.items() if name != names.SEAL})
+    part.on_head(200, {name: value for name, value in more.items() if name != names.RESPONSE_SEAL})
     part.on_data(b"id: 1\ndata: x\n\n")
     part.on_end()
     assert handler.heard == [("closed",), ("runner_lost", "unknown", True)]
@@ -353,7 +353,7 @@
 @pytest.mark.parametrize("status", [408, 429, 503])
 def test_a_promise_that_the_runner_did_not_give_is_not_passed_on(status):
     part, handler = stream()
-    part.on_head(status, {names.REQUEST_ID: "r-1", names.SEAL: "s"})
+    part.on_head(status, {names.REQUEST_ID: "r-1", names.RESPONSE_SEAL: "s"})
     part.on_end()
     assert handler.heard == [("closed",), ("runner_lost", "unknown", True)]
 
--- a/tests/test_revoked_keys.py
+++ b/tests/test_revoked_keys.py
@@ -90,7 +90,7 @@
     world.sent[0].give_handle()
     decode = world.sent[1]
     assert decode.headers[names.TENANT] == "t-1"
-    assert names.SOURCE in decode.headers
+    assert names.KV_SOURCE in decode.headers
 
 
 def test_a_running_stream_continues():
--- a/tests/test_strict_revocation.py
+++ b/tests/test_strict_revocation.py
@@ -42,7 +42,7 @@
     assert late.status == (503 if is_strict else None)
     if is_strict:
         assert late.code() == "plan_stale"
-        assert names.AGAIN in late.answer_headers
+        assert names.RETRY_AFTER in late.answer_headers
     assert world.ask(route="open", id="r-3").status is None
     world.core.world.heal()
     world.run(SECOND)
