--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 
 import h11
-from test_platform import SETTINGS, Place
+from test_platform import SETTINGS, NodeSettings
 
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers
@@ -621,7 +621,7 @@
             renew=lambda address: None,
         )
         ports = Ports(self.clock, wire, None, random.Random(7), lambda number, **facts: None)
-        place = Place(SETTINGS)
+        place = NodeSettings(SETTINGS)
         self.node = RouterNode(
             "edge-1",
             "10.0.0.1:7000",
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 from linkhaven.platform.callers import PlatformCallers, status_of
 from linkhaven.platform.programs import SettingsWatch
 from linkhaven.platform.runners import EventReader, PlatformRunners, Stream, error_of
-from linkhaven.platform.settings import Place
+from linkhaven.platform.settings import NodeSettings
 from linkhaven.platform.translation import translate_configuration
 from linkhaven.router import RouterNode
 
@@ -125,10 +125,10 @@
 
 def test_the_bounds_of_quotas_are_read_where_a_site_says_them():
     told = {"quota_window_s": 2.5, "quota_overage": 0.2, "quota_slack": 7}
-    bounds = Place({**SETTINGS, "bounds": {**SETTINGS["bounds"], **told}}).bounds
+    bounds = NodeSettings({**SETTINGS, "bounds": {**SETTINGS["bounds"], **told}}).bounds
     read = bounds.quota_window_us, bounds.quota_overage, bounds.quota_slack
     assert read == (2_500_000, 0.2, 7)
-    bounds = Place(SETTINGS).bounds
+    bounds = NodeSettings(SETTINGS).bounds
     read = bounds.quota_window_us, bounds.quota_overage, bounds.quota_slack
     assert read == (5_000_000, 0.1, 20)
 
@@ -253,7 +253,7 @@
 def test_settings_that_change_or_a_hangup_tell_the_ring_its_new_seeds(tmp_path, monkeypatch):
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(SETTINGS))
-    monkeypatch.setenv(names.SETTINGS, str(path))
+    monkeypatch.setenv(names.SETTINGS_VARIABLE, str(path))
     loop = EventLoop()
     watch = SettingsWatch(loop)
     watch.look(2_000_000)
@@ -269,11 +269,18 @@
 
 
 def test_bounds_become_terms_with_a_margin():
-    place = Place(SETTINGS)
-    assert place.bounds.seats == 5 and place.bounds.lease_us == 3_000_000 and place.margin < 54
-    assert place.bounds.drain_us < 8_000_000 and place.bounds.linger_us < place.bounds.drain_us
-    assert place.bounds.poll_us + place.bounds.report_us < 3_000_000
-    assert 10 * place.bounds.body_wait_us < 2_000_000
+    settings = NodeSettings(SETTINGS)
+    assert (
+        settings.bounds.seats == 5
+        and settings.bounds.lease_us == 3_000_000
+        and settings.retry_margin < 54
+    )
+    assert (
+        settings.bounds.drain_us < 8_000_000
+        and settings.bounds.linger_us < settings.bounds.drain_us
+    )
+    assert settings.bounds.poll_us + settings.bounds.report_us < 3_000_000
+    assert 10 * settings.bounds.body_wait_us < 2_000_000
 
 
 @pytest.mark.parametrize(
@@ -281,7 +288,7 @@
 )
 def test_settings_that_lack_something_are_told(lacking):
     with pytest.raises(ServiceError) as told:
-        Place({key: value for key, value in SETTINGS.items() if key != lacking})
+        NodeSettings({key: value for key, value in SETTINGS.items() if key != lacking})
     assert told.value.code == "settings_invalid"
 
 
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -27,7 +27,7 @@
 from linkhaven.api import CATALOGUE, EVENTS, read_schema
 from linkhaven.controller.storage import LmdbStorage
 from linkhaven.platform import names
-from linkhaven.platform.settings import Place
+from linkhaven.platform.settings import NodeSettings
 from linkhaven.runtime import LineReader, Message, write_line
 from linkhaven.wire import console
 from linkhaven.wire.settings import SETTINGS
@@ -436,7 +436,7 @@
 
 def platform_keys():
     read = set()
-    Place(Tracked(PLATFORM_SETTINGS, read))
+    NodeSettings(Tracked(PLATFORM_SETTINGS, read))
     return sorted(read)
 
 
--- a/tests/test_strict_revocation.py
+++ b/tests/test_strict_revocation.py
@@ -6,7 +6,7 @@
 
 import pytest
 from keyed_router import KEY, SECOND, TENANTS, KeyedRouter
-from test_platform import SETTINGS, Place
+from test_platform import SETTINGS, NodeSettings
 
 from linkhaven.platform import names
 
@@ -24,7 +24,7 @@
     ],
 )
 def test_only_strict_settings_bound_how_long_a_revoked_key_counts(given, revoke_us):
-    place = Place({**SETTINGS, "bounds": {**SETTINGS["bounds"], **given}})
+    place = NodeSettings({**SETTINGS, "bounds": {**SETTINGS["bounds"], **given}})
     assert place.bounds.revoke_us == revoke_us
     assert place.bounds.deny_within_us == 2_000_000
 
