--- a/tests/recorded_world.py
+++ b/tests/recorded_world.py
@@ -23,7 +23,7 @@
 from contextlib import contextmanager
 
 from linkhaven.configuration import CommitResult
-from linkhaven.platform.operator import OperatorDoor
+from linkhaven.platform.operator import OperatorApi
 from linkhaven.runtime import ResponseHandler
 from linkhaven.stage import world
 from linkhaven.stage.changecourse import (
@@ -445,7 +445,7 @@
         core.wait_voting(3)
         core.world.run_for(2 * SECOND)
         for host in core.machines.values():
-            door = OperatorDoor(host.node.configuration_store, 0.2, 10)
+            door = OperatorApi(host.node.configuration_store, 0.2, 10)
             for method, path in {(call[0], call[1]) for call in OPERATOR_CALLS}:
                 host.node.routes[method, path] = door.serve
         sender = world.Host(core.world, "operator", "z", "10.8.1.1:1", lambda host, ports: ports)
--- a/tests/test_patch.py
+++ b/tests/test_patch.py
@@ -13,7 +13,7 @@
     read_list_patch,
     read_mapping_patch,
 )
-from linkhaven.platform.operator import OperatorDoor
+from linkhaven.platform.operator import OperatorApi
 from linkhaven.runtime import Call, write_json
 
 SECOND = 1_000_000
@@ -54,7 +54,7 @@
 def send_request(core, name, method, path, body=b"", base=0, wait=True):
     call = RecordedOperatorCall(method, path, {"base-version": str(base)}, body)
     node = core.machines[name].node
-    OperatorDoor(node.configuration_store, 0.2, 10).serve(call)
+    OperatorApi(node.configuration_store, 0.2, 10).serve(call)
     if wait:
         core.world.wait_for(lambda: call.is_ended, 5 * SECOND, 10_000)
     return call
