--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -389,7 +389,7 @@
 
 
 def pass_on_any_answer(monkeypatch):
-    monkeypatch.setattr(runners, "unfit_answer", lambda status, headers: None)
+    monkeypatch.setattr(runners, "unsafe_response_error", lambda status, headers: None)
 
 
 def believe_any_end(monkeypatch):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers, status_of
 from linkhaven.platform.programs import SettingsWatch
-from linkhaven.platform.runners import EventReader, PlatformRunners, Stream, error_of
+from linkhaven.platform.runners import EventReader, PlatformRunners, Stream, error_from_response
 from linkhaven.platform.settings import NodeSettings
 from linkhaven.platform.translation import translate_configuration
 from linkhaven.router import RouterNode
@@ -134,9 +134,13 @@
 
 
 def test_only_a_runner_that_says_so_did_not_run_a_request():
-    assert error_of(503, {}) is None and error_of(500, {}) is None and error_of(504, {}) is None
-    assert error_of(503, {names.NOT_RUN: "1"}).done == "no"
-    assert error_of(421, {names.RUNNER: "i-1"}).done == "no"
+    assert (
+        error_from_response(503, {}) is None
+        and error_from_response(500, {}) is None
+        and error_from_response(504, {}) is None
+    )
+    assert error_from_response(503, {names.NOT_RUN: "1"}).done == "no"
+    assert error_from_response(421, {names.RUNNER: "i-1"}).done == "no"
 
 
 def test_events_are_passed_on_whole_with_their_numbers():
@@ -256,15 +260,15 @@
     monkeypatch.setenv(names.SETTINGS_VARIABLE, str(path))
     loop = EventLoop()
     watch = SettingsWatch(loop)
-    watch.look(2_000_000)
+    watch.poll(2_000_000)
     assert loop.node.membership.seeds == []
     path.write_text(json.dumps({**SETTINGS, "seed_nodes": ["10.0.0.44:90"]}))
-    watch.look(4_000_000)
+    watch.poll(4_000_000)
     assert loop.node.membership.seeds == ["10.0.0.44:7720"]
     loop.on_hangup()
     assert loop.node.membership.seeds == ["10.0.0.44:7720"] * 2
     path.write_text("{")
-    watch.look(6_000_000)
+    watch.poll(6_000_000)
     assert loop.logged == [1005]
 
 
