--- a/packages/simulator/src/linkhaven/simulator/answer.py
+++ b/packages/simulator/src/linkhaven/simulator/answer.py
@@ -9,7 +9,7 @@
 SECOND = 1_000_000
 
 
-def run_question(question):
+def simulate_question(question):
     """Plays one question in the simulated world; the same question has the same answer."""
     fleet_terms, demand = question["fleet"], question["demand"]
     plan, tenants = question["plan"], _tenants_of(question)
@@ -55,7 +55,7 @@
         fleet.load()
     fleet.world.run_for(question["seconds"] * SECOND)
     fleet.settle(90)
-    return _answer(fleet, faults, begun_us)
+    return _summarise(fleet, faults, begun_us)
 
 
 def _tenants_of(question):
@@ -93,7 +93,7 @@
     world.at(at_us + int(fault["for_s"] * SECOND), faults.close)
 
 
-def _answer(fleet, faults, begun_us):
+def _summarise(fleet, faults, begun_us):
     kinds = fleet.deployment.kinds
     asked = [one for one in fleet.caller.node.asked.values() if one.asked_us >= begun_us]
     phases = {name: host.node.phase for name, host in fleet.runners.items() if host.node}
@@ -126,11 +126,11 @@
     }
 
 
-def answer(question):
+def answer_question(question):
     """The question as it stands, then each what-if, by name."""
-    answers = {"as it is": run_question(question)}
+    answers = {"as it is": simulate_question(question)}
     for name, change in question["what_if"].items():
-        answers[name] = run_question(apply_change(question, change))
+        answers[name] = simulate_question(apply_change(question, change))
     return {
         "title": question["title"],
         "seed": question["seed"],
@@ -139,7 +139,7 @@
     }
 
 
-def write_table(told):
+def format_table(told):
     head = (
         "case",
         "asked",
--- a/packages/simulator/src/linkhaven/simulator/program.py
+++ b/packages/simulator/src/linkhaven/simulator/program.py
@@ -5,7 +5,7 @@
 from linkhaven.wire.console import CodedCommand, run_application
 from linkhaven.wire.settings import read_settings
 
-from .answer import answer, write_table
+from .answer import answer_question, format_table
 from .question import example_question, read_question
 
 
@@ -27,10 +27,10 @@
                     places=[{"place": "--seed", "fault": "is not a whole number"}],
                 )
             document["seed"] = int(self.option("seed"))
-        told = answer(read_question(document))
+        told = answer_question(read_question(document))
         if self.option("json"):
             return self.show(told)
-        self.line(write_table(told))
+        self.line(format_table(told))
 
 
 class CheckCommand(CodedCommand):
--- a/packages/simulator/src/linkhaven/simulator/question.py
+++ b/packages/simulator/src/linkhaven/simulator/question.py
@@ -72,7 +72,7 @@
 )
 
 
-def _clashes_of(question, place):
+def _find_conflicts(question, place):
     plan, fleet = question["plan"], question["fleet"]
     places = [
         {"place": f"{place}plan/{found['place']}", "fault": found["fault"]}
@@ -88,7 +88,7 @@
             places.append(
                 {"place": f"{place}demand/{kind}", "fault": "the plan names no such kind"}
             )
-    places += _tenant_clashes_of(question, place)
+    places += _find_tenant_conflicts(question, place)
     return places + [
         {
             "place": f"{place}faults/{number}/on",
@@ -99,7 +99,7 @@
     ]
 
 
-def _tenant_clashes_of(question, place):
+def _find_tenant_conflicts(question, place):
     """Tenants that send must be those of the plan, and tenants' faults need some."""
     plan = question["plan"]
     named = plan.get("tenants") if isinstance(plan, dict) else None
@@ -126,8 +126,8 @@
 
 
 ZONE_FAULTS = {"cut_zone", "kill_zone", "freeze_zone"}
-DUTY_FAULTS = {"freeze_holder"}
-SEAT_FAULTS = {
+ROLE_FAULTS = {"freeze_holder"}
+REPLICA_FAULTS = {
     "kill_core",
     "freeze_core",
     "freeze_seat_in_a_put",
@@ -169,9 +169,9 @@
     fleet = question["fleet"]
     if fault in ZONE_FAULTS:
         return fleet["zones"]
-    if fault in SEAT_FAULTS:
+    if fault in REPLICA_FAULTS:
         return ("a", "b", "c")
-    if fault in DUTY_FAULTS:
+    if fault in ROLE_FAULTS:
         return SINGLETON_ROLES
     if fault in ROUTER_FAULTS:
         return [f"edge-{place + 1}" for place in range(fleet["routers"])]
@@ -192,15 +192,15 @@
         raise ServiceError(
             "question_invalid", places=sorted(list_places(fault), key=lambda place: place["place"])
         ) from None
-    places = _clashes_of(question, "")
+    places = _find_conflicts(question, "")
     for name, change in question["what_if"].items():
-        places += _clashes_of_change(question, name, change)
+        places += _find_change_conflicts(question, name, change)
     if places:
         raise ServiceError("question_invalid", places=places)
     return question
 
 
-def _clashes_of_change(question, name, change):
+def _find_change_conflicts(question, name, change):
     place = f"what_if/{name}/"
     unknown = [kind for kind in change["demand"] if kind not in question["demand"]]
     if unknown:
@@ -212,7 +212,7 @@
         FLEET.check({**question["fleet"], **change["fleet"]})
     except t.DataError as fault:
         return list_places(fault, f"{place}fleet")
-    return _clashes_of(apply_change(question, change), place)
+    return _find_conflicts(apply_change(question, change), place)
 
 
 def apply_change(question, change):
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -3,7 +3,7 @@
 import pytest
 
 from linkhaven.api import ServiceError
-from linkhaven.simulator.answer import answer, write_table
+from linkhaven.simulator.answer import answer_question, format_table
 from linkhaven.simulator.question import example_question, read_question
 
 
@@ -23,8 +23,8 @@
 
 
 def test_the_same_question_has_the_same_answer_and_a_worse_fleet_a_worse_one():
-    told = answer(read_question(short()))
-    assert told == answer(read_question(short()))
+    told = answer_question(read_question(short()))
+    assert told == answer_question(read_question(short()))
     usual, poor, cut = (
         told["answers"][name] for name in ("as it is", "two runners", "a zone cut off")
     )
@@ -37,7 +37,7 @@
     assert poorer["audit"]["served"] < usual["groups"]["audit"]["served"]
     assert poorer["seats"]["served"] == usual["groups"]["seats"]["served"]
     assert usual["all"]["asked"] == cut["all"]["asked"]
-    table = write_table(told)
+    table = format_table(told)
     assert all(name in table for name in told["answers"])
 
 
@@ -64,8 +64,8 @@
 
     aimed = (
         module.ZONE_FAULTS
-        | module.DUTY_FAULTS
-        | module.SEAT_FAULTS
+        | module.ROLE_FAULTS
+        | module.REPLICA_FAULTS
         | module.ROUTER_FAULTS
         | module.RUNNER_FAULTS
         | module.GROUP_FAULTS
