--- a/packages/simulator/src/linkhaven/simulator/answer.py
+++ b/packages/simulator/src/linkhaven/simulator/answer.py
@@ -1,3 +1,5 @@
+"""Answers a what-if question by simulation, and formats the answer as a table."""
+
 from linkhaven.runtime import Bounds
 from linkhaven.stage.checkers import judge
 from linkhaven.stage.faults import Faults
@@ -6,13 +8,16 @@
 
 from .question import apply_change
 
-SECOND = 1_000_000
+US_PER_S = 1_000_000
 
 
 def simulate_question(question):
-    """Plays one question in the simulated world; the same question has the same answer."""
+    """Simulate the fleet of one question; return the same result for the same question.
+
+    The changes under `what_if` aren't applied here.
+    """
     fleet_terms, demand = question["fleet"], question["demand"]
-    plan, tenants = question["plan"], _tenants_of(question)
+    plan, tenants = question["plan"], _read_tenants(question)
     if tenants:
         plan = {**plan, "tenants": TenantPopulation(tenants).document()}
     rate = sum(kind["rate"] for kind in demand.values())
@@ -48,18 +53,18 @@
     for tenant, factor in question["tenant_load"].items():
         fleet.tenants.set_load(tenant, factor)
     faults = Faults(fleet)
-    begun_us = fleet.world.now_us
+    start_us = fleet.world.now_us
     for fault in question["faults"]:
-        _plant(fleet.world, faults, fault, begun_us)
+        _schedule_fault(fleet.world, faults, fault, start_us)
     if demand:
         fleet.load()
-    fleet.world.run_for(question["seconds"] * SECOND)
+    fleet.world.run_for(question["seconds"] * US_PER_S)
     fleet.settle(90)
-    return _summarise(fleet, faults, begun_us)
+    return _summarise(fleet, faults, start_us)
 
 
-def _tenants_of(question):
-    """The tenants that send, with the limits of the plan; the simulation draws their keys."""
+def _read_tenants(question):
+    """Return the tenants that send, with the plan's limits; the simulation draws their API keys."""
     named = question["plan"].get("tenants", {})
     return tuple(
         TenantProfile(
@@ -74,40 +79,50 @@
     )
 
 
-def _tenant_rows(fleet, asked, kinds):
-    """What each tenant got of what it asked for."""
+def _summarise_tenants(fleet, requests, kinds):
+    """Return a summary of each tenant's requests, by name."""
     if fleet.tenants is None:
         return {}
     return {
         tenant: summarise(
-            [one for one in asked if one.credentials and one.credentials.tenant == tenant], kinds
+            [
+                request
+                for request in requests
+                if request.credentials and request.credentials.tenant == tenant
+            ],
+            kinds,
         )
         for tenant in fleet.tenants.profiles
     }
 
 
-def _plant(world, faults, fault, begun_us):
-    words = [fault["on"]] if "on" in fault else []
-    at_us = begun_us + int(fault["at_s"] * SECOND)
-    world.at(at_us, lambda: faults.begin(fault["name"], *words))
-    world.at(at_us + int(fault["for_s"] * SECOND), faults.close)
+def _schedule_fault(world, faults, fault, start_us):
+    targets = [fault["on"]] if "on" in fault else []
+    at_us = start_us + int(fault["at_s"] * US_PER_S)
+    world.at(at_us, lambda: faults.begin(fault["name"], *targets))
+    world.at(at_us + int(fault["for_s"] * US_PER_S), faults.close)
 
 
-def _summarise(fleet, faults, begun_us):
+def _summarise(fleet, faults, start_us):
     kinds = fleet.deployment.kinds
-    asked = [one for one in fleet.caller.node.asked.values() if one.asked_us >= begun_us]
+    requests = [
+        request for request in fleet.caller.node.asked.values() if request.asked_us >= start_us
+    ]
     phases = {name: host.node.phase for name, host in fleet.runners.items() if host.node}
     deadlines = {kind: terms["deadline_us"] for kind, terms in kinds.items()}
     return {
-        "all": summarise(asked, kinds),
+        "all": summarise(requests, kinds),
         "kinds": {
-            kind: summarise([one for one in asked if one.kind == kind], kinds) for kind in fleet.mix
+            kind: summarise([request for request in requests if request.kind == kind], kinds)
+            for kind in fleet.mix
         },
         "groups": {
-            group: summarise([one for one in asked if kinds[one.kind]["group"] == group], kinds)
+            group: summarise(
+                [request for request in requests if kinds[request.kind]["group"] == group], kinds
+            )
             for group in fleet.plan["groups"]
         },
-        "tenants": _tenant_rows(fleet, asked, kinds),
+        "tenants": _summarise_tenants(fleet, requests, kinds),
         "prefill_runners": sum(phase == "prefill" for phase in phases.values()),
         "runners": len(phases),
         "extra_shots": sum(
@@ -127,7 +142,7 @@
 
 
 def answer_question(question):
-    """The question as it stands, then each what-if, by name."""
+    """Answer the unchanged question, and the question with each change under `what_if`, by name."""
     answers = {"as it is": simulate_question(question)}
     for name, change in question["what_if"].items():
         answers[name] = simulate_question(apply_change(question, change))
@@ -139,8 +154,9 @@
     }
 
 
-def format_table(told):
-    head = (
+def format_table(answer):
+    """Return the answer as text: a row of figures for each case, tenants, and broken rules."""
+    header = (
         "case",
         "asked",
         "served",
@@ -153,50 +169,52 @@
         "prefill",
         "extra",
     )
-    rows = [head]
-    for name, found in told["answers"].items():
-        seen = found["all"]
-        share = "-" if seen["goodput_share"] is None else f"{seen['goodput_share'] * 100:.1f}%"
+    rows = [header]
+    for name, result in answer["answers"].items():
+        summary = result["all"]
+        share = (
+            "-" if summary["goodput_share"] is None else f"{summary['goodput_share'] * 100:.1f}%"
+        )
         rows.append(
             (
                 name,
-                seen["asked"],
-                seen["served"],
-                seen["refused"],
-                seen["troubled"] + seen["cut"],
+                summary["asked"],
+                summary["served"],
+                summary["refused"],
+                summary["troubled"] + summary["cut"],
                 share,
-                _ms(seen["ttft_ms"]["p50"]),
-                _ms(seen["ttft_ms"]["p90"]),
-                _ms(seen["tpot_ms"]["p90"]),
-                f"{found['prefill_runners']}/{found['runners']}",
-                found["extra_shots"],
+                _format_ms(summary["ttft_ms"]["p50"]),
+                _format_ms(summary["ttft_ms"]["p90"]),
+                _format_ms(summary["tpot_ms"]["p90"]),
+                f"{result['prefill_runners']}/{result['runners']}",
+                result["extra_shots"],
             )
         )
-    widths = [max(len(str(row[place])) for row in rows) for place in range(len(head))]
-    lines = [f"{told['title']} (seed {told['seed']}, {told['seconds']} s)"]
+    widths = [max(len(str(row[column])) for row in rows) for column in range(len(header))]
+    lines = [f"{answer['title']} (seed {answer['seed']}, {answer['seconds']} s)"]
     for row in rows:
         lines.append(
             "  ".join(
-                str(cell).ljust(width) if not place else str(cell).rjust(width)
-                for place, (cell, width) in enumerate(zip(row, widths, strict=True))
+                str(cell).ljust(width) if not column else str(cell).rjust(width)
+                for column, (cell, width) in enumerate(zip(row, widths, strict=True))
             )
         )
-    for name, found in told["answers"].items():
-        lines += _tenant_lines(name, found["tenants"])
-    for name, found in told["answers"].items():
-        if found["broken_rules"]:
-            lines.append(f"{name}: broke {', '.join(found['broken_rules'])}")
+    for name, result in answer["answers"].items():
+        lines += _format_tenants(name, result["tenants"])
+    for name, result in answer["answers"].items():
+        if result["broken_rules"]:
+            lines.append(f"{name}: broke {', '.join(result['broken_rules'])}")
     return "\n".join(lines)
 
 
-def _tenant_lines(name, tenants):
+def _format_tenants(name, tenants):
     if not tenants:
         return []
-    told = ", ".join(
-        f"{tenant} {seen['served']} of {seen['asked']}" for tenant, seen in tenants.items()
+    counts = ", ".join(
+        f"{tenant} {summary['served']} of {summary['asked']}" for tenant, summary in tenants.items()
     )
-    return [f"{name}, served by tenant: {told}"]
+    return [f"{name}, served by tenant: {counts}"]
 
 
-def _ms(value):
+def _format_ms(value):
     return "-" if value in (None, []) else f"{value} ms"
--- a/packages/simulator/src/linkhaven/simulator/program.py
+++ b/packages/simulator/src/linkhaven/simulator/program.py
@@ -1,3 +1,5 @@
+"""The command line of linkhaven-simulator."""
+
 from cleo.helpers import argument, option
 
 from linkhaven.api import ServiceError
@@ -10,6 +12,8 @@
 
 
 class RunCommand(CodedCommand):
+    """Answers a question, as a table or as JSON."""
+
     name = "run"
     description = "Answer a what-if file in the simulated world: as it is, then each change."
     arguments = [argument("file", "the question as YAML or JSON")]
@@ -27,13 +31,15 @@
                     places=[{"place": "--seed", "fault": "is not a whole number"}],
                 )
             document["seed"] = int(self.option("seed"))
-        told = answer_question(read_question(document))
+        answer = answer_question(read_question(document))
         if self.option("json"):
-            return self.show(told)
-        self.line(format_table(told))
+            return self.show(answer)
+        self.line(format_table(answer))
 
 
 class CheckCommand(CodedCommand):
+    """Checks a question without simulating it."""
+
     name = "check"
     description = "Check a what-if file without running it."
     arguments = [argument("file", "the question as YAML or JSON")]
@@ -44,6 +50,8 @@
 
 
 class ExampleCommand(CodedCommand):
+    """Prints the question file of a shipped deployment."""
+
     name = "example"
     description = "Print one of the two deployments as a what-if file."
     arguments = [argument("deployment", "licensing, archive or licensing-tenants")]
@@ -60,4 +68,5 @@
 
 
 def main():
+    """Run the command that the command line names."""
     run_application("linkhaven-simulator", [RunCommand(), CheckCommand(), ExampleCommand()])
--- a/packages/simulator/src/linkhaven/simulator/question.py
+++ b/packages/simulator/src/linkhaven/simulator/question.py
@@ -1,3 +1,10 @@
+"""Reads and checks what-if questions.
+
+A question is a scenario to be simulated: a configuration (`plan`), a fleet, the demand by request
+kind, tenants and faults; and under `what_if` named changes, each of which is simulated too.
+`rate` is in requests per second, `seconds` is the simulated time; other keys end in their unit.
+"""
+
 import copy
 
 import trafaret as t
@@ -73,6 +80,7 @@
 
 
 def _find_conflicts(question, place):
+    """Return what is inconsistent in a question whose fields are valid, with `place` as prefix."""
     plan, fleet = question["plan"], question["fleet"]
     places = [
         {"place": f"{place}plan/{found['place']}", "fault": found["fault"]}
@@ -95,12 +103,12 @@
             "fault": f"{fault['name']} cannot strike {fault['on']}",
         }
         for number, fault in enumerate(question["faults"])
-        if "on" in fault and fault["on"] not in _targets_of(fault["name"], question)
+        if "on" in fault and fault["on"] not in _list_targets(fault["name"], question)
     ]
 
 
 def _find_tenant_conflicts(question, place):
-    """Tenants that send must be those of the plan, and tenants' faults need some."""
+    """Return tenants that the plan doesn't name, and faults of tenants where none sends."""
     plan = question["plan"]
     named = plan.get("tenants") if isinstance(plan, dict) else None
     named = named if isinstance(named, dict) else {}
@@ -125,6 +133,8 @@
     return places
 
 
+# Faults that may be aimed at a target, by the kind of the target.
+
 ZONE_FAULTS = {"cut_zone", "kill_zone", "freeze_zone"}
 ROLE_FAULTS = {"freeze_holder"}
 REPLICA_FAULTS = {
@@ -164,8 +174,8 @@
 ONE_TENANT_FAULTS = {"revoke_key", "add_key", "move_key", "lower_limit", "hot_tenant"}
 
 
-def _targets_of(fault, question):
-    """What a fault may be aimed at by name; every other fault picks for itself."""
+def _list_targets(fault, question):
+    """Return the names that a fault may be aimed at; every other fault draws its target."""
     fleet = question["fleet"]
     if fault in ZONE_FAULTS:
         return fleet["zones"]
@@ -185,12 +195,15 @@
 
 
 def read_question(document):
-    """The checked question; every misfit at once, each with its place."""
+    """Return the checked question, with defaults filled in.
+
+    Raises ServiceError `question_invalid` with all errors that were found, each with its place.
+    """
     try:
         question = QUESTION.check(document)
-    except t.DataError as fault:
+    except t.DataError as error:
         raise ServiceError(
-            "question_invalid", places=sorted(list_places(fault), key=lambda place: place["place"])
+            "question_invalid", places=sorted(list_places(error), key=lambda place: place["place"])
         ) from None
     places = _find_conflicts(question, "")
     for name, change in question["what_if"].items():
@@ -201,6 +214,7 @@
 
 
 def _find_change_conflicts(question, name, change):
+    """Return what is inconsistent in the question that a change makes."""
     place = f"what_if/{name}/"
     unknown = [kind for kind in change["demand"] if kind not in question["demand"]]
     if unknown:
@@ -210,12 +224,17 @@
         ]
     try:
         FLEET.check({**question["fleet"], **change["fleet"]})
-    except t.DataError as fault:
-        return list_places(fault, f"{place}fleet")
+    except t.DataError as error:
+        return list_places(error, f"{place}fleet")
     return _find_conflicts(apply_change(question, change), place)
 
 
 def apply_change(question, change):
+    """Return the question with one change of its `what_if` applied.
+
+    Factors of `demand` multiply the rates, faults are added, and all other terms override those
+    of the same name.
+    """
     changed = copy.deepcopy(question)
     changed["fleet"] = FLEET.check({**question["fleet"], **change["fleet"]})
     for kind, factor in change["demand"].items():
@@ -227,17 +246,17 @@
         changed["plan"]["taichi"] = {**changed["plan"].get("taichi", {}), **change["taichi"]}
     changed["tenant_load"] = {**question["tenant_load"], **change["tenant_load"]}
     for part in ("groups", "kinds", "tenants"):
-        held = changed["plan"].get(part, {})
+        entries = changed["plan"].get(part, {})
         for name, terms in change[part].items():
-            held[name] = {**held.get(name, {}), **terms}
+            entries[name] = {**entries.get(name, {}), **terms}
     changed["faults"] = [*question["faults"], *change["faults"]]
     return changed
 
 
 def example_question(name):
-    """One of the deployments as a question."""
+    """Return a shipped deployment as a question with example changes."""
     deployment = DEPLOYMENTS[name]
-    question = _example_of(deployment)
+    question = _describe_deployment(deployment)
     if deployment.tenants:
         question["tenants"] = {
             tenant.name: {"share": tenant.share} for tenant in deployment.tenants
@@ -263,7 +282,7 @@
     return question
 
 
-def _example_of(deployment):
+def _describe_deployment(deployment):
     name = deployment.name
     return {
         "title": f"{name}: the usual day",
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The build of the platform's programs never takes away what runs."""
+"""A build of the platform's programs never removes files that a running program may need."""
 
 import importlib.util
 from pathlib import Path
@@ -27,21 +27,21 @@
     return tmp_path
 
 
-def stamps(folder):
+def inodes(folder):
     return {path: path.stat().st_ino for path in sorted(folder.rglob("*"))}
 
 
 def test_a_build_of_unchanged_sources_touches_nothing(workspace, build):
     deps = workspace / "target" / "deps"
     assert build.place_packages(workspace, deps)
-    before = stamps(deps)
+    before = inodes(deps)
     assert not build.place_packages(workspace, deps)
-    assert stamps(deps) == before
+    assert inodes(deps) == before
     assert [path.name for path in deps.parent.iterdir()] == ["deps"]
 
 
 @pytest.mark.parametrize("can_exchange", [True, False])
-def test_a_changed_build_is_put_in_place_whole(workspace, build, monkeypatch, can_exchange):
+def test_a_changed_build_is_installed_as_a_whole(workspace, build, monkeypatch, can_exchange):
     if not can_exchange:
         monkeypatch.setattr(build, "exchange_folders", lambda one, other: False)
     deps = workspace / "target" / "deps"
@@ -56,34 +56,34 @@
     assert [path.name for path in deps.parent.iterdir()] == ["deps"]
 
 
-def test_the_packages_are_never_missing_while_a_changed_build_goes_in(
+def test_the_packages_are_never_missing_while_a_changed_build_is_installed(
     workspace, build, monkeypatch
 ):
     deps = workspace / "target" / "deps"
     build.place_packages(workspace, deps)
-    seen = []
+    was_present = []
     for name in ("stage_packages", "is_same_tree", "exchange_folders"):
         step = getattr(build, name)
 
-        def watched(*arguments, step=step):
-            seen.append((deps / "linkhaven" / "api" / "__init__.py").exists())
-            told = step(*arguments)
-            seen.append((deps / "linkhaven" / "api" / "__init__.py").exists())
-            return told
+        def checked(*arguments, step=step):
+            was_present.append((deps / "linkhaven" / "api" / "__init__.py").exists())
+            result = step(*arguments)
+            was_present.append((deps / "linkhaven" / "api" / "__init__.py").exists())
+            return result
 
-        monkeypatch.setattr(build, name, watched)
+        monkeypatch.setattr(build, name, checked)
     schema = workspace / "packages" / "api" / "src" / "linkhaven" / "api" / "__init__.py"
     schema.write_text("VALUE = 9\n")
     assert build.place_packages(workspace, deps)
-    assert seen and all(seen)
+    assert was_present and all(was_present)
 
 
 def test_a_removed_module_is_gone_after_the_next_build(workspace, build):
     deps = workspace / "target" / "deps"
-    plan = workspace / "packages" / "configuration" / "src" / "linkhaven" / "configuration"
-    (plan / "old.py").write_text("VALUE = 1\n")
+    package = workspace / "packages" / "configuration" / "src" / "linkhaven" / "configuration"
+    (package / "old.py").write_text("VALUE = 1\n")
     build.place_packages(workspace, deps)
-    (plan / "old.py").unlink()
+    (package / "old.py").unlink()
     assert build.place_packages(workspace, deps)
     assert not (deps / "linkhaven" / "configuration" / "old.py").exists()
 
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,3 +1,5 @@
+"""The simulator answers what-if questions repeatably and checks them whole."""
+
 import copy
 
 import pytest
@@ -7,7 +9,7 @@
 from linkhaven.simulator.question import example_question, read_question
 
 
-def short(**changed):
+def make_short_question(**overrides):
     question = example_question("licensing")
     question["seconds"] = 8
     question["what_if"] = {
@@ -19,38 +21,38 @@
             "faults": [{"name": "cut_zone", "on": "long-bien", "at_s": 2, "for_s": 5}]
         },
     }
-    return {**question, **changed}
+    return {**question, **overrides}
 
 
-def test_the_same_question_has_the_same_answer_and_a_worse_fleet_a_worse_one():
-    told = answer_question(read_question(short()))
-    assert told == answer_question(read_question(short()))
-    usual, poor, cut = (
-        told["answers"][name] for name in ("as it is", "two runners", "a zone cut off")
+def test_answers_are_repeatable_and_worse_for_a_worse_fleet():
+    answer = answer_question(read_question(make_short_question()))
+    assert answer == answer_question(read_question(make_short_question()))
+    unchanged, small, cut = (
+        answer["answers"][name] for name in ("as it is", "two runners", "a zone cut off")
     )
-    assert usual["all"]["goodput_share"] > poor["all"]["goodput_share"]
+    assert unchanged["all"]["goodput_share"] > small["all"]["goodput_share"]
     assert (
         cut["all"]["refused"] + cut["all"]["troubled"]
-        > usual["all"]["refused"] + usual["all"]["troubled"]
+        > unchanged["all"]["refused"] + unchanged["all"]["troubled"]
     )
-    poorer = told["answers"]["hardly any credit for audits"]["groups"]
-    assert poorer["audit"]["served"] < usual["groups"]["audit"]["served"]
-    assert poorer["seats"]["served"] == usual["groups"]["seats"]["served"]
-    assert usual["all"]["asked"] == cut["all"]["asked"]
-    table = format_table(told)
-    assert all(name in table for name in told["answers"])
+    with_little_credit = answer["answers"]["hardly any credit for audits"]["groups"]
+    assert with_little_credit["audit"]["served"] < unchanged["groups"]["audit"]["served"]
+    assert with_little_credit["seats"]["served"] == unchanged["groups"]["seats"]["served"]
+    assert unchanged["all"]["asked"] == cut["all"]["asked"]
+    table = format_table(answer)
+    assert all(name in table for name in answer["answers"])
 
 
-def test_every_misfit_of_a_question_is_told_at_once_with_its_place():
-    bad = copy.deepcopy(short())
-    bad["plan"]["kinds"]["audit-digest"]["group"] = "nobody"
-    bad["fleet"]["prefills"] = 9
-    bad["what_if"]["a zone cut off"]["faults"][0]["on"] = "nowhere"
-    bad["what_if"]["two runners"]["demand"] = {"unknown-kind": 2}
-    with pytest.raises(ServiceError) as caught:
-        read_question(bad)
-    assert caught.value.code == "question_invalid"
-    places = {place["place"] for place in caught.value.detail["places"]}
+def test_all_errors_of_a_question_are_reported_at_once_with_their_places():
+    invalid = copy.deepcopy(make_short_question())
+    invalid["plan"]["kinds"]["audit-digest"]["group"] = "nobody"
+    invalid["fleet"]["prefills"] = 9
+    invalid["what_if"]["a zone cut off"]["faults"][0]["on"] = "nowhere"
+    invalid["what_if"]["two runners"]["demand"] = {"unknown-kind": 2}
+    with pytest.raises(ServiceError) as raised:
+        read_question(invalid)
+    assert raised.value.code == "question_invalid"
+    places = {place["place"] for place in raised.value.detail["places"]}
     assert {
         "plan/kinds/audit-digest/group",
         "fleet/prefills",
@@ -59,10 +61,10 @@
     } <= places
 
 
-def test_every_fault_that_may_be_aimed_takes_its_target():
+def test_every_fault_that_may_be_aimed_accepts_a_target():
     from linkhaven.simulator import question as module
 
-    aimed = (
+    aimable = (
         module.ZONE_FAULTS
         | module.ROLE_FAULTS
         | module.REPLICA_FAULTS
@@ -70,13 +72,16 @@
         | module.RUNNER_FAULTS
         | module.GROUP_FAULTS
     )
-    assert aimed <= set(module.ALL)
-    for name in sorted(aimed):
-        target = module._targets_of(name, example_question("licensing"))[0]
+    assert aimable <= set(module.ALL)
+    for name in sorted(aimable):
+        target = module._list_targets(name, example_question("licensing"))[0]
         faults = [{"name": name, "on": target, "at_s": 1, "for_s": 1}]
-        assert read_question(short(faults=faults, what_if={}))["faults"][0]["on"] == target
+        assert (
+            read_question(make_short_question(faults=faults, what_if={}))["faults"][0]["on"]
+            == target
+        )
 
 
 @pytest.mark.parametrize("deployment", ["licensing", "archive"])
-def test_the_shipped_examples_fit(deployment):
+def test_the_shipped_examples_are_valid(deployment):
     assert read_question(example_question(deployment))["what_if"]
