--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -17,7 +17,7 @@
 
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers
-from linkhaven.platform.runners import PlatformRunners
+from linkhaven.platform.runners import PlatformRunnerClient
 from linkhaven.platform.translation import translate_configuration
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Ports
@@ -631,7 +631,7 @@
             1,
             bounds=place.bounds,
             callers=PlatformCallers(),
-            make_runner_client=PlatformRunners,
+            make_runner_client=PlatformRunnerClient,
         )
         self.server = HttpServer(
             DOOR_ADDRESS, self.node.serve_request, ServerLimits(), self.poller, self.clock
--- a/tests/keyed_router.py
+++ b/tests/keyed_router.py
@@ -4,7 +4,7 @@
 
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers
-from linkhaven.platform.runners import PlatformRunners
+from linkhaven.platform.runners import PlatformRunnerClient
 from linkhaven.platform.translation import translate_configuration
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Bounds, Call
@@ -106,7 +106,10 @@
 
     def begin(self, status, **headers):
         extra_headers = {name.replace("_", "-"): value for name, value in headers.items()}
-        own_headers = {names.REQUEST_ID: self.headers.get(names.REQUEST_ID), names.RESPONSE_SEAL: "s"}
+        own_headers = {
+            names.REQUEST_ID: self.headers.get(names.REQUEST_ID),
+            names.RESPONSE_SEAL: "s",
+        }
         self.handler.on_head(status, {**own_headers, **extra_headers})
 
     def begin_stream(self, *numbers):
@@ -211,7 +214,7 @@
             host.wall_us() + host.starts,
             bounds=Bounds(**self.bounds),
             callers=PlatformCallers(),
-            make_runner_client=PlatformRunners,
+            make_runner_client=PlatformRunnerClient,
         )
 
     def start(self):
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -456,19 +456,19 @@
 
 
 def join_any_pieces(monkeypatch):
-    monkeypatch.setattr(runners.PlatformRunners, "follows", lambda self, request, piece: True)
-    fields = runners.PlatformRunners._fields
+    monkeypatch.setattr(runners.PlatformRunnerClient, "follows", lambda self, request, piece: True)
+    fields = runners.PlatformRunnerClient._fields
 
     def without_place(self, runner, request, *more):
         return [
             field for field in fields(self, runner, request, *more) if field[0] != "last-event-id"
         ]
 
-    monkeypatch.setattr(runners.PlatformRunners, "_fields", without_place)
+    monkeypatch.setattr(runners.PlatformRunnerClient, "_fields", without_place)
 
 
 def name_no_runner(monkeypatch):
-    fields = runners.PlatformRunners._fields
+    fields = runners.PlatformRunnerClient._fields
 
     def without_runner(self, runner, request, *more):
         return [
@@ -477,7 +477,7 @@
             if field[0] != "expected-instance"
         ]
 
-    monkeypatch.setattr(runners.PlatformRunners, "_fields", without_runner)
+    monkeypatch.setattr(runners.PlatformRunnerClient, "_fields", without_runner)
 
 
 def keep_no_pause(monkeypatch):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,12 @@
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers, status_of
 from linkhaven.platform.programs import SettingsWatch
-from linkhaven.platform.runners import EventReader, PlatformRunners, Stream, error_from_response
+from linkhaven.platform.runners import (
+    EventReader,
+    PlatformRunnerClient,
+    Stream,
+    error_from_response,
+)
 from linkhaven.platform.settings import NodeSettings
 from linkhaven.platform.translation import translate_configuration
 from linkhaven.router import RouterNode
@@ -429,13 +434,13 @@
         failed=["i-1"] if place == "failed" else ["i-2"],
         handle=("h", runner) if place == "read" else None,
     )
-    PlatformRunners(node_over(wire)).decode(runner, request, None, ResponseHandler())
+    PlatformRunnerClient(node_over(wire)).decode(runner, request, None, ResponseHandler())
     assert wire.kept == [place == "nowhere"]
 
 
 def test_a_call_for_which_no_connection_was_free_was_not_sent_and_says_nothing_of_the_runner():
     handler, runner = ResponseHandler(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
-    PlatformRunners(node_over(BusyNetwork())).decode(runner, request_to_send(), None, handler)
+    PlatformRunnerClient(node_over(BusyNetwork())).decode(runner, request_to_send(), None, handler)
     assert handler.heard == [("connections_taken", "no", True)]
 
 
@@ -450,7 +455,7 @@
             later.append((delay_us, deed))
 
     runner = SimpleNamespace(name="i-1", address="10.0.0.1:1")
-    PlatformRunners(node_over(SilentWire())).free(runner, "h")
+    PlatformRunnerClient(node_over(SilentWire())).free(runner, "h")
     ((delay_us, deed),) = later
     assert 0 < delay_us <= 5_000_000 and not closed
     deed()
@@ -479,7 +484,7 @@
     request.fields = [("Deadline-Remaining", "99000"), ("Request-Priority", "0"), ("x", "y")]
     for at_us in (0, 600_000, 7_999_500):
         now_us[0] = at_us
-        PlatformRunners(node).decode(runner, request, None, ResponseHandler())
+        PlatformRunnerClient(node).decode(runner, request, None, ResponseHandler())
     left_ms = [int(fields["deadline-remaining"]) for fields in wire.sent]
     assert left_ms == [8_000, 7_400, 1]
     assert all(fields["x"] == "y" for fields in wire.sent)
@@ -518,7 +523,9 @@
     """It may come late: after the runner's restart, or after a later order of the same holder."""
     wire, told = OrderWire(202), []
     runner = SimpleNamespace(name="i-1", address="10.0.0.1:1", num_orders=num_orders)
-    PlatformRunners(node_over(wire)).order_phase(runner, ORDER, lambda *words: told.append(words))
+    PlatformRunnerClient(node_over(wire)).order_phase(
+        runner, ORDER, lambda *words: told.append(words)
+    )
     ((address, method, path, fields, terms),) = wire.sent
     assert (address, method, path) == ("10.0.0.1:1", "POST", "/order")
     assert fields[names.EXPECTED_RUNNER] == "i-1"
@@ -533,7 +540,7 @@
 )
 def test_an_order_that_a_runner_does_not_take_is_refused(status, code):
     runner, told = SimpleNamespace(name="i-1", address="10.0.0.1:1", num_orders=2), []
-    PlatformRunners(node_over(OrderWire(status))).order_phase(
+    PlatformRunnerClient(node_over(OrderWire(status))).order_phase(
         runner, ORDER, lambda *words: told.append(words)
     )
     assert [error.code for error, *_ in told] == [code]
@@ -544,7 +551,7 @@
     told = []
     for more in ({"sequence": 3}, {}):
         body = json.dumps({**report, **more}).encode()
-        PlatformRunners(node_over(ReadWire(200, {}, body))).report(
+        PlatformRunnerClient(node_over(ReadWire(200, {}, body))).report(
             "10.0.0.1:1", lambda error, document, has_begun: told.append(document["num_orders"])
         )
     assert told == [3, None]
@@ -565,7 +572,7 @@
     node = node_over(ReadWire(status, headers, b'{"kv_handle":"h"}'))
     request = request_to_send()
     heard = []
-    PlatformRunners(node).prefill(
+    PlatformRunnerClient(node).prefill(
         SimpleNamespace(name="i-1", address="10.0.0.1:1"), request, lambda *told: heard.append(told)
     )
     ((error, handle, _),) = heard
