--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,3 +1,5 @@
+"""The adapter to the platform: configuration, settings, and the interfaces to both sides."""
+
 import json
 import random
 import re
@@ -23,10 +25,10 @@
 from linkhaven.router import RouterNode
 
 ROOT = Path(__file__).parents[1]
-OURS = {"last-event-id", "retry-after", "request-id"}
+STANDARD_HEADERS = {"last-event-id", "retry-after", "request-id"}
 
 
-def route(**given):
+def make_route(**overrides):
     return {
         "name": "r-a1",
         "hostname": "one.example",
@@ -39,30 +41,35 @@
         "max_attempts": 2,
         "resumable": True,
         "target_gap_ms": 300,
-        **given,
+        **overrides,
     }
 
 
-def document(*routes, **given):
+def make_document(*routes, **overrides):
     service = {
         "name": "pool-1",
         "health_path": "/health",
         "max_connections": 360,
         "engine": {"capacity": 64, "token_kv_bytes": 18432},
     }
-    return {"revision": 7, "route_rules": list(routes or [route()]), "services": [service], **given}
+    return {
+        "revision": 7,
+        "route_rules": list(routes or [make_route()]),
+        "services": [service],
+        **overrides,
+    }
 
 
-def test_nothing_in_packages_says_a_name_of_the_platform():
-    said = {
+def test_no_package_contains_a_name_of_the_platform():
+    platform_names = {
         value
         for name, value in vars(names).items()
         if name.isupper()
         and isinstance(value, str)
-        and value.lower() not in OURS
+        and value.lower() not in STANDARD_HEADERS
         and not value.startswith("/etc")
     }
-    said |= {
+    platform_names |= {
         "route_rules",
         "target_service",
         "traffic_split",
@@ -77,14 +84,14 @@
         text = path.read_text().lower()
         found += [
             f"{path.name}: {word}"
-            for word in said
+            for word in platform_names
             if len(word) > 6 and re.search(rf"[\"'/]{re.escape(word.lower())}[\"'/?]", text)
         ]
     assert found == []
 
 
-def test_a_configuration_of_the_platform_is_a_plan_of_ours():
-    configuration = decode_configuration(translate_configuration(document(), 0.2, 43))
+def test_a_platform_configuration_is_translated_into_a_valid_document():
+    configuration = decode_configuration(translate_configuration(make_document(), 0.2, 43))
     kind = configuration.kinds["r-a1"]
     assert record_to_dict(kind.route) == {"host": "one.example", "prefix": "/a/"}
     assert kind.is_idempotent and kind.is_resumable and kind.max_attempts == 2
@@ -94,51 +101,51 @@
 
 def test_a_stream_that_cannot_be_resumed_is_run_once():
     configuration = decode_configuration(
-        translate_configuration(document(route(resumable=False, max_attempts=3)), 0.2, 43)
+        translate_configuration(make_document(make_route(resumable=False, max_attempts=3)), 0.2, 43)
     )
     assert configuration.kinds["r-a1"].is_idempotent is False
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid",
     [
-        document(route(target_service="gone")),
-        document(route(), route(name="r-b2")),
-        document(route(traffic_split=[{"target_service": "pool-1", "weight": 0}])),
-        document(route(timeout_ms=0)),
-        document(route(timeout_ms="soon")),
+        make_document(make_route(target_service="gone")),
+        make_document(make_route(), make_route(name="r-b2")),
+        make_document(make_route(traffic_split=[{"target_service": "pool-1", "weight": 0}])),
+        make_document(make_route(timeout_ms=0)),
+        make_document(make_route(timeout_ms="soon")),
         {"revision": 7, "services": []},
-        document(services=[{}]),
+        make_document(services=[{}]),
     ],
 )
-def test_an_invalid_configuration_is_refused(wrong):
+def test_an_invalid_configuration_is_refused(invalid):
     with pytest.raises(ServiceError):
-        decode_configuration(translate_configuration(wrong, 0.2, 43))
+        decode_configuration(translate_configuration(invalid, 0.2, 43))
 
 
-def test_only_what_did_not_run_is_refused_with_a_promise():
+def test_only_requests_that_did_not_run_get_a_not_run_status():
     for code in CATALOGUE:
         assert (status_of(ServiceError(code, done="unknown")) == 502) and status_of(
             ServiceError(code, done="no")
         ) != 502
 
 
-def test_a_tenant_beyond_its_limit_is_told_so_by_its_own_status():
+def test_a_tenant_over_its_quota_gets_status_429():
     assert status_of(ServiceError("quota_spent")) == 429
     assert status_of(ServiceError("quota_unknown")) == 503
 
 
-def test_the_bounds_of_quotas_are_read_where_a_site_says_them():
-    told = {"quota_window_s": 2.5, "quota_overage": 0.2, "quota_slack": 7}
-    bounds = NodeSettings({**SETTINGS, "bounds": {**SETTINGS["bounds"], **told}}).bounds
-    read = bounds.quota_window_us, bounds.quota_overage, bounds.quota_slack
-    assert read == (2_500_000, 0.2, 7)
+def test_quota_bounds_are_read_where_the_settings_have_them():
+    quota_settings = {"quota_window_s": 2.5, "quota_overage": 0.2, "quota_slack": 7}
+    bounds = NodeSettings({**SETTINGS, "bounds": {**SETTINGS["bounds"], **quota_settings}}).bounds
+    values = bounds.quota_window_us, bounds.quota_overage, bounds.quota_slack
+    assert values == (2_500_000, 0.2, 7)
     bounds = NodeSettings(SETTINGS).bounds
-    read = bounds.quota_window_us, bounds.quota_overage, bounds.quota_slack
-    assert read == (5_000_000, 0.1, 20)
+    values = bounds.quota_window_us, bounds.quota_overage, bounds.quota_slack
+    assert values == (5_000_000, 0.1, 20)
 
 
-def test_only_a_runner_that_says_so_did_not_run_a_request():
+def test_only_a_not_run_header_or_status_421_means_not_run():
     assert (
         error_from_response(503, {}) is None
         and error_from_response(500, {}) is None
@@ -148,7 +155,7 @@
     assert error_from_response(421, {names.RUNNER: "i-1"}).done == "no"
 
 
-def test_events_are_passed_on_whole_with_their_numbers():
+def test_the_event_reader_returns_complete_events_with_their_numbers():
     reader = EventReader(0)
     pieces = reader.feed(b"id: 1\ndata: a\n\nid: 2\nda")
     assert [(piece.number, piece.data) for piece in pieces] == [(1, b"id: 1\ndata: a\n\n")]
@@ -164,7 +171,7 @@
         self.headers = {name.replace("_", "-"): value for name, value in headers.items()}
 
 
-class Asked:
+class EmptyRequest:
     pass
 
 
@@ -178,16 +185,16 @@
         {"deadline_remaining": "inf"},
     ],
 )
-def test_sizes_that_are_no_numbers_get_a_clear_error(headers):
-    request = Asked()
+def test_malformed_size_headers_are_rejected(headers):
+    request = EmptyRequest()
     request.call = Call(**headers)
-    with pytest.raises(ServiceError) as told:
+    with pytest.raises(ServiceError) as raised:
         PlatformCallers().read(request)
-    assert told.value.code == "bad_request" and told.value.status == 400
+    assert raised.value.code == "bad_request" and raised.value.status == 400
 
 
-def test_sizes_and_parts_are_as_the_caller_told_them():
-    request = Asked()
+def test_sizes_and_prompt_parts_are_read_from_the_headers():
+    request = EmptyRequest()
     request.call = Call(
         host="one.example:80",
         token_usage="1460,80",
@@ -209,7 +216,7 @@
     assert request.parts == (("5c1e", 800), ("91bd", 410), ("e440", 250))
 
 
-def test_the_deploy_file_names_programs_that_are_there():
+def test_the_deploy_file_names_programs_that_exist():
     text = (ROOT / "deploy" / "system.toml").read_text()
     for program in re.findall(r"platform/\S+\.(?:py|sh)", text):
         assert (ROOT / program).exists()
@@ -259,7 +266,7 @@
         self.on_hangup = None
 
 
-def test_settings_that_change_or_a_hangup_tell_the_ring_its_new_seeds(tmp_path, monkeypatch):
+def test_changed_settings_or_a_sighup_add_the_new_seeds(tmp_path, monkeypatch):
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(SETTINGS))
     monkeypatch.setenv(names.SETTINGS_VARIABLE, str(path))
@@ -277,7 +284,7 @@
     assert loop.logged == [1005]
 
 
-def test_bounds_become_terms_with_a_margin():
+def test_bounds_are_derived_from_the_settings_with_a_margin():
     settings = NodeSettings(SETTINGS)
     assert (
         settings.bounds.seats == 5
@@ -293,12 +300,12 @@
 
 
 @pytest.mark.parametrize(
-    "lacking", ["node_name", "bounds", "cloud_api", "internal_port_range", "seed_nodes"]
+    "missing", ["node_name", "bounds", "cloud_api", "internal_port_range", "seed_nodes"]
 )
-def test_settings_that_lack_something_are_told(lacking):
-    with pytest.raises(ServiceError) as told:
-        NodeSettings({key: value for key, value in SETTINGS.items() if key != lacking})
-    assert told.value.code == "settings_invalid"
+def test_settings_with_a_missing_key_are_rejected(missing):
+    with pytest.raises(ServiceError) as raised:
+        NodeSettings({key: value for key, value in SETTINGS.items() if key != missing})
+    assert raised.value.code == "settings_invalid"
 
 
 def test_the_build_takes_the_versions_that_the_tests_ran_with():
@@ -308,95 +315,99 @@
 
 class ResponseHandler:
     def __init__(self):
-        self.heard = []
+        self.calls = []
 
     def on_begin(self, run, after, head):
-        self.heard.append(("begin", after, head[0]))
+        self.calls.append(("begin", after, head[0]))
 
     def on_piece(self, piece):
-        self.heard.append(("piece", piece.number))
+        self.calls.append(("piece", piece.number))
 
     def on_done(self, piece):
-        self.heard.append(("done",))
+        self.calls.append(("done",))
 
     def on_answer(self, status, headers, body):
-        self.heard.append(("answer", status, body))
+        self.calls.append(("answer", status, body))
 
     def on_error(self, error, has_begun):
-        self.heard.append((error.code, error.done, has_begun))
+        self.calls.append((error.code, error.done, has_begun))
 
 
 EVENTS = {"content-type": "text/event-stream", names.RESPONSE_SEAL: "s", names.REQUEST_ID: "r-1"}
 
 
-def stream(written=0):
+def make_stream(written=0):
     handler = ResponseHandler()
     request = SimpleNamespace(written=written, attempt="a/1", caller_request_id="r-1")
-    part = Stream(request, handler, False, "i-1")
-    part.http_call = SimpleNamespace(close=lambda: handler.heard.append(("closed",)))
-    return part, handler
+    stream = Stream(request, handler, False, "i-1")
+    stream.http_call = SimpleNamespace(close=lambda: handler.calls.append(("closed",)))
+    return stream, handler
 
 
 def test_an_answer_for_another_request_reaches_nobody():
-    part, handler = stream()
-    part.on_head(200, {**EVENTS, names.REQUEST_ID: "r-2"})
-    part.on_data(b"id: 1\ndata: x\n\n")
-    part.on_end()
-    assert ("runner_lost", "unknown", True) in handler.heard
-    assert not [one for one in handler.heard if one[0] in ("begin", "piece", "done", "answer")]
+    stream, handler = make_stream()
+    stream.on_head(200, {**EVENTS, names.REQUEST_ID: "r-2"})
+    stream.on_data(b"id: 1\ndata: x\n\n")
+    stream.on_end()
+    assert ("runner_lost", "unknown", True) in handler.calls
+    assert not [call for call in handler.calls if call[0] in ("begin", "piece", "done", "answer")]
 
 
 @pytest.mark.parametrize("status, more", [(200, EVENTS), (503, {names.NOT_RUN: "1"}), (421, {})])
-@pytest.mark.parametrize("told", [None, "r-2"])
-def test_an_answer_without_its_requests_id_reaches_nobody(status, more, told):
-    part, handler = stream()
+@pytest.mark.parametrize("request_id", [None, "r-2"])
+def test_an_answer_without_its_requests_id_reaches_nobody(status, more, request_id):
+    stream, handler = make_stream()
     headers = {name: value for name, value in more.items() if name != names.REQUEST_ID}
-    part.on_head(status, headers if told is None else {**headers, names.REQUEST_ID: told})
-    part.on_data(b"id: 1\ndata: x\n\n")
-    part.on_end()
-    assert handler.heard == [("closed",), ("runner_lost", "unknown", True)]
+    stream.on_head(
+        status, headers if request_id is None else {**headers, names.REQUEST_ID: request_id}
+    )
+    stream.on_data(b"id: 1\ndata: x\n\n")
+    stream.on_end()
+    assert handler.calls == [("closed",), ("runner_lost", "unknown", True)]
 
 
 @pytest.mark.parametrize("more", [EVENTS, {names.REQUEST_ID: "r-1"}])
 def test_a_success_without_a_seal_reaches_nobody(more):
-    part, handler = stream()
-    part.on_head(200, {name: value for name, value in more.items() if name != names.RESPONSE_SEAL})
-    part.on_data(b"id: 1\ndata: x\n\n")
-    part.on_end()
-    assert handler.heard == [("closed",), ("runner_lost", "unknown", True)]
+    stream, handler = make_stream()
+    stream.on_head(
+        200, {name: value for name, value in more.items() if name != names.RESPONSE_SEAL}
+    )
+    stream.on_data(b"id: 1\ndata: x\n\n")
+    stream.on_end()
+    assert handler.calls == [("closed",), ("runner_lost", "unknown", True)]
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
 def test_a_promise_that_the_runner_did_not_give_is_not_passed_on(status):
-    part, handler = stream()
-    part.on_head(status, {names.REQUEST_ID: "r-1", names.RESPONSE_SEAL: "s"})
-    part.on_end()
-    assert handler.heard == [("closed",), ("runner_lost", "unknown", True)]
+    stream, handler = make_stream()
+    stream.on_head(status, {names.REQUEST_ID: "r-1", names.RESPONSE_SEAL: "s"})
+    stream.on_end()
+    assert handler.calls == [("closed",), ("runner_lost", "unknown", True)]
 
 
-class ReadWire:
-    """A wire over which a read is answered at once."""
+class ImmediateNetwork:
+    """Answers each call at once with the same response."""
 
     def __init__(self, status, headers, body):
-        self.told = status, headers, body
+        self.response = status, headers, body
 
-    def open(self, address, method, path, fields, body, handler, **more):
-        status, headers, data = self.told
+    def open(self, address, method, path, fields, body, handler, **options):
+        status, headers, data = self.response
         handler.on_head(status, headers)
         handler.on_data(data)
         handler.on_end()
         return SimpleNamespace(close=lambda: None)
 
 
-def node_over(wire):
+def make_node(network):
     return SimpleNamespace(
-        ports=SimpleNamespace(network=wire),
+        ports=SimpleNamespace(network=network),
         now_us=lambda: 0,
         connections_at_most=lambda runner: None,
     )
 
 
-def request_to_send(failed=(), handle=None):
+def make_request(failed=(), handle=None):
     return SimpleNamespace(
         call=SimpleNamespace(headers={}),
         tenant=None,
@@ -415,85 +426,87 @@
 
 
 class BusyNetwork:
-    """A wire to a runner to which all connections are busy."""
+    """Has no free connection to the runner; keeps whether a used one was allowed."""
 
     def __init__(self):
-        self.kept = []
+        self.keep_flags = []
 
-    def open(self, address, method, path, fields, body, handler, keep_alive, **more):
-        self.kept.append(keep_alive)
+    def open(self, address, method, path, fields, body, handler, keep_alive, **options):
+        self.keep_flags.append(keep_alive)
 
-    def soon(self, deed):
-        deed()
+    def soon(self, callback):
+        callback()
 
 
-@pytest.mark.parametrize("place", ["nowhere", "failed", "read"])
-def test_what_comes_back_to_a_runner_goes_over_a_fresh_connection(place):
-    wire, runner = BusyNetwork(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
-    request = request_to_send(
-        failed=["i-1"] if place == "failed" else ["i-2"],
-        handle=("h", runner) if place == "read" else None,
+@pytest.mark.parametrize("earlier_attempt", ["none", "failed", "prefill"])
+def test_a_request_sent_to_a_runner_again_uses_a_fresh_connection(earlier_attempt):
+    network, runner = BusyNetwork(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
+    request = make_request(
+        failed=["i-1"] if earlier_attempt == "failed" else ["i-2"],
+        handle=("h", runner) if earlier_attempt == "prefill" else None,
     )
-    PlatformRunnerClient(node_over(wire)).decode(runner, request, None, ResponseHandler())
-    assert wire.kept == [place == "nowhere"]
+    PlatformRunnerClient(make_node(network)).decode(runner, request, None, ResponseHandler())
+    assert network.keep_flags == [earlier_attempt == "none"]
 
 
-def test_a_call_for_which_no_connection_was_free_was_not_sent_and_says_nothing_of_the_runner():
+def test_a_call_without_a_free_connection_counts_as_not_sent():
     handler, runner = ResponseHandler(), SimpleNamespace(name="i-1", address="10.0.0.1:1")
-    PlatformRunnerClient(node_over(BusyNetwork())).decode(runner, request_to_send(), None, handler)
-    assert handler.heard == [("connections_taken", "no", True)]
+    PlatformRunnerClient(make_node(BusyNetwork())).decode(runner, make_request(), None, handler)
+    assert handler.calls == [("connections_taken", "no", True)]
 
 
-def test_a_runner_that_never_answers_to_freed_memory_keeps_no_connection():
-    later, closed = [], []
+def test_freeing_a_handle_closes_its_connection_when_the_runner_is_silent():
+    delayed, closed = [], []
 
-    class SilentWire:
-        def open(self, *told, **more):
+    class SilentNetwork:
+        def open(self, *arguments, **options):
             return SimpleNamespace(close=lambda: closed.append(True))
 
-        def soon(self, deed, delay_us=0):
-            later.append((delay_us, deed))
+        def soon(self, callback, delay_us=0):
+            delayed.append((delay_us, callback))
 
     runner = SimpleNamespace(name="i-1", address="10.0.0.1:1")
-    PlatformRunnerClient(node_over(SilentWire())).free(runner, "h")
-    ((delay_us, deed),) = later
+    PlatformRunnerClient(make_node(SilentNetwork())).free(runner, "h")
+    ((delay_us, callback),) = delayed
     assert 0 < delay_us <= 5_000_000 and not closed
-    deed()
+    callback()
     assert closed
 
 
-class SendWire:
-    """Keeps the fields of what is sent."""
+class RecordingNetwork:
+    """Keeps the header fields of each call."""
 
     def __init__(self):
         self.sent = []
 
-    def open(self, address, method, path, fields, body, handler, **more):
+    def open(self, address, method, path, fields, body, handler, **options):
         self.sent.append(dict(fields))
         return SimpleNamespace(close=lambda: None)
 
 
-def test_each_send_hands_on_the_time_that_is_left_and_no_more():
-    """Whatever the client wrote; a send that comes later ends no later than the first."""
-    wire, now_us = SendWire(), [0]
-    node = node_over(wire)
+def test_each_attempt_sends_the_remaining_deadline():
+    """The client's own header is ignored; a later attempt has the same deadline as the first."""
+    network, now_us = RecordingNetwork(), [0]
+    node = make_node(network)
     node.now_us = lambda: now_us[0]
     runner = SimpleNamespace(name="i-1", address="10.0.0.1:1")
-    request = request_to_send()
+    request = make_request()
     request.deadline_us = 8_000_000
     request.fields = [("Deadline-Remaining", "99000"), ("Request-Priority", "0"), ("x", "y")]
     for at_us in (0, 600_000, 7_999_500):
         now_us[0] = at_us
         PlatformRunnerClient(node).decode(runner, request, None, ResponseHandler())
-    left_ms = [int(fields["deadline-remaining"]) for fields in wire.sent]
+    left_ms = [int(fields["deadline-remaining"]) for fields in network.sent]
     assert left_ms == [8_000, 7_400, 1]
-    assert all(fields["x"] == "y" for fields in wire.sent)
-    assert not any("request-priority" in map(str.lower, fields) for fields in wire.sent)
+    assert all(fields["x"] == "y" for fields in network.sent)
+    assert not any("request-priority" in map(str.lower, fields) for fields in network.sent)
 
 
 @pytest.mark.parametrize("weights", [(90, 10), (50, 50), (1, 2)])
-def test_each_part_of_a_split_has_its_weights_share(weights):
-    pools = [SimpleNamespace(pool=f"p-{place}", weight=one) for place, one in enumerate(weights)]
+def test_each_pool_of_a_split_gets_its_weights_share(weights):
+    pools = [
+        SimpleNamespace(pool=f"p-{index}", weight=weight) for index, weight in enumerate(weights)
+    ]
     kind = SimpleNamespace(pools=pools)
     node = SimpleNamespace(ports=SimpleNamespace(random=random.Random(7)))
     drawn = Counter(RouterNode.choose_pool(node, kind) for _ in range(4_000))
@@ -501,14 +514,14 @@
         assert abs(drawn[pool.pool] / 4_000 - pool.weight / sum(weights)) < 0.03
 
 
-class OrderWire:
-    """Answers each order with one status, and keeps what was sent."""
+class OrderNetwork:
+    """Answers each order with the same status, and keeps what was sent."""
 
     def __init__(self, status):
         self.status = status
         self.sent = []
 
-    def open(self, address, method, path, fields, body, handler, **more):
+    def open(self, address, method, path, fields, body, handler, **options):
         self.sent.append((address, method, path, dict(fields), json.loads(body)))
         handler.on_head(self.status, {})
         handler.on_end()
@@ -520,44 +533,44 @@
 
 @pytest.mark.parametrize("num_orders", [None, 0, 4])
 def test_an_order_names_its_runner_and_how_many_orders_came_before_it(num_orders):
-    """It may come late: after the runner's restart, or after a later order of the same holder."""
-    wire, told = OrderWire(202), []
+    """A late order, after a restart or a later order of the same holder, must be rejected."""
+    network, results = OrderNetwork(202), []
     runner = SimpleNamespace(name="i-1", address="10.0.0.1:1", num_orders=num_orders)
-    PlatformRunnerClient(node_over(wire)).order_phase(
-        runner, ORDER, lambda *words: told.append(words)
+    PlatformRunnerClient(make_node(network)).order_phase(
+        runner, ORDER, lambda *result: results.append(result)
     )
-    ((address, method, path, fields, terms),) = wire.sent
+    ((address, method, path, fields, terms),) = network.sent
     assert (address, method, path) == ("10.0.0.1:1", "POST", "/order")
     assert fields[names.EXPECTED_RUNNER] == "i-1"
     assert terms["fence_token"] == 7
     counted = {} if num_orders is None else {"expected_count": num_orders}
     assert {name: terms[name] for name in terms if name == "expected_count"} == counted
-    assert [error for error, *_ in told] == [None]
+    assert [error for error, *_ in results] == [None]
 
 
 @pytest.mark.parametrize(
     "status, code", [(409, "runner_lost"), (412, "fence_old"), (421, "runner_lost")]
 )
-def test_an_order_that_a_runner_does_not_take_is_refused(status, code):
-    runner, told = SimpleNamespace(name="i-1", address="10.0.0.1:1", num_orders=2), []
-    PlatformRunnerClient(node_over(OrderWire(status))).order_phase(
-        runner, ORDER, lambda *words: told.append(words)
+def test_an_order_that_a_runner_rejects_ends_with_an_error(status, code):
+    runner, results = SimpleNamespace(name="i-1", address="10.0.0.1:1", num_orders=2), []
+    PlatformRunnerClient(make_node(OrderNetwork(status))).order_phase(
+        runner, ORDER, lambda *result: results.append(result)
     )
-    assert [error.code for error, *_ in told] == [code]
+    assert [error.code for error, *_ in results] == [code]
 
 
-def test_a_report_tells_how_many_orders_a_runner_has_taken():
+def test_a_report_has_the_number_of_orders_that_the_runner_took():
     report = {"phase": "decode", "queued": 0, "active": 0, "kv_used": 0, "kv_capacity": 9}
-    told = []
+    counts = []
     for more in ({"sequence": 3}, {}):
         body = json.dumps({**report, **more}).encode()
-        PlatformRunnerClient(node_over(ReadWire(200, {}, body))).report(
-            "10.0.0.1:1", lambda error, document, has_begun: told.append(document["num_orders"])
+        PlatformRunnerClient(make_node(ImmediateNetwork(200, {}, body))).report(
+            "10.0.0.1:1", lambda error, document, has_begun: counts.append(document["num_orders"])
         )
-    assert told == [3, None]
+    assert counts == [3, None]
 
 
-def test_a_number_without_end_is_no_number():
+def test_an_event_id_with_too_many_digits_is_no_number():
     reader = EventReader(3)
     assert [piece.number for piece in reader.feed(b"id: " + b"9" * 5_000 + b"\n\n")] == [3]
     request = SimpleNamespace(id="r-1", call=Call(last_event_id="9" * 5_000))
@@ -566,16 +579,18 @@
 
 
 @pytest.mark.parametrize("status, not_run", [(200, {}), (503, {names.NOT_RUN: "1"}), (421, {})])
-@pytest.mark.parametrize("told, is_own", [("r-1", True), ("r-2", False), (None, False)])
-def test_a_read_is_answered_under_its_own_id_only(status, not_run, told, is_own):
-    headers = {**not_run, **({names.REQUEST_ID: told} if told else {})}
-    node = node_over(ReadWire(status, headers, b'{"kv_handle":"h"}'))
-    request = request_to_send()
-    heard = []
+@pytest.mark.parametrize("request_id, is_own", [("r-1", True), ("r-2", False), (None, False)])
+def test_a_prefill_response_counts_only_under_its_own_id(status, not_run, request_id, is_own):
+    headers = {**not_run, **({names.REQUEST_ID: request_id} if request_id else {})}
+    node = make_node(ImmediateNetwork(status, headers, b'{"kv_handle":"h"}'))
+    request = make_request()
+    results = []
     PlatformRunnerClient(node).prefill(
-        SimpleNamespace(name="i-1", address="10.0.0.1:1"), request, lambda *told: heard.append(told)
+        SimpleNamespace(name="i-1", address="10.0.0.1:1"),
+        request,
+        lambda *result: results.append(result),
     )
-    ((error, handle, _),) = heard
+    ((error, handle, _),) = results
     if is_own:
         assert handle == ("h" if status == 200 else None)
         assert error is None or error.done == "no"
@@ -584,20 +599,20 @@
 
 
 def test_a_stream_that_ends_within_an_event_does_not_look_complete():
-    part, handler = stream()
-    part.on_head(200, EVENTS)
-    part.on_data(b"id: 1\ndata: x\n\nid: 2\nda")
-    part.on_end()
-    assert [one[0] for one in handler.heard] == ["begin", "piece", "closed", "runner_lost"]
-
-
-def test_a_failure_of_the_runner_is_the_callers_answer_and_a_refusal_is_not():
-    part, handler = stream()
-    part.on_head(500, {names.REQUEST_ID: "r-1"})
-    part.on_data(b"broken")
-    part.on_end()
-    assert handler.heard == [("answer", 500, b"broken")]
-    part, handler = stream()
-    part.on_head(503, {names.REQUEST_ID: "r-1", names.NOT_RUN: "1"})
-    part.on_end()
-    assert ("runner_full", "no", True) in handler.heard
+    stream, handler = make_stream()
+    stream.on_head(200, EVENTS)
+    stream.on_data(b"id: 1\ndata: x\n\nid: 2\nda")
+    stream.on_end()
+    assert [call[0] for call in handler.calls] == ["begin", "piece", "closed", "runner_lost"]
+
+
+def test_a_failure_of_the_runner_is_forwarded_and_a_refusal_is_not():
+    stream, handler = make_stream()
+    stream.on_head(500, {names.REQUEST_ID: "r-1"})
+    stream.on_data(b"broken")
+    stream.on_end()
+    assert handler.calls == [("answer", 500, b"broken")]
+    stream, handler = make_stream()
+    stream.on_head(503, {names.REQUEST_ID: "r-1", names.NOT_RUN: "1"})
+    stream.on_end()
+    assert ("runner_full", "no", True) in handler.calls
