--- a/tests/recorded_world.py
+++ b/tests/recorded_world.py
@@ -1,21 +1,21 @@
-"""The one place where the recorded transcripts hook into the code, and play their runs.
+"""Plays the runs of the recorded transcripts, and hooks into the code to record them.
 
-Whoever renames something that is used here adapts this module, and nothing else: the recordings
-under `recordings/` come from 6c079fa and are never written again for a renaming.
+This module alone follows when something that it uses is renamed. The recordings in `recordings/`
+come from 6c079fa and are never written again for a rename.
 
-`python tests/recorded_world.py RUN` prints a run's transcript: run it on this tree and on one at
-6c079fa, with PYTHONPATH set to either, and compare, to see what a failing test only hints at.
+`python tests/recorded_world.py RUN` prints a run's transcript. To find the cause of a failing test,
+run it on this tree and on one at 6c079fa, with PYTHONPATH set to either, and compare the output.
 
-An entry of a transcript is (time, kind, what), all of it text that left or reached a process:
+An entry of a transcript is (time, kind, contents), all of it text that left or reached a process:
 
-| kind | what |
+| kind | contents |
 | --- | --- |
-| `line/<say>` | sender, receiver, a line between our processes: see `line_text` |
-| `disk/<key, up to its first />` | whose, the keys and values of one write |
-| `event/<number>` | whose, the facts of a log event; of a fault (1005) only their names |
-| `call/<method> <path>` | from whom to whom, headers and body of an HTTP exchange |
-| `head/<status> <method> <path>`, `data/...`, `end/...`, `cut/...` | what was answered, in order |
-| `told` | what an operator of a simulated core was told |
+| `line/<say>` | sender, receiver, a message between members: see `line_text` |
+| `disk/<key, up to its first />` | node, the keys and values of one write |
+| `event/<number>` | node, the facts of a log event; of a fault (1005) only their names |
+| `call/<method> <path>` | client, server, headers and body of an HTTP request |
+| `head/<status> <method> <path>`, `data/...`, `end/...`, `cut/...` | the response, in order |
+| `told` | the result that an operator of a simulated core got |
 """
 
 import json
@@ -51,100 +51,105 @@
     *("hello", "left", "link", "members", "shun", "verdict", "want_bodies", "want_explain"),
     *("want_image", "want_keys"),
 }
-DEAF = ResponseHandler(*[lambda *words: None] * 4)
+"""Kinds of messages that had a type at 6c079fa; their fields are compared in their order."""
+
+IGNORING_HANDLER = ResponseHandler(*[lambda *arguments: None] * 4)
 
 
 class Transcript:
-    """Everything that left or reached a process, in order; each `hear` is told before the code."""
+    """Everything that left or reached a process, in order; recorded before the hooked code runs."""
 
     def __init__(self):
         self.entries = []
         self.lines = []
 
-    def add(self, now_us, kind, *what):
-        self.entries.append(f"{now_us}\t{kind}\t" + "\t".join(map(text_of, what)))
+    def add(self, now_us, kind, *contents):
+        self.entries.append(f"{now_us}\t{kind}\t" + "\t".join(map(text_of, contents)))
 
-    def hear_line(self, wire, address, message):
+    def record_line(self, network, address, message):
         line = world.write_line(message)
-        self._add_line(wire.host.world.now_us, wire.host.name, address, line)
+        self._add_line(network.host.world.now_us, network.host.name, address, line)
 
     def _add_line(self, now_us, name, address, line):
         kind = json.loads(line)["say"]
         self.lines.append((kind, line.decode()))
         self.add(now_us, f"line/{kind}", name, address, line_text(kind, line))
 
-    def hear_write(self, disk, items, done):
-        self.add(disk.world.now_us, kind_of_write(items), disk.host.name, in_order(items))
+    def record_write(self, disk, items, done):
+        self.add(disk.world.now_us, kind_of_write(items), disk.host.name, sorted_items(items))
 
-    def hear_event(self, host, number, **facts):
-        told = list(facts) if number == FAULT else facts
-        self.add(host.world.now_us, f"event/{number}", host.name, told)
+    def record_event(self, host, number, **facts):
+        recorded_facts = list(facts) if number == FAULT else facts
+        self.add(host.world.now_us, f"event/{number}", host.name, recorded_facts)
 
-    def hear_call(self, conn, method, path, headers, body):
+    def record_call(self, conn, method, path, headers, body):
         server = conn.server.name if conn.server else "nobody"
         kind = f"call/{method} {stem_of(path)}"
         self.add(conn.world.now_us, kind, conn.client.name, server, path, headers, body)
 
-    def hear_head(self, call, status, headers):
-        self._hear_answer(f"head {status}", call, status, headers)
+    def record_head(self, call, status, headers):
+        self._record_response(f"head {status}", call, status, headers)
 
-    def hear_data(self, call, data):
-        self._hear_answer("data", call, data)
+    def record_data(self, call, data):
+        self._record_response("data", call, data)
 
-    def hear_end(self, call):
-        self._hear_answer("end", call)
+    def record_end(self, call):
+        self._record_response("end", call)
 
-    def hear_cut(self, call):
-        self._hear_answer("cut", call)
+    def record_cut(self, call):
+        self._record_response("cut", call)
 
-    def _hear_answer(self, what, call, *words):
+    def _record_response(self, part, call, *contents):
         if not call.is_ended:
-            conn, kind = call.conn, f"{what}/{call.method} {stem_of(call.path)}"
-            self.add(conn.world.now_us, kind, conn.server.name, conn.client.name, *words)
+            conn, kind = call.conn, f"{part}/{call.method} {stem_of(call.path)}"
+            self.add(conn.world.now_us, kind, conn.server.name, conn.client.name, *contents)
 
-    def hear_explored_line(self, machines, machine, address, message):
+    def record_explored_line(self, machines, machine, address, message):
         self._add_line(machines.now_us, machine.name, address, explored.write_line(message))
 
-    def hear_explored_write(self, disk, items, done):
-        self.add("", kind_of_write(items), in_order(items))
+    def record_explored_write(self, disk, items, done):
+        self.add("", kind_of_write(items), sorted_items(items))
 
-    def hear_explored_event(self, ports, number, **facts):
-        told = list(facts) if number == FAULT else facts
-        self.add(ports.now_us(), f"event/{number}", ports.machine.name, told)
+    def record_explored_event(self, ports, number, **facts):
+        recorded_facts = list(facts) if number == FAULT else facts
+        self.add(ports.now_us(), f"event/{number}", ports.machine.name, recorded_facts)
 
 
 HOOKS = [
-    (world.SimNetwork, "send", Transcript.hear_line),
-    (world.SimDisk, "write", Transcript.hear_write),
-    (world.Host, "_log", Transcript.hear_event),
-    (world.Conn, "connect", Transcript.hear_call),
-    (world.SimCall, "begin", Transcript.hear_head),
-    (world.SimCall, "write", Transcript.hear_data),
-    (world.SimCall, "finish", Transcript.hear_end),
-    (world.SimCall, "cut", Transcript.hear_cut),
-    (explored.World, "send", Transcript.hear_explored_line),
-    (explored.ExploredDisk, "write", Transcript.hear_explored_write),
-    (explored.MachinePorts, "log", Transcript.hear_explored_event),
+    (world.SimNetwork, "send", Transcript.record_line),
+    (world.SimDisk, "write", Transcript.record_write),
+    (world.Host, "_log", Transcript.record_event),
+    (world.Conn, "connect", Transcript.record_call),
+    (world.SimCall, "begin", Transcript.record_head),
+    (world.SimCall, "write", Transcript.record_data),
+    (world.SimCall, "finish", Transcript.record_end),
+    (world.SimCall, "cut", Transcript.record_cut),
+    (explored.World, "send", Transcript.record_explored_line),
+    (explored.ExploredDisk, "write", Transcript.record_explored_write),
+    (explored.MachinePorts, "log", Transcript.record_explored_event),
 ]
 
 
-def text_of(what):
-    """As it was sent; facts in the order in which they were given."""
-    if isinstance(what, bytes):
-        return what.decode()
-    return what if isinstance(what, str) else json.dumps(what, ensure_ascii=False)
+def text_of(content):
+    """Return the text as it was sent; facts are in the order in which they were given."""
+    if isinstance(content, bytes):
+        return content.decode()
+    return content if isinstance(content, str) else json.dumps(content, ensure_ascii=False)
 
 
 def line_text(kind, line):
-    """The bytes of a kind that had its type at 6c079fa. The others were maps, and a type that takes
-    a map's place writes the same fields in another order: these are compared sorted by name."""
+    """Return the bytes of a message as they are compared.
+
+    Kinds that had no type at 6c079fa were maps. A type that replaces a map writes the same fields
+    in another order, so these are sorted by name.
+    """
     if kind in TYPED:
         return line
     return json.dumps(json.loads(line), sort_keys=True, ensure_ascii=False)
 
 
 def stem_of(path):
-    """The path of a call without the names in it."""
+    """Return the first parts of a call's path, which have no names in them."""
     return "/".join(path.partition("?")[0].split("/")[:3])
 
 
@@ -152,26 +157,26 @@
     return "disk/" + "+".join(sorted({key.partition("/")[0] for key in items}))
 
 
-def in_order(items):
-    """Keys of one write are one transaction: their order there shows nowhere."""
+def sorted_items(items):
+    """Sort the keys of one write: they are one transaction, in which their order has no effect."""
     return dict(sorted(items.items()))
 
 
-def hooked(transcript, inner, hear):
-    def call(self, *words, **facts):
-        hear(transcript, self, *words, **facts)
-        return inner(self, *words, **facts)
+def hooked(transcript, inner, record):
+    def call(self, *arguments, **facts):
+        record(transcript, self, *arguments, **facts)
+        return inner(self, *arguments, **facts)
 
     return call
 
 
 @contextmanager
 def recorded():
-    """While this is open, all that the simulated worlds carry goes into the transcript."""
+    """Record all that the simulated worlds carry into the transcript, while the context is open."""
     transcript = Transcript()
     kept = [(owner, name, getattr(owner, name)) for owner, name, _ in HOOKS]
-    for owner, name, hear in HOOKS:
-        setattr(owner, name, hooked(transcript, getattr(owner, name), hear))
+    for owner, name, record in HOOKS:
+        setattr(owner, name, hooked(transcript, getattr(owner, name), record))
     try:
         yield transcript
     finally:
@@ -180,11 +185,11 @@
 
 
 def add_calls(transcript, course):
-    """What the operators of a simulated core were told, at the end of its course."""
-    for told in course.operators.calls:
-        order = told.order and [told.order.base, told.order.revision, told.order.document]
-        facts = [told.member, order, told.sent_us, told.outcome, told.code, told.revision]
-        transcript.add(told.ended_us, "told", [*facts, told.document])
+    """Add the results that the operators of a simulated core got, after its course."""
+    for result in course.operators.calls:
+        order = result.order and [result.order.base, result.order.revision, result.order.document]
+        facts = [result.member, order, result.sent_us, result.outcome, result.code, result.revision]
+        transcript.add(result.ended_us, "told", [*facts, result.document])
 
 
 def cut_course(seed, seats, who, direction, how):
@@ -227,7 +232,7 @@
 
 
 def membership(seed):
-    """Five seats with spares: members leave, hand over, lose their disk and come late."""
+    """Five replicas with spares: members leave, hand over, lose their disk and join late."""
 
     def run(transcript):
         core = SimCore(seed, seats=5).bootstrap(3, 2)
@@ -254,28 +259,28 @@
     return run
 
 
-def _plain(told):
-    return [[error and error.code, _as_recorded(value)] for error, value in told]
+def _plain(results):
+    return [[error and error.code, _as_recorded(value)] for error, value in results]
 
 
 def _as_recorded(value):
-    """The result of a commit as the map that it was when the recordings were taken."""
+    """Return the result of a commit as the map that it was when the recordings were taken."""
     if isinstance(value, CommitResult):
         return {"mark": value.version, "revision": value.key}
     return value
 
 
 def fleet(deployment, seed, steps, rate=None):
-    """A whole fleet under load; `steps` are a fault's name, its words and the seconds it lasts."""
+    """A whole fleet under load; a step is a fault's name, its targets and its duration (s)."""
 
     def run(transcript):
         stage = SimFleet(deployment, seed).start()
         faults = Faults(stage)
         stage.load(rate)
         stage.world.run_for(2 * SECOND)
-        for name, words, span_s in steps:
-            faults.begin(name, *words)
-            stage.world.run_for(int(span_s * SECOND))
+        for name, targets, duration_s in steps:
+            faults.begin(name, *targets)
+            stage.world.run_for(int(duration_s * SECOND))
             faults.close()
             stage.world.run_for(SECOND)
         stage.settle()
@@ -411,26 +416,26 @@
 
 
 def tour(seed):
-    """Every path of the native interface, asked well and wrongly, one after the other."""
+    """Every path of the native interface, with valid and invalid requests, one after the other."""
 
     def run(transcript):
         stage = SimFleet(LICENSING, seed).start()
-        places = {
+        hosts = {
             "core": stage.registries["a"],
             "edge": stage.routers["edge-1"],
             "edge-2": stage.routers["edge-2"],
             "platform": stage.platform,
             "runner": stage.runners["runner-1"],
         }
-        edge = [places["edge"].address]
+        edge = [hosts["edge"].address]
         asked = stage.ask("entitlement-check", edge, key="form-1")
         stage.ask("entitlement-check", edge, key="form-1")
         stage.world.run_for(SECOND)
         for place, method, path, document in TOUR:
             body = b"" if document is None else json.dumps(document).encode()
-            wire = stage.operators[0].node.ports.network
+            network = stage.operators[0].node.ports.network
             path = path.replace("REQUEST", asked.request or "none")
-            wire.open(places[place].address, method, path, {}, body, DEAF)
+            network.open(hosts[place].address, method, path, {}, body, IGNORING_HANDLER)
             stage.world.run_for(SECOND // 2)
         stage.settle()
 
@@ -438,31 +443,34 @@
 
 
 def operators(seed):
-    """Every path of the platform's operators at a core member, asked well and wrongly."""
+    """Every path of the platform's operator API, with valid and invalid requests, at a core."""
 
     def run(transcript):
         core = SimCore(seed).bootstrap(3)
         core.wait_voting(3)
         core.world.run_for(2 * SECOND)
         for host in core.machines.values():
-            door = OperatorApi(host.node.configuration_store, 0.2, 10)
+            api = OperatorApi(host.node.configuration_store, 0.2, 10)
             for method, path in {(call[0], call[1]) for call in OPERATOR_CALLS}:
-                host.node.routes[method, path] = door.serve
+                host.node.routes[method, path] = api.serve
         sender = world.Host(core.world, "operator", "z", "10.8.1.1:1", lambda host, ports: ports)
-        wire = world.SimNetwork(sender)
+        network = world.SimNetwork(sender)
         hosts = list(core.machines.values())
-        for place, (method, path, base, document) in enumerate(OPERATOR_CALLS):
+        for index, (method, path, base, document) in enumerate(OPERATOR_CALLS):
             body = b"" if document is None else json.dumps(document).encode()
-            address = hosts[place % 3].address
-            wire.open(address, method, path, {"base-version": str(base)}, body, DEAF)
+            address = hosts[index % 3].address
+            network.open(address, method, path, {"base-version": str(base)}, body, IGNORING_HANDLER)
             core.world.run_for(SECOND // 2)
 
     return run
 
 
 def sealed(seed):
-    """A member is killed right after it sealed its seat, and starts again: while its successor is
-    frozen, while it is cut off from it, and with the whole core, one disk of which is lost."""
+    """A member is killed right after it sealed its replica, and is restarted.
+
+    The restart comes while its successor is frozen, while it is cut off from its successor, and
+    with the whole core, which has lost one disk.
+    """
 
     def run(transcript):
         for case in ("frozen", "cut", "all"):
@@ -495,19 +503,24 @@
 
 
 def losses(seed):
-    """Two disks lost and a seat restored by hand; all disks lost while the edge holds the plan; a
-    bye that one missed; a line that fits no message."""
+    """Losses of disks and of messages.
+
+    Two disks are lost and a replica is restored by an operator; all disks are lost while routers
+    hold the configuration; a member misses a departure message; a message is malformed.
+    """
 
     def run(transcript):
         stage = SimFleet(LICENSING, seed).start()
-        cores, wire = stage.registries, world.SimNetwork(stage.operators[0])
+        cores, network = stage.registries, world.SimNetwork(stage.operators[0])
         for seat in "ab":
             cores[seat].kill()
             cores[seat].disk.wipe()
         cores["a"].start()
         stage.world.run_for(8 * SECOND)
         for seat in "ca":
-            wire.open(cores[seat].address, "POST", "/v1/core/restore", {}, b"{}", DEAF)
+            network.open(
+                cores[seat].address, "POST", "/v1/core/restore", {}, b"{}", IGNORING_HANDLER
+            )
         stage.world.run_for(2 * SECOND)
         cores["b"].start()
         stage.world.run_for(6 * SECOND)
@@ -517,14 +530,14 @@
         for host in cores.values():
             host.start()
         stage.world.run_for(20 * SECOND)
-        wire.open(cores["a"].address, "GET", "/v1/plan", {}, b"", DEAF)
-        wire.open(cores["a"].address, "GET", "/v1/core", {}, b"", DEAF)
+        network.open(cores["a"].address, "GET", "/v1/plan", {}, b"", IGNORING_HANDLER)
+        network.open(cores["a"].address, "GET", "/v1/core", {}, b"", IGNORING_HANDLER)
         names = ["callers", *stage.routers, *[host.name for host in cores.values()]]
         stage.world.cut(["edge-3"], names)
         stage.routers["edge-2"].node.drain(stage.routers["edge-2"].kill)
         stage.world.run_for(2 * SECOND // 3)
         stage.world.heal()
-        wire.send(cores["a"].address, {"say": "beat", "name": "x", "back": "10.8.1.1:1"})
+        network.send(cores["a"].address, {"say": "beat", "name": "x", "back": "10.8.1.1:1"})
         cores["b"].disk.is_full = True
         stage.put_plan(stage.plan, 1)
         stage.world.run_for(3 * SECOND)
@@ -559,19 +572,19 @@
 
 
 def play(name):
-    """The entries of one run."""
+    """Return the entries of one run."""
     return played(name).entries
 
 
 def played(name):
-    """The transcript of one run, which has its lines as they were sent beside the entries."""
+    """Return the transcript of one run: its entries, and its messages as they were sent."""
     with recorded() as transcript:
         RUNS[name](transcript)
     return transcript
 
 
 def main():
-    """Print the entries of one run, to be compared with those that another tree prints."""
+    """Print the entries of one run."""
     print("\n".join(play(sys.argv[1])))
 
 
--- a/tests/test_recorded_messages.py
+++ b/tests/test_recorded_messages.py
@@ -1,10 +1,11 @@
-"""What stands on the wire, on the disk, in the log and on the command line keeps its spelling.
+"""Names on the wire, on disk, in the log, in settings and on the command line are compatible.
 
-`recordings/messages.json` was written on an untouched 6c079fa by
-`python tests/test_recorded_messages.py FILE`. It has example lines of every kind that is sent in
-the recorded runs, records of the data folder as they are stored, the exchanges of the native
+`recordings/messages.json` was written on an unchanged 6c079fa by
+`python tests/test_recorded_messages.py FILE`. It has example lines of every message kind of the
+recorded runs, records of the data folder as they are stored, the exchanges of the native
 interface, the events with the names of their facts, the errors, the settings keys and the commands
-with their options.
+with their options. The tables `ADDED_...`, `OWNED_EVENTS`, `REWORDED_REMEDIES` and
+`REWORDED_EVENTS` have all intended differences since.
 """
 
 import ast
@@ -38,8 +39,8 @@
 TOUR = "tour"
 NODE = "core-a"
 ADDED_FIELDS = {"keys": {"routers": []}}
-"""Fields that messages have got since, by kind, with what stands for them where a member of an
-earlier version sent the message."""
+"""Fields that messages have got since, by kind, with their values in messages of members of an
+earlier version."""
 
 ADDED_ERRORS = {
     "api_key_missing": [401, "no"],
@@ -48,7 +49,7 @@
     "quota_spent": [429, "no"],
     "quota_unknown": [503, "no"],
 }
-"""Codes that came after the recording, with their status and what they promise."""
+"""Error codes added after the recording, with their status and whether the request has run."""
 
 ADDED_EVENTS: dict = {
     "1403": ["epoch shard"],
@@ -56,38 +57,39 @@
     "1405": ["epoch shard"],
     "1903": ["late_us left tenant"],
 }
-"""Events that came after the recording, by number, with the facts of each place that logs them."""
+"""Events added after the recording, by number, with the facts of each call that logs them."""
 
 OWNED_EVENTS = {
     "2101": ["** ** kind request shots tokens", "** kind request shots tokens"],
     "2102": ["**", "** code kind request"],
 }
-"""Events that name the request's tenant since (`Request.owner`), as each place logs them now."""
+"""Events that have the request's tenant since (`Request.owner`), as each call logs them now."""
 
 ADDED_PLATFORM_NAMES = ["api-key", "tenant-id"]
+"""Names of the platform that are used since the recording."""
 
 ADDED_PLATFORM_SETTINGS = ["bounds/revocation_strict"]
-"""Settings of the platform that are read since the recording; those of strict revocation."""
+"""Settings of the platform that are read since the recording: those of strict revocation."""
 
 ADDED_PATHS = {"/v1/tenants": ["get"]}
-"""Paths of the native interface that came after the recording, with their methods."""
+"""Paths of the native interface added after the recording, with their methods."""
 
 ADDED_OPERATOR_COMMANDS = {
     "tenants": {"arguments": [], "options": {"registry": ["r", True, False, "127.0.0.1:8001"]}}
 }
-"""What linkhaven-registry has got since."""
+"""Commands of linkhaven-registry added after the recording."""
 
 ADDED_COMMANDS = ["soak-power"]
 ADDED_OPTIONS = {"runner": ["trusting"], "soak": ["sabotage"], "soak-node": ["sabotage"]}
-"""What linkhaven-stage has got since."""
+"""Commands of linkhaven-stage, and options of its commands, added after the recording."""
 
-REWORDED = {
+REWORDED_REMEDIES = {
     "put_unknown": "No majority answered in time, or too many puts have come since to tell; read "
     "the plan, compare its put id, and put again if it is not yours.",
 }
-"""Remedies that say more since."""
+"""Remedies of errors whose text has changed since the recording."""
 
-RETOLD = {
+REWORDED_EVENTS = {
     "1101": "member is up",
     "1102": "member is down: most of its watchers suspect it",
     "1201": "replica recovers without votes",
@@ -114,7 +116,7 @@
     "2102": "request ended with an error",
     "2104": "further attempt",
 }
-"""Texts of events that are not those of 6c079fa any more; numbers, levels and facts are."""
+"""Texts of events that have changed since the recording; their numbers and levels have not."""
 PLATFORM_SETTINGS = {
     "node_name": "edge-1",
     "zone": "a",
@@ -146,7 +148,7 @@
 
 
 def message_types():
-    """Every typed message of ours, by its kind."""
+    """Return every typed message, by its kind."""
     for found in pkgutil.walk_packages(linkhaven.__path__, "linkhaven."):
         if found.name.endswith(".messages"):
             importlib.import_module(found.name)
@@ -160,8 +162,8 @@
 
 
 def shape_of(described):
-    """A type as it stands on the wire: names of fields in their order, where they are
-    written at all (a list has none), without names of classes."""
+    """Describe a type as it is on the wire: the names of fields in their order, without names of
+    classes. A struct that is written as a list has no field names."""
     if isinstance(described, msgspec.inspect.StructType):
         is_list = described.array_like
         fields = [
@@ -214,7 +216,7 @@
 
 
 def collect_records(entries):
-    """Keys and values of the data folder, by the key up to its last /."""
+    """Return keys and values of the data folder, by the key up to its last slash."""
     found = {}
     for entry in entries:
         if entry[1].startswith("disk/"):
@@ -226,29 +228,29 @@
 
 
 def store(folder, records):
-    """What stands in the file after these records were written, bytes by bytes."""
-    deeds = []
-    disk = LmdbStorage(str(folder), node=NODE)
-    disk.attach(SimpleNamespace(call_in=lambda delay_us, deed: deeds.append(deed)))
+    """Return the exact contents of a data file after these records were written."""
+    callbacks = []
+    storage = LmdbStorage(str(folder), node=NODE)
+    storage.attach(SimpleNamespace(call_in=lambda delay_us, callback: callbacks.append(callback)))
     for kept in records.values():
         if kept:
-            disk.write(kept, lambda is_kept: None)
-    for deed in deeds:
-        deed()
-    disk.close()
+            storage.write(kept, lambda is_synced: None)
+    for callback in callbacks:
+        callback()
+    storage.close()
     with lmdb.open(str(folder), readonly=True) as env, env.begin() as txn:
         return {bytes(key).decode(): bytes(value).decode() for key, value in txn.cursor()}
 
 
 def collect_exchanges(entries):
-    """Each operator's call of the tour: what was asked, and all that was answered to it."""
+    """Return each call of the tour's operator with all parts of its response."""
     found = []
     for entry in entries:
-        kind, words = entry[1], entry[2:]
-        if kind.startswith("call/") and words[0] == "operator-1":
-            found.append({"call": [kind, *words[1:]], "answer": []})
-        elif kind.startswith(("head ", "data/", "end/", "cut/")) and words[1] == "operator-1":
-            found[-1]["answer"].append([kind, *words[2:]])
+        kind, contents = entry[1], entry[2:]
+        if kind.startswith("call/") and contents[0] == "operator-1":
+            found.append({"call": [kind, *contents[1:]], "answer": []})
+        elif kind.startswith(("head ", "data/", "end/", "cut/")) and contents[1] == "operator-1":
+            found[-1]["answer"].append([kind, *contents[2:]])
     return found
 
 
@@ -259,7 +261,7 @@
 
 @pytest.mark.parametrize("kind", sorted(RECORDED.get("lines", {})))
 def test_a_recorded_line_is_read_and_written_again(kind):
-    """Byte for byte; a map that has got its type since writes the same fields in another order."""
+    """Byte for byte, but for kinds that were maps, whose types write fields in another order."""
     is_exact = kind in TYPED or kind not in message_types()
     for line in RECORDED["lines"][kind]:
         if is_exact:
@@ -270,7 +272,7 @@
 
 
 def without_added(kind, shape):
-    """The shape that the recorded fields have; those added since must not be required."""
+    """Return the shape without the fields added since, which must not be required."""
     added = [field for field in shape["fields"] if field[0] in ADDED_FIELDS.get(kind, {})]
     assert all(not is_required for _, is_required, *_ in added), added
     return {**shape, "fields": [field for field in shape["fields"] if field not in added]}
@@ -300,12 +302,12 @@
 
 
 def collect_events():
-    """The facts of each event at every place in the code that logs it by its number or by a name
-    that a module gives the number."""
+    """Return the facts of each event at every call in the code that logs it by its number, or by a
+    name that a module assigns the number to."""
     trees = [
         ast.parse(path.read_text())
-        for place in [*ROOT.glob("packages/*/src/linkhaven"), ROOT / "platform" / "linkhaven"]
-        for path in sorted(place.rglob("*.py"))
+        for folder in [*ROOT.glob("packages/*/src/linkhaven"), ROOT / "platform" / "linkhaven"]
+        for path in sorted(folder.rglob("*.py"))
         if not {"stage", "simulator"} & set(path.parts)
     ]
     everywhere, found = {}, {}
@@ -320,15 +322,15 @@
 
 def imported_names(tree):
     return [
-        word.name
+        alias.name
         for node in ast.walk(tree)
         if isinstance(node, ast.ImportFrom)
-        for word in node.names
+        for alias in node.names
     ]
 
 
 def named_events(tree):
-    """Names of a module that stand for events, given one by one or several at once."""
+    """Return the names that a module assigns event numbers to, alone or as a tuple."""
     found = {}
     for node in tree.body:
         if not isinstance(node, ast.Assign):
@@ -344,7 +346,7 @@
 def add_event(node, named, found):
     if not isinstance(node, ast.Call) or not node.args:
         return
-    facts = sorted(word.arg or "**" for word in node.keywords)
+    facts = sorted(keyword.arg or "**" for keyword in node.keywords)
     for part in ast.walk(node.args[0]):
         number = getattr(part, "value", named.get(getattr(part, "id", None)))
         if type(number) is int and number in EVENTS:
@@ -352,22 +354,25 @@
 
 
 def event_catalogue():
-    return {str(number): list(words) for number, words in EVENTS.items()}
+    return {str(number): list(entry) for number, entry in EVENTS.items()}
 
 
 def error_catalogue():
-    return {code: list(words) for code, words in CATALOGUE.items()}
+    return {code: list(entry) for code, entry in CATALOGUE.items()}
 
 
 def without_additions(found, added):
-    """What was found but for the names that were added since; each of these must be there."""
+    """Return the names found without those added since; each of these must have been found."""
     assert set(added) <= set(found), "listed as added, but not there"
     return {name: value for name, value in found.items() if name not in added}
 
 
 def test_every_event_has_its_number_level_and_text():
-    retold = {number: [RECORDED["event_catalogue"][number][0], RETOLD[number]] for number in RETOLD}
-    recorded = {**RECORDED["event_catalogue"], **retold}
+    reworded = {
+        number: [RECORDED["event_catalogue"][number][0], REWORDED_EVENTS[number]]
+        for number in REWORDED_EVENTS
+    }
+    recorded = {**RECORDED["event_catalogue"], **reworded}
     assert without_additions(event_catalogue(), ADDED_EVENTS) == recorded
 
 
@@ -378,7 +383,10 @@
 
 
 def test_every_error_has_its_code_status_and_text():
-    reworded = {code: [*RECORDED["errors"][code][:-1], REWORDED[code]] for code in REWORDED}
+    reworded = {
+        code: [*RECORDED["errors"][code][:-1], REWORDED_REMEDIES[code]]
+        for code in REWORDED_REMEDIES
+    }
     errors = error_catalogue()
     assert without_additions(errors, ADDED_ERRORS) == {**RECORDED["errors"], **reworded}
     assert {code: errors[code][:2] for code in ADDED_ERRORS} == ADDED_ERRORS
@@ -388,7 +396,7 @@
 
 
 def collect_schema():
-    """Paths with their methods, and the properties of each document of the native interface."""
+    """Return the native interface: paths with their methods, and the properties of documents."""
     schema = read_schema()
     documents = schema["components"]["schemas"]
     return {
@@ -401,21 +409,21 @@
 
 
 def keys_of(checked):
-    """Keys of a settings mapping: default, whether it may lack, and the keys below it."""
+    """Return the keys of a settings mapping: default, whether it is optional, keys below it."""
     found = {}
     for key in checked.keys:
         default = key.default() if callable(key.default) else key.default
-        below = key.trafaret
+        nested = key.trafaret
         found[key.name] = [
             default if isinstance(default, str | int | float | dict) else None,
             key.optional,
-            keys_of(below) if isinstance(below, trafaret.Dict) else None,
+            keys_of(nested) if isinstance(nested, trafaret.Dict) else None,
         ]
     return found
 
 
 class Tracked(dict):
-    """A mapping that notes the path of each key that is read."""
+    """A mapping that records the path of each key that is read."""
 
     def __init__(self, document, read, path=""):
         super().__init__(document)
@@ -423,12 +431,12 @@
         self.path = path
 
     def __getitem__(self, key):
-        return self._noted(key, super().__getitem__(key))
+        return self._record(key, super().__getitem__(key))
 
     def get(self, key, default=None):
-        return self._noted(key, super().get(key, default))
+        return self._record(key, super().get(key, default))
 
-    def _noted(self, key, value):
+    def _record(self, key, value):
         path = f"{self.path}{key}"
         self.read.add(path)
         return Tracked(value, self.read, f"{path}/") if isinstance(value, dict) else value
@@ -441,12 +449,14 @@
 
 
 def platform_names():
-    told = [value for name, value in vars(names).items() if name.isupper()]
-    return sorted(word for value in told for word in ([value] if isinstance(value, str) else value))
+    values = [value for name, value in vars(names).items() if name.isupper()]
+    return sorted(
+        part for value in values for part in ([value] if isinstance(value, str) else value)
+    )
 
 
 def programs():
-    """Each program's name with the module that its entry point stands in."""
+    """Return each program's name with the module of its entry point."""
     found = {}
     for path in sorted(TESTS.parent.glob("packages/*/pyproject.toml")):
         found.update(tomllib.loads(path.read_text())["project"].get("scripts", {}))
@@ -454,20 +464,22 @@
 
 
 def commands_of(monkeypatch, module):
-    told = []
+    command_lists = []
     found = importlib.import_module(module)
-    monkeypatch.setattr(found, "run_application", lambda name, commands: told.append(commands))
+    monkeypatch.setattr(
+        found, "run_application", lambda name, commands: command_lists.append(commands)
+    )
     found.main()
-    return {command.name: words_of(command) for command in told[0]}
+    return {command.name: describe_command(command) for command in command_lists[0]}
 
 
-def words_of(command):
+def describe_command(command):
     definition = command.definition
     return {
-        "arguments": [[word.name, word.is_required()] for word in definition.arguments],
+        "arguments": [[argument.name, argument.is_required()] for argument in definition.arguments],
         "options": {
-            word.name: [word.shortcut, word.accepts_value(), word.is_list(), word.default]
-            for word in sorted(definition.options, key=lambda word: word.name)
+            option.name: [option.shortcut, option.accepts_value(), option.is_list(), option.default]
+            for option in sorted(definition.options, key=lambda option: option.name)
         },
     }
 
@@ -477,14 +489,16 @@
 
 
 def collect_examples():
-    """What the simulator prints as question files: every key of such a file."""
+    """Return the question files that the simulator prints, which have every key of such a file."""
     module = programs()["linkhaven-simulator"]
     code = f"import {module} as program; program.main()"
-    told = {}
+    examples = {}
     for deployment in ("licensing", "archive"):
-        words = [sys.executable, "-c", code, "example", deployment]
-        told[deployment] = subprocess.run(words, capture_output=True, check=True, text=True).stdout
-    return told
+        command = [sys.executable, "-c", code, "example", deployment]
+        examples[deployment] = subprocess.run(
+            command, capture_output=True, check=True, text=True
+        ).stdout
+    return examples
 
 
 def exit_codes():
@@ -509,7 +523,7 @@
 
 
 def without_added_commands(commands):
-    """The commands as recorded: none and no option of them is gone, and those added are listed."""
+    """Return the commands without those, and their options, that were added since."""
     stage = dict(commands["linkhaven-stage"])
     for name in ADDED_COMMANDS:
         del stage[name]
@@ -561,8 +575,8 @@
 
 def main():
     with pytest.MonkeyPatch.context() as monkeypatch:
-        told = record(monkeypatch, f"{sys.argv[1]}.data")
-    Path(sys.argv[1]).write_text(json.dumps(told, ensure_ascii=False, indent=1) + "\n")
+        recorded = record(monkeypatch, f"{sys.argv[1]}.data")
+    Path(sys.argv[1]).write_text(json.dumps(recorded, ensure_ascii=False, indent=1) + "\n")
 
 
 if __name__ == "__main__":
