--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -13,11 +13,11 @@
 from types import SimpleNamespace
 
 import h11
-from test_platform import SETTINGS, Place
+from test_platform import SETTINGS, NodeSettings
 
 from linkhaven.platform import names
 from linkhaven.platform.callers import PlatformCallers
-from linkhaven.platform.runners import PlatformRunners
+from linkhaven.platform.runners import PlatformRunnerClient
 from linkhaven.platform.translation import translate_configuration
 from linkhaven.router import RouterNode
 from linkhaven.runtime import Ports
@@ -652,7 +652,7 @@
             renew=lambda address: None,
         )
         ports = Ports(self.clock, wire, None, random.Random(7), lambda number, **facts: None)
-        place = Place(SETTINGS)
+        place = NodeSettings(SETTINGS)
         self.node = RouterNode(
             "edge-1",
             "10.0.0.1:7000",
@@ -662,7 +662,7 @@
             1,
             bounds=place.bounds,
             callers=PlatformCallers(),
-            make_runner_client=PlatformRunners,
+            make_runner_client=PlatformRunnerClient,
         )
         self.server = HttpServer(
             DOOR_ADDRESS, self.node.serve_request, ServerLimits(), self.poller, self.clock
--- a/tests/test_connections_model.py
+++ b/tests/test_connections_model.py
@@ -392,7 +392,7 @@
 
 
 def accept_any_response(monkeypatch):
-    monkeypatch.setattr(runners, "unfit_answer", lambda status, headers: None)
+    monkeypatch.setattr(runners, "unsafe_response_error", lambda status, headers: None)
 
 
 def accept_any_close_as_end(monkeypatch):
@@ -459,19 +459,19 @@
 
 
 def resume_streams_at_any_event(monkeypatch):
-    monkeypatch.setattr(runners.PlatformRunners, "follows", lambda self, request, piece: True)
-    fields = runners.PlatformRunners._fields
+    monkeypatch.setattr(runners.PlatformRunnerClient, "follows", lambda self, request, piece: True)
+    fields = runners.PlatformRunnerClient._fields
 
     def without_place(self, runner, request, *more):
         return [
             field for field in fields(self, runner, request, *more) if field[0] != "last-event-id"
         ]
 
-    monkeypatch.setattr(runners.PlatformRunners, "_fields", without_place)
+    monkeypatch.setattr(runners.PlatformRunnerClient, "_fields", without_place)
 
 
 def omit_expected_instance(monkeypatch):
-    fields = runners.PlatformRunners._fields
+    fields = runners.PlatformRunnerClient._fields
 
     def without_runner(self, runner, request, *more):
         return [
@@ -480,7 +480,7 @@
             if field[0] != "expected-instance"
         ]
 
-    monkeypatch.setattr(runners.PlatformRunners, "_fields", without_runner)
+    monkeypatch.setattr(runners.PlatformRunnerClient, "_fields", without_runner)
 
 
 def never_close_expired(monkeypatch):
--- a/tests/test_strict_revocation.py
+++ b/tests/test_strict_revocation.py
@@ -6,7 +6,7 @@
 
 import pytest
 from keyed_router import KEY, SECOND, TENANTS, KeyedRouter
-from test_platform import SETTINGS, Place
+from test_platform import SETTINGS, NodeSettings
 
 from linkhaven.platform import names
 
@@ -24,7 +24,7 @@
     ],
 )
 def test_only_strict_settings_bound_how_long_a_revoked_key_counts(given, revoke_us):
-    place = Place({**SETTINGS, "bounds": {**SETTINGS["bounds"], **given}})
+    place = NodeSettings({**SETTINGS, "bounds": {**SETTINGS["bounds"], **given}})
     assert place.bounds.revoke_us == revoke_us
     assert place.bounds.deny_within_us == 2_000_000
 
@@ -42,7 +42,7 @@
     assert late.status == (503 if is_strict else None)
     if is_strict:
         assert late.code() == "plan_stale"
-        assert names.AGAIN in late.answer_headers
+        assert names.RETRY_AFTER in late.answer_headers
     assert world.ask(route="open", id="r-3").status is None
     world.core.world.heal()
     world.run(SECOND)
