--- a/tests/test_tenant_quotas_fleet.py
+++ b/tests/test_tenant_quotas_fleet.py
@@ -220,7 +220,7 @@
         tenants=rest,
     )
     router.node.snapshot.configuration = changed
-    router.node._take_plan()
+    router.node._apply_configuration()
     fleet.world.run_for(30_000)
     assert asked.code in ("api_key_unknown", "api_key_unconfirmed")
 
