--- a/packages/configuration/src/linkhaven/configuration/blob_exchange.py
+++ b/packages/configuration/src/linkhaven/configuration/blob_exchange.py
@@ -30,7 +30,7 @@
     """What the exchange requires of its node."""
 
     address: str
-    systems: list[Callable[[int], None]]
+    tick_handlers: list[Callable[[int], None]]
 
     def now_us(self) -> int:
         """Return this node's monotonic time."""
@@ -64,7 +64,7 @@
         self.pending = pending
         node.register_handler(BlobRequest, self.on_blob_request)
         node.register_handler(BlobDelivery, self.on_blob_delivery)
-        node.systems.append(self.on_tick)
+        node.tick_handlers.append(self.on_tick)
 
     def when_available(
         self,
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -60,7 +60,7 @@
     bounds: Any
     ports: Any
     map_handlers: dict[str, Callable[[dict[str, Any]], None]]
-    systems: list[Callable[[int], None]]
+    tick_handlers: list[Callable[[int], None]]
 
     def now_us(self) -> int:
         """Return this node's monotonic time."""
@@ -172,7 +172,7 @@
         self.read_us = 0
         self.changes: LRUCache = LRUCache(CHANGES_CACHE_SIZE)
         node.map_handlers[WATCH_REQUEST] = self.on_watch_request
-        node.systems.append(self.on_tick)
+        node.tick_handlers.append(self.on_tick)
 
     # State of this replica
 
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -56,7 +56,7 @@
     bounds: Any
     ports: Any
     map_handlers: dict[str, Callable[[dict[str, Any]], None]]
-    systems: list[Callable[[int], None]]
+    tick_handlers: list[Callable[[int], None]]
 
     def now_us(self) -> int:
         """Return this node's monotonic time."""
@@ -175,7 +175,7 @@
         self.received = ReceivedConfiguration(node.ports, snapshot)
         self.hold = LongPollHold(node.bounds, count_routers)
         node.map_handlers[WATCH_RESPONSE] = self.on_watch_response
-        node.systems.append(self.on_tick)
+        node.tick_handlers.append(self.on_tick)
 
     # Freshness
 
--- a/packages/consensus/src/linkhaven/consensus/proposer.py
+++ b/packages/consensus/src/linkhaven/consensus/proposer.py
@@ -132,7 +132,7 @@
         self.ticked_us = node.now_us()
         node.register_handler(Promise, self.on_promise)
         node.register_handler(Accepted, self.on_accepted)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     @property
     def is_cut_off(self) -> bool:
--- a/packages/consensus/src/linkhaven/consensus/replica.py
+++ b/packages/consensus/src/linkhaven/consensus/replica.py
@@ -145,7 +145,7 @@
             node, self, self.instances, self.recovery, self.departure
         )
         self.acceptor = Acceptor(node, self, registers, on_change)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
         self._announce_start()
 
     def _initial_life_cycle(self, stored: ReplicaRecord) -> LifeCycle:
--- a/packages/controller/src/linkhaven/controller/claim_admission.py
+++ b/packages/controller/src/linkhaven/controller/claim_admission.py
@@ -102,7 +102,7 @@
         self.voting_since_us: int | None = None
         self.has_lost_configuration = False
         node.register_handler(ClaimsResponse, self.on_claims)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def on_voting_started(self) -> None:
         """Start the waits that count from the replica's first votes."""
--- a/packages/controller/src/linkhaven/controller/figure_relay.py
+++ b/packages/controller/src/linkhaven/controller/figure_relay.py
@@ -28,7 +28,7 @@
         self.field = field
         self.reports: dict[str, tuple[Sequence[Any], int]] = {}
         self.sums: dict[Key, tuple[Any, ...]] = {}
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def on_watch_request(self, message: dict[str, Any]) -> None:
         """Replace a router's rows by those in its request, if it has any."""
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -289,7 +289,7 @@
             self.runner_discovery,
             self.role_balancer,
         )
-        self.systems += [
+        self.tick_handlers += [
             self.status.tick,
             self.configuration_recovery.tick,
             self.router_contact.tick,
--- a/packages/controller/src/linkhaven/controller/quorum_contact.py
+++ b/packages/controller/src/linkhaven/controller/quorum_contact.py
@@ -61,7 +61,7 @@
         self.requested_us: int | None = None
         node.register_handler(QuorumContactRequest, self.on_request)
         node.register_handler(QuorumContactResponse, self.on_response)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def is_held(self) -> bool:
         """Whether a majority answered requests that were sent within `contact_us`."""
--- a/packages/controller/src/linkhaven/controller/role_balancer.py
+++ b/packages/controller/src/linkhaven/controller/role_balancer.py
@@ -89,7 +89,7 @@
         self.monitor = VacantRoleMonitor(node.ports)
         self.counted_us = 0
         self.counted_change: int | None = None
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def on_lease_won(self, role: str) -> None:
         """Discard the state of an earlier lease and start the wait for other holders' orders."""
--- a/packages/controller/src/linkhaven/controller/role_orders.py
+++ b/packages/controller/src/linkhaven/controller/role_orders.py
@@ -45,7 +45,7 @@
         self.lease = lease
         self.won_us = 0
         self.paused_us = -node.bounds.thaw_us
-        node.on_late.append(self.on_late_tick)
+        node.late_tick_handlers.append(self.on_late_tick)
 
     def on_lease_won(self) -> None:
         """Start the wait: another holder may have sent orders until now."""
--- a/packages/controller/src/linkhaven/controller/runner_discovery.py
+++ b/packages/controller/src/linkhaven/controller/runner_discovery.py
@@ -126,7 +126,7 @@
         self.reported_us = -node.bounds.report_us
         self.retried_us = 0
         self.outdated_us = max(MIN_OUTDATED_US, 3 * node.bounds.poll_us)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def is_ready(self) -> bool:
         """Whether list and first reports were collected, and the list isn't outdated."""
--- a/packages/credit/src/linkhaven/credit/admission_queues.py
+++ b/packages/credit/src/linkhaven/credit/admission_queues.py
@@ -65,7 +65,7 @@
         self.used = {}
         self.scheduler = DeficitRoundRobin(self.accounts)
         self.measured_us = node.now_us()
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     # configuration, grants and reports
 
--- a/packages/credit/src/linkhaven/credit/retry_budget.py
+++ b/packages/credit/src/linkhaven/credit/retry_budget.py
@@ -53,7 +53,7 @@
         self.wanted_us = []
         self.earned_us = None
         self.refused_us = None
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     # configuration, grants and reports
 
--- a/packages/leases/src/linkhaven/leases/lease.py
+++ b/packages/leases/src/linkhaven/leases/lease.py
@@ -138,8 +138,8 @@
         self.requested_us = 0
         self.expires_us = 0
         self.is_succession = False
-        node.systems.append(self.tick)
-        node.on_late.append(self.on_late_tick)
+        node.tick_handlers.append(self.tick)
+        node.late_tick_handlers.append(self.on_late_tick)
 
     # interface for the code that acts for the role
 
--- a/packages/leases/src/linkhaven/leases/quorum_lease.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease.py
@@ -86,7 +86,7 @@
         node.register_handler(ShardLeaseRequest, self.on_shard_lease_request)
         node.register_handler(ShardLeaseVote, self.on_shard_lease_vote)
         node.register_handler(ShardLeaseRelease, self.on_shard_lease_release)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     # ownership
 
--- a/packages/membership/src/linkhaven/membership/membership.py
+++ b/packages/membership/src/linkhaven/membership/membership.py
@@ -78,8 +78,8 @@
         node.register_handler(Heartbeat, self.detector.on_heartbeat)
         node.register_handler(Suspicion, self.detector.on_suspicion)
         node.register_handler(SuspicionQuery, self.detector.on_suspicion_query)
-        node.systems.append(self.tick)
-        node.on_late.append(self.detector.on_late_tick)
+        node.tick_handlers.append(self.tick)
+        node.late_tick_handlers.append(self.detector.on_late_tick)
         node.sender_listeners.append(self.detector.on_any_message)
 
     def tick(self, now_us: int) -> None:
--- a/packages/pairing/src/linkhaven/pairing/flow.py
+++ b/packages/pairing/src/linkhaven/pairing/flow.py
@@ -30,7 +30,7 @@
         self.move = move
         self.migrated_us = {}
         self.moves = {"shed": 0, "back": 0}
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def tick(self, now_us):
         """Migrate streams as needed, if the plan enables migration."""
--- a/packages/pairing/src/linkhaven/pairing/placement.py
+++ b/packages/pairing/src/linkhaven/pairing/placement.py
@@ -86,7 +86,7 @@
         node.register_handler(LinkSample, self.on_link_sample)
         node.sender_listeners.append(self.load.note_heard)
         roster.on_new.append(self._note_plain_pools)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def is_large(self):
         """Whether other routers' queues are known only with a delay, see `LoadView.is_large`."""
--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -37,7 +37,7 @@
         self.roster = roster
         self.retry_budget = retry_budget
         self.stall_detector = StallDetector(self)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def begin(self, request):
         """Start the first attempt of a queued request; return whether it was placed.
--- a/packages/router/src/linkhaven/router/explain.py
+++ b/packages/router/src/linkhaven/router/explain.py
@@ -50,7 +50,7 @@
         node.ports.log = log_and_record
         node.register_handler(WantExplanation, self.on_want_explanation)
         node.register_handler(Explanation, self.on_explanation)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def store(self, request):
         """Keep a request that has ended."""
--- a/packages/router/src/linkhaven/router/keys.py
+++ b/packages/router/src/linkhaven/router/keys.py
@@ -58,7 +58,7 @@
         self.swept_us = node.now_us()
         self.settings: ClaimSettings | None = None
         node.map_handlers["want_keys"] = self.on_claims_request
-        node.systems.append(self.sweep)
+        node.tick_handlers.append(self.sweep)
 
     def apply_configuration(self, configuration: Configuration) -> None:
         """Follow the retention and the maximum of a new configuration."""
--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -181,7 +181,7 @@
         self.refusals = RefusalReport(self, self.roster, self.placement)
         self.invariants = PlacementInvariants(self, self.placement)
         self.undisturbed_since_us = self.now_us()
-        self.on_late.append(self._note_disturbance)
+        self.late_tick_handlers.append(self._note_disturbance)
         self.max_requests = max_requests
         self.is_draining = False
         self.drain_us = None
@@ -201,7 +201,7 @@
         self.snapshot.change_listeners.append(self._apply_configuration)
         self.roster.on_new.append(self.wake_queue)
         self.map_handlers["want_image"] = self._on_configuration_request
-        self.systems += [
+        self.tick_handlers += [
             self._enforce_deadlines,
             self._serve_queue,
             self._update_token_rates,
--- a/packages/router/src/linkhaven/router/refusals.py
+++ b/packages/router/src/linkhaven/router/refusals.py
@@ -26,7 +26,7 @@
         self.placement = placement
         self.causes = Counter()
         self.logged_us = node.now_us()
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def note(self, error):
         """Count a refusal if it was for lack of runner capacity."""
--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -29,7 +29,7 @@
 HANDLER_FAULTS = (KeyError, TypeError, ValueError, AttributeError, ServiceError)
 """What a handler may raise over a message; it is logged, and the next message is handled."""
 
-System = Callable[[int], Any]
+TickHandler = Callable[[int], Any]
 """Run each tick, with the node's time in microseconds."""
 
 
@@ -37,7 +37,7 @@
     """A node without clock, socket or random numbers of its own, so that a world can simulate it.
 
     Its parts register with it: `register_handler` and `map_handlers` for messages, `routes` for
-    calls, `systems` for each tick, `on_late` for what a late tick does first, `sender_listeners`
+    calls, `tick_handlers` for each tick, `late_tick_handlers` for what a late tick does first, `sender_listeners`
     for who spoke. It belongs to one thread.
     """
 
@@ -49,9 +49,9 @@
         "handlers",
         "map_handlers",
         "routes",
-        "systems",
+        "tick_handlers",
         "ticked_us",
-        "on_late",
+        "late_tick_handlers",
         "sender_listeners",
         "bounds",
     )
@@ -66,9 +66,9 @@
         self.handlers: dict[type[Message], Callable[[Any], Any]] = {}
         self.map_handlers: dict[str, Callable[[UntypedMessage], Any]] = {}
         self.routes: dict[tuple[str, str], Callable[..., Any]] = {}
-        self.systems: list[System] = []
+        self.tick_handlers: list[TickHandler] = []
         self.ticked_us = ports.clock.now_us()
-        self.on_late: list[System] = []
+        self.late_tick_handlers: list[TickHandler] = []
         self.sender_listeners: list[Callable[[str], Any]] = []
 
     def now_us(self) -> int:
@@ -165,8 +165,8 @@
         self.ticked_us = now_us
         if late_us > LATE_TICK_US:
             self.ports.log(1004, late_us=late_us)
-            for check in self.on_late:
-                check(now_us)
-        for system in self.systems:
-            system(now_us)
+            for late_handler in self.late_tick_handlers:
+                late_handler(now_us)
+        for handler in self.tick_handlers:
+            handler(now_us)
         return self.rest_us()
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -39,9 +39,9 @@
         "handlers",
         "reader",
         "routes",
-        "systems",
+        "tick_handlers",
         "sender_listeners",
-        "on_late",
+        "late_tick_handlers",
         "random",
     )
 )
@@ -81,7 +81,7 @@
         self.membership = Membership(
             self, "registry", "z", [], ports.clock.now_us() + ports.clock.start
         )
-        self.systems.remove(self.membership.tick)
+        self.tick_handlers.remove(self.membership.tick)
         self.registers = RegisterTable.load(self)
         self.proposer = Proposer(self, self.membership)
         seats = SEATS[: bounds.seats]
--- a/packages/stage/src/linkhaven/stage/loopback.py
+++ b/packages/stage/src/linkhaven/stage/loopback.py
@@ -281,7 +281,7 @@
         self.caller = Caller(
             "callers", "", ports, self.record, self.deployment.kinds, on_end=self._note_end
         )
-        self.caller.systems.append(self._watch)
+        self.caller.tick_handlers.append(self._watch)
         return self.caller
 
     def run(self):
--- a/packages/stage/src/linkhaven/stage/standins.py
+++ b/packages/stage/src/linkhaven/stage/standins.py
@@ -136,7 +136,7 @@
         self.started_us = self.now_us()
         self.reported_us = self.started_us
         self.report = self._look()
-        self.systems += [self._make_report, self._sweep_handles]
+        self.tick_handlers += [self._make_report, self._sweep_handles]
         self.routes = {
             ("POST", "/v1/prefill"): self.serve_prefill,
             ("POST", "/v1/decode"): self.serve_decode,
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -115,7 +115,7 @@
         self.ownership = Ownership(leases)
         self.quota_owner = QuotaOwner(self, self.ownership, snapshot)
         self.renewed_us = 0
-        self.systems.append(self.renew)
+        self.tick_handlers.append(self.renew)
 
     def renew(self, now_us):
         if now_us - self.renewed_us >= RENEW_US:
--- a/tests/test_claim_admission.py
+++ b/tests/test_claim_admission.py
@@ -41,7 +41,7 @@
             now_us=lambda: self.now,
             send=lambda address, message: self.sent.append((address, message)),
             register_handler=lambda kind, handler: None,
-            systems=[],
+            tick_handlers=[],
             bounds=SimpleNamespace(missed_us=SECOND),
             ports=SimpleNamespace(
                 storage=SimpleNamespace(write=lambda items, done: self.writes.append(done))
@@ -176,7 +176,7 @@
         address="at router-1",
         now_us=lambda: 0,
         map_handlers={},
-        systems=[],
+        tick_handlers=[],
         send_untyped=lambda address, kind, **facts: sent.append(facts),
     )
     keys = IdempotencyKeys(node, None, lambda: [])
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -48,7 +48,7 @@
     def __init__(self):
         self.ended = {}
         self.queue = deque()
-        self.systems = []
+        self.tick_handlers = []
         self.queue_limits_us = {}
         self.bounds = SimpleNamespace(hold_share=None, retry_least_us=1_000_000)
         self.ports = SimpleNamespace(log=Logged())
@@ -112,7 +112,7 @@
 
     def __init__(self):
         self.us = 10_000_000
-        self.systems = []
+        self.tick_handlers = []
         self.held = []
         self.bounds = SimpleNamespace(
             roster_stale_us=None,
--- a/tests/test_exchanged_address.py
+++ b/tests/test_exchanged_address.py
@@ -45,7 +45,12 @@
 
 class FakeNode:
     def __init__(self):
-        self.bounds, self.ports, self.systems, self.time_us = Bounds(), FakePorts(), [], 1_000_000
+        self.bounds, self.ports, self.tick_handlers, self.time_us = (
+            Bounds(),
+            FakePorts(),
+            [],
+            1_000_000,
+        )
 
     def now_us(self):
         return self.time_us
--- a/tests/test_gone_runner.py
+++ b/tests/test_gone_runner.py
@@ -22,7 +22,7 @@
     node = SimpleNamespace(
         now_us=lambda: 5,
         may_start=lambda: False,
-        systems=[],
+        tick_handlers=[],
         ports=SimpleNamespace(log=lambda *arguments, **facts: None),
     )
     placement = SimpleNamespace(
@@ -65,7 +65,7 @@
     node = SimpleNamespace(
         now_us=lambda: 5,
         may_start=lambda: False,
-        systems=[],
+        tick_handlers=[],
         ports=SimpleNamespace(log=lambda *arguments, **facts: None),
     )
     placement = SimpleNamespace(
--- a/tests/test_large_plans.py
+++ b/tests/test_large_plans.py
@@ -110,7 +110,7 @@
 
 
 def test_groups_without_requests_cost_nothing_between_changes():
-    node = type("Router", (), {"systems": [], "now_us": lambda self: 0})()
+    node = type("Router", (), {"tick_handlers": [], "now_us": lambda self: 0})()
     queues = AdmissionQueues(node, lambda: 1_000, lambda request, error: None)
     queues.apply_configuration(decode_configuration(make_large_plan()))
     accounts = queues.scheduler.accounts = CountingAccounts(queues.accounts)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -57,8 +57,8 @@
         self.node = SimpleNamespace(
             name=name,
             now_us=lambda: self.time_us,
-            systems=[],
-            on_late=[],
+            tick_handlers=[],
+            late_tick_handlers=[],
             bounds=Bounds(),
             ports=SimpleNamespace(
                 random=random.Random(name),
--- a/tests/test_placement_cost.py
+++ b/tests/test_placement_cost.py
@@ -85,7 +85,7 @@
         ports=SimpleNamespace(random=random.Random(1)),
         register_handler=lambda message_type, handler: None,
         sender_listeners=[],
-        systems=[],
+        tick_handlers=[],
     )
     roster = SimpleNamespace(
         runners={runner.name: runner for runner in runners},
--- a/tests/test_plain_requests.py
+++ b/tests/test_plain_requests.py
@@ -53,7 +53,7 @@
     node = SimpleNamespace(
         now_us=lambda: 5,
         may_start=lambda: True,
-        systems=[],
+        tick_handlers=[],
         bounds=SimpleNamespace(hold_share=0.2),
         ports=SimpleNamespace(log=lambda *arguments, **facts: None),
     )
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -50,7 +50,7 @@
 
     def exchange_counts(self):
         """Give each router the sums of the others' rows."""
-        node = type("Seat", (), {"systems": [], "now_us": lambda _: self.now})()
+        node = type("Seat", (), {"tick_handlers": [], "now_us": lambda _: self.now})()
         sums = FigureRelay(node, "outcomes")
         for place, scheduler in enumerate(self.schedulers):
             sums.on_watch_request({"name": place, "outcomes": scheduler.own_rows()})
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -259,7 +259,7 @@
     def __init__(self):
         self.node = SimpleNamespace(
             membership=Membership(),
-            systems=[],
+            tick_handlers=[],
             ports=SimpleNamespace(log=lambda number, **facts: self.logged.append(number)),
         )
         self.logged = []
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -8,7 +8,7 @@
 
 class Node:
     def __init__(self):
-        self.us, self.systems = 0, []
+        self.us, self.tick_handlers = 0, []
 
     def now_us(self):
         return self.us
--- a/tests/test_shared_lines.py
+++ b/tests/test_shared_lines.py
@@ -44,7 +44,7 @@
             estimator.settings = SETTINGS
 
     def exchange_sums(self):
-        sums = FigureRelay(SimpleNamespace(systems=[], now_us=lambda: self.now), "lines")
+        sums = FigureRelay(SimpleNamespace(tick_handlers=[], now_us=lambda: self.now), "lines")
         for number, estimator in enumerate(self.estimators):
             sums.on_watch_request({"name": number, "lines": estimator.own_rows()})
         for number, estimator in enumerate(self.estimators):
