--- a/packages/router/src/linkhaven/router/node.py
+++ b/packages/router/src/linkhaven/router/node.py
@@ -429,7 +429,7 @@
         request.add_step(self.now_us(), "queued")
         self.wake_queue()
 
-    def rest_us(self):
+    def next_tick_delay_us(self):
         """Return how long the event loop may rest between ticks; 0: the shortest tick.
 
         Queued requests, a router that is closed or draining, and in a small fleet also running
--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -151,7 +151,7 @@
             if not call.is_ended and not call.is_begun:
                 call.answer_error(error)
 
-    def rest_us(self) -> int:
+    def next_tick_delay_us(self) -> int:
         """How long after this tick the next may follow; more than 0 with nothing to wait for."""
         return 0
 
@@ -169,4 +169,4 @@
                 late_handler(now_us)
         for handler in self.tick_handlers:
             handler(now_us)
-        return self.rest_us()
+        return self.next_tick_delay_us()
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -69,5 +69,5 @@
         admission=SimpleNamespace(is_waiting=lambda: state["is_waiting"]),
         placement=SimpleNamespace(is_large=lambda: state["is_large"]),
     )
-    assert RouterNode.rest_us(router) == rest_us
+    assert RouterNode.next_tick_delay_us(router) == rest_us
     assert IDLE_TICK_US <= TRANSIT_US // 4
