--- a/packages/membership/src/linkhaven/membership/record_merge.py
+++ b/packages/membership/src/linkhaven/membership/record_merge.py
@@ -67,7 +67,7 @@
     def _add_incarnation(self, record: MemberRecord, before: Member | None) -> Member:
         if before is not None and before.address == record.address:
             # The connection to the former process may hang where its host was cut off.
-            self.node.ports.network.renew(record.address)
+            self.node.ports.network.reconnect(record.address)
         member = self.table.peers[record.name] = Member(record.name, record.incarnation)
         self.table.on_live_changed()
         self._set_facts(member, record)
--- a/packages/runtime/src/linkhaven/runtime/ports.py
+++ b/packages/runtime/src/linkhaven/runtime/ports.py
@@ -44,7 +44,7 @@
     def send(self, address: str, message: Message | UntypedMessage) -> Any:
         """Send a line; it may be lost, and lines to one address arrive in order."""
 
-    def renew(self, address: str) -> Any:
+    def reconnect(self, address: str) -> Any:
         """A node started anew at `address`: drop the older connection, and what waits on it."""
 
     def open(
--- a/packages/stage/src/linkhaven/stage/explore/world.py
+++ b/packages/stage/src/linkhaven/stage/explore/world.py
@@ -117,7 +117,7 @@
         """No machine outside of the core is part of the model."""
         return DeadCall()
 
-    def renew(self, address):
+    def reconnect(self, address):
         """Messages of this world wait for no earlier ones."""
 
     def log(self, number, **facts):
--- a/packages/stage/src/linkhaven/stage/shard_leases/machine.py
+++ b/packages/stage/src/linkhaven/stage/shard_leases/machine.py
@@ -237,7 +237,7 @@
         if self.start == self.machine.starts and self.machine.node is not None:
             self.machine.world.send(self.machine, address, write_line(message))
 
-    def renew(self, address: str) -> None:
+    def reconnect(self, address: str) -> None:
         """Lines wait for no earlier ones here."""
 
     def open(self, *call: Any) -> Any:
--- a/packages/stage/src/linkhaven/stage/world.py
+++ b/packages/stage/src/linkhaven/stage/world.py
@@ -327,7 +327,7 @@
             return host.world.after(10, lambda: host.do(hear) if host.epoch == epoch else None)
         host.world.link(host, target).send(hear, is_bounded=True)
 
-    def renew(self, address):
+    def reconnect(self, address):
         """Lines of this world wait for no earlier ones."""
 
     def open(self, address, method, path, headers, body, handler):
--- a/packages/wire/src/linkhaven/wire/client.py
+++ b/packages/wire/src/linkhaven/wire/client.py
@@ -73,7 +73,7 @@
             line_client = self.line_clients[address] = LineClient(self, address)
         line_client.send(write_line(message))
 
-    def renew(self, address: str) -> None:
+    def reconnect(self, address: str) -> None:
         """Drop the line connection to an address where a node has restarted, with its unsent lines.
 
         Otherwise unsent and later lines would wait until the old connection is reset.
--- a/tests/connections_world.py
+++ b/tests/connections_world.py
@@ -649,7 +649,7 @@
             send=lambda address, message: None,
             open=self.client.open,
             soon=self.client.soon,
-            renew=lambda address: None,
+            reconnect=lambda address: None,
         )
         ports = Ports(self.clock, wire, None, random.Random(7), lambda number, **facts: None)
         place = NodeSettings(SETTINGS)
--- a/tests/keyed_router.py
+++ b/tests/keyed_router.py
@@ -125,7 +125,7 @@
     """The network of a router: messages go through the simulation, HTTP calls to the test."""
 
     def __init__(self, network, clock):
-        self.send, self.renew, self.clock = network.send, network.renew, clock
+        self.send, self.reconnect, self.clock = network.send, network.reconnect, clock
         self.calls = []
 
     def open(self, address, method, path, fields, body, handler, **more):
--- a/tests/test_blobs.py
+++ b/tests/test_blobs.py
@@ -81,7 +81,7 @@
 
         class Network:
             open = host.node.ports.network.open
-            renew = host.node.ports.network.renew
+            reconnect = host.node.ports.network.reconnect
 
             @staticmethod
             def send(address, message):
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -50,7 +50,7 @@
 
         dice = SimpleNamespace(randrange=lambda most: 0)
         ports = SimpleNamespace(
-            network=SimpleNamespace(renew=lambda address: None),
+            network=SimpleNamespace(reconnect=lambda address: None),
             log=lambda *told, **facts: None,
             random=dice,
         )
--- a/tests/test_renewed_lines.py
+++ b/tests/test_renewed_lines.py
@@ -16,10 +16,10 @@
 
 class Network:
     def __init__(self):
-        self.renewed = []
+        self.reconnected = []
 
-    def renew(self, address):
-        self.renewed.append(address)
+    def reconnect(self, address):
+        self.reconnected.append(address)
 
     def send(self, address, message):
         pass
@@ -49,17 +49,16 @@
 
 
 @pytest.mark.parametrize(
-    "incarnation, address, renewed", [(2, HOME, [HOME]), (1, HOME, []), (2, "10.0.0.3:7000", [])]
+    "incarnation, address, reconnected",
+    [(2, HOME, [HOME]), (1, HOME, []), (2, "10.0.0.3:7000", [])],
 )
-def test_a_new_start_at_the_same_address_has_its_connection_renewed_once(
-    incarnation, address, renewed
-):
+def test_a_restart_at_the_same_address_is_reconnected_to_once(incarnation, address, reconnected):
     members, network = make_membership()
     told(members, 1)
-    assert network.renewed == []
+    assert network.reconnected == []
     told(members, incarnation, address)
     told(members, incarnation, address)
-    assert network.renewed == renewed
+    assert network.reconnected == reconnected
 
 
 class Node(BaseNode):
@@ -153,7 +152,7 @@
     here = bench()
     here.client.send(here.address, {"say": "one"})
     assert b"one" in here.read(here.accept())
-    here.client.renew(here.address)
+    here.client.reconnect(here.address)
     here.client.send(here.address, {"say": "two"})
     assert b"two" in here.read(here.accept())
 
