--- a/packages/configuration/src/linkhaven/configuration/long_poll.py
+++ b/packages/configuration/src/linkhaven/configuration/long_poll.py
@@ -23,7 +23,7 @@
 class HoldBounds(Protocol):
     """The settings of a deployment that holds depend on, in microseconds."""
 
-    news_hold_us: int
+    long_poll_hold_us: int
     lease_us: int
     plan_stale_us: int | None
 
@@ -31,9 +31,9 @@
 class LongPollHold:
     """Computes the hold of one router's polls; owns when each replica last sent which section.
 
-    In small fleets all replicas hold polls for `news_hold_us`. In larger fleets a hold is at most a
-    third of a lease, and of `plan_stale_us` if that is set. The replica that sends the runner list
-    holds polls half as long.
+    In small fleets all replicas hold polls for `long_poll_hold_us`. In larger fleets a hold is at
+    most a third of a lease, and of `plan_stale_us` if that is set. The replica that sends the runner
+    list holds polls half as long.
     """
 
     __slots__ = ("bounds", "count_routers", "sent_us")
@@ -71,11 +71,11 @@
     def longest_us(self) -> int:
         """Return the hold at a replica whose leases don't matter to this router."""
         bounds = self.bounds
-        scaled_us = bounds.news_hold_us * self.count_routers() // SMALL_FLEET_ROUTERS
+        scaled_us = bounds.long_poll_hold_us * self.count_routers() // SMALL_FLEET_ROUTERS
         limits_us = [MAX_HOLD_US, bounds.lease_us // 3, scaled_us]
         if bounds.plan_stale_us is not None:
             limits_us.append(bounds.plan_stale_us // 3)
-        return max(bounds.news_hold_us, min(limits_us))
+        return max(bounds.long_poll_hold_us, min(limits_us))
 
     def hold_us(self, replica_id: str, needs_larger_share: bool, now_us: int) -> int:
         """Return the hold of the next poll of a replica.
@@ -83,10 +83,10 @@
         `needs_larger_share` is whether this router waits for a larger share than it has.
         """
         longest_us = self.longest_us()
-        if longest_us == self.bounds.news_hold_us:
+        if longest_us == self.bounds.long_poll_hold_us:
             return longest_us
         if needs_larger_share and self.is_sender(replica_id, SHARES, now_us):
-            return self.bounds.news_hold_us
+            return self.bounds.long_poll_hold_us
         if self.is_sender(replica_id, RUNNER_LIST, now_us):
-            return max(self.bounds.news_hold_us, longest_us // 2)
+            return max(self.bounds.long_poll_hold_us, longest_us // 2)
         return longest_us
--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -207,7 +207,7 @@
         request = read_watch_request(message)
         self.replica.directory.learn_incarnations(request.known)
         self.sections.on_watch_request(message)
-        usual_us = self.node.bounds.news_hold_us
+        usual_us = self.node.bounds.long_poll_hold_us
         hold_us = usual_us if request.hold_us is UNSET else request.hold_us
         poll = Poll(request, message, now_us, hold_us)
         if request.version > self.held_version():
@@ -236,12 +236,12 @@
             self._answer(poll)
 
     def shorten_holds(self) -> None:
-        """End long holds within `news_hold_us`, each at a random time.
+        """End long holds within `long_poll_hold_us`, each at a random time.
 
         Routers that were answered together would go on polling together, and would place requests
         by the same load data at the same time.
         """
-        now_us, usual_us = self.node.now_us(), self.node.bounds.news_hold_us
+        now_us, usual_us = self.node.now_us(), self.node.bounds.long_poll_hold_us
         for poll in self.polls.values():
             if poll.request.hold_us is not UNSET:
                 soon_us = now_us + self.node.ports.random.randrange(usual_us)
--- a/packages/configuration/src/linkhaven/configuration/watcher.py
+++ b/packages/configuration/src/linkhaven/configuration/watcher.py
@@ -2,7 +2,7 @@
 
 The version in force is confirmed as of the send time of the polls that a majority of the replicas
 has answered. The document comes from the source, which is the nearest responsive replica; the
-others only send its digest. If the source is silent or behind for `body_wait_us` after another
+others only send its digest. If the source is silent or behind for `blob_wait_us` after another
 replica has named a newer version, a replica that named it is polled for the document.
 
 | state of a poll | event | action |
@@ -236,7 +236,7 @@
     def _request_fields(self, poll: ReplicaPoll, wants_document: bool) -> Sections:
         version, missing = self.snapshot.version, self.missing
         may_build = wants_document and self.received.accepts_changes
-        usual_us = self.node.bounds.news_hold_us
+        usual_us = self.node.bounds.long_poll_hold_us
         return begin_watch_request(
             poll.request_id or "",
             version,
@@ -257,7 +257,7 @@
         poll = self.polls.get(replica_id)
         if poll is None:
             return False
-        longest_us = max(self.node.bounds.news_hold_us, poll.hold_us) + RESPONSE_GRACE_US
+        longest_us = max(self.node.bounds.long_poll_hold_us, poll.hold_us) + RESPONSE_GRACE_US
         return now_us - poll.answered_us > longest_us
 
     def _by_nearness(self) -> list[str]:
@@ -288,7 +288,7 @@
         """Whether no poll is open, or its response is overdue, can't arrive or would be late."""
         if poll.request_id is None or now_us - poll.sent_us > poll.hold_us + RESPONSE_GRACE_US:
             return True
-        usual_us = self.node.bounds.news_hold_us
+        usual_us = self.node.bounds.long_poll_hold_us
         if poll.hold_us == usual_us or now_us - poll.sent_us < usual_us:
             return False
         if poll.destination != destination:
@@ -300,7 +300,7 @@
         missing, replicas = self.missing, self.directory.replicas()
         if missing is None or now_us < missing.request_us:
             return
-        missing.request_us = now_us + self.node.bounds.body_wait_us
+        missing.request_us = now_us + self.node.bounds.blob_wait_us
         named_by = [name for name in self._by_nearness() if name in missing.named_by]
         if not named_by:
             return
@@ -370,7 +370,7 @@
         if missing is not None and version < missing.version:
             return
         if missing is None or version > missing.version:
-            request_us = self.node.now_us() + self.node.bounds.body_wait_us
+            request_us = self.node.now_us() + self.node.bounds.blob_wait_us
             missing = self.missing = MissingDocument(version, request_us)
         digest = None if response.digest is UNSET else response.digest
         missing.named_by[response.replica_id] = (digest, sent_us, response.incarnation)
--- a/packages/consensus/src/linkhaven/consensus/rebuild_rule.py
+++ b/packages/consensus/src/linkhaven/consensus/rebuild_rule.py
@@ -43,7 +43,7 @@
 
     `is_empty`: whether this replica's own disk is incomplete.
     `are_all_accounted_for`: each other replica reported, or its disk is known to be lost.
-    `has_waited`: `Bounds.alone_us` have passed, so the others had time to report.
+    `has_waited`: `Bounds.recovery_wait_us` have passed, so the others had time to report.
     """
     num_others = group_size - 1
     majority = group_size // 2 + 1
--- a/packages/consensus/src/linkhaven/consensus/recovery.py
+++ b/packages/consensus/src/linkhaven/consensus/recovery.py
@@ -12,7 +12,7 @@
 | COLLECTING | the reports suffice, see `rebuild_rule.py` | raises its incarnation | CATCHING_UP |
 | COLLECTING | report of a newer instance | is superseded, or a spare again | IDLE |
 | COLLECTING | `join_bootstrap`: another one found all empty | joins its bootstrap | CATCHING_UP |
-| COLLECTING | too few after `Bounds.alone_us` | waits for more, or for `restore` | COLLECTING |
+| COLLECTING | too few after `recovery_wait_us` | waits for more, or for `restore` | COLLECTING |
 | CATCHING_UP | one more replica is read | goes on, see `state_transfer.py` | CATCHING_UP |
 | CATCHING_UP | the last replica is read | syncs that its state is complete | VOTING |
 | CATCHING_UP | a replica was restarted | discards what was read | COLLECTING |
@@ -150,7 +150,7 @@
 
     The disk of a replica is complete unless it lost writes that it had synced, and only such a loss
     has to be restored from the others. So a majority of replicas with intact disks goes on as soon
-    as all others have reported empty disks, or after `Bounds.alone_us` if they don't answer.
+    as all others have reported empty disks, or after `recovery_wait_us` if they don't answer.
     """
 
     __slots__ = (
@@ -311,7 +311,7 @@
     def _evaluate_reports(self, now_us: int) -> None:
         replica, reports = self.replica, list(self.reports.values())
         accounted_for = {*self.reports, *self.instances.replicas_now_spare()} - {replica.replica_id}
-        has_waited = now_us - self.started_us >= self.node.bounds.alone_us
+        has_waited = now_us - self.started_us >= self.node.bounds.recovery_wait_us
         basis = rebuild_basis(
             reports,
             group_size=len(replica.replica_ids),
--- a/packages/controller/src/linkhaven/controller/claim_admission.py
+++ b/packages/controller/src/linkhaven/controller/claim_admission.py
@@ -167,7 +167,9 @@
             return True
         if member is not None and member.has_left:
             heard_us = member.last_message_us
-            return heard_us is not None and now_us - heard_us <= self.node.bounds.missed_us
+            return (
+                heard_us is not None and now_us - heard_us <= self.node.bounds.heartbeat_timeout_us
+            )
         return now_us - (self.voting_since_us or 0) < FAILED_ROUTER_US
 
     def on_claims(self, message: ClaimsResponse) -> None:
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -165,7 +165,7 @@
         self.proposer = Proposer(
             self,
             self.membership,
-            silent_us=self.bounds.silent_us,
+            silent_us=self.bounds.majority_timeout_us,
             own_registers=self.registers,
         )
         self.replica = Replica(
--- a/packages/controller/src/linkhaven/controller/role_orders.py
+++ b/packages/controller/src/linkhaven/controller/role_orders.py
@@ -33,8 +33,8 @@
 class OrderPermission:
     """Permits orders only once at least one lease has passed since another holder's last order.
 
-    Orders are also withheld for `thaw_us` after a pause of this process, since its view of the
-    runners is outdated then.
+    Orders are also withheld for `post_pause_hold_us` after a pause of this process, since its view
+    of the runners is outdated then.
     """
 
     __slots__ = ("node", "lease", "won_us", "paused_us")
@@ -44,7 +44,7 @@
         self.node = node
         self.lease = lease
         self.won_us = 0
-        self.paused_us = -node.bounds.thaw_us
+        self.paused_us = -node.bounds.post_pause_hold_us
         node.late_tick_handlers.append(self.on_late_tick)
 
     def on_lease_won(self) -> None:
@@ -62,7 +62,7 @@
         `orders_after_us` after the lease was won, and at least one lease if there was an earlier
         holder, even if that one released it.
         """
-        if now_us - self.paused_us < self.node.bounds.thaw_us:
+        if now_us - self.paused_us < self.node.bounds.post_pause_hold_us:
             return False
         if self.lease.are_others_idle():
             return True
--- a/packages/controller/src/linkhaven/controller/router_contact.py
+++ b/packages/controller/src/linkhaven/controller/router_contact.py
@@ -43,7 +43,7 @@
     def tick(self, now_us: int) -> None:
         """Step down if the last watch request is too old."""
         unpolled_us = now_us - self.watch_server.polled_us
-        if unpolled_us < 2 * self.node.bounds.news_hold_us + UNPOLLED_MARGIN_US:
+        if unpolled_us < 2 * self.node.bounds.long_poll_hold_us + UNPOLLED_MARGIN_US:
             return
         if not self.membership.live_members("router"):
             return
--- a/packages/controller/src/linkhaven/controller/runner_health.py
+++ b/packages/controller/src/linkhaven/controller/runner_health.py
@@ -6,9 +6,9 @@
 | --- | --- | --- |
 | responsive | a router lost it after it was last seen | unresponsive |
 | responsive | a router waits for its data | its report is requested; unresponsive if unanswered |
-| responsive | no report for `dark_us` | unresponsive |
+| responsive | no report for `unresponsive_after_us` | unresponsive |
 | unresponsive | it reported, or a router sees it alive | responsive |
-| unresponsive, without an engine | `dark_us` passed | responsive: only requests can probe it |
+| unresponsive, no engine | `unresponsive_after_us` passed | responsive: only requests probe it |
 | any | it, a router or the platform says that it leaves | leaving, permanently |
 
 Evidence older than the newest known about a runner is ignored.
@@ -121,7 +121,7 @@
                 self._mark_unresponsive(runner)
 
     def retry_plain_runners(self, now_us: int) -> None:
-        """Mark unresponsive plain runners responsive after `dark_us`, so that routers retry them.
+        """Let routers retry plain runners that were unresponsive for `unresponsive_after_us`.
 
         A plain runner gives no reports, so only client requests can show that it has recovered.
         Test: `test_an_unresponsive_plain_runner_reopens_and_closes_again_on_evidence`.
@@ -129,7 +129,7 @@
         for runner in self.runner_list.runners.rows():
             if not (runner.is_plain() and runner.is_unresponsive):
                 continue
-            if now_us - self.seen_us.get(runner.name, 0) >= self.node.bounds.dark_us:
+            if now_us - self.seen_us.get(runner.name, 0) >= self.node.bounds.unresponsive_after_us:
                 self.on_alive(runner, now_us)
 
     def forget(self, listed: Collection[str], now_us: int) -> None:
@@ -150,14 +150,14 @@
     def _check_report_age(self, runner: Runner, now_us: int) -> None:
         """Mark it unresponsive if its last report is too old.
 
-        If the report interval is longer than half of `dark_us`, the age counts from the unanswered
-        request instead.
+        If the report interval is longer than half of `unresponsive_after_us`, the age counts from
+        the unanswered request instead.
         """
         bounds = self.node.bounds
         seen_us = self.seen_us.setdefault(runner.name, now_us)
-        if 2 * bounds.report_us > bounds.dark_us:
+        if 2 * bounds.report_us > bounds.unresponsive_after_us:
             seen_us = max(seen_us, self.unanswered_us.get(runner.name, now_us))
-        if now_us - seen_us > bounds.dark_us and not runner.is_unresponsive:
+        if now_us - seen_us > bounds.unresponsive_after_us and not runner.is_unresponsive:
             self._mark_unresponsive(runner)
 
     def _mark_unresponsive(self, runner: Runner) -> None:
--- a/packages/leases/src/linkhaven/leases/quorum_lease_times.py
+++ b/packages/leases/src/linkhaven/leases/quorum_lease_times.py
@@ -65,7 +65,9 @@
 
     def __init__(self, bounds: Bounds) -> None:
         """Derive the times from the deployment's bounds."""
-        self.lease_us = min(LEASE_US, bounds.lease_us, bounds.silent_us, bounds.contact_us)
+        self.lease_us = min(
+            LEASE_US, bounds.lease_us, bounds.majority_timeout_us, bounds.contact_us
+        )
         self.renew_us = self.lease_us * RENEW_SHARE[0] // RENEW_SHARE[1]
         self.rank_us = self.lease_us * RANK_SHARE[0] // RANK_SHARE[1]
         self.retry_us = self.lease_us * RETRY_SHARE[0] // RETRY_SHARE[1]
--- a/packages/membership/src/linkhaven/membership/failure_detector.py
+++ b/packages/membership/src/linkhaven/membership/failure_detector.py
@@ -7,11 +7,12 @@
 | `SuspicionQuery` | this node says its suspicion again, or that it watches no more |
 
 Each member sends heartbeats to its successors on the hash ring. A watcher that hears none for
-`missed_us` suspects the member and tells all. A member has failed when most of its watchers that
-can be heard from suspect it, so one watcher that is cut off convicts nobody
-(`test_a_node_that_cannot_hear_does_not_talk_others_down`). A watcher that said
-nothing for `missed_us` is probed with a hello, and left out until it speaks. Incarnations refute,
-as in SWIM (DSN 2002), section 4.2: a suspicion is of one start of a process.
+`heartbeat_timeout_us` suspects the member and tells all. A member has failed when most of its
+watchers that can be heard from suspect it, so that one watcher that is cut off can't declare a
+member failed (`test_a_node_that_cannot_hear_does_not_talk_others_down`). A watcher that sent
+nothing for `heartbeat_timeout_us` is probed with a hello, and isn't counted until it answers. A
+suspicion holds for one incarnation, so a restarted process refutes it, as in SWIM (DSN 2002),
+section 4.2.
 """
 
 from linkhaven.runtime import Node
@@ -39,8 +40,8 @@
     # time
 
     def tick(self, now_us: int) -> None:
-        """Send heartbeats and look for missing ones, each `beat_us`."""
-        if now_us - self.heartbeat_sent_us < self.node.bounds.beat_us:
+        """Send heartbeats and look for missing ones, each `heartbeat_interval_us`."""
+        if now_us - self.heartbeat_sent_us < self.node.bounds.heartbeat_interval_us:
             return
         self.heartbeat_sent_us = now_us
         self._send_heartbeats()
@@ -69,7 +70,7 @@
             if member.last_heartbeat_us is None:
                 member.last_heartbeat_us = now_us
             silent_us = now_us - member.last_heartbeat_us
-            if silent_us > self.node.bounds.missed_us and not self._suspects(member):
+            if silent_us > self.node.bounds.heartbeat_timeout_us and not self._suspects(member):
                 self._send_suspicion(member, True)
 
     def _count_suspicions(self) -> None:
@@ -171,13 +172,16 @@
         if name == self.node.name or name in about.suspicions:
             return True
         now_us = self.node.now_us()
-        missed_us = self.node.bounds.missed_us
+        heartbeat_timeout_us = self.node.bounds.heartbeat_timeout_us
         watcher = self.table.peers[name]
-        if watcher.last_message_us is not None and now_us - watcher.last_message_us <= missed_us:
+        if (
+            watcher.last_message_us is not None
+            and now_us - watcher.last_message_us <= heartbeat_timeout_us
+        ):
             return True
         probe_sent_us = watcher.probe_sent_us
         if probe_sent_us is None or (watcher.last_message_us or 0) > probe_sent_us:
             watcher.probe_sent_us = now_us
             self.node.send(watcher.address, make_hello(self.table.me.to_record()))
             return True
-        return now_us - probe_sent_us <= missed_us
+        return now_us - probe_sent_us <= heartbeat_timeout_us
--- a/packages/runner/src/linkhaven/runner/roster.py
+++ b/packages/runner/src/linkhaven/runner/roster.py
@@ -288,7 +288,7 @@
             runner.take_report({**record, "is_leaving": record["is_leaving"]}, now_us)
         runner.is_leaving = runner.is_leaving or record["is_leaving"]
         if runner.is_leaving and was_serving:
-            runner.serves_until_us = before_us + self.node.bounds.stand_in_us
+            runner.serves_until_us = before_us + self.node.bounds.leaving_grace_us
         runner.is_reported_unresponsive = record["is_dark"]
         self._update_unresponsive(runner, now_us)
 
@@ -369,8 +369,9 @@
         """Return the runners that take new work.
 
         A silent runner is left out if another one of its pool and phase isn't silent. A leaving
-        runner is included only while no other of its pool and phase is, and only for `stand_in_us`
-        from the last list that had it as serving, so that no work reaches it after its notice.
+        runner is included only while no other of its pool and phase is, and only for
+        `leaving_grace_us` from the last list that had it as serving, so that no work reaches it
+        after its notice.
         Test: `test_leaving_runners_accept_work_that_only_they_can_do_for_half_of_their_notice`.
         """
         runners = self._without_silent()
--- a/packages/runtime/src/linkhaven/runtime/bounds.py
+++ b/packages/runtime/src/linkhaven/runtime/bounds.py
@@ -23,7 +23,7 @@
     """How old the list of runners may be before a router takes no new work; None means that it goes
     on with what it has."""
 
-    alone_us: int = 5_000_000
+    recovery_wait_us: int = msgspec.field(default=5_000_000, name="alone_us")
     """How long a replica with a disk waits for the others before it goes on with a majority."""
 
     lease_us: int = 3_000_000
@@ -41,20 +41,20 @@
     report_us: int = 250_000
     """How often each runner is asked for its report."""
 
-    dark_us: int = 1_200_000
+    unresponsive_after_us: int = msgspec.field(default=1_200_000, name="dark_us")
     """How long a runner may give no report before it counts as unresponsive."""
 
-    news_hold_us: int = 250_000
+    long_poll_hold_us: int = msgspec.field(default=250_000, name="news_hold_us")
     """How long a watch server holds a router's request while there is nothing new."""
 
-    body_wait_us: int = 100_000
+    blob_wait_us: int = msgspec.field(default=100_000, name="body_wait_us")
     """How long a router waits for a configuration's blob from the nearest replica after another has
     named it."""
 
-    beat_us: int = 250_000
+    heartbeat_interval_us: int = msgspec.field(default=250_000, name="beat_us")
     """How often a member sends a heartbeat."""
 
-    missed_us: int = 1_000_000
+    heartbeat_timeout_us: int = msgspec.field(default=1_000_000, name="missed_us")
     """How long a member may be silent before its watchers suspect it."""
 
     vacant_us: int = 1_500_000
@@ -66,7 +66,7 @@
     bootstrap: bool = False
     """This is the first start of the whole system, on empty disks."""
 
-    thaw_us: int = 0
+    post_pause_hold_us: int = msgspec.field(default=0, name="thaw_us")
     """How long a holder orders nothing after its process was paused."""
 
     orders_after_us: int = 0
@@ -79,7 +79,7 @@
     retry_least_us: int = 1_000_000
     """The least time that a refusal names in Retry-After."""
 
-    silent_us: int = 600_000
+    majority_timeout_us: int = msgspec.field(default=600_000, name="silent_us")
     """How long a proposal or a read waits for a majority that is silent; shorter than its sender's
     patience."""
 
@@ -87,7 +87,7 @@
     """How old a replica's last answer from a majority may be while it still calls its configuration
     current."""
 
-    stand_in_us: int = 0
+    leaving_grace_us: int = msgspec.field(default=0, name="stand_in_us")
     """How long a runner that leaves is still given what no other can take, from the last list that
     had it as serving; 0 where runners take nothing once they leave."""
 
--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -37,8 +37,8 @@
     """A node without clock, socket or random numbers of its own, so that a world can simulate it.
 
     Its parts register with it: `register_handler` and `map_handlers` for messages, `routes` for
-    calls, `tick_handlers` for each tick, `late_tick_handlers` for what a late tick does first, `sender_listeners`
-    for who spoke. It belongs to one thread.
+    calls, `tick_handlers` for each tick, `late_tick_handlers` for what a late tick does first,
+    `sender_listeners` for who sent a message. It belongs to one thread.
     """
 
     __slots__ = (
--- a/packages/stage/src/linkhaven/stage/control.py
+++ b/packages/stage/src/linkhaven/stage/control.py
@@ -76,7 +76,7 @@
     """What the course shows that may not be, by name; empty where all holds."""
     history = History(course.operators.calls)
     bounds = Bounds()
-    late = bounds.silent_us + 2 * TICK_US
+    late = bounds.majority_timeout_us + 2 * TICK_US
     cut = course.while_cut(history.calls)
     first, *later = cut
     held_until_us = course.cut_us + bounds.lease_us + TICK_US
@@ -94,7 +94,7 @@
         "late_though_known": [
             told
             for told in later[2:]
-            if told.ended_us - told.sent_us > bounds.silent_us // 3 + 2 * TICK_US
+            if told.ended_us - told.sent_us > bounds.majority_timeout_us // 3 + 2 * TICK_US
         ],
         "refused_though_right": history.refused_though_right(course.newest),
         "current": [s.at_us for s in while_cut if s.is_current and s.at_us > current_until_us],
@@ -120,7 +120,7 @@
 def judge_changes(course):
     """What no return may show, by name; empty where all holds."""
     bounds = Bounds(**course.core.bounds)
-    bound_us = bounds.vacant_us + bounds.alone_us + SECOND
+    bound_us = bounds.vacant_us + bounds.recovery_wait_us + SECOND
     first, last = returns_of(course, WIPED)
     found = {
         "faults": course.core.faults(),
--- a/packages/stage/src/linkhaven/stage/core.py
+++ b/packages/stage/src/linkhaven/stage/core.py
@@ -17,7 +17,7 @@
         self.world = World(seed)
         self.world.is_tracing = True
         self.machines = {}
-        self.bounds = {"seats": seats, "alone_us": 1_000_000, **bounds}
+        self.bounds = {"seats": seats, "recovery_wait_us": 1_000_000, **bounds}
         self.contacts = []
         self.platform = Host(
             self.world,
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -174,7 +174,7 @@
             ports.clock.now_us() + machine.starts,
             None,
             "10.9.0.1:80",
-            Bounds(seats=seats, alone_us=1_000_000, bootstrap=is_first, **bounds),
+            Bounds(seats=seats, recovery_wait_us=1_000_000, bootstrap=is_first, **bounds),
             contacts=contacts if is_first else (),
         )
 
--- a/tests/pooled_fleet.py
+++ b/tests/pooled_fleet.py
@@ -68,7 +68,7 @@
             hold_share=0.2,
             retry_least_us=100_000,
             roster_stale_us=None,
-            stand_in_us=NOTICE_US // 2,
+            leaving_grace_us=NOTICE_US // 2,
         )
         incarnation = host.wall_us() + host.starts
         return RouterNode(
--- a/tests/test_claim_admission.py
+++ b/tests/test_claim_admission.py
@@ -42,7 +42,7 @@
             send=lambda address, message: self.sent.append((address, message)),
             register_handler=lambda kind, handler: None,
             tick_handlers=[],
-            bounds=SimpleNamespace(missed_us=SECOND),
+            bounds=SimpleNamespace(heartbeat_timeout_us=SECOND),
             ports=SimpleNamespace(
                 storage=SimpleNamespace(write=lambda items, done: self.writes.append(done))
             ),
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -193,7 +193,7 @@
 
 
 PUT = {"expect": 1, "put_id": "p", "plan": PLAN}
-LATER_US = Bounds().silent_us // 3 + 2 * TICK_US
+LATER_US = Bounds().majority_timeout_us // 3 + 2 * TICK_US
 CALLS = [
     ("GET", "/v1/plan", None, 503, LATER_US),
     ("PUT", "/v1/plan", PUT, 503, LATER_US),
@@ -216,7 +216,7 @@
         core.world.cut(others, ["core-1"], both=False)
     core.world.run_for(Bounds().lease_us + SECOND)
     first = call(core, "core-1", "GET", "/v1/plan")
-    assert first.status == 503 and first.took_us <= Bounds().silent_us + 2 * TICK_US
+    assert first.status == 503 and first.took_us <= Bounds().majority_timeout_us + 2 * TICK_US
     for method, path, document, status, most_us in CALLS:
         answer = call(core, "core-1", method, path, document)
         assert (path, answer.status) == (path, status) and answer.took_us <= most_us
@@ -245,7 +245,7 @@
     answer = call(core, "core-1", "PUT", "/v1/plan", PUT)
     assert (answer.status, answer.document["code"]) == (504, "put_unknown")
     assert answer.document["done"] == "unknown" and answer.headers_out["retry-after"] == "1"
-    assert answer.took_us <= Bounds().silent_us + 3 * TICK_US
+    assert answer.took_us <= Bounds().majority_timeout_us + 3 * TICK_US
 
 
 def test_a_key_is_not_granted_by_a_router_that_hears_no_majority():
--- a/tests/test_dark_runner.py
+++ b/tests/test_dark_runner.py
@@ -119,7 +119,7 @@
             hold_share=None,
             poll_us=500_000,
             report_us=1_000_000,
-            dark_us=1_200_000,
+            unresponsive_after_us=1_200_000,
         )
         self.ports = SimpleNamespace(log=Logged())
         self.requests = SimpleNamespace(rows=lambda: list(self.held))
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -65,7 +65,7 @@
             sender_listeners=[],
             now_us=lambda: self.now_us,
             send=send,
-            bounds=SimpleNamespace(beat_us=250_000, missed_us=1_000_000),
+            bounds=SimpleNamespace(heartbeat_interval_us=250_000, heartbeat_timeout_us=1_000_000),
         )
         return Membership(node, "router", "north", [], 1)
 
--- a/tests/test_long_poll.py
+++ b/tests/test_long_poll.py
@@ -20,7 +20,9 @@
 @pytest.mark.parametrize("routers", [1, 3, SMALL_FLEET_ROUTERS])
 def test_a_small_fleet_polls_with_the_usual_hold(routers):
     hold = make_hold(routers)
-    assert {hold.hold_us(replica_id, False, 0) for replica_id in "abc"} == {Bounds().news_hold_us}
+    assert {hold.hold_us(replica_id, False, 0) for replica_id in "abc"} == {
+        Bounds().long_poll_hold_us
+    }
 
 
 @pytest.mark.parametrize("routers", [18, 40, 80, 340])
@@ -30,10 +32,10 @@
     bounds = Bounds(plan_stale_us=stale_us, lease_us=lease_us)
     hold = LongPollHold(bounds, lambda: routers)
     longest_us = hold.longest_us()
-    assert bounds.news_hold_us <= longest_us <= MAX_HOLD_US
-    assert longest_us * 3 <= max(3 * bounds.news_hold_us, lease_us)
+    assert bounds.long_poll_hold_us <= longest_us <= MAX_HOLD_US
+    assert longest_us * 3 <= max(3 * bounds.long_poll_hold_us, lease_us)
     if stale_us is not None:
-        assert longest_us * 3 <= max(3 * bounds.news_hold_us, stale_us)
+        assert longest_us * 3 <= max(3 * bounds.long_poll_hold_us, stale_us)
 
 
 def test_lease_holders_are_polled_more_often_in_a_large_fleet():
@@ -43,7 +45,7 @@
     assert hold.hold_us("c", False, 0) == hold.longest_us() == MAX_HOLD_US
     assert hold.hold_us("a", False, 0) == MAX_HOLD_US // 2
     assert hold.hold_us("b", False, 0) == MAX_HOLD_US
-    assert hold.hold_us("b", True, 0) == Bounds().news_hold_us
+    assert hold.hold_us("b", True, 0) == Bounds().long_poll_hold_us
     assert hold.hold_us("c", True, 0) == MAX_HOLD_US
 
 
--- a/tests/test_plain_runners.py
+++ b/tests/test_plain_runners.py
@@ -152,7 +152,7 @@
     for _ in range(3):
         runner_discovery.on_evidence({"evidence": [["i-1", runner.incarnation, "dark", 0]]})
         assert runner.is_unresponsive
-        core.world.run_for(runner_discovery.node.bounds.dark_us + 100_000)
+        core.world.run_for(runner_discovery.node.bounds.unresponsive_after_us + 100_000)
         assert runner.is_open()
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -296,7 +296,7 @@
         and settings.bounds.linger_us < settings.bounds.drain_us
     )
     assert settings.bounds.poll_us + settings.bounds.report_us < 3_000_000
-    assert 10 * settings.bounds.body_wait_us < 2_000_000
+    assert 10 * settings.bounds.blob_wait_us < 2_000_000
 
 
 @pytest.mark.parametrize(
--- a/tests/test_renewed_lines.py
+++ b/tests/test_renewed_lines.py
@@ -38,7 +38,7 @@
         sender_listeners=[],
         now_us=lambda: 5,
         send=lambda address, message: None,
-        bounds=SimpleNamespace(beat_us=1, missed_us=1),
+        bounds=SimpleNamespace(heartbeat_interval_us=1, heartbeat_timeout_us=1),
     )
     return Membership(node, "core", "north", [], 1), network
 
--- a/tests/test_vacant_roles.py
+++ b/tests/test_vacant_roles.py
@@ -34,7 +34,7 @@
     "orders_after_us": LEASE_US,
     "poll_us": 500 * MS,
     "report_us": SECOND,
-    "thaw_us": 500 * MS,
+    "post_pause_hold_us": 500 * MS,
 }
 """The core's bounds as the users' platform sets them for a departure notice of 3 s."""
 
@@ -118,7 +118,7 @@
     else:
         for name in names:
             fail_runner(sim.runners[name], loss)
-        sim.world.run_for(Bounds(**BOUNDS).dark_us + BOUNDS["report_us"])
+        sim.world.run_for(Bounds(**BOUNDS).unresponsive_after_us + BOUNDS["report_us"])
 
 
 def fail_runner(host, loss):
