--- a/packages/api/src/linkhaven/api/fields.py
+++ b/packages/api/src/linkhaven/api/fields.py
@@ -1,4 +1,4 @@
-"""Checks of single fields, for documents that trafaret checks: settings, configurations, plans."""
+"""Trafaret checks of single fields, for settings, configurations and what-if questions."""
 
 from typing import Any
 
@@ -8,8 +8,8 @@
 """Names of nodes, groups, kinds and the like."""
 
 
-def whole(gte: int | None = None, lte: int | None = None) -> t.Call:
-    """A check for a whole number from `gte` to `lte`; True and False are none."""
+def integer(gte: int | None = None, lte: int | None = None) -> t.Call:
+    """Return a check for an integer from `gte` to `lte`, which refuses True and False."""
 
     def check(value: Any) -> Any:
         if type(value) is not int:
@@ -23,37 +23,35 @@
     return t.Call(check)
 
 
-def number(
-    above: float | None = None, least: float | None = None, most: float | None = None
-) -> t.Call:
-    """A check for a number above `above`, or from `least`, up to `most`; NaN is none.
+def number(gt: float | None = None, gte: float | None = None, lte: float | None = None) -> t.Call:
+    """Return a check for a number, which refuses NaN; the bounds are as their names say.
 
-    No caller gives both lower bounds.
+    At most one of the lower bounds `gt` and `gte` is given.
     """
 
     def check(value: Any) -> Any:
         if type(value) not in (int, float) or value != value:
             return t.DataError("is not a number")
-        if above is not None and value <= above:
-            return t.DataError(f"is not above {above}")
-        if least is not None and value < least:
-            return t.DataError(f"is not at least {least}")
-        if most is not None and value > most:
-            return t.DataError(f"is above {most}")
+        if gt is not None and value <= gt:
+            return t.DataError(f"is not above {gt}")
+        if gte is not None and value < gte:
+            return t.DataError(f"is not at least {gte}")
+        if lte is not None and value > lte:
+            return t.DataError(f"is above {lte}")
         return value
 
     return t.Call(check)
 
 
-def list_places(fault: Any, place: str = ".") -> list[dict[str, str]]:
-    """Every fault of a checked document, as a flat list of `place` (a path) and `fault`."""
+def flatten_faults(fault: Any, place: str = ".") -> list[dict[str, str]]:
+    """Return every fault of a checked document, in a flat list, with its `place` (a path)."""
     if isinstance(fault, t.DataError):
         fault = fault.as_dict()
     if not isinstance(fault, dict):
         return [{"place": place, "fault": str(fault)}]
     if set(fault) <= {"key", "value"}:
-        return [found for inner in fault.values() for found in list_places(inner, place)]
+        return [found for inner in fault.values() for found in flatten_faults(inner, place)]
     places = []
     for key, inner in fault.items():
-        places += list_places(inner, str(key) if place == "." else f"{place}/{key}")
+        places += flatten_faults(inner, str(key) if place == "." else f"{place}/{key}")
     return places
--- a/packages/configuration/src/linkhaven/configuration/long_poll.py
+++ b/packages/configuration/src/linkhaven/configuration/long_poll.py
@@ -31,9 +31,9 @@
 class LongPollHold:
     """Computes the hold of one router's polls; owns when each replica last sent which section.
 
-    In small fleets all replicas hold polls for `long_poll_hold_us`. In larger fleets a hold is at
-    most a third of a lease, and of `plan_stale_us` if that is set. The replica that sends the runner
-    list holds polls half as long.
+    In small fleets all replicas hold polls for `long_poll_hold_us`. In larger ones a hold is at
+    most a third of a lease, and of `plan_stale_us` if that is set. The replica that sends the
+    runner list holds polls half as long.
     """
 
     __slots__ = ("bounds", "count_routers", "sent_us")
--- a/packages/configuration/src/linkhaven/configuration/validation.py
+++ b/packages/configuration/src/linkhaven/configuration/validation.py
@@ -8,7 +8,7 @@
 from cachetools import LRUCache
 
 from linkhaven.api import ServiceError
-from linkhaven.api.fields import list_places
+from linkhaven.api.fields import flatten_faults
 from linkhaven.runtime import write_json
 
 from .document import Configuration, Group, RequestKind, Tenant
@@ -40,7 +40,7 @@
     try:
         configuration = _decode(document)
     except t.DataError as error:
-        faults += cast(list[DocumentFault], list_places(error))
+        faults += cast(list[DocumentFault], flatten_faults(error))
     faults += _list_inconsistencies(document)
     if configuration is None or faults:
         raise document_invalid(*sorted(faults, key=lambda fault: fault["place"]))
--- a/packages/simulator/src/linkhaven/simulator/question.py
+++ b/packages/simulator/src/linkhaven/simulator/question.py
@@ -10,13 +10,13 @@
 import trafaret as t
 
 from linkhaven.api import ServiceError
-from linkhaven.api.fields import NAME, list_places, number, whole
+from linkhaven.api.fields import NAME, flatten_faults, integer, number
 from linkhaven.configuration import list_document_faults
 from linkhaven.controller import SINGLETON_ROLES
 from linkhaven.stage.faults import ALL, TENANT_FAULTS
 from linkhaven.stage.fleet import DEPLOYMENTS
 
-SECONDS = number(least=0, most=600)
+SECONDS = number(gte=0, lte=600)
 
 FAULT = t.Dict(
     {
@@ -29,36 +29,36 @@
 
 DEMAND = t.Dict(
     {
-        t.Key("rate"): number(above=0, most=200),
-        t.Key("prompt_tokens"): whole(1, 100_000),
-        t.Key("answer_tokens"): whole(1, 10_000),
+        t.Key("rate"): number(gt=0, lte=200),
+        t.Key("prompt_tokens"): integer(1, 100_000),
+        t.Key("answer_tokens"): integer(1, 10_000),
     }
 )
 
-TENANT = t.Dict({t.Key("share"): number(above=0, most=1_000)})
+TENANT = t.Dict({t.Key("share"): number(gt=0, lte=1_000)})
 
 FLEET = t.Dict(
     {
         t.Key("zones"): t.List(NAME, min_length=1, max_length=20),
-        t.Key("routers"): whole(1, 50),
-        t.Key("runners"): whole(1, 100),
-        t.Key("prefills"): whole(0, 99),
-        t.Key("prefill_tokens_per_s", default=8_000): whole(1),
-        t.Key("decode_step_us", default=16_000): whole(1),
-        t.Key("kv_tokens", default=120_000): whole(1_000),
-        t.Key("report_every_us", default=500_000): whole(1_000),
+        t.Key("routers"): integer(1, 50),
+        t.Key("runners"): integer(1, 100),
+        t.Key("prefills"): integer(0, 99),
+        t.Key("prefill_tokens_per_s", default=8_000): integer(1),
+        t.Key("decode_step_us", default=16_000): integer(1),
+        t.Key("kv_tokens", default=120_000): integer(1_000),
+        t.Key("report_every_us", default=500_000): integer(1_000),
     }
 )
 
 CHANGE = t.Dict(
     {
         t.Key("fleet", default=dict): t.Mapping(t.String(), t.Any()),
-        t.Key("demand", default=dict): t.Mapping(NAME, number(least=0, most=100)),
+        t.Key("demand", default=dict): t.Mapping(NAME, number(gte=0, lte=100)),
         t.Key("taichi", default=dict): t.Mapping(t.String(), t.Any()),
         t.Key("groups", default=dict): t.Mapping(NAME, t.Mapping(t.String(), t.Any())),
         t.Key("kinds", default=dict): t.Mapping(NAME, t.Mapping(t.String(), t.Any())),
         t.Key("tenants", default=dict): t.Mapping(NAME, t.Mapping(t.String(), t.Any())),
-        t.Key("tenant_load", default=dict): t.Mapping(NAME, number(least=0, most=100)),
+        t.Key("tenant_load", default=dict): t.Mapping(NAME, number(gte=0, lte=100)),
         t.Key("faults", default=list): t.List(FAULT),
     }
 )
@@ -70,9 +70,9 @@
         t.Key("fleet"): FLEET,
         t.Key("demand"): t.Mapping(NAME, DEMAND),
         t.Key("tenants", default=dict): t.Mapping(NAME, TENANT),
-        t.Key("tenant_load", default=dict): t.Mapping(NAME, number(least=0, most=100)),
-        t.Key("seconds", default=30): whole(5, 600),
-        t.Key("seed", default=1): whole(0),
+        t.Key("tenant_load", default=dict): t.Mapping(NAME, number(gte=0, lte=100)),
+        t.Key("seconds", default=30): integer(5, 600),
+        t.Key("seed", default=1): integer(0),
         t.Key("faults", default=list): t.List(FAULT),
         t.Key("what_if", default=dict): t.Mapping(t.String(), CHANGE),
     }
@@ -203,7 +203,8 @@
         question = QUESTION.check(document)
     except t.DataError as error:
         raise ServiceError(
-            "question_invalid", places=sorted(list_places(error), key=lambda place: place["place"])
+            "question_invalid",
+            places=sorted(flatten_faults(error), key=lambda place: place["place"]),
         ) from None
     places = _find_conflicts(question, "")
     for name, change in question["what_if"].items():
@@ -225,7 +226,7 @@
     try:
         FLEET.check({**question["fleet"], **change["fleet"]})
     except t.DataError as error:
-        return list_places(error, f"{place}fleet")
+        return flatten_faults(error, f"{place}fleet")
     return _find_conflicts(apply_change(question, change), place)
 
 
--- a/packages/wire/src/linkhaven/wire/settings.py
+++ b/packages/wire/src/linkhaven/wire/settings.py
@@ -11,7 +11,7 @@
 import yaml
 
 from linkhaven.api import ServiceError
-from linkhaven.api.fields import NAME, list_places, whole
+from linkhaven.api.fields import NAME, flatten_faults, integer
 
 from .log_writer import QUEUE_LINES
 
@@ -92,11 +92,11 @@
         {
             t.Key("level", default="info"): t.Enum("debug", "info", "warning", "error"),
             t.Key("file", optional=True): t.Call(_log_file),
-            t.Key("queue_lines", default=QUEUE_LINES): whole(16, 1_000_000),
+            t.Key("queue_lines", default=QUEUE_LINES): integer(16, 1_000_000),
         }
     ),
-    t.Key("body_bytes", default=BODY_BYTES): whole(1_000, 100_000_000),
-    t.Key("conns", default=CONNECTIONS): whole(1, 100_000),
+    t.Key("body_bytes", default=BODY_BYTES): integer(1_000, 100_000_000),
+    t.Key("conns", default=CONNECTIONS): integer(1, 100_000),
 }
 """Settings shared by both programs."""
 
@@ -104,7 +104,7 @@
     "router": t.Dict(
         {
             **COMMON,
-            t.Key("requests", default=REQUESTS): whole(1, 100_000),
+            t.Key("requests", default=REQUESTS): integer(1, 100_000),
             t.Key("traces", optional=True): t.String(),
         }
     ),
@@ -112,7 +112,7 @@
         {
             **COMMON,
             t.Key("data"): t.Call(_folder),
-            t.Key("data_bytes", default=DATA_BYTES): whole(65_536, 1 << 40),
+            t.Key("data_bytes", default=DATA_BYTES): integer(65_536, 1 << 40),
             t.Key("seat"): t.Enum("a", "b", "c"),
             t.Key("platform"): ADDRESS,
         }
@@ -135,7 +135,8 @@
         settings: dict[str, Any] = SETTINGS[program].check(document)
     except t.DataError as error:
         raise ServiceError(
-            "settings_invalid", places=sorted(list_places(error), key=lambda place: place["place"])
+            "settings_invalid",
+            places=sorted(flatten_faults(error), key=lambda place: place["place"]),
         ) from None
     if settings["lines"] == settings["http"]:
         raise invalid_setting("http", "is the same address as lines")
