--- a/packages/membership/src/linkhaven/membership/__init__.py
+++ b/packages/membership/src/linkhaven/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who exists and who runs: membership by gossip, and a failure detector by heartbeats.
+"""Membership of the fleet by gossip, with a failure detector that uses heartbeats.
 
 Sources: Das, Gupta and Motivala, "SWIM: scalable weakly-consistent infection-style process group
 membership protocol" (DSN 2002), for incarnations, suspicion and its refutation; Demers et al.,
@@ -6,7 +6,8 @@
 al., "Consistent hashing and random trees" (STOC 1997), for the ring. Unlike SWIM, members send
 heartbeats to a few watchers, and most of these must suspect a member before it counts as failed.
 
-No rule of safety rests on this package: it informs operators, and says whom to ask.
+The membership is a hint: it informs operators and tells nodes which addresses to use. No safety
+property depends on it.
 """
 
 from .member import Member, MemberState
--- a/packages/membership/src/linkhaven/membership/failure_detector.py
+++ b/packages/membership/src/linkhaven/membership/failure_detector.py
@@ -1,12 +1,12 @@
 """The failure detector: heartbeats to a few watchers, whose majority decides.
 
-| message | what it does here |
+| message | effect |
 | --- | --- |
-| `Heartbeat` | its sender runs; this node's suspicion of it is withdrawn |
-| `Suspicion` | a watcher's vote on one incarnation is counted anew |
-| `SuspicionQuery` | this node says its suspicion again, or that it watches no more |
+| `Heartbeat` | its sender is running; this node withdraws its suspicion of it |
+| `Suspicion` | the votes of the watchers on one incarnation are counted again |
+| `SuspicionQuery` | this node repeats its suspicion, or denies it if it is no longer a watcher |
 
-Each member sends heartbeats to its successors on the hash ring. A watcher that hears none for
+Each member sends heartbeats to its successors on the hash ring. A watcher that receives none for
 `heartbeat_timeout_us` suspects the member and tells all. A member has failed when most of its
 watchers that can be heard from suspect it, so that one watcher that is cut off can't declare a
 member failed (`test_a_node_that_cannot_hear_does_not_talk_others_down`). A watcher that sent
@@ -26,21 +26,19 @@
 
 
 class FailureDetector:
-    """This node's part in watching others, and its count of the watchers' suspicions."""
+    """Sends heartbeats, watches other members, and counts the suspicions of all watchers."""
 
     __slots__ = ("node", "table", "merge", "heartbeat_sent_us")
 
     def __init__(self, node: Node, table: MemberTable, merge: RecordMerge) -> None:
-        """Send the first heartbeat at the first tick."""
+        """Watch the members of `table`; the first heartbeat is sent at the first tick."""
         self.node = node
         self.table = table
         self.merge = merge
         self.heartbeat_sent_us = 0
 
-    # time
-
     def tick(self, now_us: int) -> None:
-        """Send heartbeats and look for missing ones, each `heartbeat_interval_us`."""
+        """Send heartbeats and check for missing ones every `heartbeat_interval_us`."""
         if now_us - self.heartbeat_sent_us < self.node.bounds.heartbeat_interval_us:
             return
         self.heartbeat_sent_us = now_us
@@ -49,7 +47,7 @@
         self._count_suspicions()
 
     def on_late_tick(self, now_us: int) -> None:
-        """After a pause of this process the silence of others tells nothing."""
+        """Restart all heartbeat timeouts: nothing was received while this process was paused."""
         for member in self.table.peers.values():
             member.last_heartbeat_us = None
         self.heartbeat_sent_us = 0
@@ -61,7 +59,7 @@
             self.node.send(self.table.peers[name].address, heartbeat)
 
     def _suspect_silent(self, now_us: int) -> None:
-        """Suspect whom this node watches and didn't hear; a new watcher counts from now."""
+        """Suspect watched members whose heartbeats are missing; a new watcher counts from now."""
         watched = self.table.watched_names()
         for member in self.table.peers.rows():
             if member.name not in watched or member.has_left:
@@ -74,21 +72,19 @@
                 self._send_suspicion(member, True)
 
     def _count_suspicions(self) -> None:
-        """Watchers that fall silent or are heard again change the majority."""
+        """Decide again on suspected members, as the set of reachable watchers may have changed."""
         for member in self.table.peers.rows():
             if member.suspicions and member.is_up and any(member.suspicions.values()):
                 self._decide(member)
 
-    # messages
-
     def on_any_message(self, sender: str) -> None:
-        """Whatever a member says tells that it runs."""
+        """Note the time of a message of any type as a sign that its sender is running."""
         member = self.table.peers.get(sender)
         if member is not None:
             member.last_message_us = self.node.now_us()
 
     def on_heartbeat(self, message: Heartbeat) -> None:
-        """The sender runs, whatever this node suspected."""
+        """Note the time of a heartbeat, and withdraw this node's suspicion of its sender."""
         member = self.merge.merge(message.member, is_first_hand=True)
         if member is None:
             return
@@ -97,7 +93,7 @@
             self._send_suspicion(member, False)
 
     def on_suspicion(self, message: Suspicion) -> None:
-        """Count a watcher's vote on the incarnation that it names."""
+        """Count a watcher's vote; ignored if it names another incarnation than the known one."""
         member = self.table.peers.get(message.member_name)
         if member is None or member.incarnation != message.incarnation:
             return
@@ -105,7 +101,7 @@
         self._decide(member)
 
     def on_suspicion_query(self, message: SuspicionQuery) -> None:
-        """Say again what this node suspects as a watcher; who watches no more suspects nobody."""
+        """Answer with this node's suspicion, which is False if it no longer watches the member."""
         member = self.table.peers.get(message.member_name)
         if member is None or member.incarnation != message.incarnation:
             return
@@ -115,10 +111,10 @@
         self.node.send(message.reply_to, answer)
 
     def query_suspicions(self, record: MemberRecord) -> None:
-        """Ask again those who suspect a member that another node holds for up.
+        """Ask the watchers that suspect a member again if another node lists it as up.
 
-        A withdrawn suspicion is sent once, to those whom its watcher then holds for up; who missed
-        it would hold the suspicion for as long as that incarnation runs.
+        A withdrawal is sent only once, to the members that the watcher then lists as up. A member
+        that missed it would keep the suspicion for as long as that incarnation runs.
         """
         member = self.table.peers.get(record.name)
         if member is None or member.state is not MemberState.FAILED or not record.is_up:
@@ -131,8 +127,6 @@
                 query = SuspicionQuery(member.name, member.incarnation)
                 self.node.send(watcher.address, query)
 
-    # the decision
-
     def _suspects(self, member: Member) -> bool:
         return bool(member.suspicions.get(self.node.name))
 
@@ -144,13 +138,13 @@
         self._decide(member)
 
     def _decide(self, member: Member) -> None:
-        """Take a member for failed where most of its watchers that can be heard from suspect it."""
+        """Mark a member as failed if most of its reachable watchers suspect it, else as alive."""
         if member.has_left:
             return
         watchers = [
             name
             for name in self.table.watchers_of(member.name)
-            if self._hears_or_probes(name, member)
+            if self._is_reachable_or_probed(name, member)
         ]
         suspecting = sum(1 for name in watchers if member.suspicions.get(name))
         is_up = suspecting * 2 <= len(watchers)
@@ -167,9 +161,12 @@
             incarnation=member.incarnation,
         )
 
-    def _hears_or_probes(self, name: str, about: Member) -> bool:
-        """Whether a watcher spoke lately, or may still answer a probe, which is sent here."""
-        if name == self.node.name or name in about.suspicions:
+    def _is_reachable_or_probed(self, name: str, member: Member) -> bool:
+        """Whether a watcher of `member` sent something lately or may still answer a probe.
+
+        Sends the probe if none was sent since the watcher's last message.
+        """
+        if name == self.node.name or name in member.suspicions:
             return True
         now_us = self.node.now_us()
         heartbeat_timeout_us = self.node.bounds.heartbeat_timeout_us
--- a/packages/membership/src/linkhaven/membership/gossip.py
+++ b/packages/membership/src/linkhaven/membership/gossip.py
@@ -1,9 +1,9 @@
-"""Anti-entropy of the member list: each second with one member picked at random.
+"""Anti-entropy of the member list, every second with one member picked at random.
 
-| message | what it does here |
+| message | effect |
 | --- | --- |
-| `MemberList` | merged; its sender learns who left, and gets this list where it asks |
-| `MemberListDigest` | answered with the whole list where the lists differ |
+| `MemberList` | merged; its sender is told which of its members left, and gets this list on request |
+| `MemberListDigest` | answered with the whole list if the lists differ |
 
 Source: Demers et al. (PODC 1987), push-pull anti-entropy with checksums.
 """
@@ -17,15 +17,16 @@
 from .messages import DepartedMember, Departures, MemberList, MemberListDigest
 from .record_merge import RecordMerge
 
-GOSSIP_US = 1_000_000
-WHOLE_LIST_EVERY = 10
-"""Each so many times the whole list is sent in place of its digest, for what that leaves out."""
+GOSSIP_INTERVAL_US = 1_000_000
+FULL_LIST_EVERY = 10
+"""Every so many exchanges the full list is sent instead of its digest, which leaves out
+configuration versions."""
 
 
 class Gossip:
-    """Exchanges member lists."""
+    """Exchanges member lists with other members at regular intervals."""
 
-    __slots__ = ("node", "table", "merge", "detector", "joining", "gossip_us", "exchanges")
+    __slots__ = ("node", "table", "merge", "detector", "joining", "last_gossip_us", "exchanges")
 
     def __init__(
         self,
@@ -35,38 +36,38 @@
         detector: FailureDetector,
         joining: Joining,
     ) -> None:
-        """Gossip at the first tick."""
+        """Exchange lists from the first tick on."""
         self.node = node
         self.table = table
         self.merge = merge
         self.detector = detector
         self.joining = joining
-        self.gossip_us = 0
+        self.last_gossip_us = 0
         self.exchanges = 0
 
     def tick(self, now_us: int) -> None:
-        """Gossip each `GOSSIP_US`, and greet missing seeds in between."""
-        if now_us - self.gossip_us < GOSSIP_US:
-            return self.joining.seek(now_us, self.gossip_us)
-        self.gossip_us = now_us
+        """Gossip every `GOSSIP_INTERVAL_US`, and contact missing seeds in between."""
+        if now_us - self.last_gossip_us < GOSSIP_INTERVAL_US:
+            return self.joining.retry_missing_seeds(now_us, self.last_gossip_us)
+        self.last_gossip_us = now_us
         self.table.refresh_own_version()
-        self.joining.greet_missing_seeds()
+        self.joining.contact_missing_seeds()
         partners = self.table.live_members() or self.table.peers.rows()
         if partners:
             self.exchange_with(partners[self.node.ports.random.randrange(len(partners))])
-        self.joining.greet_down(now_us)
+        self.joining.probe_down_members(now_us)
 
     def exchange_with(self, other: Member) -> None:
-        """Send a member this node's digest, or its whole list now and then."""
+        """Send a member the digest of this node's list, or every tenth time the full list."""
         self.exchanges += 1
-        if self.exchanges % WHOLE_LIST_EVERY == 1:
+        if self.exchanges % FULL_LIST_EVERY == 1:
             self.node.send(other.address, MemberList(self.table.records(), wants_reply=True))
             return
         digest = MemberListDigest(self.table.me.to_record(), self.table.list_digest())
         self.node.send(other.address, digest)
 
     def on_member_list(self, message: MemberList) -> None:
-        """Take in what the sender knows; only what it says of itself is first-hand."""
+        """Merge the sender's list; only the sender's own record is first-hand."""
         departed = []
         for record in message.members:
             self.merge.merge(record, is_first_hand=record.name == message.sender)
@@ -79,7 +80,7 @@
             self.node.send(message.reply_to, MemberList(self.table.records()))
 
     def on_member_list_digest(self, message: MemberListDigest) -> None:
-        """Send the whole list to a member whose list differs, and ask for its own."""
+        """Send the full list to a member whose digest differs, and ask for its own."""
         self.merge.merge(message.member, is_first_hand=True)
         if message.digest != self.table.list_digest():
             self.node.send(message.reply_to, MemberList(self.table.records(), wants_reply=True))
--- a/packages/membership/src/linkhaven/membership/hash_ring.py
+++ b/packages/membership/src/linkhaven/membership/hash_ring.py
@@ -1,7 +1,7 @@
-"""Who watches whom: the members on a hash ring.
+"""The hash ring that assigns watchers to members.
 
 Source: Karger et al., "Consistent hashing and random trees" (STOC 1997). A member's watchers are
-its successors, so that a change of one member moves the watchers of its neighbours only.
+its successors on the ring, so a change of one member affects only the watchers of its neighbours.
 """
 
 import hashlib
@@ -9,14 +9,12 @@
 from collections.abc import Iterable
 from functools import lru_cache
 
-WATCHERS = 3
-"""How many members watch each member."""
-
+WATCHERS_PER_MEMBER = 3
 POSITION_BYTES = 8
-POSITIONS_CACHED = 4096
+MAX_CACHED_POSITIONS = 4096
 
 
-@lru_cache(maxsize=POSITIONS_CACHED)
+@lru_cache(maxsize=MAX_CACHED_POSITIONS)
 def position_of(name: str) -> int:
     """Return a name's position on the ring."""
     digest = hashlib.blake2b(name.encode(), digest_size=POSITION_BYTES).digest()
@@ -24,17 +22,17 @@
 
 
 class HashRing:
-    """The members that run, in the order of their positions; it is built anew when these change."""
+    """The live members in the order of their positions; it is rebuilt when these change."""
 
     __slots__ = ("order", "watchers")
 
     def __init__(self, names: Iterable[str]) -> None:
-        """Order the names of the members that run."""
+        """Place the names of the live members on the ring."""
         self.order = sorted((position_of(name), name) for name in names)
         self.watchers: dict[str, list[str]] = {}
 
     def watchers_of(self, name: str) -> list[str]:
-        """Return the successors of a name, be it on the ring or not; don't change the list."""
+        """Return the successors of a name, which needn't be on the ring; don't change the list."""
         found = self.watchers.get(name)
         if found is None:
             found = self.watchers[name] = self._find_watchers(name)
@@ -47,6 +45,6 @@
             successor = self.order[(start + step) % len(self.order)][1]
             if successor != name:
                 found.append(successor)
-            if len(found) == WATCHERS:
+            if len(found) == WATCHERS_PER_MEMBER:
                 break
         return found
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from linkhaven.membership import Member, Membership, MemberState
-from linkhaven.membership.hash_ring import WATCHERS, HashRing
+from linkhaven.membership.hash_ring import WATCHERS_PER_MEMBER, HashRing
 from linkhaven.membership.messages import (
     Heartbeat,
     Hello,
@@ -178,7 +178,7 @@
         suspect_by_all(net, NAMES[0], about)
         net.now_us += 100_000_000
         net.memberships.pop(about)
-        membership.joining.greet_down(net.now_us)
+        membership.joining.probe_down_members(net.now_us)
         assert about not in membership.peers
     up = {name for name, member in membership.peers.items() if member.is_up and not member.has_left}
     assert {member.name for member in membership.live_members()} == up
@@ -237,7 +237,7 @@
     assert about not in [record.name for record in membership.table.records()]
     net.now_us += 100_000_000
     net.memberships.pop(about)
-    membership.joining.greet_down(net.now_us)
+    membership.joining.probe_down_members(net.now_us)
     assert about not in membership.peers, "a member that left is forgotten like one that failed"
 
 
@@ -271,9 +271,9 @@
     subject.joining.seeds = [NAMES[0]]
     subject.peers.drop(NAMES[0])
     subject.table.on_live_changed()
-    subject.joining.greet_missing_seeds()
+    subject.joining.contact_missing_seeds()
     assert subject.me.incarnation > 9
-    subject.joining.greet_missing_seeds()
+    subject.joining.contact_missing_seeds()
     subject.gossip.exchange_with(membership.me)
     assert membership.peers[about].state is MemberState.ALIVE
 
@@ -283,7 +283,7 @@
     whole, fewer = HashRing(names), HashRing(names[1:])
     for name in names:
         watchers = whole.watchers_of(name)
-        assert len(watchers) == WATCHERS and name not in watchers
+        assert len(watchers) == WATCHERS_PER_MEMBER and name not in watchers
         if names[0] not in watchers:
             assert fewer.watchers_of(name) == watchers
     assert HashRing(["a", "b"]).watchers_of("a") == ["b"]
--- a/tests/test_membership_traffic.py
+++ b/tests/test_membership_traffic.py
@@ -47,13 +47,13 @@
         assert 0 < net.records_sent[watcher] < 2 * len(MANY)
 
 
-def test_a_member_that_all_take_for_failed_sends_few_whole_lists():
+def test_a_member_that_all_list_as_failed_sends_few_full_lists():
     net = CountingNet(MANY)
     about, others = MANY[0], MANY[1:]
     for name in others:
         net.memberships[name].peers[about].fail(net.now_us)
     for name in others:
-        net.memberships[name].joining.greet_down(net.now_us)
+        net.memberships[name].joining.probe_down_members(net.now_us)
     assert len(others) <= net.records_sent[about] < 3 * len(MANY)
 
 
