--- a/packages/membership/src/linkhaven/membership/gossip.py
+++ b/packages/membership/src/linkhaven/membership/gossip.py
@@ -2,8 +2,8 @@
 
 | message | effect |
 | --- | --- |
-| `MemberList` | merged; its sender is told which of its members left, and gets this list on request |
-| `MemberListDigest` | answered with the whole list if the lists differ |
+| `MemberList` | merged; its sender is told which members left, and gets this list on request |
+| `MemberListDigest` | answered with the full list if the lists differ |
 
 Source: Demers et al. (PODC 1987), push-pull anti-entropy with checksums.
 """
@@ -19,8 +19,8 @@
 
 GOSSIP_INTERVAL_US = 1_000_000
 FULL_LIST_EVERY = 10
-"""Every so many exchanges the full list is sent instead of its digest, which leaves out
-configuration versions."""
+"""In one of so many exchanges the full list is sent instead of its digest, as the digest leaves
+out configuration versions and members' kinds and zones."""
 
 
 class Gossip:
--- a/packages/membership/src/linkhaven/membership/member.py
+++ b/packages/membership/src/linkhaven/membership/member.py
@@ -1,4 +1,4 @@
-"""One member of the fleet as this node knows it."""
+"""One member of the fleet as this node knows it, and its states."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class MemberState(Enum):
-    """What this node takes a member for.
+    """The state of a member in the view of this node.
 
     | state | most watchers suspect it | most don't | it leaves |
     | --- | --- | --- | --- |
@@ -14,29 +14,30 @@
     | FAILED | | ALIVE | LEFT |
     | LEFT | | | |
 
-    A new incarnation begins ALIVE. One that left is on its way out, be it that it still speaks
-    while it drains; what its watchers say of it counts no more
+    A new incarnation begins ALIVE. LEFT is final for an incarnation, even if the member still sends
+    messages while it drains, and whatever its watchers report
     (`test_a_member_that_left_stays_so_for_its_whole_incarnation`).
     """
 
     ALIVE = "alive"
     FAILED = "failed"
-    """Most of its watchers that can be heard from suspect it."""
+    """Most of its reachable watchers suspect it."""
 
     LEFT = "left"
-    """It said that it stops."""
+    """It announced that it stops."""
 
 
-# Bound here since looking a state up in its Enum costs more than the comparison that needs it.
+# Module globals, since looking up an enum member costs more than the comparison that uses it.
 ALIVE, FAILED, LEFT = MemberState.ALIVE, MemberState.FAILED, MemberState.LEFT
 
 
 class Member:
-    """One incarnation of a member, with what this node heard of it and from it.
+    """One incarnation of a member, with its reported facts and this node's observations.
 
-    Times are this node's, in microseconds, None where nothing happened yet:
-    `last_heartbeat_us` while this node watches it, `last_message_us` of any kind, `probe_sent_us`.
-    `suspicions` has what each watcher said, by its name; `down_us` is when it failed or left.
+    Times are on this node's clock, in microseconds. `last_heartbeat_us` (only while this node
+    watches it), `last_message_us` (of any type) and `probe_sent_us` are None before the first one.
+    `down_us` is when it failed or left, 0 while it is alive. `suspicions` has the last vote of each
+    watcher, by the watcher's name.
     """
 
     __slots__ = (
@@ -58,7 +59,7 @@
     )
 
     def __init__(self, name: str, incarnation: int) -> None:
-        """Alive, and not heard yet."""
+        """Start as alive, with no message received yet."""
         self.name = name
         self.incarnation = incarnation
         self.address = self.kind = self.zone = self.replica_id = ""
@@ -74,33 +75,33 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether it runs, as far as its watchers know, and has not left."""
+        """Whether it is alive: it neither failed nor left."""
         return self.state is ALIVE
 
     @property
     def has_left(self) -> bool:
-        """Whether it stopped on purpose."""
+        """Whether it announced that it stops."""
         return self.state is LEFT
 
     def fail(self, now_us: int) -> None:
-        """Most of its watchers suspect it."""
+        """Mark an alive member as failed: most of its reachable watchers suspect it."""
         if self.state is ALIVE:
             self.state = FAILED
             self.down_us = now_us
 
     def recover(self) -> None:
-        """Most of its watchers no longer suspect it."""
+        """Mark a failed member as alive: most of its reachable watchers don't suspect it."""
         if self.state is FAILED:
             self.state = ALIVE
             self.down_us = 0
 
     def leave(self, now_us: int) -> None:
-        """It stopped on purpose."""
+        """Mark it as left, whatever its state."""
         self.state = LEFT
         self.down_us = now_us
 
     def to_record(self) -> MemberRecord:
-        """Return what others are told of this member."""
+        """Return the record of this member that is sent to others."""
         return MemberRecord(
             self.name,
             self.incarnation,
--- a/packages/membership/src/linkhaven/membership/member_table.py
+++ b/packages/membership/src/linkhaven/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members that one node knows, with what is worked out from them."""
+"""The members that one node knows, and what is derived from them."""
 
 import hashlib
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 
 
 class MemberTable:
-    """This node as `me`, and all others by name in `peers`.
+    """This node as `me`, and all other members by name in `peers`.
 
-    Owns what is derived from them and cached: the members that run, the hash ring, whom this node
-    watches, the digest. Whoever changes a member says so by `on_live_changed` or
-    `on_facts_changed`; test: `test_cached_tables_follow_each_change`.
+    Caches what is derived from them: the live members, the hash ring, the members that this node
+    watches, and the digest. Code that changes a member must call `on_live_changed` or
+    `on_facts_changed`, which invalidate the caches (`test_cached_tables_follow_each_change`).
     """
 
     __slots__ = (
@@ -33,7 +33,7 @@
     )
 
     def __init__(self, me: Member, current_version: Callable[[], int]) -> None:
-        """Know nobody but this node; `current_version` is that of its configuration."""
+        """Start with this node only; `current_version` returns that of its configuration."""
         self.me = me
         self.peers: Table = Table()
         self.current_version = current_version
@@ -45,19 +45,19 @@
         self.digest = ""
 
     def on_live_changed(self) -> None:
-        """A member came, failed, recovered, left or was forgotten."""
+        """Invalidate all caches: a member joined, failed, recovered, left or was forgotten."""
         self.hash_ring = None
         self.watched = None
         self.on_facts_changed()
 
     def on_facts_changed(self) -> None:
-        """Where a member runs, or which replica it is, changed."""
+        """Invalidate caches of members' facts: an address, kind, zone or replica changed."""
         self.revision += 1
         self.digest_key = None
         self.live_by_kind = {}
 
     def live_members(self, kind: str | None = None) -> list[Member]:
-        """Return the others that are up and have not left; don't change the list."""
+        """Return the other live members, of one kind if given; don't change the list."""
         found = self.live_by_kind.get(kind)
         if found is None:
             found = self.live_by_kind[kind] = [
@@ -82,7 +82,7 @@
         return self.watched
 
     def refresh_own_version(self) -> None:
-        """Take in which version of the configuration this node has now."""
+        """Set this node's configuration version in its own record to the current one."""
         self.me.configuration_version = self.current_version()
 
     def records(self) -> list[MemberRecord]:
@@ -92,9 +92,10 @@
         return [self.me.to_record(), *present]
 
     def list_digest(self) -> str:
-        """Return a hash of who is up, in which incarnation and as which replica.
+        """Return a hash of the live members: their incarnations, addresses and replicas.
 
-        Configuration versions are left out: they would make lists unequal at each change.
+        Configuration versions are left out, as every change of the configuration would make the
+        lists differ.
         """
         me = self.me
         key = (me.incarnation, me.replica_id, me.replica_incarnation)
--- a/packages/membership/src/linkhaven/membership/membership.py
+++ b/packages/membership/src/linkhaven/membership/membership.py
@@ -1,4 +1,4 @@
-"""The membership of one node: builds the parts of the protocol and is what other packages use."""
+"""The membership of one node: the interface of this package, which builds the protocol's parts."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
@@ -29,7 +29,8 @@
 class Membership:
     """The members that one node knows: `me` is this node, `peers` has all others by name.
 
-    It belongs to that node's thread. Nothing of it is on disk: who restarts asks its seeds.
+    To be used from the node's thread only. Nothing is stored on disk: a restarted node learns the
+    members from its seeds.
     """
 
     __slots__ = (
@@ -54,10 +55,11 @@
         current_version: Callable[[], int] = lambda: 0,
         on_configuration_version: VersionListener = lambda version, member: None,
     ) -> None:
-        """Know nobody but the addresses of the seeds.
+        """Start with the addresses of the seeds only, and register with the node.
 
-        `current_version` says which version of the configuration this node has;
-        `on_configuration_version` hears which one a member has, each time that one is told of.
+        `current_version` returns the configuration version that this node has;
+        `on_configuration_version` is called with that of a member each time a record of it is
+        merged.
         """
         self.node = node
         self.me = Member(node.name, incarnation)
@@ -83,55 +85,51 @@
         node.sender_listeners.append(self.detector.on_any_message)
 
     def tick(self, now_us: int) -> None:
-        """Send heartbeats, watch and gossip, each at its pace."""
+        """Run the failure detector and gossip, each at its own interval."""
         self.detector.tick(now_us)
         self.gossip.tick(now_us)
 
-    # members
-
     def live_members(self, kind: str | None = None) -> list[Member]:
-        """Return the others that are up and have not left; don't change the list."""
+        """Return the other live members, of one kind if given; don't change the list."""
         return self.table.live_members(kind)
 
     def live_incarnation(self, name: str) -> int | None:
-        """Return a member's running incarnation, 0 where it is down, None where it is unknown."""
+        """Return a member's incarnation, 0 if it is down, None if it is unknown."""
         member = self.peers.get(name)
         if member is None:
             return None
         return member.incarnation if member.is_up else 0
 
     def peer_rows(self) -> list[list[Any]]:
-        """Return what others are told of each peer, as lists in the order of `MemberRecord`."""
+        """Return the record of each peer as a list, in the field order of `MemberRecord`."""
         return [msgspec.to_builtins(member.to_record()) for member in self.peers.values()]
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Greet these addresses too."""
+        """Add addresses of seeds."""
         self.joining.add_seeds(addresses)
 
     def send_leave(self) -> None:
-        """Tell all that this node stops."""
+        """Tell all live members that this node stops."""
         self.joining.send_leave()
 
-    # replicas of the core
-
     def replicas(self) -> dict[str, ReplicaAddress]:
         """Return each replica's address and newest incarnation; don't change the table."""
         return self.directory.replicas()
 
     def replica_members(self) -> dict[str, Member]:
-        """Return the newest member that is known to be each replica, be it down."""
+        """Return the newest known member for each replica id, whether it is up or not."""
         return self.directory.replica_members()
 
     def learn_incarnations(self, known: Mapping[str, int]) -> None:
-        """Take in the newest incarnation of each replica that somebody knows."""
+        """Learn incarnations by replica id; what was learned is never lowered."""
         self.directory.learn_incarnations(known)
 
     def restore_replica(self, replica_id: str, incarnation: int) -> None:
-        """This node's disk says which replica it is, in which incarnation."""
+        """Set this node's replica and incarnation as read from its disk."""
         self.directory.restore_own(replica_id, incarnation)
 
     def announce_replica(self, replica_id: str, incarnation: int) -> None:
-        """This node became a replica, or none: every live member is told at once."""
+        """Set which replica this node is now, if any, and tell every live member at once."""
         self.directory.set_own(replica_id, incarnation)
         self.table.refresh_own_version()
         for member in self.live_members():
--- a/packages/membership/src/linkhaven/membership/record_merge.py
+++ b/packages/membership/src/linkhaven/membership/record_merge.py
@@ -1,4 +1,4 @@
-"""What this node takes over from the records that others send."""
+"""Merges the member records that others send into this node's table."""
 
 from collections.abc import Callable
 
@@ -12,15 +12,16 @@
 MEMBER_UP = 1101
 
 VersionListener = Callable[[int, Member], None]
-"""Hears the version of the configuration that a member has."""
+"""Called with the configuration version that a member has, and the member."""
 
 
 class RecordMerge:
-    """Merges records into the table.
+    """Merges member records into the table and the directory of replicas.
 
-    A higher incarnation replaces a lower one. Within one incarnation only the member itself says
-    where it runs; versions and incarnations of replicas only rise, whoever tells of them. A node
-    whose own start is lower than one that others know goes above it
+    A higher incarnation replaces a lower one. Within one incarnation only the member itself can
+    change its address, kind, zone and replica; configuration versions and replica incarnations
+    only rise, whoever reports them. A node that learns of a higher incarnation under its own name
+    raises its own above that
     (`test_a_restarted_node_with_its_wall_clock_set_back_is_known_again`).
     """
 
@@ -33,19 +34,20 @@
         directory: ReplicaDirectory,
         on_configuration_version: VersionListener,
     ) -> None:
-        """Merge into `table` and `directory`, and tell of each version."""
+        """Merge into `table` and `directory`; the listener gets the version of each record."""
         self.node = node
         self.table = table
         self.directory = directory
         self.on_configuration_version = on_configuration_version
 
     def merge(self, record: MemberRecord, is_first_hand: bool) -> Member | None:
-        """Return the record's member with what is new in it; None where the record says nothing.
+        """Merge a record and return its member; None if the record was ignored.
 
-        It is first-hand where the member itself sent it.
+        Ignored are records of this node, of former incarnations, and of unknown members that are
+        reported down. A record is first-hand if the member itself sent it.
         """
         if record.name == self.node.name:
-            self._outlive(record.incarnation)
+            self._raise_own_incarnation(record.incarnation)
             return None
         member = self.table.peers.get(record.name)
         if member is not None and record.incarnation < member.incarnation:
@@ -59,14 +61,14 @@
         self._raise_versions(member, record)
         return member
 
-    def _outlive(self, incarnation: int) -> None:
-        """Somebody knows a later start under this node's name: it goes above that."""
+    def _raise_own_incarnation(self, incarnation: int) -> None:
+        """Raise this node's incarnation above a higher one that others know under its name."""
         if incarnation > self.table.me.incarnation:
             self.table.me.incarnation = incarnation + 1
 
     def _add_incarnation(self, record: MemberRecord, before: Member | None) -> Member:
         if before is not None and before.address == record.address:
-            # The connection to the former process may hang where its host was cut off.
+            # The connection to the former process may hang if its host was cut off.
             self.node.ports.network.reconnect(record.address)
         member = self.table.peers[record.name] = Member(record.name, record.incarnation)
         self.table.on_live_changed()
--- a/packages/membership/src/linkhaven/membership/replica_directory.py
+++ b/packages/membership/src/linkhaven/membership/replica_directory.py
@@ -1,4 +1,4 @@
-"""Which member is which replica of the core, and the newest incarnation of each."""
+"""The members that are replicas of the core, and the newest incarnation of each replica."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -8,17 +8,17 @@
 
 
 class ReplicaAddress(NamedTuple):
-    """Where a replica of the core is, and the newest incarnation that is known of it."""
+    """The address of a replica of the core, and its newest known incarnation."""
 
     address: str
     incarnation: int
 
 
 class ReplicaDirectory:
-    """The replicas of the core as the members tell of them.
+    """The replicas of the core, as reported by the members.
 
-    Invariant: an incarnation that was learned is never forgotten nor lowered, so messages to a
-    replica name the newest one that is known, whichever of its instances answers
+    Invariant: a learned incarnation is never forgotten or lowered, so messages to a replica name
+    its newest known incarnation, whichever of its instances answers
     (`test_a_learned_incarnation_of_a_replica_is_never_lowered`).
     """
 
@@ -31,7 +31,7 @@
     )
 
     def __init__(self, table: MemberTable) -> None:
-        """No replica is known; a member without a disk adopts the incarnation that others know."""
+        """Start without replicas; a member without a disk adopts the incarnation others know."""
         self.table = table
         self.incarnations: dict[str, int] = {}
         self.adopts_learned_incarnation = True
@@ -54,7 +54,7 @@
         return self.replica_cache
 
     def replica_members(self) -> dict[str, Member]:
-        """Return the newest member that is known to be each replica, be it down."""
+        """Return the newest known member for each replica id, whether it is up or not."""
         found: dict[str, Member] = {}
         for member in [self.table.me, *self.table.peers.values()]:
             if not member.replica_id:
@@ -70,7 +70,7 @@
         return member.incarnation > other.incarnation
 
     def learn_incarnations(self, known: Mapping[str, int]) -> None:
-        """Take in the newest incarnation of each replica that somebody knows."""
+        """Learn incarnations by replica id; what was learned is never lowered."""
         for replica_id, incarnation in known.items():
             if incarnation > self.incarnations.get(replica_id, 0):
                 self.incarnations[replica_id] = incarnation
@@ -84,13 +84,13 @@
             me.replica_incarnation = self.incarnations[me.replica_id]
 
     def restore_own(self, replica_id: str, incarnation: int) -> None:
-        """This node's disk says which replica it is, in which incarnation."""
+        """Set this node's replica and incarnation as read from its disk."""
         self.adopts_learned_incarnation = False
         self.table.me.replica_id = replica_id
         self.table.me.replica_incarnation = incarnation
 
     def set_own(self, replica_id: str, incarnation: int) -> None:
-        """This node became a replica, or none: a new incarnation of the member."""
+        """Set which replica this node is now, if any, and raise this member's incarnation."""
         self.restore_own(replica_id, incarnation)
         self.table.me.incarnation += 1
         self.cache_key = None
