--- a/packages/runtime/src/linkhaven/runtime/__init__.py
+++ b/packages/runtime/src/linkhaven/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""What every node rests on: the node's base, its ports, typed messages, JSON and tables."""
+"""The base of every node: event dispatch, ports, typed messages, time bounds, JSON and tables."""
 
 from .bounds import Bounds
 from .messages import (
--- a/packages/runtime/src/linkhaven/runtime/bounds.py
+++ b/packages/runtime/src/linkhaven/runtime/bounds.py
@@ -1,101 +1,106 @@
-"""The bounds in time, and a few in number, that a deployment's settings say."""
+"""Time limits, and a few counts, that follow from a deployment's settings."""
 
 import msgspec
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """A node's bounds, set once at its start; times are whole microseconds."""
+    """A node's bounds, set once at its start. Times are in whole microseconds.
+
+    The names given to `msgspec.field` are the encoded names.
+    """
 
     plan_stale_us: int | None = 1_500_000
-    """How old the confirmation of the configuration may be before a router takes no new work; None
-    means that it goes on with what it has."""
+    """The age of the last confirmation of the configuration from which on a router accepts no new
+    requests; None if it continues with the configuration it has."""
 
     deny_within_us: int = 1_500_000
-    """How old the confirmation of the configuration may be while a router denies what isn't in it:
-    where a deployment says by when a change is in force everywhere, that time. What was added less
-    than this ago may be denied by any router, and by no router afterwards."""
+    """The age of the last confirmation of the configuration up to which a router refuses what isn't
+    in it. If a deployment states by when a change is in force everywhere, it is that time: what was
+    added less than this ago may be refused by any router, and by none afterwards."""
 
     revoke_us: int | None = None
-    """How old the confirmation of the configuration may be while a router takes requests of
-    tenants, whose keys may have been taken away since; None means that it goes on."""
+    """The age of the last confirmation of the configuration up to which a router accepts requests
+    of tenants, whose API keys may have been revoked since; None if there is no such limit."""
 
     roster_stale_us: int | None = 3_000_000
-    """How old the list of runners may be before a router takes no new work; None means that it goes
-    on with what it has."""
+    """The age of the list of runners from which on a router accepts no new requests; None if it
+    continues with the list it has."""
 
     recovery_wait_us: int = msgspec.field(default=5_000_000, name="alone_us")
-    """How long a replica with a disk waits for the others before it goes on with a majority."""
+    """How long a recovering replica with an intact disk waits for reports of all other replicas
+    before a majority is enough."""
 
     lease_us: int = 3_000_000
-    """How long a lease, and a grant by its holder, lasts."""
+    """The duration of a lease, and of a grant by its holder."""
 
     drain_us: int = 10_000_000
-    """How long a stopping node waits for the work that it has."""
+    """How long a stopping node waits for its running requests to end."""
 
     linger_us: int = 0
-    """How long a stopping router still takes new work."""
+    """How long a stopping router still accepts new requests."""
 
     poll_us: int = 250_000
-    """How often the list of runners is asked for."""
+    """The interval between two requests for the list of runners."""
 
     report_us: int = 250_000
-    """How often each runner is asked for its report."""
+    """The interval between two requests for the report of a runner."""
 
     unresponsive_after_us: int = msgspec.field(default=1_200_000, name="dark_us")
-    """How long a runner may give no report before it counts as unresponsive."""
+    """How long after its last report a runner counts as unresponsive."""
 
     long_poll_hold_us: int = msgspec.field(default=250_000, name="news_hold_us")
-    """How long a watch server holds a router's request while there is nothing new."""
+    """How long a watch server holds a router's long poll while there is nothing new."""
 
     blob_wait_us: int = msgspec.field(default=100_000, name="body_wait_us")
-    """How long a router waits for a configuration's blob from the nearest replica after another has
-    named it."""
+    """How long a router waits for the blob of a configuration from the nearest replica, once
+    another replica has named that blob, before it requests the blob from that one."""
 
     heartbeat_interval_us: int = msgspec.field(default=250_000, name="beat_us")
-    """How often a member sends a heartbeat."""
+    """The interval between two heartbeats of a member."""
 
     heartbeat_timeout_us: int = msgspec.field(default=1_000_000, name="missed_us")
-    """How long a member may be silent before its watchers suspect it."""
+    """How long after a member's last heartbeat its watchers suspect it."""
 
     vacant_us: int = 1_500_000
-    """How long a replica's instance must be gone before a newcomer takes its place."""
+    """How long a replica's instance must be absent before a spare may take its place."""
 
     seats: int = 3
-    """How many replicas the core has: 2f + 1 for f faults."""
+    """The number of replicas of the core: 2f + 1 to tolerate f faults."""
 
     bootstrap: bool = False
-    """This is the first start of the whole system, on empty disks."""
+    """Whether this is the first start of the whole system, on empty disks."""
 
     post_pause_hold_us: int = msgspec.field(default=0, name="thaw_us")
-    """How long a holder orders nothing after its process was paused."""
+    """How long a lease holder sends no orders after its process was paused."""
 
     orders_after_us: int = 0
-    """How long after winning its lease a holder waits before its first order."""
+    """How long after it won its lease a holder waits before its first order."""
 
     hold_share: float | None = None
-    """The part of its deadline for which a request that can't be placed yet is held; None if none
-    is."""
+    """The fraction of its deadline for which a request that can't be placed yet is held; None if no
+    request is held."""
 
     retry_least_us: int = 1_000_000
-    """The least time that a refusal names in Retry-After."""
+    """The minimum of the Retry-After time of a refusal."""
 
     majority_timeout_us: int = msgspec.field(default=600_000, name="silent_us")
-    """How long a proposal or a read waits for a majority that is silent; shorter than its sender's
-    patience."""
+    """How long a proposal or a read waits without an answer of a majority; shorter than the timeout
+    of its sender."""
 
     contact_us: int = 1_500_000
-    """How old a replica's last answer from a majority may be while it still calls its configuration
+    """The age of the last answer of a majority up to which a replica reports its configuration as
     current."""
 
     leaving_grace_us: int = msgspec.field(default=0, name="stand_in_us")
-    """How long a runner that leaves is still given what no other can take, from the last list that
-    had it as serving; 0 where runners take nothing once they leave."""
+    """How long a leaving runner still gets requests that no other can take, counted from the last
+    list that had it as serving; 0 if runners accept nothing once they leave."""
 
     quota_window_us: int = 5_000_000
-    """The window over which a tenant's limit holds."""
+    """The length of the window over which the limit of a tenant is enforced."""
 
     quota_overage: float = 0.1
-    """The part by which a tenant may exceed its limit in a window."""
+    """The fraction of its limit by which a tenant may exceed it in a window."""
 
     quota_slack: int = 20
-    """The requests by which a tenant may exceed its limit in a window, beside the overage."""
+    """The number of requests by which a tenant may exceed its limit in a window, in addition to
+    `quota_overage`."""
--- a/packages/runtime/src/linkhaven/runtime/messages.py
+++ b/packages/runtime/src/linkhaven/runtime/messages.py
@@ -1,13 +1,13 @@
-"""Typed messages between our processes, and the one place where their lines are written and read.
+"""Typed messages between linkhaven processes, and their encoding as lines of JSON.
 
-A line is one JSON object. Its envelope is the same for every kind of message, typed or not yet:
-`say` (the kind), `name` (the sender's name) and `back` (the sender's address, for answers). These
-wire words are bound here and nowhere else.
+A line is one JSON object. Its envelope is the same for every kind of message, with a type or
+without: `say` (the kind), `name` (the sender's name) and `back` (the sender's address, for
+replies). Only this module has these wire names.
 
-Old and new versions of a fleet run side by side, so a reader ignores fields and kinds that it
-doesn't know. A new field goes at the end of its message, with a default for what an older sender
-doesn't write; a record that stands as a list (`array_like`) takes one at its end only. What doesn't
-fit its type is refused as a whole, with `message_malformed`; later lines are read as before.
+Old and new versions run side by side in a fleet, so a reader ignores unknown fields and kinds. A
+new field goes at the end of its message, with a default for messages of older senders; a record
+that is encoded as an array (`array_like`) can be extended at its end only. A line that doesn't fit
+its type is refused as a whole with `message_malformed`; the lines after it are read as usual.
 """
 
 from collections.abc import Callable
@@ -21,25 +21,25 @@
 from .text import read_json, write_json
 
 PROTOCOL_VERSION = 1
-"""Raised when messages change in a way that older versions can't read; stands in each hello."""
+"""Increased when messages change in a way that older versions can't read; sent in each hello."""
 
 KIND, SENDER, REPLY_TO = "say", "name", "back"
-"""The fields of the envelope, as they stand on the wire."""
+"""The wire names of the envelope's fields."""
 
-WHY_CHARACTERS = 200
-"""A refusal quotes so much of the reason."""
+MAX_WHY_CHARACTERS = 200
+"""The reason in a refusal is cut to this length."""
 
 NOT_SENT: Any = UNSET
-"""The envelope of a message that was not sent yet; its type is that of one sent or read."""
+"""The envelope fields of a message before it is sent; typed Any, as those of a sent one are set."""
 
 UntypedMessage = dict[str, Any]
-"""A message of a kind that has no type here: the map of its line."""
+"""A message of a kind without a type in this process: its line as a map."""
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True, tag_field=KIND):
-    """Base of all typed messages; a subclass names its kind by `tag`.
+    """Base of all typed messages; a subclass gives its kind as `tag`.
 
-    The node that sends a message fills in the envelope; every message that was read has it.
+    The sending node fills in the envelope, so every received message has it.
     """
 
     sender: str = msgspec.field(default=NOT_SENT, name=SENDER)
@@ -47,7 +47,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, gc=False):
-    """What every line says, whatever its kind."""
+    """The fields that every line has, whatever its kind."""
 
     kind: str = msgspec.field(name=KIND)
     sender: str = msgspec.field(name=SENDER)
@@ -55,51 +55,52 @@
 
 
 ENCODER = msgspec.json.Encoder()
-READ_ENVELOPE = msgspec.json.Decoder(Envelope).decode
+DECODE_ENVELOPE = msgspec.json.Decoder(Envelope).decode
 
 
 def kind_of(message: Message | UntypedMessage) -> Any:
-    """The kind of a message, be it typed or a map; None where a map names none."""
+    """Return the kind of a message, typed or a map; None if a map has none."""
     if isinstance(message, Message):
         return type(message).__struct_config__.tag
     return message.get(KIND)
 
 
 def reply_address_of(message: Message | UntypedMessage) -> Any:
-    """The address at which the sender of a message takes answers."""
+    """Return the address to which replies to a message go; None if a map has none."""
     return message.reply_to if isinstance(message, Message) else message.get(REPLY_TO)
 
 
 def write_line(message: Message | UntypedMessage) -> bytes:
-    """The bytes of one line, with its newline."""
+    """Encode a message as one line, with its newline."""
     if isinstance(message, Message):
         return ENCODER.encode(message) + b"\n"
     return write_json(message) + b"\n"
 
 
 class LineReader:
-    """Reads lines: a typed message where its kind has a type here, else the bare map."""
+    """Decodes lines to typed messages, or to maps for kinds without a registered type."""
 
     __slots__ = ("types", "decoders")
 
     def __init__(self) -> None:
-        """No kind has a type yet."""
+        """Start without registered types."""
         self.types: dict[str, type[Message]] = {}
         self.decoders: dict[str, Callable[[bytes], Message]] = {}
 
     def add(self, message_type: type[Message]) -> None:
-        """From now on lines of this kind are read into this type."""
+        """Register a type: lines of its kind are decoded to it from now on."""
         kind = str(message_type.__struct_config__.tag)
         self.types[kind] = message_type
         self.decoders[kind] = msgspec.json.Decoder(message_type).decode
 
     def read(self, line: bytes) -> Message | UntypedMessage:
-        """The message of one line.
+        """Decode one line.
 
-        Raises `message_malformed` where it fits no message, `bad_request` where it is no JSON.
+        Raises ServiceError `message_malformed` if it doesn't fit its type or has no envelope, and
+        `bad_request` if it isn't JSON.
         """
         try:
-            envelope = READ_ENVELOPE(line)
+            envelope = DECODE_ENVELOPE(line)
             decode = self.decoders.get(envelope.kind)
             return decode(line) if decode is not None else read_json(line)
         except msgspec.ValidationError as fault:
@@ -108,7 +109,7 @@
             return self._read_leniently(line)
 
     def _read_leniently(self, line: bytes) -> Message | UntypedMessage:
-        """As `read`, for what msgspec takes for malformed: json takes some of that."""
+        """Decode a line that msgspec refuses as JSON but the standard library may accept."""
         document = read_json(line)
         try:
             envelope = msgspec.convert(document, Envelope)
@@ -118,4 +119,4 @@
             raise self._refusal(fault) from None
 
     def _refusal(self, fault: msgspec.ValidationError) -> ServiceError:
-        return ServiceError("message_malformed", why=str(fault)[:WHY_CHARACTERS])
+        return ServiceError("message_malformed", why=str(fault)[:MAX_WHY_CHARACTERS])
--- a/packages/runtime/src/linkhaven/runtime/node.py
+++ b/packages/runtime/src/linkhaven/runtime/node.py
@@ -1,14 +1,14 @@
-"""The base of our nodes: messages, calls and ticks come in, everything else goes through ports.
+"""The base class of nodes: dispatches messages, HTTP calls and ticks; all other I/O uses ports.
 
-| what comes in | what the node does with it |
+| input | handling |
 | --- | --- |
 | a line that fits its type | `dispatch`: sender listeners, then the handler of the type |
-| a line of a kind without a type here | `dispatch`: the handler of that map, or nothing |
+| a line of a kind without a type | `dispatch`: the map handler of the kind, if there is one |
 | a line that fits no message | event 1006; no handler is called |
 | an HTTP call | `serve`: the route of its method and path, else `unknown_path` |
-| a tick | `tick`: each system once; after a pause of the process the late checks first |
+| a tick | `tick`: all tick handlers; after a pause of the process first those for late ticks |
 
-Invariant: what one handler raises ends neither the node nor the handling of other messages
+Invariant: an exception in one handler stops neither the node nor the handling of later messages
 (`test_a_fault_in_a_handler_is_logged_and_ends_nothing`).
 """
 
@@ -24,21 +24,22 @@
 from .ports import Call, Ports
 
 LATE_TICK_US = 1_000_000
-"""A tick this late tells that the process was paused, so that what it knew may be out of date."""
+"""If this long has passed since the last tick, the process counts as paused, and what it knows
+about others may be out of date."""
 
 HANDLER_FAULTS = (KeyError, TypeError, ValueError, AttributeError, ServiceError)
-"""What a handler may raise over a message; it is logged, and the next message is handled."""
+"""Exceptions of message handlers that are logged, after which the next message is handled."""
 
 TickHandler = Callable[[int], Any]
-"""Run each tick, with the node's time in microseconds."""
+"""Called on each tick with the node's time in microseconds."""
 
 
 class Node:
-    """A node without clock, socket or random numbers of its own, so that a world can simulate it.
+    """A node that uses clock, network and random numbers through its ports, so it can be simulated.
 
-    Its parts register with it: `register_handler` and `map_handlers` for messages, `routes` for
-    calls, `tick_handlers` for each tick, `late_tick_handlers` for what a late tick does first,
-    `sender_listeners` for who sent a message. It belongs to one thread.
+    Components register with it: `register_handler` and `map_handlers` for messages, `routes` for
+    HTTP calls, `tick_handlers` for every tick, `late_tick_handlers` for a late tick before those,
+    and `sender_listeners` for the sender of each handled message. To be used from one thread only.
     """
 
     __slots__ = (
@@ -57,7 +58,7 @@
     )
 
     def __init__(self, name: str, address: str, ports: Ports, bounds: Bounds | None = None) -> None:
-        """Nothing is registered yet; `bounds` are those that its settings say."""
+        """Start with nothing registered; `bounds` are those of the settings, or the defaults."""
         self.bounds: Bounds = bounds or Bounds()
         self.name = name
         self.address = address
@@ -72,29 +73,29 @@
         self.sender_listeners: list[Callable[[str], Any]] = []
 
     def now_us(self) -> int:
-        """This node's monotonic time, in microseconds."""
+        """Return this node's monotonic time, in microseconds."""
         return self.ports.clock.now_us()
 
     def send_untyped(self, address: str, say: str, **facts: Any) -> None:
-        """Send a map of a kind that has no type yet."""
+        """Send a message of a kind without a type: the map of `facts` with the envelope."""
         facts[KIND] = say
         facts[SENDER] = self.name
         facts[REPLY_TO] = self.address
         self.ports.network.send(address, facts)
 
     def register_handler(self, message_type: type[Message], handler: Callable[[Any], Any]) -> None:
-        """Have every message of this type handed to `handler`."""
+        """Call `handler` with every message of this type."""
         self.reader.add(message_type)
         self.handlers[message_type] = handler
 
     def send(self, address: str, message: Message) -> None:
-        """Send a typed message in this node's name; nothing says whether it arrives."""
+        """Send a typed message from this node; delivery is neither guaranteed nor reported."""
         self.ports.network.send(address, replace(message, sender=self.name, reply_to=self.address))
 
     def read_line(self, line: bytes) -> Message | UntypedMessage | None:
-        """The message of a line, or None where it fits no message, which is logged.
+        """Decode a line; a line that fits no message is logged, and None is returned.
 
-        Raises `bad_request` where the line is no JSON: no node of ours wrote it.
+        Raises ServiceError `bad_request` if the line isn't JSON, as no linkhaven node wrote it.
         """
         try:
             return self.reader.read(line)
@@ -105,7 +106,7 @@
             return None
 
     def dispatch(self, message: Message | UntypedMessage) -> None:
-        """Hand a message to its handler; a fault there ends neither the node nor other messages."""
+        """Call the handler of a message, if there is one; `HANDLER_FAULTS` are logged."""
         if isinstance(message, Message):
             self._dispatch_typed(message)
         else:
@@ -134,7 +135,11 @@
             self.ports.log(1005, say=message.get(KIND), fault=repr(fault))
 
     def serve(self, call: Call) -> None:
-        """Hand a call to the function of its path; a path that ends in / takes the rest of it."""
+        """Call the route of a call's method and path, and answer with the error it raises.
+
+        A route whose path ends in / also gets the last part of the path, which it matches with any
+        value.
+        """
         path = call.path.partition("?")[0]
         serve, rest = self.routes.get((call.method, path)), None
         if serve is None:
@@ -152,13 +157,16 @@
                 call.answer_error(error)
 
     def next_tick_delay_us(self) -> int:
-        """How long after this tick the next may follow; more than 0 with nothing to wait for."""
+        """Return how long after this tick the next one may follow, in microseconds.
+
+        A subclass returns more than 0 while nothing waits for a tick.
+        """
         return 0
 
     def tick(self) -> int:
-        """Run every system once, those for a late tick first where this one is late.
+        """Run all tick handlers; after more than `LATE_TICK_US` first those for late ticks.
 
-        Returns how long the next tick may be off, in microseconds.
+        Returns how long after this tick the next one may follow, in microseconds.
         """
         now_us = self.now_us()
         late_us = now_us - self.ticked_us
--- a/packages/runtime/src/linkhaven/runtime/ports.py
+++ b/packages/runtime/src/linkhaven/runtime/ports.py
@@ -1,7 +1,7 @@
-"""The ports through which a node touches the world, and a call as a serving node sees it.
+"""The interfaces through which a node does all I/O, and the server side of an HTTP call.
 
-The process (package wire) and the simulated worlds (package stage) implement these interfaces; a
-node knows nothing else of the outside, so that a seeded run repeats itself entry by entry.
+The real process (package wire) and the simulations (package stage) implement these interfaces. A
+node uses nothing else of its environment, so a simulation with the same seed repeats exactly.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -12,40 +12,42 @@
 from .messages import Message, UntypedMessage
 from .text import write_json
 
-MICROSECONDS = 1_000_000
-"""In a second."""
+MICROSECONDS_PER_SECOND = 1_000_000
 
 Item = TypeVar("Item")
 Headers = Mapping[str, str]
 WriteListener = Callable[[bool], None]
-"""Called once with whether the write is on the disk; False where the disk refused it."""
+"""Called once with True when the write is synced to disk, or with False if it failed."""
 
 
 class Clock(Protocol):
-    """Monotonic time, and timers that go off in the node's own thread."""
+    """Monotonic time, and timers that run in the node's thread."""
 
     def now_us(self) -> int:
-        """Microseconds since some moment before the node's start; never goes back."""
+        """Return the microseconds since some moment before the node's start; never decreases."""
 
     def call_in(self, delay_us: int, action: Callable[[], None], /) -> Any:
-        """Run `action` in `delay_us` microseconds or a little later."""
+        """Call `action` once, `delay_us` microseconds from now or slightly later."""
 
 
 class PendingCall(Protocol):
-    """An outgoing call that is under way."""
+    """An outgoing HTTP call that has not ended."""
 
     def close(self) -> None:
-        """Give the call up; its handler gets nothing more."""
+        """Cancel the call; its handler isn't called any more."""
 
 
 class Network(Protocol):
-    """Lines to other nodes, and HTTP calls."""
+    """Messages to other nodes, and outgoing HTTP calls."""
 
     def send(self, address: str, message: Message | UntypedMessage) -> Any:
-        """Send a line; it may be lost, and lines to one address arrive in order."""
+        """Send a message as one line.
+
+        It may be lost; the lines that reach an address arrive in the order they were sent in.
+        """
 
     def reconnect(self, address: str) -> Any:
-        """A node started anew at `address`: drop the older connection, and what waits on it."""
+        """Drop the connection to a node that restarted at `address`, and the lines queued on it."""
 
     def open(
         self,
@@ -57,47 +59,47 @@
         handler: "ResponseHandler",
         /,
     ) -> PendingCall:
-        """Begin an HTTP call whose answer goes to `handler`."""
+        """Start an HTTP call; `handler` is called with its response."""
 
 
 class Storage(Protocol):
-    """A node's records on disk, by key; a write is one transaction, synced before it is told."""
+    """A node's records on disk by key; a write is one transaction, reported once it is synced."""
 
     def load(self) -> dict[str, Any]:
-        """All records."""
+        """Return all records."""
 
     def write(self, items: dict[str, Any], done: WriteListener, /) -> Any:
-        """Set records, and delete those whose value is None; `done` gets the outcome, later."""
+        """Set records, and delete those whose value is None; `done` gets the result later."""
 
 
 class Random(Protocol):
-    """The part of `random.Random` that nodes use; seeded in the simulated world."""
+    """The methods of `random.Random` that nodes use; seeded in simulations."""
 
     def random(self) -> float:
-        """A number from 0 up to 1."""
+        """Return a float in [0, 1)."""
 
     def randrange(self, start: int, stop: int | None = None, /) -> int:
-        """A whole number below `start`, or from `start` up to `stop`."""
+        """Return an integer in [0, start), or in [start, stop) if `stop` is given."""
 
     def getrandbits(self, k: int, /) -> int:
-        """A whole number of `k` bits."""
+        """Return a non-negative integer of `k` random bits."""
 
     def sample(self, population: Sequence[Item], k: int) -> list[Item]:
-        """So many different items."""
+        """Return `k` items, drawn without replacement."""
 
     def choices(self, population: Sequence[Item], weights: Sequence[float]) -> list[Item]:
-        """One item, in a list, by weight."""
+        """Return one item, drawn by weight, in a list."""
 
 
 class EventLog(Protocol):
-    """Takes the numbered events of `linkhaven.api.EVENTS`; never waits for a disk."""
+    """Logs the numbered events of `linkhaven.api.EVENTS`; never blocks on a disk."""
 
     def __call__(self, number: int, /, **facts: Any) -> Any:
-        """Log an event; `facts` must be JSON."""
+        """Log an event; `facts` must be encodable as JSON."""
 
 
 class Ports:
-    """All that a node may touch."""
+    """All interfaces to its environment that a node uses."""
 
     __slots__ = ("clock", "network", "storage", "random", "log")
 
@@ -109,22 +111,22 @@
         random: Random,
         log: EventLog,
     ) -> None:
-        """The process or the simulated world gives all five.
+        """Bundle the five ports, which the process or a simulation implements.
 
-        `storage` is None for a node without a data folder; no part of such a node stores anything.
+        `storage` is None for a node without a data folder; no component of such a node uses it.
         """
         self.clock = clock
         self.network = network
-        self.storage: Storage = storage  # type: ignore[assignment]  # see above
+        self.storage: Storage = storage  # type: ignore[assignment]  # unused if it is None
         self.random = random
         self.log = log
 
 
 class ResponseHandler:
-    """What becomes of an outgoing call: its head, its data, then either its end or an error.
+    """The callbacks of an outgoing call: its head, its data, then either its end or an error.
 
     `on_head` gets the status and the headers, `on_data` bytes of the body, `on_end` nothing;
-    `on_error` is told whether any byte of the request may have been handed over.
+    `on_error` gets whether any byte of the request may have been sent.
     """
 
     __slots__ = ("on_head", "on_data", "on_end", "on_error")
@@ -144,7 +146,10 @@
 
 
 class Call:
-    """One HTTP exchange as the serving node sees it; the process fills in the five writers."""
+    """The server side of one HTTP exchange; subclasses implement the five writing methods.
+
+    `is_begun` says that the head was written, `is_ended` that the exchange is over.
+    """
 
     __slots__ = (
         "method",
@@ -158,7 +163,7 @@
     )
 
     def __init__(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
-        """`headers` by lower-case names."""
+        """A received request; the names in `headers` are in lower case."""
         self.method = method
         self.path = path
         self.headers = headers
@@ -169,43 +174,46 @@
         self.is_ended = False
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write the whole answer."""
+        """Send a complete response."""
         raise NotImplementedError
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer that comes in parts."""
+        """Send the head of a streamed response."""
         raise NotImplementedError
 
     def write(self, data: bytes) -> bool:
-        """Write a part; whether there is room for more, else `on_writable` tells when."""
+        """Send a part of a streamed response; returns whether more can be written now.
+
+        If not, `on_writable` is called once it can.
+        """
         raise NotImplementedError
 
     def finish(self) -> None:
-        """End an answer that is whole."""
+        """End a streamed response that is complete."""
         raise NotImplementedError
 
     def cut(self) -> None:
-        """Break an answer off so that it can't look whole."""
+        """Abort a response so that the client sees that it is incomplete."""
         raise NotImplementedError
 
     def answer_json(self, status: int, document: Any, headers: Headers | None = None) -> None:
-        """Write a JSON document as the whole answer."""
+        """Send a JSON document as the complete response."""
         self.answer(
             status, {"content-type": "application/json", **(headers or {})}, write_json(document)
         )
 
     def answer_error(self, error: ServiceError, headers: Headers | None = None) -> None:
-        """Write an error as the whole answer, with Retry-After in whole seconds if it has one.
+        """Send an error as the complete response, with Retry-After if the error has a time.
 
-        Retry-After is RFC 9110, section 10.2.3; it is rounded up, and at least 1.
+        Retry-After (RFC 9110, section 10.2.3) is in seconds, rounded up, and at least 1.
         """
         sent = dict(headers or {})
         if error.retry_us is not None:
-            sent["retry-after"] = str(max(1, -(-error.retry_us // MICROSECONDS)))
+            sent["retry-after"] = str(max(1, -(-error.retry_us // MICROSECONDS_PER_SECOND)))
         self.answer_json(error.status, error.as_document(), sent)
 
     def client_disconnected(self) -> None:
-        """The caller closed its connection before the answer ended."""
+        """End the exchange because the client closed its connection before the response ended."""
         if self.is_ended:
             return
         self.is_ended = True
--- a/packages/runtime/src/linkhaven/runtime/tables.py
+++ b/packages/runtime/src/linkhaven/runtime/tables.py
@@ -6,14 +6,14 @@
 
 
 class Table(dict[str, Row]):
-    """Rows by name, in the order in which they came."""
+    """Rows by name, in insertion order."""
 
     __slots__ = ()
 
     def rows(self) -> list[Row]:
-        """The rows as they are now; the table may change while they are gone through."""
+        """Return a copy of the rows, so that the table may change during an iteration."""
         return list(self.values())
 
     def drop(self, key: str) -> Row | None:
-        """Take a row out, and return it; None where there is none."""
+        """Remove a row and return it; None if there is none."""
         return self.pop(key, None)
--- a/packages/runtime/src/linkhaven/runtime/text.py
+++ b/packages/runtime/src/linkhaven/runtime/text.py
@@ -1,9 +1,9 @@
-"""JSON text: documents of operators, callers and runners, and lines that have no type yet.
+"""JSON encoding and decoding of documents and of messages without a type.
 
-Reading goes through msgspec, which is faster. What msgspec refuses is read again by the standard
-library, whose verdict counts: it takes NaN, numbers beyond the range of a float and single
-surrogates. Writing stays with the standard library: msgspec would write NaN as null, and large
-floats otherwise.
+Documents are decoded by msgspec, which is faster. What msgspec refuses is decoded again by the
+standard library, which has the final say: it accepts NaN, numbers beyond the range of a float and
+lone surrogates. Documents are encoded by the standard library, as msgspec writes NaN as null and
+formats large floats differently.
 """
 
 import json
@@ -15,17 +15,17 @@
 
 ENCODER = json.JSONEncoder(separators=(",", ":"), ensure_ascii=False)
 READ = msgspec.json.Decoder().decode
-FAULT_CHARACTERS = 200
-"""A parser's message may quote the document; so much of it is told."""
+MAX_FAULT_CHARACTERS = 200
+"""A parser's message is cut to this length, as it may quote the document."""
 
 
 def write_json(document: Any) -> bytes:
-    """The document as compact JSON in UTF-8."""
+    """Return the document as compact JSON in UTF-8."""
     return ENCODER.encode(document).encode()
 
 
 def read_json(body: bytes | str) -> Any:
-    """The document of a text or of its bytes; raises `bad_request` where it is no JSON."""
+    """Decode a JSON text; raises ServiceError `bad_request` if it isn't JSON."""
     try:
         return READ(body)
     except (msgspec.DecodeError, RecursionError, UnicodeError):
@@ -37,5 +37,6 @@
         return json.loads(body.decode() if isinstance(body, bytes) else body)
     except (ValueError, RecursionError) as fault:
         raise ServiceError(
-            "bad_request", places=[{"place": ".", "fault": f"not JSON: {fault}"[:FAULT_CHARACTERS]}]
+            "bad_request",
+            places=[{"place": ".", "fault": f"not JSON: {fault}"[:MAX_FAULT_CHARACTERS]}],
         ) from None
