--- a/packages/api/src/linkhaven/api/__init__.py
+++ b/packages/api/src/linkhaven/api/__init__.py
@@ -1,4 +1,4 @@
-"""The native interface: its OpenAPI file, error codes, log events and checks of fields."""
+"""The native HTTP API: its OpenAPI file, error codes, log events and field checks."""
 
 from .check import check_document, list_faults, read_schema
 from .errors import CATALOGUE, Done, ErrorDefinition, ServiceError, read_error
--- a/packages/api/src/linkhaven/api/errors.py
+++ b/packages/api/src/linkhaven/api/errors.py
@@ -1,24 +1,24 @@
-"""The errors of the service: one exception, and the catalogue of its codes.
+"""The errors of the service: one exception class, and the catalogue of its codes.
 
-A code stands in answers to callers and in logs, so its spelling never changes; docs/troubles.md
-lists the same catalogue for operators, and a test keeps both equal. On the wire an error is the
-JSON document of `ServiceError.as_document`.
+Codes appear in responses and in logs, so their spelling must not change. docs/troubles.md lists the
+same catalogue for operators, and a test compares the two. On the wire an error is the JSON document
+of `ServiceError.as_document`.
 """
 
 from typing import Any, Literal, NamedTuple
 
 Done = Literal["no", "yes", "unknown"]
-"""Whether the work was done: `no` promises that it never will be, so it may be sent again."""
+"""Whether the work was done. `no` guarantees that it never will be, so a retry is safe."""
 
 NOT_DONE: Done = "no"
 DONE_UNKNOWN: Done = "unknown"
 
 
 class ErrorDefinition(NamedTuple):
-    """What one code stands for.
+    """The definition of one error code.
 
-    `status` is the HTTP status (RFC 9110, section 15), `done` what it usually says of the work, and
-    `remedy` the sentence that tells a caller or an operator what helps.
+    `status` is the HTTP status (RFC 9110, section 15), `done` its default for whether the work was
+    done, and `remedy` a sentence that tells a caller or an operator what to do.
     """
 
     status: int
@@ -335,11 +335,11 @@
 
 
 class ServiceError(Exception):
-    """An error with a code of the catalogue, which callers and operators get to see.
+    """An error with a code of the catalogue, reported to callers and operators.
 
-    `done` may differ from the code's usual one where more is known. `retry_us` is how long a caller
-    should wait before it calls again, in microseconds; None where waiting doesn't help. `detail`
-    holds JSON facts under names of their own.
+    `done` may differ from the code's default if more is known. `retry_us` is how long a caller
+    should wait before it retries, in microseconds; None if waiting doesn't help. `detail` has
+    further facts by name, encodable as JSON.
     """
 
     __slots__ = ("code", "done", "detail", "retry_us")
@@ -347,7 +347,7 @@
     def __init__(
         self, code: str, done: Done | None = None, retry_us: int | None = None, **detail: Any
     ) -> None:
-        """An error of `code`; raises KeyError where the catalogue has no such code."""
+        """Create an error of `code`; raises KeyError if the catalogue has no such code."""
         self.code = code
         self.done: Done = done or CATALOGUE[code].done
         self.detail = detail
@@ -356,21 +356,21 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status of the code."""
         return CATALOGUE[self.code].status
 
     @property
     def remedy(self) -> str:
-        """The sentence that tells what helps."""
+        """The sentence that says what to do."""
         return CATALOGUE[self.code].remedy
 
     def __str__(self) -> str:
-        """Code, details and remedy, as a log line or a console shows them."""
+        """Format code, details and remedy for a log line or a console."""
         facts = " ".join(f"{name}={value}" for name, value in self.detail.items())
         return f"{self.code}: {facts + '. ' if facts else ''}{self.remedy}"
 
     def as_document(self) -> dict[str, Any]:
-        """The JSON document that goes to a caller."""
+        """Return the JSON document that is sent to a caller."""
         document: dict[str, Any] = {"code": self.code, "done": self.done, "message": self.remedy}
         if self.retry_us is not None:
             document["retry_us"] = self.retry_us
@@ -380,7 +380,7 @@
 
 
 def read_error(document: Any, fallback: str) -> ServiceError:
-    """The error of a document that another process sent; of code `fallback` where it has none."""
+    """Return the error in a document of another process; one of code `fallback` if it has none."""
     code = document.get("code") if isinstance(document, dict) else None
     if code not in CATALOGUE:
         return ServiceError(fallback)
--- a/packages/api/src/linkhaven/api/events.py
+++ b/packages/api/src/linkhaven/api/events.py
@@ -1,7 +1,7 @@
 """The numbered log events.
 
-Operators search and alert on the number, so it never changes its meaning; the text may change, and
-docs/events.md with it. The thousands tell the program: 1 for any node, 2 for routers.
+Operators search and alert on the number, so its meaning must not change; the text may, together
+with docs/events.md. The thousands digit is 1 for events of any node and 2 for those of routers.
 """
 
 from typing import Literal, NamedTuple
@@ -10,7 +10,7 @@
 
 
 class EventDefinition(NamedTuple):
-    """The level at which an event is logged, and the text before its facts."""
+    """The level of an event, and its text, which precedes the facts in the log."""
 
     level: EventLevel
     text: str
--- a/packages/api/src/linkhaven/api/fields.py
+++ b/packages/api/src/linkhaven/api/fields.py
@@ -5,11 +5,11 @@
 import trafaret as t
 
 NAME = t.Regexp(r"^[a-z0-9][a-z0-9-]{0,63}\Z")
-"""Names of nodes, groups, kinds and the like."""
+"""The format of names of nodes, groups, kinds and other configured items."""
 
 
 def integer(gte: int | None = None, lte: int | None = None) -> t.Call:
-    """Return a check for an integer from `gte` to `lte`, which refuses True and False."""
+    """Return a check for an integer from `gte` to `lte`; it refuses True and False."""
 
     def check(value: Any) -> Any:
         if type(value) is not int:
@@ -24,9 +24,9 @@
 
 
 def number(gt: float | None = None, gte: float | None = None, lte: float | None = None) -> t.Call:
-    """Return a check for a number, which refuses NaN; the bounds are as their names say.
+    """Return a check for a number above `gt`, or from `gte`, up to `lte`; it refuses NaN.
 
-    At most one of the lower bounds `gt` and `gte` is given.
+    At most one of the lower bounds `gt` and `gte` may be given.
     """
 
     def check(value: Any) -> Any:
@@ -44,7 +44,7 @@
 
 
 def flatten_faults(fault: Any, place: str = ".") -> list[dict[str, str]]:
-    """Return every fault of a checked document, in a flat list, with its `place` (a path)."""
+    """Return the faults of a checked document as a flat list, each with its `place` (a path)."""
     if isinstance(fault, t.DataError):
         fault = fault.as_dict()
     if not isinstance(fault, dict):
--- a/packages/traces/src/linkhaven/traces/__init__.py
+++ b/packages/traces/src/linkhaven/traces/__init__.py
@@ -1,4 +1,4 @@
-"""Ended requests as traces in the JSON form of OpenTelemetry."""
+"""Exports finished requests as OpenTelemetry traces in OTLP JSON."""
 
 from .writer import EndedRequest, TraceWriter
 
--- a/packages/traces/src/linkhaven/traces/writer.py
+++ b/packages/traces/src/linkhaven/traces/writer.py
@@ -1,6 +1,6 @@
-"""Writes ended requests as traces: a line of OTLP JSON for each span, in one file.
+"""Writes finished requests as traces to a file, with one line of OTLP JSON per span.
 
-The form is that of OpenTelemetry's file exporter; any collector reads it.
+The format is that of OpenTelemetry's file exporter, which collectors can read.
 """
 
 import os
@@ -22,16 +22,18 @@
 SERVICE_NAME = "linkhaven-router"
 ATTRIBUTE_PREFIX = "linkhaven."
 STEP_FIELDS = ("at_us", "step")
-"""Fields of a step that its span tells by its time and name."""
+"""Fields of a step that become the time and name of its span, not attributes."""
 
 FileIdentity = tuple[int, int]
-"""Device and inode, which tell whether a path still leads to the same file."""
+"""Device and inode, which show whether a path still refers to the same file."""
 
 
 class EndedRequest(Protocol):
-    """What a trace tells of a request that has ended.
+    """The attributes of a finished request that a trace contains.
 
-    `steps` are in the order of their time: `step` names one, `at_us` is the time since arrival.
+    `steps` are in the order of time. In each, `step` is its name and `at_us` the time since the
+    request's arrival in microseconds; other items become attributes of its span. `arrived_us` is on
+    the node's monotonic clock, in microseconds.
     """
 
     id: str
@@ -45,15 +47,19 @@
 
 
 class TraceWriter:
-    """Writes each ended request as one trace: a span for it, and one for each step until the next.
+    """Writes each finished request as one trace: a root span, and a child span for each step.
 
-    A file that was moved away is begun anew.
+    The span of a step lasts until the next step, so the last step has none. If the file was moved
+    away, as by log rotation, a new one is opened.
     """
 
     __slots__ = ("path", "name", "file", "provider", "tracer", "wall_ns")
 
     def __init__(self, path: str, name: str, wall_ns: Callable[[], int] = time.time_ns) -> None:
-        """Open the file for the router of this name; raises ServiceError `settings_invalid`."""
+        """Open the file for the router `name`; `wall_ns` returns the wall-clock time in ns.
+
+        Raises ServiceError `settings_invalid` if the file can't be opened.
+        """
         self.path = path
         self.name = name
         self.wall_ns = wall_ns
@@ -83,14 +89,14 @@
         return found.st_dev, found.st_ino
 
     def write(self, request: EndedRequest, ended_us: int) -> None:
-        """Write the trace of a request that ended now, at `ended_us` of the node's time."""
+        """Write the trace of a request that ended now, which is `ended_us` on the node's clock."""
         if self._file_identity() != self.file:
             self._open()
         ended_ns = self.wall_ns()
-        begun_ns = ended_ns - (ended_us - request.arrived_us) * NS_PER_US
+        started_ns = ended_ns - (ended_us - request.arrived_us) * NS_PER_US
         span = self.tracer.start_span(
             "request",
-            start_time=begun_ns,
+            start_time=started_ns,
             attributes={
                 "linkhaven.request": request.id,
                 "linkhaven.kind": request.kind_name or "",
@@ -102,13 +108,13 @@
         )
         context = set_span_in_context(span)
         for step, following in pairwise(request.steps):
-            self._write_step(context, begun_ns, step, following["at_us"])
+            self._write_step(context, started_ns, step, following["at_us"])
         span.end(ended_ns)
 
     def _write_step(
-        self, context: Context, begun_ns: int, step: dict[str, Any], until_us: int
+        self, context: Context, started_ns: int, step: dict[str, Any], until_us: int
     ) -> None:
-        """Write the span of one step, which lasts until the next."""
+        """Write the span of one step, from its time to `until_us`, both since the arrival."""
         attributes = {
             f"{ATTRIBUTE_PREFIX}{key}": value
             for key, value in step.items()
@@ -117,12 +123,12 @@
         span = self.tracer.start_span(
             step["step"],
             context=context,
-            start_time=begun_ns + step["at_us"] * NS_PER_US,
+            start_time=started_ns + step["at_us"] * NS_PER_US,
             attributes=attributes,
         )
-        span.end(begun_ns + until_us * NS_PER_US)
+        span.end(started_ns + until_us * NS_PER_US)
 
     def close(self) -> None:
-        """Write nothing more."""
+        """Flush and close the exporter; nothing may be written afterwards."""
         if self.provider is not None:
             self.provider.shutdown()
