--- a/tests/test_tenant_keys_and_quotas.py
+++ b/tests/test_tenant_keys_and_quotas.py
@@ -6,7 +6,7 @@
 import pytest
 from keyed_router import KEY, OTHER_KEY, TENANTS, KeyedRouter, configuration
 from quota_world import QuotaFleet, allowed, limit, worst_excess
-from test_failure_detector import NAMES, Net, of
+from test_failure_detector import NAMES, MembershipNetwork, sent_by
 
 import linkhaven.runtime.node as runtime_node
 from linkhaven.api import ServiceError
@@ -168,13 +168,13 @@
 
 def test_a_restart_with_a_clock_set_back_gets_a_higher_incarnation_at_once():
     """This holds also if the seed has just sent a full member list to another member."""
-    net = Net(NAMES)
+    net = MembershipNetwork(NAMES)
     seed, started = net.memberships[NAMES[0]], net.memberships[NAMES[1]]
     seed.joining.list_sent_us = net.now_us
     known = seed.peers[NAMES[1]].incarnation
     seed.peers[NAMES[1]].incarnation = known + 5
     net.sent.clear()
-    seed.joining.on_hello(of(NAMES[1], Hello(started.me.to_record())))
+    seed.joining.on_hello(sent_by(NAMES[1], Hello(started.me.to_record())))
     assert started.me.incarnation > known + 5
 
 
