--- a/tests/test_renewed_lines.py
+++ b/tests/test_renewed_lines.py
@@ -1,3 +1,5 @@
+"""Connections to other nodes are replaced once their node has restarted or a connect hangs."""
+
 import socket
 import time
 from types import SimpleNamespace
@@ -11,10 +13,12 @@
 from linkhaven.wire.line_client import CONNECT_STALL_US
 
 DEADLINE_S = 10
-HOME = "10.0.0.2:7000"
+ROUTER_ADDRESS = "10.0.0.2:7000"
 
 
 class Network:
+    """Records for which addresses a reconnect was requested."""
+
     def __init__(self):
         self.reconnected = []
 
@@ -27,7 +31,7 @@
 
 def make_membership():
     network = Network()
-    ports = SimpleNamespace(network=network, log=lambda *told, **facts: None)
+    ports = SimpleNamespace(network=network, log=lambda *args, **facts: None)
     node = SimpleNamespace(
         name="core-1",
         address="10.0.0.1:7000",
@@ -43,86 +47,90 @@
     return Membership(node, "core", "north", [], 1), network
 
 
-def told(membership, incarnation, address=HOME):
+def receive_record(membership, incarnation, address=ROUTER_ADDRESS):
     record = MemberRecord("router-1", incarnation, address, "router", "north", "", 0, 0, True)
     membership.gossip.on_member_list(MemberList([record], sender="router-1", reply_to=address))
 
 
 @pytest.mark.parametrize(
     "incarnation, address, reconnected",
-    [(2, HOME, [HOME]), (1, HOME, []), (2, "10.0.0.3:7000", [])],
+    [(2, ROUTER_ADDRESS, [ROUTER_ADDRESS]), (1, ROUTER_ADDRESS, []), (2, "10.0.0.3:7000", [])],
 )
 def test_a_restart_at_the_same_address_is_reconnected_to_once(incarnation, address, reconnected):
     members, network = make_membership()
-    told(members, 1)
+    receive_record(members, 1)
     assert network.reconnected == []
-    told(members, incarnation, address)
-    told(members, incarnation, address)
+    receive_record(members, incarnation, address)
+    receive_record(members, incarnation, address)
     assert network.reconnected == reconnected
 
 
 class Node(BaseNode):
+    """A node that records its messages and never ticks."""
+
     def __init__(self, ports, incarnation):
-        super().__init__("bench", "127.0.0.1:1", ports)
-        self.heard = []
+        super().__init__("test-node", "127.0.0.1:1", ports)
+        self.received = []
 
     def tick(self):
         pass
 
     def dispatch(self, message):
-        self.heard.append(message)
+        self.received.append(message)
+
 
+class LoopWithListener:
+    """An event loop with its client, and a listening socket that the client connects to."""
 
-class Bench:
     def __init__(self, backlog=8):
-        self.loop = EventLoop("bench", None, None, Node, level="error", tick_us=2_000)
-        self.loop._running = True
-        self.client = self.loop.client
+        self.event_loop = EventLoop("test-node", None, None, Node, level="error", tick_us=2_000)
+        self.event_loop._running = True
+        self.client = self.event_loop.client
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.listener.setblocking(False)
         self.address = "127.0.0.1:%d" % self.listener.getsockname()[1]
         self.socks = [self.listener]
 
-    def until(self, condition):
+    def run_until(self, condition):
         end = time.monotonic() + DEADLINE_S
         while not condition():
             assert time.monotonic() < end, "the deadline passed"
-            self.loop.tick()
+            self.event_loop.tick()
 
     def run_for(self, span_us):
         end = time.monotonic() + span_us / 1_000_000
-        self.until(lambda: time.monotonic() >= end)
+        self.run_until(lambda: time.monotonic() >= end)
 
     def accept(self):
-        taken = []
+        accepted = []
 
-        def look():
+        def try_accept():
             try:
-                taken.append(self.listener.accept()[0])
+                accepted.append(self.listener.accept()[0])
             except BlockingIOError:
                 return False
             return True
 
-        self.until(look)
-        taken[0].setblocking(False)
-        self.socks.append(taken[0])
-        return taken[0]
+        self.run_until(try_accept)
+        accepted[0].setblocking(False)
+        self.socks.append(accepted[0])
+        return accepted[0]
 
     def read(self, sock):
         data = []
 
-        def look():
+        def try_read():
             try:
                 data.append(sock.recv(65_536))
             except BlockingIOError:
                 return False
             return b"\n" in data[-1]
 
-        self.until(look)
+        self.run_until(try_read)
         return b"".join(data)
 
-    def fill(self):
-        """Connections nobody accepts, until the next one hangs."""
+    def fill_backlog(self):
+        """Open connections that are not accepted, so that the next connect hangs."""
         host, port = self.address.split(":")
         for _ in range(4):
             sock = socket.socket()
@@ -136,51 +144,51 @@
 
 
 @pytest.fixture
-def bench():
-    benches = []
-
-    def begun(**settings):
-        benches.append(Bench(**settings))
-        return benches[-1]
-
-    yield begun
-    for one in benches:
-        one.close()
-
-
-def test_the_next_line_after_a_renewal_goes_over_a_new_connection(bench):
-    here = bench()
-    here.client.send(here.address, {"say": "one"})
-    assert b"one" in here.read(here.accept())
-    here.client.reconnect(here.address)
-    here.client.send(here.address, {"say": "two"})
-    assert b"two" in here.read(here.accept())
-
-
-def test_a_connection_that_hangs_is_made_anew_once_when_its_node_speaks(bench):
-    here = bench(backlog=0)
-    here.fill()
-    here.client.send(here.address, {"say": "waits"})
-    hanging = here.client.line_clients[here.address].tcp
-    here.client.mark_alive(here.address)
-    assert here.client.line_clients[here.address].tcp is hanging
-    here.run_for(2 * CONNECT_STALL_US)
+def make_loop():
+    loops = []
+
+    def make(**settings):
+        loops.append(LoopWithListener(**settings))
+        return loops[-1]
+
+    yield make
+    for loop in loops:
+        loop.close()
+
+
+def test_the_next_line_after_a_reconnect_uses_a_new_connection(make_loop):
+    loop = make_loop()
+    loop.client.send(loop.address, {"say": "one"})
+    assert b"one" in loop.read(loop.accept())
+    loop.client.reconnect(loop.address)
+    loop.client.send(loop.address, {"say": "two"})
+    assert b"two" in loop.read(loop.accept())
+
+
+def test_a_hanging_connection_is_replaced_once_when_its_node_is_heard_from(make_loop):
+    loop = make_loop(backlog=0)
+    loop.fill_backlog()
+    loop.client.send(loop.address, {"say": "waits"})
+    hanging = loop.client.line_clients[loop.address].tcp
+    loop.client.mark_alive(loop.address)
+    assert loop.client.line_clients[loop.address].tcp is hanging
+    loop.run_for(2 * CONNECT_STALL_US)
     assert not hanging.is_open
-    here.client.mark_alive(here.address)
-    again = here.client.line_clients[here.address].tcp
+    loop.client.mark_alive(loop.address)
+    again = loop.client.line_clients[loop.address].tcp
     assert again is not hanging and hanging.is_closed
     assert list(again.unsent) == [b'{"say":"waits"}\n']
-    here.run_for(2 * CONNECT_STALL_US)
-    here.client.mark_alive(here.address)
-    assert here.client.line_clients[here.address].tcp is again
-
-
-def test_an_open_connection_stays_when_its_node_speaks(bench):
-    here = bench()
-    here.client.send(here.address, {"say": "one"})
-    here.read(here.accept())
-    tcp = here.client.line_clients[here.address].tcp
-    here.run_for(2 * CONNECT_STALL_US)
-    here.loop._on_message({"say": "x", "back": here.address})
-    here.loop._on_message({"say": "x", "back": ["no", "address"]})
-    assert here.client.line_clients[here.address].tcp is tcp
+    loop.run_for(2 * CONNECT_STALL_US)
+    loop.client.mark_alive(loop.address)
+    assert loop.client.line_clients[loop.address].tcp is again
+
+
+def test_an_open_connection_stays_when_its_node_is_heard_from(make_loop):
+    loop = make_loop()
+    loop.client.send(loop.address, {"say": "one"})
+    loop.read(loop.accept())
+    tcp = loop.client.line_clients[loop.address].tcp
+    loop.run_for(2 * CONNECT_STALL_US)
+    loop.event_loop._on_message({"say": "x", "back": loop.address})
+    loop.event_loop._on_message({"say": "x", "back": ["no", "address"]})
+    assert loop.client.line_clients[loop.address].tcp is tcp
