--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages: what their lines say, what is refused, and that versions may be mixed."""
+"""Typed messages: encoding, refusal of malformed lines, and compatibility between versions."""
 
 import json
 import math
@@ -40,12 +40,12 @@
 from linkhaven.stage.line_costs import samples
 from linkhaven.stage.world import Host, World
 
-MANY = settings(max_examples=400, deadline=None, derandomize=True)
+MANY_EXAMPLES = settings(max_examples=400, deadline=None, derandomize=True)
 ENVELOPE = {"name": "router-1", "back": "10.0.0.1:7000"}
 
 
 class Load(Message, tag="load"):
-    """What a node of these tests says of its load."""
+    """A typed message for these tests."""
 
     runner: str
     waiting: int
@@ -54,7 +54,7 @@
 
 
 class NewerLoad(Message, tag="load"):
-    """The same kind in a newer version, with one field more."""
+    """The same kind in a newer version, with one more field."""
 
     runner: str
     waiting: int
@@ -75,7 +75,7 @@
 
 
 class Ports(SimpleNamespace):
-    """Ports that note what goes through them."""
+    """Ports that record the lines that are sent and the events that are logged."""
 
     def __init__(self):
         super().__init__(lines=[], events=[])
@@ -96,32 +96,32 @@
         node.dispatch(message)
 
 
-def test_a_typed_message_stands_on_the_wire_as_a_map_of_before_did():
-    typed, mapped = make_node(), make_node()
+def test_a_typed_message_is_encoded_like_the_untyped_one():
+    typed, untyped = make_node(), make_node()
     typed.send("10.0.0.2:7000", Load("r-1", 3, 0.25, [1, 2]))
-    mapped.send_untyped("10.0.0.2:7000", "load", runner="r-1", waiting=3, share=0.25, parts=[1, 2])
-    [(typed_address, typed_line)], [(address, line)] = typed.ports.lines, mapped.ports.lines
+    untyped.send_untyped("10.0.0.2:7000", "load", runner="r-1", waiting=3, share=0.25, parts=[1, 2])
+    [(typed_address, typed_line)], [(address, line)] = typed.ports.lines, untyped.ports.lines
     assert typed_address == address
     assert json.loads(typed_line) == json.loads(line)
     assert typed_line.endswith(b"}\n") and typed_line.count(b"\n") == 1
 
 
-def test_a_typed_message_is_heard_by_the_handler_of_its_type_with_its_envelope():
-    node, heard, speakers = make_node(), [], []
-    node.register_handler(Load, heard.append)
-    node.sender_listeners.append(speakers.append)
+def test_a_typed_message_is_dispatched_to_its_handler_with_its_envelope():
+    node, handled, senders = make_node(), [], []
+    node.register_handler(Load, handled.append)
+    node.sender_listeners.append(senders.append)
     dispatch_line(node, load_line())
-    assert heard == [Load("r-1", 3, sender="router-1", reply_to="10.0.0.1:7000")]
-    assert speakers == ["router-1"] and node.ports.events == []
+    assert handled == [Load("r-1", 3, sender="router-1", reply_to="10.0.0.1:7000")]
+    assert senders == ["router-1"] and node.ports.events == []
 
 
-def test_typed_and_mapped_kinds_are_heard_beside_each_other():
-    node, heard = make_node(), []
-    node.register_handler(Load, lambda message: heard.append(message.waiting))
-    node.map_handlers["plain"] = lambda message: heard.append(message["number"])
+def test_one_node_handles_typed_and_untyped_kinds():
+    node, handled = make_node(), []
+    node.register_handler(Load, lambda message: handled.append(message.waiting))
+    node.map_handlers["plain"] = lambda message: handled.append(message["number"])
     dispatch_line(node, load_line())
     dispatch_line(node, write_json({"say": "plain", "number": 7, **ENVELOPE}))
-    assert heard == [3, 7] and node.ports.events == []
+    assert handled == [3, 7] and node.ports.events == []
 
 
 def test_old_and_new_versions_of_a_message_are_read_by_each_other():
@@ -135,9 +135,9 @@
     return {"sender": "router-1", "reply_to": "10.0.0.1:7000"}
 
 
-def test_a_kind_of_a_newer_version_is_passed_over_in_silence():
+def test_a_message_of_an_unknown_kind_is_ignored_without_an_event():
     node = make_node()
-    dispatch_line(node, write_json({"say": "of_tomorrow", "fact": 1, **ENVELOPE}))
+    dispatch_line(node, write_json({"say": "unknown_kind", "fact": 1, **ENVELOPE}))
     assert node.ports.events == []
 
 
@@ -163,38 +163,38 @@
         b'{"say":"load","name":"a","back":"b","runner":"r-1","waiting":1e400}',
     ],
 )
-def test_a_line_that_fits_no_type_is_refused_with_its_number_and_the_next_is_heard(line):
-    node, heard = make_node(), []
-    node.register_handler(Load, heard.append)
+def test_a_malformed_line_is_refused_with_one_event_and_the_next_is_handled(line):
+    node, handled = make_node(), []
+    node.register_handler(Load, handled.append)
     dispatch_line(node, line)
-    assert heard == []
+    assert handled == []
     [(number, facts)] = node.ports.events
     assert number == 1006 and facts["code"] == "message_malformed" and facts["why"]
     dispatch_line(node, load_line())
-    assert [message.waiting for message in heard] == [3]
+    assert [message.waiting for message in handled] == [3]
 
 
 @pytest.mark.parametrize("fault", [KeyError("runner"), ServiceError("too_busy")])
 def test_a_fault_in_a_handler_is_logged_and_ends_nothing(fault):
-    node, heard = make_node(), []
+    node, handled = make_node(), []
 
     def handle(message):
-        heard.append(message.waiting)
+        handled.append(message.waiting)
         raise fault
 
     node.register_handler(Load, handle)
     dispatch_line(node, load_line())
     dispatch_line(node, load_line(waiting=4))
-    assert heard == [3, 4] and [number for number, _ in node.ports.events] == [1005, 1005]
+    assert handled == [3, 4] and [number for number, _ in node.ports.events] == [1005, 1005]
 
 
-def test_the_simulated_world_refuses_what_the_wire_would():
-    world, heard = World(1), []
+def test_the_simulated_network_refuses_malformed_messages_like_the_real_one():
+    world, handled = World(1), []
 
     class Receiver(Node):
         def __init__(self, host, ports):
             super().__init__(host.name, host.address, ports)
-            self.register_handler(Load, heard.append)
+            self.register_handler(Load, handled.append)
 
     hosts = [
         Host(world, name, "north", f"10.0.0.{place}:7000", Receiver)
@@ -206,7 +206,7 @@
     sender.send("10.0.0.2:7000", Load("r-1", 3))
     sender.send("10.0.0.1:7000", Load("r-1", math.nan))
     world.run_for(1_000_000)
-    assert [(message.sender, message.waiting) for message in heard] == [("router-1", 3)]
+    assert [(message.sender, message.waiting) for message in handled] == [("router-1", 3)]
     refused = [(name, number) for _, name, number, _ in world.events]
     assert sorted(refused) == [("router-1", 1006), ("router-2", 1006)]
 
@@ -230,62 +230,64 @@
 )
 
 
-def read_or_refuse(line):
-    """The outcome of a line at a node: what was heard and which events were logged."""
-    node, heard = make_node(), []
-    node.register_handler(Load, heard.append)
-    node.map_handlers["other"] = heard.append
+def handle_line(line):
+    """Return what a node does with a line: the messages it handles and the events it logs."""
+    node, handled = make_node(), []
+    node.register_handler(Load, handled.append)
+    node.map_handlers["other"] = handled.append
     try:
         dispatch_line(node, line)
     except ServiceError as error:
-        assert error.code == "bad_request" and not heard
-    return heard, [number for number, _ in node.ports.events]
+        assert error.code == "bad_request" and not handled
+    return handled, [number for number, _ in node.ports.events]
 
 
-@MANY
+@MANY_EXAMPLES
 @given(FIELDS)
-def test_any_map_is_either_heard_as_its_type_or_refused_with_one_event(fields):
-    heard, events = read_or_refuse(json.dumps(fields).encode())
+def test_any_map_is_either_handled_as_its_type_or_refused_with_one_event(fields):
+    handled, events = handle_line(json.dumps(fields).encode())
     assert events in ([], [1005], [1006])
     if events != []:
-        assert heard == [] or events == [1005]
-    for message in heard:
+        assert handled == [] or events == [1005]
+    for message in handled:
         if isinstance(message, Load):
             assert msgspec.convert(msgspec.to_builtins(message), Load) == message
             assert type(message.waiting) is int and type(message.runner) is str
 
 
-@MANY
+@MANY_EXAMPLES
 @given(st.binary(max_size=60) | st.text(max_size=60).map(str.encode))
-def test_any_bytes_are_refused_with_one_event_and_end_nothing(line):
-    heard, events = read_or_refuse(line)
-    assert heard == [] and events == [1006]
+def test_any_bytes_are_refused_with_one_event(line):
+    handled, events = handle_line(line)
+    assert handled == [] and events == [1006]
 
 
-@MANY
+@MANY_EXAMPLES
 @given(st.text(max_size=12), st.integers(-(2**70), 2**70), st.lists(st.integers()), st.data())
-def test_a_truncated_line_is_refused_and_the_whole_one_is_heard(runner, waiting, parts, data):
+def test_a_truncated_line_is_refused_and_the_complete_one_is_handled(runner, waiting, parts, data):
     line = write_line(Load(runner, waiting, 0.1, parts, **_envelope()))
     cut = data.draw(st.integers(1, len(line) - 2))
-    assert read_or_refuse(line[:cut]) == ([], [1006])
-    assert read_or_refuse(line) == ([Load(runner, waiting, 0.1, parts, **_envelope())], [])
+    assert handle_line(line[:cut]) == ([], [1006])
+    assert handle_line(line) == ([Load(runner, waiting, 0.1, parts, **_envelope())], [])
 
 
-@MANY
+@MANY_EXAMPLES
 @given(st.text(max_size=12), st.integers(), st.lists(st.integers()), st.data())
-def test_a_line_with_one_byte_changed_is_heard_whole_or_refused(runner, waiting, parts, data):
+def test_a_line_with_one_byte_changed_is_handled_as_its_type_or_refused(
+    runner, waiting, parts, data
+):
     line = bytearray(write_line(Load(runner, waiting, 0.1, parts, **_envelope())))
     line[data.draw(st.integers(0, len(line) - 1))] = data.draw(st.integers(0, 255))
-    heard, events = read_or_refuse(bytes(line))
-    assert len(heard) + len(events) <= 1
-    assert all(isinstance(message, Load) for message in heard) or events == []
+    handled, events = handle_line(bytes(line))
+    assert len(handled) + len(events) <= 1
+    assert all(isinstance(message, Load) for message in handled) or events == []
 
 
-# JSON text: what an operator's document may say is as before
+# Decoding of documents accepts and refuses what the standard library does.
 
 
-def as_json_reads(body):
-    """The standard library's word, as this project read documents before msgspec."""
+def read_with_standard_library(body):
+    """Decode with the standard library, which decoded all documents before msgspec was used."""
     try:
         return json.loads(body.decode() if isinstance(body, bytes) else body)
     except (ValueError, RecursionError) as fault:
@@ -294,16 +296,16 @@
         ).as_document()
 
 
-def as_we_read(body):
+def read_or_error(body):
     try:
         return read_json(body)
     except ServiceError as error:
         return error.as_document()
 
 
-def assert_read_as_before(body):
-    # repr tells -0.0 from 0.0, 1 from 1.0 and True, and makes NaN equal itself.
-    assert repr(as_we_read(body)) == repr(as_json_reads(body)), body
+def assert_reads_like_standard_library(body):
+    # repr distinguishes -0.0 from 0.0, and 1 from 1.0 and True, and is equal for two NaN.
+    assert repr(read_or_error(body)) == repr(read_with_standard_library(body)), body
 
 
 @pytest.mark.parametrize(
@@ -356,43 +358,43 @@
         "[" * 500 + "]" * 500,
     ],
 )
-def test_an_unusual_document_is_taken_or_refused_as_before(text):
-    assert_read_as_before(text)
-    assert_read_as_before(text.encode())
+def test_an_unusual_document_is_read_like_the_standard_library_does(text):
+    assert_reads_like_standard_library(text)
+    assert_reads_like_standard_library(text.encode())
 
 
-@MANY
+@MANY_EXAMPLES
 @given(JSON, st.booleans())
-def test_a_document_reads_as_before(document, is_ascii):
+def test_any_document_is_read_like_the_standard_library_does(document, is_ascii):
     text = json.dumps(document, ensure_ascii=is_ascii)
-    assert_read_as_before(text)
+    assert_reads_like_standard_library(text)
 
 
-@MANY
+@MANY_EXAMPLES
 @given(st.from_regex(r"-?[0-9]{1,40}(\.[0-9]{1,40})?([eE][-+]?[0-9]{1,3})?", fullmatch=True))
-def test_a_number_reads_as_before(text):
-    assert_read_as_before(text)
+def test_any_number_is_read_like_the_standard_library_does(text):
+    assert_reads_like_standard_library(text)
 
 
-@MANY
+@MANY_EXAMPLES
 @given(st.binary(max_size=24).map(lambda inside: b'{"' + inside + b'":["' + inside + b'"]}'))
-def test_bytes_that_may_be_no_unicode_read_as_before(body):
-    assert_read_as_before(body)
+def test_bytes_that_may_not_be_utf_8_are_read_like_the_standard_library_does(body):
+    assert_reads_like_standard_library(body)
 
 
-@MANY
+@MANY_EXAMPLES
 @given(st.text(alphabet='{}[]:,"\\ue0123456789.+- \ttrufalsn\ud800é', max_size=20))
-def test_text_that_may_be_no_json_reads_as_before(text):
-    assert_read_as_before(text)
+def test_text_that_may_not_be_json_is_read_like_the_standard_library_does(text):
+    assert_reads_like_standard_library(text)
 
 
-# messages of the registry
+# Messages of the registry
 
 CONTACT = {"seat": "a", "incarnation": 2, "mark": 7}
 
 
 @pytest.mark.parametrize(
-    "line, is_fit",
+    "line, is_valid",
     [
         ({"say": "image", "body": "{}", "value": {"mark": 3, "newer": [1]}}, True),
         ({"say": "image", "body": "{}", "value": {"mark": "3"}}, False),
@@ -410,23 +412,23 @@
         ({"say": "keys", "start": "s", "place": 0, "keys": [], "is_last": "no"}, False),
     ],
 )
-def test_what_a_seat_is_told_is_checked_at_the_edge(line, is_fit):
-    node, heard = make_node(), []
+def test_a_registry_refuses_malformed_messages(line, is_valid):
+    node, handled = make_node(), []
     for message_type in (
         ConfigurationResponse,
         ClaimsResponse,
         QuorumContactRequest,
         QuorumContactResponse,
     ):
-        node.register_handler(message_type, heard.append)
+        node.register_handler(message_type, handled.append)
     dispatch_line(node, write_json({**line, **ENVELOPE}))
-    assert len(heard) == is_fit
-    assert [number for number, _ in node.ports.events] == ([] if is_fit else [1006])
-    if is_fit and line["say"] == "image":
-        assert heard[0].record == line["value"] and heard[0].version == line["value"]["mark"]
+    assert len(handled) == is_valid
+    assert [number for number, _ in node.ports.events] == ([] if is_valid else [1006])
+    if is_valid and line["say"] == "image":
+        assert handled[0].record == line["value"] and handled[0].version == line["value"]["mark"]
 
 
-# messages of the membership
+# Messages of the membership
 
 RECORD = ["router-2", 5, "10.0.0.2:7000", "router", "north", "", 0, 3, True]
 
@@ -457,7 +459,7 @@
         (Leave(), {"say": "bye"}),
     ],
 )
-def test_the_memberships_messages_stand_on_the_wire_as_before(message, line):
+def test_messages_of_the_membership_keep_their_wire_format(message, line):
     node = make_node()
     node.send("10.0.0.2:7000", message)
     [(_, written)] = node.ports.lines
@@ -465,7 +467,7 @@
 
 
 @pytest.mark.parametrize(
-    "record, is_fit",
+    "record, is_valid",
     [
         (RECORD, True),
         ([*RECORD, "of a newer version"], True),
@@ -475,35 +477,35 @@
         ({"name": "router-2"}, False),
     ],
 )
-def test_a_members_record_may_be_longer_and_is_else_checked_whole(record, is_fit):
+def test_a_member_record_may_have_more_fields_but_none_missing_or_malformed(record, is_valid):
     node, membership = make_member()
     envelope = {"name": "router-2", "back": "10.0.0.2:7000"}
     dispatch_line(node, write_json({"say": "beat", "fellow": record, **envelope}))
-    assert ("router-2" in membership.peers) is is_fit
-    assert [number for number, _ in node.ports.events] == ([1101] if is_fit else [1006])
+    assert ("router-2" in membership.peers) is is_valid
+    assert [number for number, _ in node.ports.events] == ([1101] if is_valid else [1006])
 
 
 @pytest.mark.parametrize(
-    "told, is_logged", [({"version": 1}, False), ({"version": 2}, True), ({}, True)]
+    "fields, is_logged", [({"version": 1}, False), ({"version": 2}, True), ({}, True)]
 )
-def test_a_hello_tells_its_version_and_another_one_is_logged_once(told, is_logged):
+def test_another_protocol_version_in_a_hello_is_logged_once(fields, is_logged):
     node, membership = make_member()
     envelope = {"name": "router-2", "back": "10.0.0.2:7000"}
     for _ in range(3):
-        dispatch_line(node, write_json({"say": "hello", "fellow": RECORD, **told, **envelope}))
-    assert membership.peers["router-2"].protocol_version == told.get("version", 0)
+        dispatch_line(node, write_json({"say": "hello", "fellow": RECORD, **fields, **envelope}))
+    assert membership.peers["router-2"].protocol_version == fields.get("version", 0)
     logged = [facts for number, facts in node.ports.events if number == 1103]
     assert logged == (
-        [{"fellow": "router-2", "version": told.get("version", 0), "own": 1}] if is_logged else []
+        [{"fellow": "router-2", "version": fields.get("version", 0), "own": 1}] if is_logged else []
     )
     assert len(node.ports.lines) == 3
 
 
-# messages of the routers
+# Messages of the routers
 
 
 @pytest.mark.parametrize(
-    "line, is_fit",
+    "line, is_valid",
     [
         ({"say": "books", "books": [["r-1", 7, 2, 900, 40, 1], ["r-2", 8, 0, 0, 0, 0]]}, True),
         ({"say": "books", "books": [["r-1", 7, 2, 900, 40, 1, [["part", 30]]]]}, True),
@@ -521,16 +523,16 @@
         ({"say": "explained", "request": "q", "record": []}, False),
     ],
 )
-def test_what_a_router_is_told_is_checked_at_the_edge(line, is_fit):
-    node, heard = make_node(), []
+def test_a_router_refuses_malformed_messages(line, is_valid):
+    node, handled = make_node(), []
     for message_type in (QueueViews, RunnerEjected, LinkSample, WantExplanation, Explanation):
-        node.register_handler(message_type, heard.append)
+        node.register_handler(message_type, handled.append)
     dispatch_line(node, write_json({**line, **ENVELOPE}))
-    assert len(heard) == is_fit
-    assert [number for number, _ in node.ports.events] == ([] if is_fit else [1006])
+    assert len(handled) == is_valid
+    assert [number for number, _ in node.ports.events] == ([] if is_valid else [1006])
 
 
-def test_a_view_of_an_older_router_has_no_parts():
+def test_a_queue_view_of_an_older_router_is_read_with_no_parts():
     reader = reader_of(QueueViews)
     line = {"say": "books", "books": [["r-1", 7, 2, 900, 40, 1]], **ENVELOPE}
     [view] = reader.read(write_json(line)).views
@@ -538,6 +540,6 @@
 
 
 @pytest.mark.parametrize("name, message", samples().items())
-def test_each_message_whose_cost_is_measured_is_read_as_it_was_written(name, message):
+def test_each_sample_message_is_decoded_as_it_was_encoded(name, message):
     assert reader_of(type(message)).read(write_line(message)) == message
     assert LineReader().read(write_line(message)) == json.loads(write_line(message))
