--- a/packages/configuration/src/linkhaven/configuration/watch_server.py
+++ b/packages/configuration/src/linkhaven/configuration/watch_server.py
@@ -60,7 +60,7 @@
     bounds: Any
     ports: Any
     map_handlers: dict[str, Callable[[dict[str, Any]], None]]
-    systems: list[Callable[[int], None]]
+    tick_handlers: list[Callable[[int], None]]
 
     def now_us(self) -> int:
         """Return this node's monotonic time."""
@@ -172,7 +172,7 @@
         self.read_us = 0
         self.changes: LRUCache = LRUCache(CHANGES_CACHE_SIZE)
         node.map_handlers[WATCH_REQUEST] = self.on_watch_request
-        node.systems.append(self.on_tick)
+        node.tick_handlers.append(self.on_tick)
 
     # State of this replica
 
@@ -207,7 +207,7 @@
         request = read_watch_request(message)
         self.replica.directory.learn_incarnations(request.known)
         self.sections.on_watch_request(message)
-        usual_us = self.node.bounds.news_hold_us
+        usual_us = self.node.bounds.long_poll_hold_us
         hold_us = usual_us if request.hold_us is UNSET else request.hold_us
         poll = Poll(request, message, now_us, hold_us)
         if request.version > self.held_version():
@@ -236,12 +236,12 @@
             self._answer(poll)
 
     def shorten_holds(self) -> None:
-        """End long holds within `news_hold_us`, each at a random time.
+        """End long holds within `long_poll_hold_us`, each at a random time.
 
         Routers that were answered together would go on polling together, and would place requests
         by the same load data at the same time.
         """
-        now_us, usual_us = self.node.now_us(), self.node.bounds.news_hold_us
+        now_us, usual_us = self.node.now_us(), self.node.bounds.long_poll_hold_us
         for poll in self.polls.values():
             if poll.request.hold_us is not UNSET:
                 soon_us = now_us + self.node.ports.random.randrange(usual_us)
--- a/packages/controller/src/linkhaven/controller/claim_admission.py
+++ b/packages/controller/src/linkhaven/controller/claim_admission.py
@@ -102,7 +102,7 @@
         self.voting_since_us: int | None = None
         self.has_lost_configuration = False
         node.register_handler(ClaimsResponse, self.on_claims)
-        node.systems.append(self.tick)
+        node.tick_handlers.append(self.tick)
 
     def on_voting_started(self) -> None:
         """Start the waits that count from the replica's first votes."""
@@ -167,7 +167,9 @@
             return True
         if member is not None and member.has_left:
             heard_us = member.last_message_us
-            return heard_us is not None and now_us - heard_us <= self.node.bounds.missed_us
+            return (
+                heard_us is not None and now_us - heard_us <= self.node.bounds.heartbeat_timeout_us
+            )
         return now_us - (self.voting_since_us or 0) < FAILED_ROUTER_US
 
     def on_claims(self, message: ClaimsResponse) -> None:
--- a/packages/controller/src/linkhaven/controller/node.py
+++ b/packages/controller/src/linkhaven/controller/node.py
@@ -165,7 +165,7 @@
         self.proposer = Proposer(
             self,
             self.membership,
-            silent_us=self.bounds.silent_us,
+            silent_us=self.bounds.majority_timeout_us,
             own_registers=self.registers,
         )
         self.replica = Replica(
@@ -289,7 +289,7 @@
             self.runner_discovery,
             self.role_balancer,
         )
-        self.systems += [
+        self.tick_handlers += [
             self.status.tick,
             self.configuration_recovery.tick,
             self.router_contact.tick,
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -39,9 +39,9 @@
         "handlers",
         "reader",
         "routes",
-        "systems",
+        "tick_handlers",
         "sender_listeners",
-        "on_late",
+        "late_tick_handlers",
         "random",
     )
 )
@@ -81,7 +81,7 @@
         self.membership = Membership(
             self, "registry", "z", [], ports.clock.now_us() + ports.clock.start
         )
-        self.systems.remove(self.membership.tick)
+        self.tick_handlers.remove(self.membership.tick)
         self.registers = RegisterTable.load(self)
         self.proposer = Proposer(self, self.membership)
         seats = SEATS[: bounds.seats]
@@ -174,7 +174,7 @@
             ports.clock.now_us() + machine.starts,
             None,
             "10.9.0.1:80",
-            Bounds(seats=seats, alone_us=1_000_000, bootstrap=is_first, **bounds),
+            Bounds(seats=seats, recovery_wait_us=1_000_000, bootstrap=is_first, **bounds),
             contacts=contacts if is_first else (),
         )
 
