--- a/packages/stage/src/linkhaven/stage/core.py
+++ b/packages/stage/src/linkhaven/stage/core.py
@@ -1,3 +1,5 @@
+"""A core without a fleet around it, for the tests of membership and consensus."""
+
 from linkhaven.controller import ControllerNode
 from linkhaven.runtime import Bounds
 
@@ -5,11 +7,15 @@
 from .world import Host, SimDisk, World
 
 PLATFORM = "10.9.0.1:80"
-FAULT = 1005
+FAULT = 1005  # event of an exception while a message was handled
 
 
 class SimCore:
-    """A core whose seats are learned: machines come and go, and only the first start knows its contacts."""
+    """A core whose members find each other: machines come and go, and only their first start knows
+    the contacts of the bootstrap.
+
+    `bounds` are passed to `linkhaven.runtime.Bounds`.
+    """
 
     __slots__ = ("world", "machines", "bounds", "platform", "contacts")
 
@@ -29,6 +35,7 @@
         self.platform.start()
 
     def add(self, name, address=None, bootstrap=False):
+        """Add a machine, not started; with `bootstrap`, its first start may form a new core."""
         address = address or f"10.0.0.{len(self.machines) + 1}:7000"
         is_first = [bootstrap]
 
@@ -59,6 +66,7 @@
         return host
 
     def bootstrap(self, count=3, more=0):
+        """Add and start `count` founding machines and `more` that join."""
         self.contacts = [f"10.0.0.{place + 1}:7000" for place in range(count)]
         for place in range(count + more):
             self.add(f"core-{place + 1}", bootstrap=True)
@@ -67,6 +75,7 @@
         return self
 
     def voting(self):
+        """The names of machines that vote, by replica id."""
         return {
             host.node.replica.replica_id: name
             for name, host in self.machines.items()
@@ -74,25 +83,31 @@
         }
 
     def wait_voting(self, count, most_us=10_000_000):
+        """Wait until `count` machines vote; return whether they do."""
         return self.world.wait_for(lambda: len(self.voting()) >= count, most_us, 50_000)
 
     def put(self, base, revision, document, plan, name=None, wait=True):
+        """Put a configuration at a machine, by default one that votes; return the list that
+        receives its (error, value)."""
         host = self.machines[name] if name else self.machines[next(iter(self.voting().values()))]
-        told = []
+        results = []
         host.node.configuration_store.put_document(
-            base, revision, document, plan, lambda error, value: told.append((error, value))
+            base, revision, document, plan, lambda error, value: results.append((error, value))
         )
         if wait:
-            self.world.wait_for(lambda: told, 5_000_000, 10_000)
-        return told
+            self.world.wait_for(lambda: results, 5_000_000, 10_000)
+        return results
 
     def read(self, name=None):
+        """Read the configuration at a machine, by default one that votes; return (error, value)."""
         host = self.machines[name] if name else self.machines[next(iter(self.voting().values()))]
-        told = []
-        host.node.configuration_store.read_record(lambda error, value: told.append((error, value)))
-        self.world.wait_for(lambda: told, 5_000_000, 10_000)
-        return told[0]
+        results = []
+        host.node.configuration_store.read_record(
+            lambda error, value: results.append((error, value))
+        )
+        self.world.wait_for(lambda: results, 5_000_000, 10_000)
+        return results[0]
 
     def faults(self):
-        """Exceptions that nodes met while they heard a message, and went on after."""
+        """Events of exceptions that a node caught while handling a message."""
         return [event for event in self.world.events if event[2] == FAULT]
--- a/packages/stage/src/linkhaven/stage/fleet.py
+++ b/packages/stage/src/linkhaven/stage/fleet.py
@@ -1,3 +1,5 @@
+"""The simulated deployments and the fleet that a run consists of."""
+
 import random
 
 from linkhaven.controller import SINGLETON_ROLES, ControllerNode
@@ -11,19 +13,28 @@
 
 SECOND = 1_000_000
 FILLER = "seat plan audit lecture chapter clause review licence "
-LISTED_LATE_US = 1_500_000
-COME_BACK_MOST_S = 20
+LISTED_LATE_US = 1_500_000  # how long a router that is down stays listed
+COME_BACK_MOST_S = 20  # longest retry-after that a caller waits for
 SHARDS_DIVIDED_US = 6 * SECOND
-"""By then the core has divided the shards of tenants evenly; each that moves rests meanwhile."""
+"""After this time the core has divided the shards of tenants evenly. A shard that moves is in
+its rest period meanwhile."""
 
 
 def make_prompt(tokens, kind=""):
-    """The same long beginning for every prompt of a kind; the caller's own words come last."""
+    """A prompt of about `tokens` tokens. Prompts of a kind share a long prefix; the caller's own
+    words come last."""
     filler = f"{kind} {FILLER}"
     return (filler * (tokens * 4 // len(filler) + 1))[: max(1, tokens * 4 - 12)]
 
 
 class Deployment:
+    """A customer's installation: its zones, machine counts, plan and usual load.
+
+    `mix` maps a kind to its share of the requests and its prompt and answer lengths in tokens;
+    `rate` is the usual number of requests a second. The first `prefills` runners begin in the
+    prefill phase.
+    """
+
     __slots__ = (
         "name",
         "zones",
@@ -52,6 +63,7 @@
         self.tenants = tenants
 
     def plan(self, **changed):
+        """The plan of this deployment, with top-level parts replaced by `changed`."""
         plan = {
             "groups": self.groups,
             "kinds": self.kinds,
@@ -144,7 +156,13 @@
 
 
 class SimFleet:
-    """A whole deployment in a simulated world: core, edge, runners, platform, callers and operators."""
+    """A whole deployment in a simulated world: core, edge, runners, platform, callers and
+    operators.
+
+    `phases` holds the phase of runners added during a run, `gone` since when a router is down,
+    `crowded` the extra weight of zones in the callers' choice, `former` core machines that were
+    replaced while frozen.
+    """
 
     __slots__ = (
         "world",
@@ -185,6 +203,8 @@
         routers=None,
         platform_lag_us=500_000,
     ):
+        """Build the hosts of a deployment; `start` starts them. `speeds` and `runner_given` go to
+        the stand-in runners."""
         self.world = World(seed)
         self.load_dice = random.Random(seed)
         self.deployment = deployment
@@ -254,7 +274,7 @@
         return build
 
     def live_seeds(self):
-        """What a machine put in today is given as seeds: three processes that run."""
+        """Up to three addresses of running processes, the seeds of a machine that is added now."""
         hosts = [*self.registries.values(), *self.routers.values()]
         return [host.address for host in hosts if host.node][:3]
 
@@ -295,13 +315,18 @@
             ports,
             self.world.note,
             self.deployment.kinds,
-            on_end=self._hear_end,
+            on_end=self._retry_refused,
         )
 
     def _build_operator(self, host, ports):
         return Operator(host.name, host.address, ports, self.world.note)
 
     def list_runners(self, at_once=False, **states):
+        """Have the platform list all runners; `states` overrides a runner's state
+        (`runner_1="leaving"`; "gone" omits it).
+
+        The platform shows the list after its lag, or at once if `at_once` is set.
+        """
         listed = {}
         for name, host in self.runners.items():
             if states.get(name.replace("-", "_")) == "gone":
@@ -327,6 +352,11 @@
         self.platform.node.set(listed, at_once)
 
     def start(self, ready=True):
+        """Start all processes. If `ready`, put the plan and wait until every router accepts
+        requests and every role is held.
+
+        Raises AssertionError if that does not happen within a minute.
+        """
         for host in [
             self.platform,
             *self.runners.values(),
@@ -352,6 +382,7 @@
         return self
 
     def are_duties_held(self):
+        """Whether every singleton role and, with tenants, every shard has a holder."""
         nodes = [host.node for host in self.registries.values() if host.node]
         roles = (any(node.leases[role].is_held() for node in nodes) for role in SINGLETON_ROLES)
         return all(roles) and (self.tenants is None or self.are_shards_owned())
@@ -366,6 +397,7 @@
         )
 
     def is_ready(self):
+        """Whether every running router may accept requests."""
         return all(
             host.node.may_start()
             for host in self.routers.values()
@@ -373,22 +405,27 @@
         )
 
     def live_registry(self):
+        """A core machine that runs and votes; seat a's if there is none."""
         for host in self.registries.values():
             if host.node is not None and not host.is_still and host.node.replica.is_voting:
                 return host
         return self.registries["a"]
 
     def acked_mark(self):
+        """The highest mark of a plan that was acknowledged, 0 before the first."""
         return max(
             [facts["mark"] for _, kind, facts in self.world.record if kind == "acked"], default=0
         )
 
     def put_plan(self, plan, expect, seat=None, operator=0, done=None):
+        """Have an operator put a plan, by default at a voting core machine. `expect` is the mark
+        that it replaces."""
         registry = self.registries[seat] if seat else self.live_registry()
         self.operators[operator].node.put(registry.address, plan, expect, done)
 
-    def _stands(self, host):
-        """By the platform's list of nodes, which lags: a router that is gone is still given out for a while."""
+    def _is_listed(self, host):
+        """Whether the platform lists a router. Its list lags: a router that is down is given out
+        for a while."""
         if host.node is not None:
             self.gone.pop(host.name, None)
             return True
@@ -397,7 +434,8 @@
         )
 
     def pick_routers(self):
-        """Callers are sent to the nearest routers: those of their own zone while they stand, then the next zone's."""
+        """The routers that a caller is given: the two nearest that are listed, its own zone's
+        first, and the farthest as a fallback."""
         zones = list(self.deployment.zones)
         home = self.load_dice.choices(
             range(len(zones)), [1 + self.crowded.get(zone, 0) for zone in zones]
@@ -405,15 +443,17 @@
         near = []
         for zone in zones[home:] + zones[:home]:
             hosts = [
-                host for host in self.routers.values() if host.zone == zone and self._stands(host)
+                host
+                for host in self.routers.values()
+                if host.zone == zone and self._is_listed(host)
             ]
             self.load_dice.shuffle(hosts)
             near += hosts
         near = near or list(self.routers.values())
         return [host.address for host in [*near[:2], *near[-1:]]]
 
-    def _hear_end(self, asked):
-        """A caller that was refused comes back when it was told to, once."""
+    def _retry_refused(self, asked):
+        """A caller that was refused with a retry-after tries again once, after that time."""
         if (
             not self.comes_back
             or asked.how != "refused"
@@ -438,11 +478,13 @@
             self.world.after(asked.retry_s * SECOND, come_back)
 
     def prompt(self, tokens, kind):
+        """A prompt of that length and kind, made once."""
         if (tokens, kind) not in self.prompts:
             self.prompts[(tokens, kind)] = make_prompt(tokens, kind)
         return self.prompts[(tokens, kind)]
 
     def ask(self, kind, routers=None, key=None, tokens=None, answer=None, credentials=None):
+        """Have the caller send a request now; unset parts follow the kind's usual load."""
         _, prompt_tokens, answer_tokens = self.mix.get(kind) or self.deployment.mix[kind]
         return self.caller.node.ask(
             kind,
@@ -465,6 +507,7 @@
         return kind
 
     def load(self, rate=None):
+        """Send requests at random intervals, on average `rate` a second, until `stop_load`."""
         self.rate = rate or self.rate
         if self.is_loading:
             return
@@ -482,7 +525,8 @@
         self.world.after(int(self.load_dice.expovariate(rate) * SECOND) + 1, self._load_next)
 
     def _pick_key(self, kind):
-        """Half of what can't be repeated carries a key; one in ten of those is a key that was used before."""
+        """Half of the requests that aren't repeatable carry an idempotency key; one in ten of those
+        reuses an earlier one."""
         if self.deployment.kinds[kind].get("repeatable", True) or self.load_dice.random() < 0.5:
             return None
         if self.keyed and self.load_dice.random() < 0.1:
@@ -491,9 +535,11 @@
         return f"form-{self.keyed}"
 
     def stop_load(self):
+        """Send no further requests."""
         self.is_loading = False
 
     def settle(self, most_s=75):
+        """Stop the load and wait until all requests have ended; return whether they did."""
         self.stop_load()
         asked = self.caller.node.asked
         return self.world.wait_for(
@@ -501,6 +547,8 @@
         )
 
     def summary(self, since_us=0, until_us=None):
+        """Outcomes and latencies of the requests that were sent within a time, as `summarise` gives
+        them."""
         return summarise(
             [
                 one
@@ -512,6 +560,7 @@
 
 
 def percentile(values, share):
+    """The value below which that share of the values lies; None without values."""
     if not values:
         return None
     ordered = sorted(values)
@@ -519,7 +568,10 @@
 
 
 def summarise(asked, kinds):
-    """A call with a key that was used before is told so, and counts for nothing else."""
+    """Counts of outcomes, error codes, goodput and latency percentiles (ms) of requests.
+
+    A request that was refused because its idempotency key was used before is not counted.
+    """
     asked = [one for one in asked if one.code != "key_used"]
     counts = {
         "asked": len(asked),
--- a/packages/stage/src/linkhaven/stage/people.py
+++ b/packages/stage/src/linkhaven/stage/people.py
@@ -1,3 +1,5 @@
+"""Simulated callers and operators, which record everything that they see."""
+
 from linkhaven.runner import PieceReader
 from linkhaven.runtime import Node, ResponseHandler, read_json, write_json
 
@@ -9,8 +11,14 @@
 ANSWER_BYTES = 1_000_000
 
 
-class Asked:
-    """One request as its caller sees it, over all the conns it took."""
+class CallerRequest:
+    """One request as its caller sees it, over all the connections it took.
+
+    `router` is the address of the last attempt and `outing` its connection; `own` the digest that
+    begins the names of this prompt's runs; `run` and `last` the run and number of the last piece.
+    `how` is "done", "trouble" (an error event or status), "refused", "cut" (the connection broke),
+    "unmade" (no router was reached) or "hung-up". Times are in us.
+    """
 
     __slots__ = (
         "id",
@@ -63,6 +71,7 @@
         self.reset()
 
     def reset(self):
+        """Forget the last attempt's response before the next attempt."""
         self.status = 0
         self.error = b""
         self.reader = PieceReader()
@@ -70,11 +79,14 @@
 
 
 class Caller(Node):
-    """Plays callers: posts requests, reads every piece, resumes where the kind allows it, and writes down all it saw."""
+    """Simulated callers: send requests, read every piece, resume where the kind allows it, and
+    record all they see."""
 
     __slots__ = ("record", "asked", "serial", "kinds", "resumes_at_most", "on_end")
 
     def __init__(self, name, address, ports, record, kinds, resumes_at_most=2, on_end=None):
+        """`on_end(request)` is called when a request has ended, after at most `resumes_at_most`
+        further attempts."""
         super().__init__(name, address, ports)
         self.record = record
         self.asked = {}
@@ -86,6 +98,8 @@
     def ask(
         self, kind, prompt, answer_tokens, routers, key=None, last_event_id=None, credentials=None
     ):
+        """Send a request to the first of `routers`; the others are for further attempts. Return its
+        state."""
         self.serial += 1
         id = f"{self.name}-{self.serial}"
         body = write_json(
@@ -100,7 +114,7 @@
             headers[KEY_HEADER] = credentials.api_key
         if credentials and credentials.made_up_tenant:
             headers[MADE_UP_HEADER] = credentials.made_up_tenant
-        asked = self.asked[id] = Asked(id, kind, body, headers, self.now_us(), credentials)
+        asked = self.asked[id] = CallerRequest(id, kind, body, headers, self.now_us(), credentials)
         asked.own = digest(f"{prompt} {id}", 6)
         self._send(asked, routers)
         return asked
@@ -130,6 +144,7 @@
         )
 
     def hang_up(self, asked):
+        """Disconnect from a request that hasn't ended."""
         if asked.ended_us is None:
             asked.outing.close()
             self._close(asked, "hung-up", None, None)
@@ -227,7 +242,7 @@
 
 
 class Operator(Node):
-    """Plays an operator: puts and reads plans, and writes down what was acknowledged."""
+    """A simulated operator: puts and reads plans, and records which puts were acknowledged."""
 
     __slots__ = ("record", "serial", "answers")
 
@@ -238,13 +253,13 @@
         self.answers = []
 
     def _call(self, address, method, path, document, done):
-        told = {"status": 0, "body": b""}
+        response = {"status": 0, "body": b""}
 
         def on_head(status, headers):
-            told["status"] = status
+            response["status"] = status
 
         def on_data(data):
-            told["body"] += data
+            response["body"] += data
 
         body = write_json(document) if document is not None else b""
         return self.ports.network.open(
@@ -256,17 +271,19 @@
             ResponseHandler(
                 on_head,
                 on_data,
-                lambda: done(told["status"], read_json(told["body"])),
+                lambda: done(response["status"], read_json(response["body"])),
                 lambda has_begun: done(0, None),
             ),
         )
 
     def put(self, registry, plan, expect, done=None):
+        """Put a plan that replaces the one of mark `expect`; `done(status, document)` gets the
+        answer, status 0 if none came."""
         self.serial += 1
         put_id = f"{self.name}-{self.serial}"
         self.record("put", put_id=put_id, expect=expect, plan=plan)
 
-        def hear(status, document):
+        def on_response(status, document):
             answer = {"put_id": put_id, "status": status, "document": document, "expect": expect}
             self.answers.append(answer)
             if status == 200:
@@ -283,14 +300,18 @@
                 done(status, document)
 
         self._call(
-            registry, "PUT", "/v1/plan", {"expect": expect, "put_id": put_id, "plan": plan}, hear
+            registry,
+            "PUT",
+            "/v1/plan",
+            {"expect": expect, "put_id": put_id, "plan": plan},
+            on_response,
         )
 
     def show(self, registry, done):
-        """Reads the plan at a seat."""
+        """Read the plan at a core machine; `done(status, document)` gets the answer."""
         begun_us = self.now_us()
 
-        def hear(status, document):
+        def on_response(status, document):
             if status == 200:
                 self.record(
                     "shown",
@@ -300,10 +321,12 @@
                 )
             done(status, document)
 
-        self._call(registry, "GET", "/v1/plan", None, hear)
+        self._call(registry, "GET", "/v1/plan", None, on_response)
 
     def get(self, address, path, done):
+        """Send a GET; `done(status, document)` gets the answer."""
         self._call(address, "GET", path, None, done)
 
     def post(self, address, path, document, done):
+        """Send a POST; `done(status, document)` gets the answer."""
         self._call(address, "POST", path, document, done)
--- a/packages/stage/src/linkhaven/stage/scenario.py
+++ b/packages/stage/src/linkhaven/stage/scenario.py
@@ -1,3 +1,5 @@
+"""One run of a deployment under load and faults, and its verdict."""
+
 from linkhaven.controller import SINGLETON_ROLES
 from linkhaven.runtime import Bounds
 
@@ -9,17 +11,20 @@
 
 
 class Scenario:
-    """A deployment under load, faults at set times, then calm; judged on its whole record."""
+    """A deployment under load, faults at set times, then a calm period; all checkers judge the
+    whole record."""
 
     __slots__ = ("fleet", "faults", "begun_us")
 
     def __init__(self, deployment, seed, **given):
+        """Start a deployment by name; `given` goes to `SimFleet`."""
         self.fleet = SimFleet(DEPLOYMENTS[deployment], seed, **given).start()
         self.faults = Faults(self.fleet)
         self.begun_us = self.fleet.world.now_us
         self.fleet.world.after(250_000, self._probe)
 
     def _probe(self):
+        """Record every 250 ms the credit rates that routers hold and the holders of each role."""
         fleet = self.fleet
         groups = {}
         for name, terms in fleet.plan["groups"].items():
@@ -42,19 +47,24 @@
         fleet.world.after(250_000, self._probe)
 
     def load(self, seconds, rate=None):
+        """Run for `seconds` under load, at `rate` requests a second if given."""
         self.fleet.load(rate)
         self.fleet.world.run_for(int(seconds * SECOND))
         return self
 
     def fault(self, name, *words):
+        """Begin a fault by name; `words` are its arguments."""
         self.faults.begin(name, *words)
         return self
 
     def close(self):
+        """Close all faults that are open."""
         self.faults.close()
         return self
 
     def end(self, calm_s=21):
+        """Run `calm_s` more under load, wait for all requests, and read the plan for the
+        checkers."""
         self.load(calm_s)
         self.fleet.settle()
         self.fleet.operators[0].node.show(
@@ -64,6 +74,7 @@
         return self
 
     def breaches(self):
+        """What the checkers found, by the name of the rule."""
         kinds = self.fleet.deployment.kinds
         return judge(
             self.fleet.world.record,
@@ -74,4 +85,5 @@
         )
 
     def summary(self):
+        """Outcomes of the requests sent since the fleet was ready."""
         return self.fleet.summary(self.begun_us)
--- a/packages/stage/src/linkhaven/stage/standins.py
+++ b/packages/stage/src/linkhaven/stage/standins.py
@@ -1,3 +1,9 @@
+"""Stand-ins for the model runners and for the platform that lists them.
+
+They speak the real protocols. A runner's answer follows from the prompt and the run's name, so that
+a checker can tell whether a stream is whole, and its work takes the time that `Speeds` gives.
+"""
+
 import hashlib
 import re
 from collections import OrderedDict, deque
@@ -14,19 +20,31 @@
 
 
 def digest(text, size=8):
+    """A short hexadecimal digest of a text."""
     return hashlib.blake2b(text.encode(), digest_size=size).hexdigest()
 
 
 def piece_text(run, number):
+    """The text of a numbered piece of a run."""
     return f"{run[-4:]}.{number}"
 
 
 def count_pieces(run, answer_tokens, piece_tokens):
+    """How many pieces a run has: between 1 and the most that `answer_tokens` allows, by the run's
+    name."""
     most = max(1, answer_tokens // piece_tokens)
     return 1 + int(digest(run, 4), 16) % most
 
 
 class Speeds:
+    """How fast a stand-in runner works.
+
+    `prefill_rate` is prompt tokens a second, of which a decode runner reads `read_share`; each read
+    takes `read_base_us` more. A decode step takes `step_us` plus `step_each_us` for each stream,
+    for each of `piece_tokens` tokens. KV memory is `kv_bytes` a token and is transferred at
+    `link_rate` bytes a second.
+    """
+
     __slots__ = (
         "prefill_rate",
         "read_share",
@@ -52,6 +70,9 @@
 
 
 class Job:
+    """One request at a stand-in runner. `number` of `count` pieces were sent; `kv` is the memory
+    held, in tokens."""
+
     __slots__ = ("call", "ask", "tokens", "run", "number", "count", "kv", "is_gone")
 
     def __init__(self, call, ask):
@@ -66,7 +87,15 @@
 
 
 class StandInRunner(Node):
-    """Plays a model runner: the protocol of the schema file over made-up work that takes the time real work would."""
+    """A model runner whose work is simulated: it speaks the protocol of the schema file and takes
+    the time that real work would.
+
+    Faults: `is_mute` (streams stand still), `is_silent` (no answer to report requests), `garble`
+    (what is wrong with its answers), `dies` (when it dies), `lapses` (transfers break off),
+    `kv_fails` (how many transfers fail), `slow_to` and `link_slowness` (factors on transfer times).
+    With `is_trusting` it accepts work and orders without checking marks, fences, handles or
+    incarnations, so that a run shows what the fleet itself guarantees.
+    """
 
     __slots__ = (
         "incarnation",
@@ -104,6 +133,7 @@
     )
 
     def __init__(self, name, address, ports, incarnation, phase, record=None, **given):
+        """Create a runner in a phase; `record(kind, **facts)` gets what the checkers judge."""
         super().__init__(name, address, ports)
         self.incarnation = incarnation
         self.phase = phase
@@ -135,7 +165,7 @@
         self.serial = 0
         self.started_us = self.now_us()
         self.reported_us = self.started_us
-        self.report = self._look()
+        self.report = self._take_report()
         self.tick_handlers += [self._make_report, self._sweep_handles]
         self.routes = {
             ("POST", "/v1/prefill"): self.serve_prefill,
@@ -147,9 +177,10 @@
 
     @property
     def kv_used(self):
+        """Tokens of KV memory held by streams and by handles that were not fetched yet."""
         return sum(job.kv for job in self.streams) + sum(held[2] for held in self.handles.values())
 
-    def _look(self):
+    def _take_report(self):
         return {
             "name": self.name,
             "incarnation": self.incarnation,
@@ -166,15 +197,17 @@
     def _make_report(self, now_us):
         if now_us - self.reported_us >= self.report_every_us:
             self.reported_us = now_us
-            self.report = self._look()
+            self.report = self._take_report()
 
     def serve_report(self, call):
+        """Answer with the last report and its age; not at all while silent."""
         if self.is_silent:
             return
         call.answer_json(200, {**self.report, "age_us": self.now_us() - self.reported_us})
 
     def _note_keys(self, call):
-        """Write down each API key that the call shows, wherever it stands; none should."""
+        """Record each API key that a call contains, in whichever path, header or body; there should
+        be none."""
         shown = (call.path, call.body.decode(errors="replace"), *call.headers.values())
         for key in sorted({key for text in shown for key in API_KEY.findall(text)}):
             self.record("key_seen", runner=self.name, path=call.path, api_key=key)
@@ -244,6 +277,7 @@
         )
 
     def serve_prefill(self, call):
+        """Read a prompt and answer with a handle to its KV memory."""
         ask = self._admit(call, "Prefill")
         if self.phase != PREFILL:
             raise ServiceError("phase_wrong", phase=self.phase)
@@ -253,13 +287,13 @@
     def _job(self, call, ask):
         job = Job(call, ask)
 
-        def leave():
+        def on_disconnect():
             job.is_gone = True
             if job in self.streams:
                 self.streams.remove(job)
                 self._admit_waiting()
 
-        call.on_client_disconnect = leave
+        call.on_client_disconnect = on_disconnect
         return job
 
     def _queue_read(self, job, then):
@@ -303,14 +337,16 @@
             request=job.ask["request"],
             shot=job.ask["shot"],
         )
-        told, shot = job.ask["request"], job.ask["shot"]
+        named_request, shot = job.ask["request"], job.ask["shot"]
         if self.garble in ("request", "shot"):
             handle = f"{self.name}/{self.incarnation}/{self.serial - 1}"
-            told, shot = ("edge-0-0-0", shot) if self.garble == "request" else (told, shot + 1)
+            named_request, shot = (
+                ("edge-0-0-0", shot) if self.garble == "request" else (named_request, shot + 1)
+            )
         job.call.answer_json(
             200,
             {
-                "request": told,
+                "request": named_request,
                 "shot": shot,
                 "handle": handle,
                 "incarnation": self.incarnation,
@@ -326,6 +362,7 @@
                 del self.handles[handle]
 
     def serve_kv(self, call):
+        """Transfer the KV memory of a handle, once, to the runner that decodes."""
         self._note_keys(call)
         ask = check_document("KvAsk", read_json(call.body))
         held = self.handles.get(ask["handle"])
@@ -355,6 +392,8 @@
         self.ports.clock.call_in(cost_us, send)
 
     def serve_decode(self, call):
+        """Stream an answer, after fetching the KV memory or reading the prompt; resume a run where
+        asked to."""
         ask = self._admit(call, "Decode")
         if self.phase != DECODE:
             raise ServiceError("phase_wrong", phase=self.phase)
@@ -379,19 +418,19 @@
 
     def _fetch(self, job):
         ask = job.ask
-        told = {"status": 0, "body": b""}
+        response = {"status": 0, "body": b""}
 
         def on_head(status, headers):
-            told["status"] = status
+            response["status"] = status
 
         def on_data(data):
-            told["body"] += data
+            response["body"] += data
 
         def on_end():
             if job.is_gone:
                 return
-            document = read_json(told["body"] or b"null")
-            if told["status"] != 200:
+            document = read_json(response["body"] or b"null")
+            if response["status"] != 200:
                 code = document.get("code") if isinstance(document, dict) else None
                 return job.call.answer_error(
                     ServiceError(
@@ -519,6 +558,8 @@
         job.call.write(event)
 
     def serve_phase(self, call):
+        """Change the phase, unless the order is for another incarnation or has an old fence or
+        mark."""
         order = check_document("PhaseOrder", read_json(call.body))
         error = None if self.is_trusting else self._find_fault(order)
         self.record(
@@ -551,6 +592,7 @@
         return None
 
     def _refuse_reads(self):
+        """Refuse queued prefills on a change to decode; the one being read goes on."""
         kept = deque(list(self.reads)[:1] if self.is_reading else [])
         for job, then in list(self.reads)[len(kept) :]:
             if then != self._finish_prefill:
@@ -561,7 +603,7 @@
 
 
 class StandInPlatform(Node):
-    """Plays the platform: keeps the list of runners, some way behind reality."""
+    """The platform's list of runners, shown `lag_us` late."""
 
     __slots__ = ("lag_us", "history")
 
@@ -575,12 +617,15 @@
         }
 
     def set(self, runners, at_once=False):
+        """Replace the list; it is shown after the lag, or at once."""
         self.history.append((self.now_us() - (self.lag_us if at_once else 0), runners))
 
     def now(self):
+        """The newest list, shown or not."""
         return {name: dict(record) for name, record in self.history[-1][1].items()}
 
     def serve_runners(self, call):
+        """Answer with the list as it was `lag_us` ago."""
         limit_us = self.now_us() - self.lag_us
         shown = {}
         for at_us, runners in self.history:
@@ -589,6 +634,7 @@
         call.answer_json(200, {"runners": list(shown.values()), "age_us": self.lag_us})
 
     def serve_put(self, call):
+        """Replace the list by the one given; the first is shown at once."""
         document = check_document("RunnerList", read_json(call.body))
         self.set(
             {record["name"]: record for record in document["runners"]},
--- a/packages/stage/src/linkhaven/stage/tenants.py
+++ b/packages/stage/src/linkhaven/stage/tenants.py
@@ -1,8 +1,8 @@
 """Tenants of the simulated world: their keys and limits, and what their clients send.
 
-`TenantProfile` is what a deployment says of a tenant. `TenantPopulation` is the state of one run:
-which keys the configuration wanted by the operator holds, which keys clients go on using (also
-those that were taken away), and which tenant sends more than usual.
+`TenantProfile` describes a tenant of a deployment. `TenantPopulation` is the state of one run:
+which keys the configuration wanted by the operator contains, which keys clients use (including
+revoked ones), and which tenant sends more than usual.
 """
 
 import random
@@ -15,7 +15,7 @@
 from linkhaven.configuration import digest_api_key
 
 KEY_PREFIX = "stage-key-"
-"""Begins each key of a tenant, so that a runner finds one wherever it is shown."""
+"""Prefix of every tenant's key, by which a runner finds keys anywhere in a call."""
 
 UNKNOWN_KEY = f"{KEY_PREFIX}of-nobody"
 """A key that no configuration ever holds."""
@@ -29,7 +29,7 @@
 
     name: str
     share: float
-    """Its part of the usual load, relative to the other tenants."""
+    """Its share of the usual load, relative to the other tenants."""
 
     keys: int = 1
     requests_per_s: float = 0
@@ -40,18 +40,18 @@
 
 
 class Credentials(msgspec.Struct, frozen=True):
-    """What one request shows of its sender."""
+    """The identity that one request presents."""
 
     tenant: str | None
-    """Whose client sends it; None for a stranger."""
+    """The tenant whose client sends the request; None for a stranger."""
 
     api_key: str | None
     made_up_tenant: str | None = None
-    """A tenant's name that the client sets by itself, which must count for nothing."""
+    """A tenant's name that the client claims by itself, which must be ignored."""
 
 
 class TenantPopulation:
-    """The tenants of one run; owned by the fleet, changed by fault schedules."""
+    """The tenants of one run; owned by the fleet, changed by the tenant faults."""
 
     __slots__ = (
         "profiles",
@@ -64,7 +64,7 @@
     )
 
     def __init__(self, profiles: tuple[TenantProfile, ...]) -> None:
-        """Each client begins with a key that the first configuration holds."""
+        """Each client begins with the keys that the first configuration holds."""
         self.profiles = {profile.name: profile for profile in profiles}
         self._serials: Counter[str] = Counter()
         self.configured_keys = {
@@ -83,7 +83,7 @@
         return f"{KEY_PREFIX}{tenant}-{self._serials[tenant]}"
 
     def document(self) -> dict[str, dict[str, Any]]:
-        """The part of the configuration that names the tenants, as it is wanted now."""
+        """The part of the configuration that names the tenants, as the operator wants it now."""
         return {name: self._tenant_document(name) for name in self.profiles}
 
     def _tenant_document(self, name: str) -> dict[str, Any]:
@@ -100,7 +100,7 @@
 
     @property
     def load_factor(self) -> float:
-        """How many times their usual all tenants send together."""
+        """The load of all tenants together, relative to their usual load."""
         usual = sum(profile.share for profile in self.profiles.values())
         return sum(self._loads().values()) / usual
 
@@ -110,7 +110,7 @@
         }
 
     def pick(self, dice: random.Random) -> Credentials:
-        """Draw the sender of a request; a stranger has no key, or one of nobody."""
+        """Draw the sender of a request; a stranger has no key, or one that no tenant holds."""
         if dice.random() < self.stranger_share:
             return Credentials(None, dice.choice((None, UNKNOWN_KEY)), MADE_UP_TENANT)
         loads = self._loads()
@@ -119,7 +119,7 @@
         return Credentials(tenant, dice.choice(self.client_keys[tenant]), made_up)
 
     def revoke_key(self, tenant: str) -> str | None:
-        """Take the oldest key away. Its clients go on using it, beside a new one."""
+        """Revoke the oldest key and add a new one. Clients go on using both."""
         if not self.configured_keys[tenant]:
             return None
         key = self.configured_keys[tenant].pop(0)
@@ -134,7 +134,7 @@
         return key
 
     def move_key(self, source: str, target: str) -> str | None:
-        """Give a key of one tenant to another, in one version of the configuration."""
+        """Move a key from one tenant to another, in one version of the configuration."""
         if not self.configured_keys[source]:
             return None
         key = self.configured_keys[source].pop(0)
@@ -142,18 +142,18 @@
         return key
 
     def set_limit(self, tenant: str, requests_per_s: float, burst_requests: float) -> None:
-        """Change a tenant's limit; 0 requests a second for none."""
+        """Change a tenant's limit; a rate of 0 means no limit."""
         self.limits[tenant] = (requests_per_s, burst_requests)
 
     def set_load(self, tenant: str, factor: float) -> None:
-        """Have a tenant send so many times its usual."""
+        """Have a tenant send `factor` times its usual load."""
         self.load_factors[tenant] = factor
 
 
 def usual_tenants(rate: float) -> tuple[TenantProfile, ...]:
-    """Tenants of several sizes for a fleet that is usually asked `rate` requests a second.
+    """Tenants of several sizes for a fleet that usually gets `rate` requests a second.
 
-    Most have a limit well above their usual; one has none, and one a rank of its own.
+    Most have a limit well above their usual load; one has no limit, and one a priority of its own.
     """
     burst = round(rate)
 
