--- a/packages/stage/src/linkhaven/stage/changecourse.py
+++ b/packages/stage/src/linkhaven/stage/changecourse.py
@@ -1,16 +1,16 @@
-"""A course in a simulated core: many changes, and members that were away during them come back.
+"""A course in a simulated core: many changes, and members that were away during them return.
 
-In each leg a member, or the whole core, goes away, changes go on as long as a majority is there,
-and what was away comes back. Measured are: how long until it votes and its configuration is
-current, the lines that it was sent for that, and what is on its disk. None of them may grow with
-the number of changes.
+In each leg a member, or the whole core, goes away, changes go on as long as there is a majority,
+and what was away returns. Measured are the time until it votes and its configuration is current,
+the bytes that it was sent for that, and the bytes on its disk. None of them may grow with the
+number of changes.
 
 | leg | away | comes back as |
 | --- | --- | --- |
 | `RESTARTED` | its process | a process with its disk |
 | `WIPED` | its process | a process with an empty disk |
 | `NEW` | the machine | another machine, which takes its seat |
-| `WOKEN` | frozen, its connections reset | the same process, with all that it held and thought |
+| `WOKEN` | frozen, its connections reset | the same process with its state from before |
 | `ALL_KILLED` | every process, at once, with an order under way | processes with their disks, one after the other |
 | `ALL_POWERLESS` | the same, and what wasn't synced | all at once |
 """
@@ -37,7 +37,7 @@
 
 
 class Return:
-    """What was measured of one return."""
+    """What was measured of one return: its duration (us), bytes sent and on disk, and breaches."""
 
     __slots__ = (
         "leg",
@@ -51,7 +51,7 @@
     )
 
     def __init__(self, leg, newest):
-        """`newest` is what was acknowledged before it came back."""
+        """`newest` is the newest version acknowledged before the return."""
         self.leg = leg
         self.newest = newest
         self.took_us = None
@@ -62,7 +62,7 @@
         self.holders = []
 
     def __repr__(self):
-        """For a failing test."""
+        """For failure messages."""
         return (
             f"<{self.leg} at {self.newest}: {self.took_us} us, {self.sent_bytes} B sent,"
             f" {self.disk_bytes} B on disk>"
@@ -70,12 +70,12 @@
 
 
 class ChangeCourse:
-    """One core that takes change after change; `returns` is what was measured, leg by leg."""
+    """A core that takes change after change; `returns` holds the measurements, leg by leg."""
 
     __slots__ = ("core", "operators", "newest", "returns", "changes")
 
     def __init__(self, seed, seats, changes):
-        """Start a core of that size; `changes` in each leg."""
+        """Start a core of `seats` members; `changes` is the number of changes in each leg."""
         self.core = SimCore(seed, seats=seats).bootstrap(3, seats - 3)
         if not self.core.wait_voting(seats):
             raise AssertionError("the core does not vote")
@@ -86,19 +86,19 @@
         self.changes = changes
 
     def order(self):
-        """The next change, on the newest version."""
+        """The next change, based on the newest version."""
         return Order(self.newest, self.newest + 1, f"text {self.newest + 1:06d}", PLAN)
 
     def change(self, count, members):
-        """So many changes, each acknowledged before the next, round the members."""
+        """Make `count` changes, each acknowledged before the next, at the members in rotation."""
         for place in range(count):
-            told = []
+            ended = []
             first = place % len(members)
             order = self.order()
-            self.operators.pursue(order, members[first:] + members[:first], told.append)
-            self.core.world.wait_for(lambda told=told: told, 10 * SECOND, PAUSE_US)
-            if not told or told[0].outcome != TAKEN:
-                raise AssertionError(f"change {order.revision} isn't acknowledged: {told}")
+            self.operators.send_until_clear(order, members[first:] + members[:first], ended.append)
+            self.core.world.wait_for(lambda ended=ended: ended, 10 * SECOND, PAUSE_US)
+            if not ended or ended[0].outcome != TAKEN:
+                raise AssertionError(f"change {order.revision} isn't acknowledged: {ended}")
             self.newest = order.revision
 
     def run(self, legs):
@@ -159,12 +159,12 @@
         self._learn_newest()
 
     def _learn_newest(self):
-        """An order that was under way may be in force."""
-        told = self.operators.read(next(iter(self.core.machines)))
-        self.core.world.wait_for(lambda: told.ended_us is not None, 2 * SECOND, PAUSE_US)
-        if told.outcome != TAKEN:
-            raise AssertionError(f"the newest can't be read: {told}")
-        self.newest = told.revision
+        """Read the newest version: an order that was under way may have been chosen."""
+        call = self.operators.read(next(iter(self.core.machines)))
+        self.core.world.wait_for(lambda: call.ended_us is not None, 2 * SECOND, PAUSE_US)
+        if call.outcome != TAKEN:
+            raise AssertionError(f"the newest can't be read: {call}")
+        self.newest = call.revision
 
     def _measure(self, found, hosts):
         world, begun_us = self.core.world, self.core.world.now_us
@@ -172,7 +172,7 @@
             count_lines(host.node, found)
 
         def is_back():
-            self._look(found, hosts)
+            self._check_returning(found, hosts)
             return all(self._is_back(host.node, found) for host in hosts)
 
         if not world.wait_for(is_back, CATCH_UP_MOST_US, STEP_US):
@@ -189,8 +189,9 @@
             and revision_of(node.replica.register_state("plan").value) >= found.newest
         )
 
-    def _look(self, found, hosts):
-        """What a member that comes back may not do before it knows enough."""
+    def _check_returning(self, found, hosts):
+        """Record what a member may not do before it has caught up: vote, or call its configuration
+        current. Record roles with two holders, too."""
         now_us = self.core.world.now_us
         for host in hosts:
             revision = revision_of(host.node.replica.register_state("plan").value)
@@ -208,12 +209,13 @@
 
 
 def revision_of(value):
-    """The number of a value of the plan key; 0 before the first."""
+    """The version number of a value of the plan key; 0 before the first."""
     return (value or {}).get("revision") or 0
 
 
 def count_lines(node, found):
-    """Count what the node hears from now on, but for the ring's lines and the routers'."""
+    """Count the bytes that a node receives from now on, except messages of the membership and of
+    routers."""
     for say, hear in list(node.map_handlers.items()):
         if say not in RING_LINES:
             node.map_handlers[say] = _counting(hear, found)
--- a/packages/stage/src/linkhaven/stage/checkers.py
+++ b/packages/stage/src/linkhaven/stage/checkers.py
@@ -1,3 +1,9 @@
+"""Rules that every run must keep, judged on its record alone.
+
+A checker yields a line of text for each breach. Records are lists of (time in us, kind, facts);
+bounds are keyword arguments, and each checker ignores those that it doesn't know.
+"""
+
 from collections import defaultdict
 
 from .explore.linearizability import is_linearizable
@@ -27,7 +33,8 @@
 
 
 def one_time_work_runs_once(record, **terms):
-    """A one-time request, or one idempotency key of a tenant, never has two shots begun at runners."""
+    """A one-time request, or one idempotency key of a tenant, never has two shots begun at
+    runners."""
     keys = {facts["id"]: facts["key"] for _, facts in _of(record, "asked") if facts["key"]}
     shots, decodes = defaultdict(set), defaultdict(int)
     for _, facts in _of(record, "begin"):
@@ -47,7 +54,7 @@
 
 
 def a_refusal_means_not_done(record, **terms):
-    """After a refusal nothing of that call was or will be begun."""
+    """Once a call was refused, nothing of it was or will be begun."""
     sent, refused = {}, {}
     for at_us, kind, facts in record:
         if kind == "asked":
@@ -59,8 +66,9 @@
             yield f"{facts['asked']} was refused and yet {facts['what']} began at {at_us}"
 
 
-def _still_spans(record):
-    """When each process was frozen: address to [from, until]; one that never woke has no end."""
+def _frozen_spans(record):
+    """When each process was frozen: address to [from, until] pairs; until is None if it
+    never woke."""
     spans = defaultdict(list)
     for at_us, kind, facts in record:
         if kind == "frozen":
@@ -71,8 +79,9 @@
 
 
 def every_caller_hears_back(record, deadlines=None, within_us=SECOND // 2, **terms):
-    """Each call ends, and by its deadline. Only a frozen process may be late, and then answers soon after it woke."""
-    asked, ended, still = {}, {}, _still_spans(record)
+    """Every call ends, and by its deadline. Only a frozen process may be late; it answers soon
+    after it wakes."""
+    asked, ended, frozen_spans = {}, {}, _frozen_spans(record)
     for at_us, kind, facts in record:
         if kind == "asked":
             asked[facts["id"]] = (at_us, facts)
@@ -80,13 +89,13 @@
             ended[facts["id"]] = at_us
     for id, (at_us, facts) in asked.items():
         if id not in ended:
-            if not any(until_us is None for _, until_us in still[facts["router"]]):
+            if not any(until_us is None for _, until_us in frozen_spans[facts["router"]]):
                 yield f"{id} never heard back from {facts['router']}"
             continue
         if not deadlines:
             continue
         due_us = at_us + deadlines[facts["kind"]]
-        for from_us, until_us in still[facts["router"]]:
+        for from_us, until_us in frozen_spans[facts["router"]]:
             if from_us <= due_us and until_us is not None and until_us >= at_us:
                 due_us = max(due_us, until_us)
         if ended[id] > due_us + within_us:
@@ -94,7 +103,8 @@
 
 
 def streams_are_whole(record, **terms):
-    """Pieces of one run, in order, none skipped or repeated, as the runner made them; done only when whole."""
+    """A stream has the pieces of one run, in order, none skipped or repeated, as the runner made
+    them; it is reported done only when complete."""
     asked, runs, last = {}, {}, {}
     for _, kind, facts in record:
         if kind == "asked":
@@ -125,7 +135,8 @@
 
 
 def memory_is_never_shared(record, **terms):
-    """A request's KV memory goes to no other request or shot: neither asked for by a router, nor handed over."""
+    """KV memory of a request never goes to another request or shot, neither as a router's handle
+    nor in a transfer."""
     issued = {}
     for _, kind, facts in record:
         if kind == "issued":
@@ -141,18 +152,20 @@
 
 
 def plans_are_in_force(record, within_us=2_200_000, **terms):
-    """After an acknowledged put, nothing is sent to a runner under an older plan past the bound."""
+    """Later than `within_us` after a put was acknowledged, nothing is sent to a runner under an
+    older plan."""
     acked = _of(record, "acked")
     for _, facts in _of(record, "offered"):
-        for acked_us, told in acked:
-            if facts["sent_us"] > acked_us + within_us and facts["mark"] < told["mark"]:
-                yield f"{facts['request']} was sent at {facts['sent_us']} under mark {facts['mark']}; {told['mark']} was acknowledged at {acked_us}"
+        for acked_us, acknowledged in acked:
+            if facts["sent_us"] > acked_us + within_us and facts["mark"] < acknowledged["mark"]:
+                yield f"{facts['request']} was sent at {facts['sent_us']} under mark {facts['mark']}; {acknowledged['mark']} was acknowledged at {acked_us}"
                 break
 
 
 def marks_never_go_back(record, **terms):
-    """By time of sending, no node offers or orders under an older mark than it used before; and no runner that
-    checks takes anything under an older mark than it has seen."""
+    """By time of sending, no node offers work or sends orders under an older mark than it used
+    before; and no runner that checks marks accepts anything under an older mark than it has seen.
+    """
     sent = [
         (
             facts["sent_us"],
@@ -178,7 +191,8 @@
 
 
 def acknowledged_plans_survive(record, **terms):
-    """What was acknowledged is there at the end, and no mark was acknowledged for two puts."""
+    """An acknowledged plan, or a newer one, is there at the end, and no mark was acknowledged for
+    two puts."""
     acked = _of(record, "acked")
     puts = {}
     for _, facts in acked:
@@ -194,9 +208,10 @@
 
 
 def leaving_runners_get_no_work(record, within_us=3 * SECOND, **terms):
-    """No work is sent to a runner later than the bound after it was listed as leaving, nor by a router that
-    the runner itself told so, not even at once."""
-    leaving, told = {}, {}
+    """No work is sent to a runner later than the bound after it was listed as leaving. A router
+    that the runner itself told so sends it none after ANSWER_US, which the answer may need on its
+    way."""
+    leaving, told_leaving = {}, {}
     for at_us, kind, facts in record:
         if kind == "listed":
             for name, state in facts["runners"].items():
@@ -206,12 +221,12 @@
                 else:
                     leaving.pop(name, None)
         elif kind == "said_leaving":
-            told.setdefault((facts["runner"], facts["incarnation"], facts["router"]), at_us)
+            told_leaving.setdefault((facts["runner"], facts["incarnation"], facts["router"]), at_us)
         elif kind == "offered":
             sent_us = facts["sent_us"]
             if facts["runner"] in leaving and sent_us > leaving[facts["runner"]] + within_us:
                 yield f"{facts['runner']} is leaving since {leaving[facts['runner']]} and was sent {facts['request']} at {sent_us}"
-            told_us = told.get(
+            told_us = told_leaving.get(
                 (facts["runner"], facts["incarnation"], facts["request"].rsplit("-", 2)[0])
             )
             if told_us is not None and sent_us > told_us + ANSWER_US:
@@ -236,9 +251,9 @@
 
 
 def one_holder_orders(record, **terms):
-    """A fence names one holder. By time of sending, nobody orders under a fence once a newer one was won, whether
-    the order is taken or refused; no runner takes a lower fence than before, not even over a restart; and no duty
-    is held by two at once."""
+    """A fence belongs to one holder. By time of sending, nobody orders under a fence once a newer
+    one was won, whether the order is taken or refused; no runner accepts a lower fence than before,
+    not even after a restart; and no role is held by two nodes at once."""
     holders, fences = {}, {}
     won = [
         (at_us, facts["fence"]) for at_us, facts in _of(record, "won") if facts["duty"] == "steward"
@@ -277,9 +292,10 @@
     in_force_us=2 * SECOND,
     **terms,
 ):
-    """What is refused hears so when it is known: at once where only the call was looked at, soon after its router shut
-    (a conn still being made has two seconds), never at the deadline for want of credit or behind a closed router."""
-    asked, shuts, still = {}, defaultdict(list), _still_spans(record)
+    """A refusal is sent as soon as its reason is known: at once where only the call was looked at,
+    and soon after its router closed (a connection still being made has two seconds); never only at
+    the deadline for want of credit or behind a closed router."""
+    asked, shuts, frozen_spans = {}, defaultdict(list), _frozen_spans(record)
     acked = [at_us for at_us, facts in _of(record, "acked")]
     for at_us, kind, facts in record:
         if kind == "asked":
@@ -293,7 +309,7 @@
                 yield f"{facts['id']} was kept until its deadline for want of {facts['cause']}"
             if any(
                 from_us < at_us and (until_us is None or until_us > asked_us)
-                for from_us, until_us in still[router]
+                for from_us, until_us in frozen_spans[router]
             ):
                 continue
             known_us = asked_us + at_once_us + (claim_us if call["key"] else 0)
@@ -313,7 +329,8 @@
 
 
 def answers_fit_their_mark(record, **terms):
-    """An answer names one mark, and is what that plan says: its kind exists there and the answer is within bounds."""
+    """An answer names one mark and fits that plan: its kind exists there and the answer's length is
+    within bounds."""
     puts = {facts["put_id"]: facts["plan"] for _, facts in _of(record, "put")}
     plans = {facts["mark"]: puts[facts["put_id"]] for _, facts in _of(record, "acked")}
     asked = {facts["id"]: facts for _, facts in _of(record, "asked")}
@@ -332,9 +349,12 @@
 def work_is_served_again(
     record, after_us=12 * SECOND, for_us=8 * SECOND, most=0.9, most_of_a_kind=0.5, **terms
 ):
-    """Past the bound after the last fault closed, most requests are served, and most of each kind. A key that was
-    used before is no request of its own, and what a group without credit or a caller without a key or quota is
-    refused is not for the fleet to serve."""
+    """Later than `after_us` after the last fault closed, most requests are served, and most of each
+    kind.
+
+    Not counted are requests with an idempotency key that was used before, and those refused because
+    a group has no credit or a caller no key or quota left.
+    """
     closed = [at_us for at_us, facts in _of(record, "closed")]
     if not closed:
         return
@@ -364,7 +384,7 @@
 
 
 def shares_stay_within_the_allowance(record, **terms):
-    """Credit rates held by routers never sum above the group's allowance."""
+    """The credit rates held by routers never sum to more than the group's allowance."""
     for at_us, facts in _of(record, "shares"):
         for group, (held, allowance) in facts["groups"].items():
             if held > allowance * 1.0001:
@@ -373,7 +393,7 @@
 
 
 def orders_are_linearizable(record, **terms):
-    """What operators were answered could have come from one register that does one thing at a time."""
+    """The answers to operators' puts and reads are those of a linearizable register."""
     operations = history_of(record)
     if not is_linearizable(operations):
         yield "; ".join(repr(operation) for operation in operations)
@@ -402,7 +422,7 @@
 
 
 def judge(record, **terms):
-    """Every breach in a run's record, by the name of its checker."""
+    """All breaches in a run's record, by the name of the checker."""
     breaches = {}
     for checker in CHECKERS:
         found = list(checker(record, **terms))
--- a/packages/stage/src/linkhaven/stage/configuration_history.py
+++ b/packages/stage/src/linkhaven/stage/configuration_history.py
@@ -1,7 +1,7 @@
 """Which configurations may have been in force when, by the record of a run.
 
 A configuration may be in force from the moment at which it is put. It no longer is once a newer one
-was acknowledged longer ago than the bound, and never was if it was refused for certain.
+was acknowledged more than the bound ago, and it never was if it was certainly refused.
 """
 
 from collections.abc import Iterable, Iterator
@@ -13,7 +13,7 @@
 """One entry of a record: when (us), its kind, its facts."""
 
 APPLIED_WITHIN_US = 2_200_000
-"""So long after its acknowledgement a configuration may not yet be in force everywhere."""
+"""For this long after its acknowledgement a configuration may not yet be in force everywhere."""
 
 ALWAYS_US = 1 << 62
 
@@ -47,7 +47,7 @@
     __slots__ = ("versions",)
 
     def __init__(self, record: Iterable[Entry], within_us: int = APPLIED_WITHIN_US) -> None:
-        """`within_us`: until when after an acknowledgement an older version may yet be in force."""
+        """`within_us`: how long after an acknowledgement an older version may still be in force."""
         puts: dict[str, tuple[int, dict[str, Any]]] = {}
         acknowledged: dict[str, tuple[int, int]] = {}
         refused: set[str] = set()
@@ -71,11 +71,11 @@
 
     @property
     def has_tenants(self) -> bool:
-        """Whether the record has to do with tenants at all."""
+        """Whether any version has tenants."""
         return any(version.has_tenants for version in self.versions)
 
     def in_force(self, from_us: int, until_us: int) -> list[Version]:
-        """The versions that may have been in force at any moment from one time until another."""
+        """The versions that may have been in force at any moment between two times."""
         return [
             version
             for version in self.versions
@@ -83,7 +83,7 @@
         ]
 
     def ever_held(self, key_digest: str | None) -> bool:
-        """Whether any version that may ever have been in force has the key."""
+        """Whether any version that may have been in force at some time has the key."""
         return any(version.holder_of(key_digest) is not None for version in self.versions)
 
 
--- a/packages/stage/src/linkhaven/stage/control.py
+++ b/packages/stage/src/linkhaven/stage/control.py
@@ -1,7 +1,7 @@
-"""The four control points played wide: courses over many seeds, each judged, in one command.
+"""Runs of the four control-plane courses over many seeds, each judged, in one command.
 
-The judges are those of `tests/test_control_*.py`: each answers what its course shows that may not
-be, by name, and nothing where all holds.
+The judges are those of `tests/test_control_*.py`: each returns the breaches that its course shows,
+by name, and an empty dict if every rule holds.
 """
 
 from linkhaven.runtime import Bounds
@@ -59,13 +59,16 @@
 
 
 def keep_found(found):
-    """Only the names under which something was found."""
+    """Drop the names under which nothing was found."""
     return {name: what for name, what in found.items() if what}
 
 
 def not_back(course, back_by_us):
-    """Moments after the bound at which the member doesn't serve the newest. A sample may fall
-    between the accept and the word that it was chosen of a read's second round; two don't."""
+    """Moments after the bound at which the member doesn't serve the newest version.
+
+    A single such sample may fall between a read's second-round accept and the message that the
+    value was chosen; two consecutive ones count.
+    """
     late = [sample for sample in course.samples if sample.at_us > back_by_us]
     is_back = [sample.is_current and sample.revision >= course.newest for sample in late]
     pairs = zip(late, is_back, is_back[1:], strict=False)
@@ -73,7 +76,7 @@
 
 
 def judge_cut(course):
-    """What the course shows that may not be, by name; empty where all holds."""
+    """The breaches of a course with a member cut off, by name."""
     history = History(course.operators.calls)
     bounds = Bounds()
     late = bounds.majority_timeout_us + 2 * TICK_US
@@ -87,14 +90,14 @@
         **history.breaches(),
         "faults": course.core.faults(),
         "confirmed": [
-            told for told in cut if told.outcome == TAKEN and told.ended_us > held_until_us
+            call for call in cut if call.outcome == TAKEN and call.ended_us > held_until_us
         ],
-        "not_unclear": [told for told in cut if told.outcome != UNCLEAR],
-        "late": [told for told in (first, *later) if told.ended_us - told.sent_us > late],
+        "not_unclear": [call for call in cut if call.outcome != UNCLEAR],
+        "late": [call for call in (first, *later) if call.ended_us - call.sent_us > late],
         "late_though_known": [
-            told
-            for told in later[2:]
-            if told.ended_us - told.sent_us > bounds.majority_timeout_us // 3 + 2 * TICK_US
+            call
+            for call in later[2:]
+            if call.ended_us - call.sent_us > bounds.majority_timeout_us // 3 + 2 * TICK_US
         ],
         "refused_though_right": history.refused_though_right(course.newest),
         "current": [s.at_us for s in while_cut if s.is_current and s.at_us > current_until_us],
@@ -105,20 +108,20 @@
 
 
 def judge_race(course):
-    """What a race may not show, by name; empty where all holds."""
+    """The breaches of a race of orders, by name."""
     history = History(course.operators.calls)
     found = {
         **history.breaches(),
         "faults": course.core.faults(),
         "losers_taken": [
-            told for told in history.orders(TAKEN) if not course.is_winner(told.order)
+            call for call in history.orders(TAKEN) if not course.is_winner(call.order)
         ],
     }
     return keep_found(found)
 
 
 def judge_changes(course):
-    """What no return may show, by name; empty where all holds."""
+    """The breaches of a course with members that return, by name."""
     bounds = Bounds(**course.core.bounds)
     bound_us = bounds.vacant_us + bounds.recovery_wait_us + SECOND
     first, last = returns_of(course, WIPED)
@@ -139,17 +142,19 @@
 
 
 def returns_of(course, leg):
+    """The returns of one leg."""
     return [back for back in course.returns if back.leg == leg]
 
 
 def bound_us(seats, what, share):
-    """How long there may be no answer. Where more than `fault_tolerance` is lost at once, the core
-    waits for what comes back."""
+    """How long there may be no answer, in us. If more than `fault_tolerance` members are lost at
+    once, the core waits for one that returns."""
     is_too_much = seats == 3 and what in (KILL_OTHER, FREEZE_OTHER) and share < 1.0
     return ANSWER_US + (AWAY_US if is_too_much else 0)
 
 
 def judge_replacement(course, seats, what, share):
+    """The breaches of a course with a replaced member, by name."""
     history = History(course.operators.calls)
     until_us = course.core.world.now_us - 4 * SECOND
     gap_us = course.longest_without_answer_us(course.gone_us, until_us)
@@ -159,14 +164,15 @@
         "faults": course.core.faults(),
         "double_votes": course.double_votes,
         "no_answer": [gap_us] if gap_us > bound_us(seats, what, share) else [],
-        "lost": [told for told in last if told.outcome != TAKEN or told.revision < course.newest],
+        "lost": [call for call in last if call.outcome != TAKEN or call.revision < course.newest],
         "not_whole": [course.core.voting()] if len(course.core.voting()) < seats else [],
     }
     return keep_found(found)
 
 
 def play_cuts(seed):
-    """One course for each size, direction and way of cutting; who is cut off goes round."""
+    """Play one course for each core size, direction and way of cutting; the choice of the member
+    rotates."""
     for seats in SEATS:
         for place, (direction, how) in enumerate(CUTS):
             who = WHO[(place + seats + seed) % len(WHO)]
@@ -175,7 +181,7 @@
 
 
 def play_races(seed):
-    """Races of two, four and eight orders, and every order sent late."""
+    """Play races of two, four and eight orders, and send every order again late."""
     for seats in SEATS:
         for racers in RACERS:
             course = RaceCourse(seed, seats, racers).run(RACES)
@@ -184,7 +190,7 @@
 
 
 def play_replacements(seed):
-    """Each way to go with each trouble; the share of the repair goes round."""
+    """Play each way of leaving with each trouble; the moment within the repair rotates."""
     for seats in SEATS:
         for how in (PLANNED, KILLED, HELD_NEWEST):
             repair_us = measure_repair(seed, seats, how)
@@ -199,14 +205,15 @@
 
 
 def play_changes(seed, changes):
-    """All legs at both sizes, with so many changes in each."""
+    """Play all legs at both core sizes, with `changes` changes in each leg."""
     for seats in SEATS:
         course = ChangeCourse(seed, seats, changes).run(LEGS)
         yield f"changes/{seats}/{changes * len(LEGS)}", judge_changes(course)
 
 
 def play(first, count, changes, tell):
-    """Every course over these seeds; `tell` hears each breach. Answers how many were played."""
+    """Play every course over these seeds; call `tell` with each breach. Return the counts of
+    courses played and breached."""
     played = breached = 0
     for seed in range(first, first + count):
         games = (play_cuts(seed), play_races(seed), play_replacements(seed))
--- a/packages/stage/src/linkhaven/stage/cutcourse.py
+++ b/packages/stage/src/linkhaven/stage/cutcourse.py
@@ -1,9 +1,10 @@
 """A course in a simulated core: one member is cut off from the others while operators reach both
 sides.
 
-Orders and reads go to the member that is cut off all the while and after, and to the others, who
-go on. What is sampled beside the operators' history: whether the member calls its configuration
-current, and what duties it holds."""
+Orders and reads go to the member that is cut off, during the cut and after, and to the others,
+which go on. Besides the operators' history, the course samples whether the member calls its
+configuration current and which roles it holds.
+"""
 
 from linkhaven.controller import SINGLETON_ROLES
 
@@ -26,12 +27,12 @@
 
 
 class Sample:
-    """What the member that is cut off held at a moment."""
+    """The state of the cut-off member at a moment."""
 
     __slots__ = ("at_us", "is_current", "roles", "revision")
 
     def __init__(self, at_us, node):
-        """Read straight from the node: no call of an operator shows it."""
+        """Read the state directly from the node, as no operator's call shows it."""
         self.at_us = at_us
         self.is_current = node.watch_server.is_current()
         self.roles = [name for name in SINGLETON_ROLES if node.leases[name].is_held()]
@@ -39,8 +40,8 @@
 
 
 class CutCourse:
-    """One run: made with the core's size, who is cut off, in which direction and how; `run` plays
-    it."""
+    """One run, defined by the core's size, the member that is cut off, the direction and the way of
+    cutting; `run` plays it."""
 
     __slots__ = (
         "core",
@@ -58,7 +59,7 @@
     )
 
     def __init__(self, seed, seats, who, direction, how):
-        """Start a core of that size, with some configurations taken and its duties held."""
+        """Start a core of `seats` members and let it settle, so that its roles are held."""
         self.core = SimCore(seed, seats=seats).bootstrap(3, seats - 3)
         if not self.core.wait_voting(seats):
             raise AssertionError("the core does not vote")
@@ -84,17 +85,17 @@
         return any(lease.is_held() for lease in self.core.machines[name].node.leases.values())
 
     def order(self, base=None):
-        """A new order, on the newest acknowledged version unless told otherwise."""
+        """A new order, based on the newest acknowledged version unless `base` is given."""
         self.number += 1
         base = self.newest if base is None else base
         return Order(base, base + self.number, f"text {self.number}", PLAN)
 
     def _change(self, members):
-        def heard(told):
-            if told.outcome == TAKEN:
-                self.newest = max(self.newest, told.order.revision)
+        def on_end(call):
+            if call.outcome == TAKEN:
+                self.newest = max(self.newest, call.order.revision)
 
-        self.operators.pursue(self.order(), members, heard)
+        self.operators.send_until_clear(self.order(), members, on_end)
 
     def _call_lone(self):
         if self.joined_us is not None:
@@ -104,23 +105,23 @@
         self.core.world.after(CALL_EVERY_US, self._call_lone)
 
     def _change_others(self):
-        """Build on what the others hold, once the order that was in flight is clear."""
+        """Change what the others hold, once the outcome of the order in flight is clear."""
         if self.joined_us is not None:
             return
         if self.in_flight is not None and not self._is_clear(self.in_flight):
             return self.core.world.after(SAMPLE_US, self._change_others)
 
-        def heard(told):
-            self.newest = max(self.newest, told.revision or 0)
+        def on_end(call):
+            self.newest = max(self.newest, call.revision or 0)
             self._change(self.others)
 
-        self.operators.read(self.others[0], heard)
+        self.operators.read(self.others[0], on_end)
         self.core.world.after(CHANGE_EVERY_US, self._change_others)
 
     def _is_clear(self, order):
         return any(
-            told.order is order and told.outcome in (TAKEN, REFUSED)
-            for told in self.operators.calls
+            call.order is order and call.outcome in (TAKEN, REFUSED)
+            for call in self.operators.calls
         )
 
     def _sample(self):
@@ -138,13 +139,13 @@
         self.cut_us = world.now_us
 
     def run(self, who=ANY):
-        """Play the course to its end; answers itself."""
+        """Play the course to its end and return it."""
         world = self.core.world
         self._change([self.lone])
         world.run_for(SECOND)
         if who == LAST_TO_ACT:
             self.in_flight = self.order()
-            self.operators.pursue(self.in_flight, [self.lone, *self.others])
+            self.operators.send_until_clear(self.in_flight, [self.lone, *self.others])
             world.run_for(world.dice.randrange(2_000, 7_000))
         self._cut()
         self._sample()
@@ -161,11 +162,11 @@
         return self
 
     def while_cut(self, calls):
-        """Those of the calls to the member that were sent and answered while it was cut off."""
+        """The given calls to the cut-off member that were sent and ended during the cut."""
         return [
-            told
-            for told in calls
-            if told.member == self.lone
-            and told.sent_us >= self.cut_us
-            and told.ended_us <= self.joined_us
+            call
+            for call in calls
+            if call.member == self.lone
+            and call.sent_us >= self.cut_us
+            and call.ended_us <= self.joined_us
         ]
--- a/packages/stage/src/linkhaven/stage/quota_checkers.py
+++ b/packages/stage/src/linkhaven/stage/quota_checkers.py
@@ -1,7 +1,7 @@
 """Rules about the limits of tenants, judged on a run's record.
 
-A tenant's requests are counted over all routers together, those that have died since too: each that
-was sent, and arrived at a runner that runs it, within the window.
+A tenant's requests are counted over all routers together, including those that have died since:
+each request that was sent, and that a runner began, within the window.
 """
 
 from bisect import bisect_left, bisect_right
@@ -12,28 +12,28 @@
 import msgspec
 
 from .configuration_history import APPLIED_WITHIN_US, ConfigurationHistory, Entry, entries_of
-from .tenant_checkers import Tries, Try
+from .tenant_checkers import Sending, Sendings
 
 MICROSECONDS_PER_S = 1_000_000
 WINDOW_US = 5 * MICROSECONDS_PER_S
 OVERAGE = 0.1
 SLACK_REQUESTS = 20
 CALM_SHARE = 0.5
-"""A tenant that sent no more than this part of its limit, and one request, in each span up to two
-windows long, is well within it."""
+"""A tenant is well within its limit if it sent no more than this share of it, plus one request, in
+each span up to two windows long."""
 
 CALM_WINDOWS = 2
 QUOTA_SPENT = "quota_spent"
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """A tenant's limit: requests a second, and how many more at once."""
+    """A tenant's limit: a rate in requests a second, and a burst."""
 
     requests_per_s: float
     burst_requests: float
 
     def requests_in(self, span_us: int) -> float:
-        """How many requests a span of time allows."""
+        """How many requests a span of time (us) allows."""
         return self.requests_per_s * span_us / MICROSECONDS_PER_S + self.burst_requests
 
 
@@ -47,7 +47,8 @@
 def limits_in_force(
     history: ConfigurationHistory, tenant: str, from_us: int, until_us: int
 ) -> list[Limit] | None:
-    """The limits that may have been in force within a time; None if one of them was no limit."""
+    """The limits that may have been in force within a time; None if at one moment there may have
+    been no limit."""
     limits = []
     for version in history.in_force(from_us, until_us):
         document = (version.document.get("tenants") or {}).get(tenant)
@@ -57,15 +58,15 @@
     return limits or None
 
 
-def holder_of(history: ConfigurationHistory, sent: Try) -> str | None:
-    """The tenant that holds the key of a request; None where that is not certain."""
+def holder_of(history: ConfigurationHistory, sent: Sending) -> str | None:
+    """The tenant that holds the key of a request; None if that is uncertain."""
     versions = history.in_force(sent.sent_us, sent.sent_us)
     holders = {version.holder_of(sent.key_digest) for version in versions}
     return holders.pop() if len(holders) == 1 else None
 
 
-def tenant_of(history: ConfigurationHistory, sent: Try) -> str | None:
-    """The tenant that a request counts for; None where it needs no key or that is not certain."""
+def tenant_of(history: ConfigurationHistory, sent: Sending) -> str | None:
+    """The tenant that a request counts for; None if it needs no key or the tenant is uncertain."""
     versions = history.in_force(sent.sent_us, sent.sent_us)
     if any(version.is_public(sent.kind) for version in versions):
         return None
@@ -75,12 +76,12 @@
 def arrivals_by_tenant(
     record: Sequence[Entry], history: ConfigurationHistory
 ) -> dict[str, list[Arrival]]:
-    """Of each tenant's requests those that a runner began, by when they were sent."""
-    tries = Tries(record)
+    """Each tenant's requests that a runner began, by the time they were sent."""
+    sendings = Sendings(record)
     seen: set[tuple[str, int]] = set()
     arrivals = defaultdict(list)
     for at_us, _, facts in entries_of(record, "begin"):
-        sent = tries.sent_before(facts["asked"], at_us)
+        sent = sendings.sent_before(facts["asked"], at_us)
         if sent is None or (sent.id, sent.sent_us) in seen:
             continue
         seen.add((sent.id, sent.sent_us))
@@ -99,7 +100,7 @@
     **terms: Any,
 ) -> Iterator[str]:
     """No window holds more of a tenant's requests than (rate x window + burst) x (1 + overage) +
-    slack. A lower limit binds one window after it is in force everywhere."""
+    slack. A lower limit applies one window after it is in force everywhere."""
     history = ConfigurationHistory(record, applied_within_us)
     if not history.has_tenants:
         return
@@ -126,15 +127,15 @@
     calm_share: float = CALM_SHARE,
     **terms: Any,
 ) -> Iterator[str]:
-    """No tenant well within its limit, over two windows and by all it sent, is told that its quota
-    is spent."""
-    history, tries = ConfigurationHistory(record, applied_within_us), Tries(record)
+    """A tenant that stayed well within its limit, counting all it sent over two windows, is never
+    told that its quota is spent."""
+    history, sendings = ConfigurationHistory(record, applied_within_us), Sendings(record)
     if not history.has_tenants:
         return
-    sent_us = _sendings_by_tenant(history, tries)
+    sent_us = _sendings_by_tenant(history, sendings)
     span_us = CALM_WINDOWS * quota_window_us
     for at_us, _, facts in entries_of(record, "ended"):
-        refused = tries.sent_before(facts["id"], at_us)
+        refused = sendings.sent_before(facts["id"], at_us)
         if facts["code"] != QUOTA_SPENT or refused is None:
             continue
         tenant, begin_us = holder_of(history, refused), refused.sent_us - span_us
@@ -153,7 +154,7 @@
 
 
 def _is_well_within(limits: list[Limit], sent_us: list[int], calm_share: float) -> bool:
-    """Whether each span that ends with the last request holds few of them, by all the limits."""
+    """Whether every span that ends with the last request stays below `calm_share` of each limit."""
     last_us = sent_us[-1]
     return all(
         len(sent_us) - place <= 1 + calm_share * limit.requests_in(last_us - first_us)
@@ -162,10 +163,10 @@
     )
 
 
-def _sendings_by_tenant(history: ConfigurationHistory, tries: Tries) -> dict[str, list[int]]:
-    """When each tenant's requests were sent, those that need no key included."""
+def _sendings_by_tenant(history: ConfigurationHistory, sendings: Sendings) -> dict[str, list[int]]:
+    """When each tenant's requests were sent, including those that need no key."""
     sent_us = defaultdict(list)
-    for each in (each for sendings in tries.by_id.values() for each in sendings):
+    for each in (each for of_one in sendings.by_id.values() for each in of_one):
         tenant = holder_of(history, each)
         if tenant is not None:
             sent_us[tenant].append(each.sent_us)
--- a/packages/stage/src/linkhaven/stage/racecourse.py
+++ b/packages/stage/src/linkhaven/stage/racecourse.py
@@ -1,11 +1,13 @@
-"""Courses in a simulated core: operators race under one number, and their answers get lost.
+"""Courses in a simulated core: operators race with orders of one number, and their answers get
+lost.
 
-Each race is of several orders that build on one version and bear one number, each with a text of
-its own, sent to different members at the same moment. Nearly all answers are lost, members are
+In each race several orders build on one version and have one number, each with a text of its own;
+they are sent to different members at the same moment. Nearly all answers are lost, members are
 killed at the moment when they would answer, and each order is sent again unchanged to every other
-member until its answer is clear. The next race builds on the winner. Long after, every order is
-sent once more to every member: the winners as those who come back late do, the losers to show
-that none of them is taken."""
+member until its answer is clear. The next race builds on the winner. Much later every order is sent
+once more to every member: the winners as a late retry would, the losers to show that none of them
+is taken.
+"""
 
 from .core import SimCore
 from .cutcourse import PLAN
@@ -19,13 +21,13 @@
 
 
 class RaceCourse:
-    """One run of some races after each other; `winners` are the orders that were in force, by
-    base."""
+    """One run of several races after each other; `winners` maps a base version to the text that won
+    on it."""
 
     __slots__ = ("core", "operators", "racers", "orders", "winners")
 
     def __init__(self, seed, seats, racers, lost_share=0.9, kill_share=0.05):
-        """Start a core of that size; `racers` orders race each time."""
+        """Start a core of `seats` members; `racers` orders race each time."""
         self.core = SimCore(seed, seats=seats).bootstrap(3, seats - 3)
         if not self.core.wait_voting(seats):
             raise AssertionError("the core does not vote")
@@ -37,7 +39,7 @@
         self.winners = {}
 
     def race(self, base, revision):
-        """Send all orders of one race; answers the newest revision and text once all senders are
+        """Send all orders of one race; return a read of the newest version once all senders are
         done."""
         world, names = self.core.world, list(self.core.machines)
         ended = []
@@ -52,15 +54,15 @@
         return self.read()
 
     def _sender(self, order, members, ended):
-        return lambda: self.operators.pursue(order, members, ended.append, rounds=ROUNDS)
+        return lambda: self.operators.send_until_clear(order, members, ended.append, rounds=ROUNDS)
 
     def read(self):
-        """The newest configuration, read without a loss of the answer."""
+        """Read the newest configuration, with no answer lost."""
         self._calm()
         self.core.world.wait_for(lambda: self._are_all_up(), 10 * SECOND)
-        told = self.operators.read(next(iter(self.core.machines)))
-        self.core.world.wait_for(lambda: told.ended_us is not None, 2 * SECOND, 10_000)
-        return told
+        call = self.operators.read(next(iter(self.core.machines)))
+        self.core.world.wait_for(lambda: call.ended_us is not None, 2 * SECOND, 10_000)
+        return call
 
     def _calm(self):
         self.operators.lost_share = self.operators.kill_share = 0.0
@@ -69,19 +71,19 @@
         return len(self.core.voting()) == len(self.core.machines)
 
     def run(self, races, lost_share=0.9, kill_share=0.05):
-        """Race after race, each on the winner of the one before."""
+        """Run race after race, each based on the winner of the one before."""
         base = 0
         for _ in range(races):
             self.operators.lost_share, self.operators.kill_share = lost_share, kill_share
-            told = self.race(base, base + 3)
-            if told.revision != base + 3:
-                raise AssertionError(f"nobody won the race on {base}: {told}")
-            self.winners[base] = told.document
-            base = told.revision
+            call = self.race(base, base + 3)
+            if call.revision != base + 3:
+                raise AssertionError(f"nobody won the race on {base}: {call}")
+            self.winners[base] = call.document
+            base = call.revision
         return self
 
     def send_late(self):
-        """Every order once more, unchanged, to every member; answers the calls."""
+        """Send every order once more, unchanged, to every member; return the calls."""
         self._calm()
         calls = []
         for order in self.orders:
@@ -92,5 +94,5 @@
         return calls
 
     def is_winner(self, order):
-        """Whether this order was in force."""
+        """Whether this order won its race."""
         return self.winners.get(order.base) == order.document
--- a/packages/stage/src/linkhaven/stage/replacecourse.py
+++ b/packages/stage/src/linkhaven/stage/replacecourse.py
@@ -1,20 +1,19 @@
-"""Courses in a simulated core: a member is replaced, and something more goes wrong during the
-repair.
+"""Courses in a simulated core: a member is replaced, and something else fails during the repair.
 
-First the same repair is played without a further loss, to learn how long it takes from the moment
-when the old member goes until the new one votes. Then it is played again with one more trouble at
-a share of that time, so that every step of the repair is met, whatever its steps are called.
+First the repair is played without a further failure, to learn how long it takes from the moment
+when the old member leaves until the new one votes. Then it is played again with one more failure at
+a share of that time, so that every step of the repair is covered without naming the steps.
 
-| replaced | how the old member goes |
+| replaced | how the old member leaves |
 | --- | --- |
 | `PLANNED` | it is told to stop, and its process ends when it has left |
-| `KILLED` | its process ends without a word |
+| `KILLED` | its process is killed |
 | `HELD_NEWEST` | planned, right after an acknowledgement that it and one other member gave, the rest cut off |
 
-| trouble | what happens beside the repair |
+| trouble | what happens during the repair |
 | --- | --- |
-| `KILL_NEW`, `WIPE_NEW`, `FREEZE_NEW` | the machine that takes the seat; the process starts again, or wakes |
-| `KILL_OTHER`, `FREEZE_OTHER` | a member that stays; it comes back |
+| `KILL_NEW`, `WIPE_NEW`, `FREEZE_NEW` | to the machine that takes the seat; the process restarts, or wakes |
+| `KILL_OTHER`, `FREEZE_OTHER` | to a member that stays; it returns |
 | `LOSE_OTHER` | a member that stays is lost for good with its disk; another machine starts |
 | `SECOND_NEW` | another new machine starts as well |
 | `SECOND_PLANNED` | a member that stays is told to stop, too, and another machine starts |
@@ -39,7 +38,7 @@
 
 
 class ReplaceCourse:
-    """One replacement; `double_votes` are moments at which two members voted on one seat."""
+    """One replacement; `double_votes` holds moments at which two members voted for one seat."""
 
     __slots__ = (
         "core",
@@ -54,7 +53,7 @@
     )
 
     def __init__(self, seed, seats):
-        """A core with some versions taken, and a spare machine that runs."""
+        """Start a core with some versions chosen, and a spare machine that runs."""
         self.core = SimCore(seed, seats=seats).bootstrap(3, seats - 3)
         if not self.core.wait_voting(seats):
             raise AssertionError("the core does not vote")
@@ -71,20 +70,20 @@
         self.gone_us = None
 
     def add_machine(self):
-        """Another machine with an empty disk, which runs from now on."""
+        """Start another machine with an empty disk."""
         place = len(self.core.world.hosts) + 1
         host = self.core.add(f"core-{place}", f"10.0.0.{place}:7000")
         host.start()
         return host
 
     def change(self, members):
-        """One change that must be acknowledged, by operators who go round these members."""
-        told = []
-        self.operators.pursue(self._order(), members, told.append)
-        self.core.world.wait_for(lambda: told, 10 * SECOND, STEP_US)
-        if not told or told[0].outcome != TAKEN:
-            raise AssertionError(f"no acknowledgement: {told}")
-        self.newest = told[0].order.revision
+        """Make one change that must be acknowledged, trying these members in turn."""
+        ended = []
+        self.operators.send_until_clear(self._order(), members, ended.append)
+        self.core.world.wait_for(lambda: ended, 10 * SECOND, STEP_US)
+        if not ended or ended[0].outcome != TAKEN:
+            raise AssertionError(f"no acknowledgement: {ended}")
+        self.newest = ended[0].order.revision
 
     def _order(self):
         return Order(self.newest, self.newest + 1, f"text {self.newest + 1}", PLAN)
@@ -100,7 +99,7 @@
         ]
 
     def go(self, how):
-        """The old member goes."""
+        """Have the old member leave."""
         world = self.core.world
         if how == HELD_NEWEST:
             self._acknowledge_at_a_bare_majority()
@@ -110,7 +109,7 @@
         self.old.node.drain(lambda: world.after(STEP_US, self.old.kill))
 
     def _acknowledge_at_a_bare_majority(self):
-        """Only the old member and as many others as a majority needs hold the newest."""
+        """Make a change that only the old member and as many others as a majority needs hold."""
         world, stayers = self.core.world, self._stayers()
         kept = len(self.old.node.replica.replica_ids) // 2
         left_out = [host.name for host in stayers[kept:]]
@@ -119,17 +118,18 @@
         world.heal()
 
     def wait_repaired(self):
-        """Until the new machine votes; answers how long that took, or None."""
+        """Wait until the new machine votes; return how long that took in us, or None if it never
+        did."""
         world = self.core.world
         if not world.wait_for(self._is_repaired, REPAIR_MOST_US, STEP_US):
             return None
         return world.now_us - self.gone_us
 
     def _is_repaired(self):
-        self._look()
+        self._check_votes()
         return self.new.node is not None and self.new.node.replica.is_voting
 
-    def _look(self):
+    def _check_votes(self):
         voters = [
             (host.node.replica.replica_id, host.name)
             for host in self.core.machines.values()
@@ -140,7 +140,7 @@
             self.double_votes.append((self.core.world.now_us, voters))
 
     def error(self, what):
-        """One more trouble now."""
+        """Cause one more failure now."""
         world = self.core.world
         if what == SECOND_NEW:
             return self.add_machine()
@@ -161,7 +161,7 @@
         world.after(AWAY_US, lambda: host.node or host.start())
 
     def keep_calling(self):
-        """An operator reads, and another changes what is newest, as long as the course lasts."""
+        """Read and change the newest version at intervals, as long as the course lasts."""
         if self.is_over:
             return
         members = self._members()
@@ -170,16 +170,17 @@
         self.operators.read(members[0])
         if not self.pending:
             self.pending += 1
-            self.operators.pursue(self._order(), members, self._hear_change, rounds=1)
+            self.operators.send_until_clear(self._order(), members, self._on_change_ended, rounds=1)
         self.core.world.after(CALL_EVERY_US, self.keep_calling)
 
-    def _hear_change(self, told):
+    def _on_change_ended(self, call):
         self.pending -= 1
-        if told.outcome == TAKEN:
-            self.newest = max(self.newest, told.order.revision)
+        if call.outcome == TAKEN:
+            self.newest = max(self.newest, call.order.revision)
 
     def run(self, how, what, share, repair_us):
-        """The old member goes; at `share` of `repair_us` there is one more trouble; calls go on."""
+        """Replace the old member, with one more failure at `share` of `repair_us`, while calls go
+        on."""
         self.go(how)
         self.keep_calling()
         self._watch(int(share * repair_us))
@@ -194,10 +195,10 @@
         end_us = self.core.world.now_us + span_us
         while self.core.world.now_us < end_us:
             self.core.world.run_for(min(STEP_US, end_us - self.core.world.now_us))
-            self._look()
+            self._check_votes()
 
     def last_reads(self):
-        """What every member that runs answers in the end."""
+        """Reads of every member that runs, at the end."""
         calls = [self.operators.read(name) for name in self._members()]
         self.core.world.run_for(SECOND)
         return calls
@@ -205,16 +206,16 @@
     def longest_without_answer_us(self, since_us, until_us):
         """The longest time in which no change was acknowledged and no read was answered."""
         ended = [
-            told.ended_us
-            for told in History(self.operators.calls).calls
-            if told.outcome == TAKEN and since_us <= told.ended_us <= until_us
+            call.ended_us
+            for call in History(self.operators.calls).calls
+            if call.outcome == TAKEN and since_us <= call.ended_us <= until_us
         ]
         moments = [since_us, *sorted(ended), until_us]
         return max(later - sooner for sooner, later in zip(moments, moments[1:], strict=False))
 
 
 def measure_repair(seed, seats, how):
-    """How long the repair takes without a further trouble."""
+    """How long the repair takes without a further failure, in us; None if it doesn't end."""
     course = ReplaceCourse(seed, seats)
     course.go(how)
     return course.wait_repaired()
--- a/packages/stage/src/linkhaven/stage/tenant_checkers.py
+++ b/packages/stage/src/linkhaven/stage/tenant_checkers.py
@@ -1,7 +1,7 @@
-"""Rules about the keys and names of tenants, judged on a run's record.
+"""Rules about tenants' API keys and names, judged on a run's record.
 
 Each checker yields a line of text for each breach. Requests are judged by when their caller sent
-them: a request that was sent while its key was in force may run on after the key was taken away.
+them: a request that was sent while its key was in force may go on after the key was revoked.
 """
 
 from collections.abc import Iterator, Sequence
@@ -16,8 +16,8 @@
 UNAUTHENTICATED = 401
 
 
-class Try(msgspec.Struct, frozen=True):
-    """One sending of a request by its caller."""
+class Sending(msgspec.Struct, frozen=True):
+    """One attempt of a caller to send a request."""
 
     id: str
     kind: str
@@ -25,27 +25,28 @@
     key_digest: str | None
 
 
-class Tries:
-    """The sendings of all requests; a caller sends one again, under the same id, after a cut."""
+class Sendings:
+    """All attempts of all requests; after a cut, a caller sends a request again under the
+    same id."""
 
     __slots__ = ("by_id",)
 
     def __init__(self, record: Sequence[Entry]) -> None:
-        """Read who asked for what, and with which key."""
-        self.by_id: dict[str, list[Try]] = {}
+        """Read from the record who sent what, and with which key."""
+        self.by_id: dict[str, list[Sending]] = {}
         for at_us, _, facts in entries_of(record, "asked"):
             key = facts.get("api_key")
-            each = Try(facts["id"], facts["kind"], at_us, digest_api_key(key) if key else None)
+            each = Sending(facts["id"], facts["kind"], at_us, digest_api_key(key) if key else None)
             self.by_id.setdefault(each.id, []).append(each)
 
-    def sent_before(self, id: str, at_us: int) -> Try | None:
-        """The last sending of a request before a time, None if nobody sent it."""
+    def sent_before(self, id: str, at_us: int) -> Sending | None:
+        """The last attempt of a request before a time, None if there was none."""
         sent = [each for each in self.by_id.get(id, ()) if each.sent_us <= at_us]
         return sent[-1] if sent else None
 
 
 def runners_see_no_keys(record: Sequence[Entry], **terms: Any) -> Iterator[str]:
-    """No call to a runner shows an API key, in whichever header, path or body."""
+    """No call to a runner contains an API key, in any header, path or body."""
     for at_us, _, facts in entries_of(record, "key_seen"):
         yield f"{facts['runner']} was shown {facts['api_key']} by {facts['path']} at {at_us}"
 
@@ -53,11 +54,11 @@
 def runners_see_the_holder_of_the_key(
     record: Sequence[Entry], applied_within_us: int = APPLIED_WITHIN_US, **terms: Any
 ) -> Iterator[str]:
-    """Each call to a runner names the tenant that holds the caller's key, and nobody else: a name
-    that the client made up counts for nothing."""
-    history, tries = ConfigurationHistory(record, applied_within_us), Tries(record)
+    """Each call to a runner names the tenant that holds the caller's key and no other: a name that
+    the client made up is ignored."""
+    history, sendings = ConfigurationHistory(record, applied_within_us), Sendings(record)
     for at_us, _, facts in entries_of(record, "offered"):
-        sent = tries.sent_before(facts.get("asked", ""), at_us)
+        sent = sendings.sent_before(facts.get("asked", ""), at_us)
         if sent is None:
             continue
         holders = {
@@ -74,13 +75,13 @@
 
 def _run_without_a_key(
     record: Sequence[Entry], applied_within_us: int
-) -> Iterator[tuple[ConfigurationHistory, Try, dict[str, Any]]]:
-    """Work that was begun though no version that may have been in force allows its key."""
-    history, tries = ConfigurationHistory(record, applied_within_us), Tries(record)
+) -> Iterator[tuple[ConfigurationHistory, Sending, dict[str, Any]]]:
+    """Work that was begun though no version that may have been in force permits its key."""
+    history, sendings = ConfigurationHistory(record, applied_within_us), Sendings(record)
     if not history.has_tenants:
         return
     for at_us, _, facts in entries_of(record, "begin"):
-        sent = tries.sent_before(facts["asked"], at_us)
+        sent = sendings.sent_before(facts["asked"], at_us)
         if sent is None:
             continue
         versions = history.in_force(sent.sent_us, at_us)
@@ -103,7 +104,7 @@
 def revoked_keys_run_nothing(
     record: Sequence[Entry], applied_within_us: int = APPLIED_WITHIN_US, **terms: Any
 ) -> Iterator[str]:
-    """Nothing runs that was sent, with a key taken away, past the bound after that."""
+    """Nothing runs that was sent with a revoked key later than the bound after its revocation."""
     for history, sent, facts in _run_without_a_key(record, applied_within_us):
         if history.ever_held(sent.key_digest):
             yield (
@@ -115,14 +116,15 @@
 def keys_in_force_are_accepted(
     record: Sequence[Entry], applied_within_us: int = APPLIED_WITHIN_US, **terms: Any
 ) -> Iterator[str]:
-    """No request gets 401 whose key all versions hold that may be in force, or that needs none."""
-    history, tries = ConfigurationHistory(record, applied_within_us), Tries(record)
+    """A request gets no 401 if it needs no key, or if all versions that may be in force hold its
+    key."""
+    history, sendings = ConfigurationHistory(record, applied_within_us), Sendings(record)
     if not history.has_tenants:
         return
     for at_us, _, facts in entries_of(record, "ended"):
         if facts.get("status") != UNAUTHENTICATED:
             continue
-        sent = tries.sent_before(facts["id"], at_us)
+        sent = sendings.sent_before(facts["id"], at_us)
         if sent is None:
             continue
         versions = history.in_force(sent.sent_us, at_us)
