--- a/packages/stage/src/linkhaven/stage/faults/__init__.py
+++ b/packages/stage/src/linkhaven/stage/faults/__init__.py
@@ -1,3 +1,5 @@
+"""The faults that schedules and seeds name. A fault's name is the name of its method."""
+
 from .core import CoreFaults
 from .edge import EdgeFaults
 from .people import PeopleFaults
@@ -8,10 +10,13 @@
 
 
 class Faults(TenantFaults, EdgeFaults, CoreFaults, RunnerFaults, PeopleFaults):
+    """Every fault, applied to one fleet."""
+
     __slots__ = ()
 
 
 def _named(owner):
+    """The faults that a class defines, in the order of their definition."""
     return tuple(name for name in vars(owner) if not name.startswith("_"))
 
 
--- a/packages/stage/src/linkhaven/stage/faults/base.py
+++ b/packages/stage/src/linkhaven/stage/faults/base.py
@@ -1,10 +1,17 @@
+"""What all faults share: beginning and closing them, choosing targets, and stopping and starting
+hosts."""
+
 from ..world import Host, SimDisk
 
 SECOND = 1_000_000
 
 
 class FaultsBase:
-    """Failures that can be brought about in a SimFleet. Each begins and, when asked, closes."""
+    """Failures that can be brought about in a SimFleet.
+
+    A fault is a method that begins it and returns the function that ends it, or None if there is
+    nothing to end.
+    """
 
     __slots__ = ("fleet", "world", "open", "is_closed")
 
@@ -15,6 +22,7 @@
         self.is_closed = False
 
     def begin(self, name, *words):
+        """Begin a fault by its name, with `words` as arguments, and record it."""
         self.is_closed = False
         self.world.note("fault", name=name, words=[str(word) for word in words])
         close = getattr(self, name)(*words)
@@ -22,7 +30,8 @@
             self.open.append(close)
 
     def close(self):
-        """The last begun is closed first: each gives back what it found, which may be another fault's."""
+        """End all faults, the last begun first: each restores what it found, which may be another
+        fault's doing."""
         self.is_closed = True
         for close in reversed(self.open):
             close()
@@ -52,25 +61,27 @@
         ]
 
     def pick(self, hosts):
+        """Draw one name, the same for the same seed."""
         names = sorted(hosts)
         return names[self.world.dice.randrange(len(names))]
 
     def pick_some(self, hosts, count):
+        """Draw up to `count` names."""
         names = sorted(hosts)
         self.world.dice.shuffle(names)
         return names[:count]
 
-    def _each_in_turn(self, names, pause_us, deed):
-        """One after another, until the fault is closed."""
+    def _each_in_turn(self, names, pause_us, action):
+        """Apply an action to one name after another, until the faults are closed."""
         left = list(names)
 
-        def go_on():
+        def next_one():
             if not left or self.is_closed:
                 return
-            deed(left.pop(0))
-            self.world.after(pause_us, go_on)
+            action(left.pop(0))
+            self.world.after(pause_us, next_one)
 
-        go_on()
+        next_one()
 
     def _start_all(self, hosts):
         for host in hosts:
@@ -79,13 +90,14 @@
         self.fleet.list_runners()
 
     def _kill_all(self, hosts):
+        """Kill the hosts that run; return the function that starts them again."""
         hosts = [host for host in hosts if host.node is not None]
         for host in hosts:
             host.kill()
         return lambda: self._start_all(hosts)
 
     def _put_in_seat(self, seat, zone):
-        """An empty machine at a new address takes the seat."""
+        """Start an empty machine at a new address that takes over a seat."""
         fleet = self.fleet
         fleet.moved += 1
         new = Host(
--- a/packages/stage/src/linkhaven/stage/faults/core.py
+++ b/packages/stage/src/linkhaven/stage/faults/core.py
@@ -1,6 +1,8 @@
+"""Faults of core machines, their disks and the links among them."""
+
 from .base import SECOND, FaultsBase
 
-REJOINED_S = 6
+REJOINED_S = 6  # by then a machine in a new seat has rejoined
 
 
 class CoreFaults(FaultsBase):
@@ -12,14 +14,17 @@
         return self.fleet.registries[seat or self.pick(self.fleet.registries)]
 
     def kill_core(self, seat=None):
+        """Kill a core machine; it restarts with its disk."""
         return self._kill_all([self._seat(seat)])
 
     def freeze_core(self, seat=None):
+        """Freeze a core machine."""
         host = self._seat(seat)
         host.freeze()
         return host.wake
 
     def freeze_holder(self, role="steward"):
+        """Freeze the core machine that holds a role."""
         for host in self.fleet.registries.values():
             if host.node and host.node.leases[role].is_held():
                 host.freeze()
@@ -27,7 +32,7 @@
         return None
 
     def freeze_seat_in_a_put(self, seat=None, after_us=None):
-        """A seat freezes while a put is in its first or second round."""
+        """Freeze a core machine while a put is in its first or second round of messages."""
         host = self._seat(seat)
         fleet, mark = self.fleet, self.fleet.acked_mark()
         fleet.put_plan(fleet.plan, mark, None, 0)
@@ -35,14 +40,15 @@
         return host.wake
 
     def empty_core(self, seat=None):
-        """A core machine is lost; another takes its seat, empty, at a new address."""
+        """Lose a core machine with its disk; an empty one takes its seat at a new address."""
         seat = seat or self.pick(self.fleet.registries)
         host = self.fleet.registries[seat]
         host.kill()
         self.world.after(SECOND, lambda: self._put_in_seat(seat, host.zone))
 
     def exchange_seeds(self, pause_s=REJOINED_S):
-        """The seed machines, which are the core's, are exchanged one after another; settings follow."""
+        """Replace the seed machines, which are the core's, one after another; the settings
+        follow."""
 
         def exchange(seat):
             fleet = self.fleet
@@ -54,7 +60,7 @@
         self._each_in_turn(sorted(self.fleet.registries), pause_s * SECOND, exchange)
 
     def exchange_awake_core(self, seat=None):
-        """A frozen core machine is replaced, then wakes beside its successor."""
+        """Replace a frozen core machine, which then wakes beside its successor."""
         seat = seat or self.pick(self.fleet.registries)
         old = self.fleet.registries[seat]
         old.freeze()
@@ -63,6 +69,7 @@
         return old.wake
 
     def lossy_core(self, seat=None, loses=8):
+        """Kill a core machine whose disk loses its last `loses` acknowledged writes."""
         host = self._seat(seat)
         host.disk.loses = loses
         host.kill()
@@ -75,15 +82,17 @@
         return come_back
 
     def restart_core(self):
+        """Kill all core machines at once; they restart with their disks."""
         return self._kill_all(self.fleet.registries.values())
 
     def full_disk(self, seat=None):
+        """A core disk is full: its writes fail."""
         disk = self._seat(seat).disk
         disk.is_full = True
         return disk.mend
 
     def full_disk_in_a_rejoin(self, seat=None):
-        """A seat starts again on a disk that is full until the fault closes."""
+        """Restart a core machine on a disk that is full until the fault closes."""
         host = self._seat(seat)
         host.kill()
         host.disk.is_full = True
@@ -91,29 +100,32 @@
         return host.disk.mend
 
     def stall_disk(self, seat=None):
+        """A core disk's syncs don't return."""
         disk = self._seat(seat).disk
         disk.is_stalled = True
         return disk.mend
 
     def stall_disk_in_a_put(self, seat=None):
+        """A core disk's syncs stop returning while a put is under way."""
         fleet = self.fleet
         fleet.put_plan(fleet.plan, fleet.acked_mark(), None, 0)
         return self.stall_disk(seat)
 
     def slow_disk(self, seat=None):
+        """A core disk takes 300 ms for each sync."""
         disk = self._seat(seat).disk
         disk.sync_us = 300_000
         return disk.mend
 
     def slow_disks(self):
-        """Every core disk at once."""
+        """All core disks take 120 ms for each sync."""
         disks = [host.disk for host in self.fleet.registries.values()]
         for disk in disks:
             disk.sync_us = 120_000
         return lambda: [disk.mend() for disk in disks]
 
     def cut_core(self, seat=None):
-        """The core is cut in two, and the edge with it: a third goes with the lone seat."""
+        """Split the core, and the edge with it: a third of the routers stays with the lone seat."""
         lone = self._seat(seat).name
         names = sorted(self.fleet.routers)
         side = names[: len(names) // 3]
@@ -122,7 +134,8 @@
         return self.world.heal
 
     def cut_core_from_edge(self):
-        """The edge keeps one seat; the two others keep each other, the platform and the runners."""
+        """Routers reach only one seat; the two others reach each other, the platform and the
+        runners."""
         lone = self._seat(None).name
         pair = [host.name for host in self.fleet.registries.values() if host.name != lone]
         self.world.cut(pair, [lone, *self.fleet.routers])
@@ -135,6 +148,7 @@
         return self.world.heal
 
     def cut_seat_from_seats(self, seat=None):
+        """One seat loses the other seats, and still reaches the rest."""
         lone = self._seat(seat).name
         self.world.cut(
             [lone], [host.name for host in self.fleet.registries.values() if host.name != lone]
@@ -142,17 +156,18 @@
         return self.world.heal
 
     def cut_seat_from_edge(self, seat=None):
+        """One seat loses all routers."""
         self.world.cut([self._seat(seat).name], list(self.fleet.routers))
         return self.world.heal
 
     def cut_seats_one_way(self):
-        """One seat hears another, and is not heard by it."""
+        """One seat receives from another, which doesn't receive from it."""
         source, target = self.pick_some([host.name for host in self.fleet.registries.values()], 2)
         self.world.cuts.add((source, target))
         return self.world.heal
 
     def slow_seat(self, seat=None, extra_us=400_000):
-        """What one seat sends comes late, and jitters."""
+        """Messages of one seat are delayed by `extra_us` and jitter."""
         name = self._seat(seat).name
         for other in self._inside():
             if other != name:
--- a/packages/stage/src/linkhaven/stage/faults/edge.py
+++ b/packages/stage/src/linkhaven/stage/faults/edge.py
@@ -1,3 +1,5 @@
+"""Faults of routers, whole zones, clocks, and the links between machines."""
+
 from .base import SECOND, FaultsBase
 
 YEAR_US = 365 * 24 * 3600 * SECOND
@@ -9,16 +11,18 @@
     __slots__ = ()
 
     def kill_router(self, name=None, restart=True):
+        """Kill a router; it restarts when the fault closes, unless `restart` is False."""
         host = self.fleet.routers[name or self.pick(self.fleet.routers)]
         host.kill()
         return host.start if restart else None
 
     def kill_many_routers(self, count=None):
+        """Kill all routers but two, or `count` of them."""
         names = self.pick_some(self.fleet.routers, count or len(self.fleet.routers) - 2)
         return self._kill_all([self.fleet.routers[name] for name in names])
 
     def kill_many(self):
-        """Half the routers, a core seat and a runner at once."""
+        """Kill half the routers, a core machine and a runner at once."""
         fleet = self.fleet
         routers = self.pick_some(fleet.routers, len(fleet.routers) // 2)
         return self._kill_all(
@@ -30,13 +34,13 @@
         )
 
     def restart_fleet(self):
-        """Every process of ours and every runner at once."""
+        """Kill every process of ours and every runner at once."""
         return self._kill_all(
             [host for host in self._hosts().values() if host is not self.fleet.platform]
         )
 
     def roll_routers(self, pause_s=2):
-        """Every router restarted, one after another."""
+        """Restart every router, one after another."""
 
         def restart(name):
             host = self.fleet.routers[name]
@@ -46,15 +50,17 @@
         self._each_in_turn(sorted(self.fleet.routers), pause_s * SECOND, restart)
 
     def freeze_router(self, name=None):
+        """Freeze a router."""
         host = self.fleet.routers[name or self.pick(self.fleet.routers)]
         host.freeze()
         return host.wake
 
     def kill_zone(self, zone=None):
-        """All machines of a zone, with its core seat, routers and runners."""
+        """Kill all machines of a zone: its core machine, routers and runners."""
         return self._kill_all(self._in_zone(zone or self.pick(self.fleet.deployment.zones)))
 
     def freeze_zone(self, zone=None):
+        """Freeze all machines of a zone."""
         hosts = self._in_zone(zone or self.pick(self.fleet.deployment.zones))
         for host in hosts:
             host.freeze()
@@ -69,7 +75,7 @@
         return self.world.heal
 
     def jump_clock(self, name=None, jump_us=5 * SECOND):
-        """A machine's clock leaps forward, as if time had passed for nobody else."""
+        """Move one machine's monotonic clock forward."""
         nodes = {
             **self.fleet.routers,
             **{host.name: host for host in self.fleet.registries.values()},
@@ -78,8 +84,9 @@
         host.skew_us += jump_us
 
     def jump_clocks(self):
-        """Clocks of several machines at once: the running clock leaps on, the wall clock forward, back or a year
-        off, on nodes, runners and the platform; and a router and a runner start again by those clocks."""
+        """Move the clocks of several machines at once: monotonic clocks forward; wall clocks
+        forward, back or by a year, on nodes, runners and the platform. A router and a runner
+        restart with those clocks."""
         hosts, dice = self._hosts(), self.world.dice
         for name in self.pick_some(hosts, len(hosts) // 2):
             hosts[name].wall_skew_us += dice.choice(
@@ -97,10 +104,12 @@
         return self._kill_all([router, runner])
 
     def cut_router(self, name=None):
+        """Cut a router off from all machines; callers still reach it."""
         self.world.cut([name or self.pick(self.fleet.routers)], self._inside())
         return self.world.heal
 
     def cut_router_one_way(self, name=None):
+        """A router receives nothing, while what it sends arrives."""
         name = name or self.pick(self.fleet.routers)
         for other in self._inside():
             if other != name:
@@ -108,14 +117,14 @@
         return self.world.heal
 
     def cut_router_from_core(self, name=None):
-        """A router loses the core and its fellows, and still reaches runners and callers."""
+        """A router loses the core and the other routers, and still reaches runners and callers."""
         name = name or self.pick(self.fleet.routers)
         runners = [*self.fleet.runners, name]
         self.world.cut([name], [other for other in self._inside() if other not in runners])
         return self.world.heal
 
     def slow_nodes(self, extra_us=250_000):
-        """Every link between machines of ours turns slow and jitters; those to runners stay."""
+        """Delay and jitter on every link between our machines, except links to runners."""
         names = [name for name in self._inside() if name not in self.fleet.runners]
         for name in names:
             for other in names:
--- a/packages/stage/src/linkhaven/stage/faults/people.py
+++ b/packages/stage/src/linkhaven/stage/faults/people.py
@@ -1,3 +1,5 @@
+"""Faults that callers and operators cause."""
+
 from .base import FaultsBase
 
 
@@ -7,6 +9,7 @@
     __slots__ = ()
 
     def break_conns(self, share=0.3):
+        """Break a share of all connections, at both ends."""
         for conn in [conn for conn in list(self.world.conns) if self.world.dice.random() < share]:
             conn.break_off()
 
@@ -40,7 +43,7 @@
         return calm
 
     def collide_plans(self):
-        """Two operators put at once, through two seats."""
+        """Two operators put different plans at once, through two seats."""
         mark = self.fleet.acked_mark()
         live = [
             seat for seat, host in self.fleet.registries.items() if host.node and not host.is_still
@@ -52,7 +55,7 @@
         return self._restore
 
     def burst_plans(self, count=4):
-        """One operator puts plan after plan, all of them different, each as soon as the one before is answered."""
+        """One operator puts several different plans, each as soon as the one before is answered."""
 
         def put(left, mark):
             if left:
@@ -70,7 +73,7 @@
         return self._restore
 
     def remove_group(self, name=None):
-        """A plan without one group and its kinds, while its work is queued."""
+        """Put a plan without one group and its kinds, while requests of the group are queued."""
         plan = self.fleet.plan
         name = name or self.pick(plan["groups"])
         self.fleet.put_plan(
@@ -88,7 +91,8 @@
         return self._restore
 
     def _other_plan(self, turn):
-        """Differs in targets, credit, weights and queue bounds from the fleet's own plan."""
+        """A plan that differs from the fleet's own in targets, credit, weights and answer
+        bounds."""
         plan = self.fleet.plan
         return {
             **plan,
@@ -114,13 +118,15 @@
         }
 
     def _restore(self, mark=None, tries=40):
-        """The fleet's own plan again, put until it holds."""
+        """Put the fleet's own plan again until it is acknowledged."""
         fleet = self.fleet
 
-        def hear(status, document):
+        def on_response(status, document):
             if status == 200 or not tries:
                 return
-            told = document["detail"]["mark"] if status == 409 else None
-            self.world.after(300_000, lambda: self._restore(told, tries - 1))
+            known_mark = document["detail"]["mark"] if status == 409 else None
+            self.world.after(300_000, lambda: self._restore(known_mark, tries - 1))
 
-        fleet.put_plan(fleet.plan, fleet.acked_mark() if mark is None else mark, None, 1, hear)
+        fleet.put_plan(
+            fleet.plan, fleet.acked_mark() if mark is None else mark, None, 1, on_response
+        )
--- a/packages/stage/src/linkhaven/stage/faults/runners.py
+++ b/packages/stage/src/linkhaven/stage/faults/runners.py
@@ -1,3 +1,5 @@
+"""Faults of runners, their links and held memory, and of the platform that lists them."""
+
 from .base import SECOND, FaultsBase
 
 
@@ -10,10 +12,11 @@
         return [host.node for host in self.fleet.runners.values() if host.node]
 
     def _reading(self):
+        """The runners in the prefill phase, or all if there are none."""
         return [node for node in self._nodes() if node.phase == "prefill"] or self._nodes()
 
     def _set(self, nodes, **facts):
-        """Sets what every runner given has, and gives back what it was."""
+        """Set attributes on nodes; return the function that restores them."""
         before = [(node, name, getattr(node, name)) for node in nodes for name in facts]
         for node, name, _ in before:
             setattr(node, name, facts[name])
@@ -23,24 +26,27 @@
         return self.fleet.runners[name or self.pick(self.fleet.runners)]
 
     def crash_runner(self, name=None):
+        """Kill a runner."""
         return self._kill_all([self._runner(name)])
 
     def crash_runners(self):
-        """Nearly half of them at once."""
+        """Kill nearly half of the runners at once."""
         names = self.pick_some(self.fleet.runners, len(self.fleet.runners) // 2)
         return self._kill_all([self.fleet.runners[name] for name in names])
 
     def dark_runner(self, name=None):
+        """Cut a runner off from all machines."""
         self.world.cut([self._runner(name).name], self._inside())
         return self.world.heal
 
     def freeze_runner(self, name=None):
+        """Freeze a runner."""
         host = self._runner(name)
         host.freeze()
         return host.wake
 
     def replace_runner(self, name=None, leave_s=5):
-        """A runner is listed as leaving, goes, and another comes under a new name."""
+        """List a runner as leaving, stop it, and add another under a new name."""
         old = self._runner(name)
         phase = old.node.phase if old.node else "decode"
         self.fleet.list_runners(**{old.name.replace("-", "_"): "leaving"})
@@ -59,7 +65,7 @@
         self.world.after(leave_s * SECOND, go)
 
     def roll_runners(self, pause_s=4):
-        """Every runner replaced, one after another."""
+        """Replace every runner, one after another."""
         self._each_in_turn(
             sorted(self.fleet.runners),
             pause_s * SECOND,
@@ -67,7 +73,7 @@
         )
 
     def rename_runner(self, name=None):
-        """A runner is gone from one moment to the next, and another stands under its name at a new address."""
+        """Replace a runner without notice by another under the same name at a new address."""
         old = self._runner(name)
         old.kill()
         self.fleet.moved += 1
@@ -75,70 +81,80 @@
         self.fleet.list_runners()
 
     def ghost_runners(self):
-        """Two runners are gone and the platform goes on listing them."""
+        """Kill two runners, which the platform goes on listing."""
         hosts = [self.fleet.runners[name] for name in self.pick_some(self.fleet.runners, 2)]
         for host in hosts:
             host.kill()
         return lambda: self._start_all(hosts)
 
     def die_before_hand_over(self):
-        """Runners die right after they read, before anybody fetched what they hold."""
+        """A runner dies right after it read a prompt, before anybody fetched its KV memory."""
         self._set(self._reading()[:1], dies="hand-over")
         return lambda: self._start_all(self.fleet.runners.values())
 
     def die_in_the_transfer(self):
-        """Runners die with half of the memory sent."""
+        """A runner dies when half of a KV transfer is sent."""
         self._set(self._reading()[:1], dies="transfer")
         return lambda: self._start_all(self.fleet.runners.values())
 
     def leave_unlisted(self, name=None):
-        """A runner leaves by its own word; the platform never says so and its reports are late."""
+        """A runner refuses work as leaving; the platform never lists it so, and its reports are
+        late."""
         node = self._runner(name).node
         return self._set([node] if node else [], is_leaving=True, report_every_us=60 * SECOND)
 
     def lapse_handles(self):
+        """Handles of KV memory expire after 1 ms."""
         return self._set(self._nodes(), hold_us=1_000)
 
     def lapse_in_the_transfer(self):
+        """KV transfers break off halfway."""
         return self._set(self._nodes(), lapses=True)
 
     def fail_hand_overs(self, times=3):
+        """The next KV transfers of each runner fail."""
         self._set(self._nodes(), kv_fails=times)
 
     def mute_runners(self):
-        """Runners report and take work, and their streams stand still."""
+        """Runners report and take work, but their streams stand still."""
         return self._set(self._nodes(), is_mute=True)
 
     def late_reports(self):
+        """Runners renew their reports only every 10 s."""
         return self._set(self._nodes(), report_every_us=10 * SECOND)
 
     def no_reports(self):
-        """Runners serve, and never answer when asked for their load."""
+        """Runners serve, but never answer when asked for their load."""
         return self._set(self._nodes(), is_silent=True)
 
     def slow_links(self, slowness=40.0):
+        """KV transfers of all runners take `slowness` times as long."""
         return self._set(self._nodes(), link_slowness=slowness)
 
     def slow_pair(self, slowness=400.0):
-        """The link from one reading runner to one decoding runner."""
+        """KV transfers from one prefill runner to one decode runner take `slowness` times
+        as long."""
         decoding = [node for node in self._nodes() if node.phase == "decode"]
         return self._set(
             self._reading()[:1], slow_to={node.name: slowness for node in decoding[:1]}
         )
 
     def garble_streams(self, how="skip"):
+        """Runners answer wrongly; `how` is a value of `StandInRunner.garble`."""
         return self._set(self._nodes(), garble=how)
 
     def silent_platform(self):
+        """Freeze the platform."""
         host = self.fleet.platform
         host.freeze()
         return host.wake
 
     def late_platform(self, lag_us=4 * SECOND):
+        """The platform's list lags by `lag_us`."""
         return self._set([self.fleet.platform.node], lag_us=lag_us)
 
     def cut_platform_from_holder(self):
-        """The seat that keeps the list of runners loses the platform alone."""
+        """The core machine that holds the roster role loses only its link to the platform."""
         for host in self.fleet.registries.values():
             if host.node and host.node.leases["roster"].is_held():
                 self.world.cut([host.name], [self.fleet.platform.name])
--- a/packages/stage/src/linkhaven/stage/faults/tenants.py
+++ b/packages/stage/src/linkhaven/stage/faults/tenants.py
@@ -1,4 +1,5 @@
-"""What befalls tenants: keys taken away, added and moved, limits lowered, one that sends too much."""
+"""Faults about tenants: keys revoked, added and moved, limits lowered, and a tenant that sends too
+much."""
 
 from collections.abc import Callable
 
@@ -13,14 +14,15 @@
 STRANGER_SHARE = 0.3
 LARGE_TENANTS = 2
 LOWERED_FOR_US = 10 * SECOND
-"""After the fault closed: a lower limit binds a window later than it is in force."""
+"""Counted from the end of the fault, as a lower limit applies only one window after it is in
+force."""
 
 
 class TenantFaults(EdgeFaults, PeopleFaults):
     """Changes of the tenants in the configuration, and of what their clients send.
 
-    Only for a fleet whose deployment has tenants. A change of keys stays when the fault closes;
-    limits and loads become what they were.
+    Only for a fleet whose deployment has tenants. Changes of keys stay when the fault closes;
+    limits and loads are restored.
     """
 
     __slots__ = ()
@@ -29,23 +31,24 @@
         return name or self.pick(self.fleet.tenants.profiles)
 
     def _large_tenant(self, name: str | None) -> str:
-        """One of the largest that have a limit: its load tells most."""
+        """One of the largest tenants with a limit, whose load has the most effect."""
         profiles = [one for one in self.fleet.tenants.profiles.values() if one.requests_per_s]
         profiles.sort(key=lambda profile: -profile.share)
         return name or self.pick([profile.name for profile in profiles[:LARGE_TENANTS]])
 
     def _put_tenants(self) -> None:
-        """The fleet's configuration with the tenants as they are now, put until it holds."""
+        """Put the fleet's configuration with the tenants as they are now, until it is
+        acknowledged."""
         self.fleet.plan = {**self.fleet.plan, "tenants": self.fleet.tenants.document()}
         self._restore()
 
     def revoke_key(self, name: str | None = None) -> None:
-        """A tenant's oldest key is taken away; its connected clients go on using it."""
+        """Revoke a tenant's oldest key; its clients go on using it."""
         self.fleet.tenants.revoke_key(self._tenant(name))
         self._put_tenants()
 
     def revoke_keys(self, count: int = 4, pause_us: int = 700_000) -> None:
-        """Keys are taken away one after another, each before the last is in force everywhere."""
+        """Revoke keys one after another, each before the last change is in force everywhere."""
 
         def revoke(left: int) -> None:
             self.revoke_key()
@@ -55,31 +58,32 @@
         revoke(count)
 
     def add_key(self, name: str | None = None) -> None:
-        """A tenant gets a further key, and uses it at once."""
+        """Add a key to a tenant, which uses it at once."""
         self.fleet.tenants.add_key(self._tenant(name))
         self._put_tenants()
 
     def move_key(self, name: str | None = None) -> None:
-        """A key goes from one tenant to another, in one version."""
+        """Move a key from one tenant to another, in one version."""
         source = self._tenant(name)
         others = [other for other in self.fleet.tenants.profiles if other != source]
         self.fleet.tenants.move_key(source, self.pick(others))
         self._put_tenants()
 
     def revoke_key_behind_a_cut(self) -> Close:
-        """A key is taken away while a router has lost the core, and callers still reach it."""
+        """Revoke a key while a router has lost the core, and callers still reach it."""
         close: Close = self.cut_router_from_core()
         self.revoke_key()
         return close
 
     def revoke_key_at_a_frozen_router(self) -> Close:
-        """A key is taken away while a router stands still; it wakes with requests that wait."""
+        """Revoke a key while a router is frozen; it wakes with requests waiting."""
         close: Close = self.freeze_router()
         self.revoke_key()
         return close
 
     def lower_limit(self, name: str | None = None) -> Close:
-        """A tenant's limit falls far below what it sends, and stays there for a while."""
+        """Lower a tenant's limit far below what it sends, until LOWERED_FOR_US after the fault
+        closes."""
         tenants, name = self.fleet.tenants, self._large_tenant(name)
         before = tenants.limits[name]
         sent_per_s = self.fleet.rate * tenants.profiles[name].share
@@ -93,13 +97,14 @@
         return lambda: self.world.after(LOWERED_FOR_US, restore)
 
     def hot_tenant(self, name: str | None = None, factor: float = HOT_FACTOR) -> Close:
-        """One tenant sends many times its usual."""
+        """One tenant sends `factor` times its usual load."""
         tenants, name = self.fleet.tenants, self._large_tenant(name)
         tenants.set_load(name, factor)
         return lambda: tenants.set_load(name, 1.0)
 
     def strangers(self, share: float = STRANGER_SHARE) -> Close:
-        """Callers without a key, or with one of nobody, that call themselves a tenant."""
+        """Callers without a key, or with one that no tenant holds, that name a tenant
+        themselves."""
         tenants = self.fleet.tenants
         tenants.stranger_share = share
 
