--- a/packages/stage/src/linkhaven/stage/line_costs.py
+++ b/packages/stage/src/linkhaven/stage/line_costs.py
@@ -1,7 +1,8 @@
-"""Processor time of a message on both sides, typed and as a map: `python -m linkhaven.stage.line_costs`.
+"""Processor time of a message on both sides, typed and as a map: `python -m
+linkhaven.stage.line_costs`.
 
-A row tells what json alone took before typed messages, what the same line takes today as a map, and
-what it takes as a typed message with its checks; all in microseconds, the least of several rounds.
+A row gives the time of json alone, of the same line as an untyped map, and of the typed message
+with its checks; all in microseconds, the least of several rounds.
 """
 
 import json
@@ -40,7 +41,7 @@
 
 
 def samples():
-    """Messages of the sizes that a fleet has, by what they are."""
+    """Messages of the sizes that occur in a fleet, by description."""
     keys = [(f"claim/group-1/{number:040x}", f"router-1-{number}") for number in range(KEYS_A_PAGE)]
     view = QueueView("runner-17", 1_796_190_863_255_515, 3, 5_120, 20_480, 9)
     return {
@@ -57,22 +58,23 @@
     }
 
 
-def _spent_us(deed):
-    timer = timeit.Timer(deed)
+def _spent_us(action):
+    """Microseconds of one call, the least of ROUNDS."""
+    timer = timeit.Timer(action)
     once_s = max(1e-7, timer.timeit(20) / 20)
     number = max(1, int(ROUND_SECONDS / once_s))
     return round(min(timer.repeat(ROUNDS, number)) / number * 1e6, 2)
 
 
 class _Network:
-    """Writes what it is told, and drops it."""
+    """A network port that encodes what it is given, and drops it."""
 
     def send(self, address, message):
         write_line(message)
 
 
 def _sender():
-    """A node that does nothing but send."""
+    """A node that only sends."""
 
     class Ports:
         class clock:  # noqa: N801  it stands for the port of that name
@@ -84,7 +86,7 @@
 
 
 def measure(message):
-    """The times of one message: json before, as a map and typed, sent and read."""
+    """The times of one message: json alone, as a map and typed, both sent and read."""
     line = write_line(message)
     document = json.loads(line)
     facts = {name: fact for name, fact in document.items() if name not in ("say", "name", "back")}
--- a/packages/stage/src/linkhaven/stage/loopback.py
+++ b/packages/stage/src/linkhaven/stage/loopback.py
@@ -1,3 +1,5 @@
+"""A whole deployment as real processes on loopback, and a bounded load against it."""
+
 import http.client
 import json
 import os
@@ -22,8 +24,8 @@
 STOP_S = 20
 
 
-class Watched:
-    """One process of the fleet; its log is kept and its numbered events can be waited for."""
+class FleetProcess:
+    """One process of the fleet. Its log is kept, and its numbered events can be waited for."""
 
     __slots__ = ("name", "process", "lines", "seen", "thread")
 
@@ -54,9 +56,12 @@
             self.seen.notify_all()
 
     def count(self, number):
+        """How many events of a number it has logged."""
         return sum(1 for line in self.lines if f"LH{number} " in line)
 
     def wait_event(self, number, seconds=READY_S, times=1):
+        """Wait until an event was logged `times` times. Raises RuntimeError if it wasn't in time,
+        or if the process ended before."""
         with self.seen:
             is_seen = self.seen.wait_for(
                 lambda: self.count(number) >= times or self.process.poll() is not None, seconds
@@ -67,10 +72,12 @@
             )
 
     def stop(self):
+        """Ask the process to stop, with SIGTERM."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
 
     def wait_end(self):
+        """Wait for its end and return its exit code; kill it after STOP_S."""
         try:
             return self.process.wait(STOP_S)
         except subprocess.TimeoutExpired:
@@ -79,7 +86,8 @@
 
 
 class LoopbackFleet:
-    """A whole deployment as processes on loopback. A test tool: the one thing here that starts processes."""
+    """A whole deployment as processes on loopback, for tests. Nothing else here starts
+    processes."""
 
     __slots__ = (
         "deployment",
@@ -97,6 +105,7 @@
     )
 
     def __init__(self, deployment, folder, port, runner_words=(), core_settings=None):
+        """Uses up to a hundred ports from `port` on; settings, data and logs go to `folder`."""
         self.core_settings = core_settings or {}
         self.runner_words = runner_words
         self.given = {}
@@ -116,9 +125,10 @@
     def _run(self, name, program, *words):
         command = [os.path.join(os.path.dirname(sys.executable), program), *words]
         self.given[name] = (program, words)
-        self.processes[name] = Watched(name, command, os.path.join(self.folder, f"{name}.log"))
+        self.processes[name] = FleetProcess(name, command, os.path.join(self.folder, f"{name}.log"))
 
     def run_again(self, name):
+        """Start a process again with the command it had."""
         program, words = self.given[name]
         self._run(name, program, *words)
 
@@ -132,14 +142,15 @@
         self._run(name, program, "serve", "--settings", self._write_settings(name, settings))
 
     def listed_address(self, name, address, zone):
-        """Where the platform says that a runner is."""
+        """The address under which the platform lists a runner."""
         return address
 
     def runner_options(self, name):
-        """More options for the command of one runner."""
+        """More command-line options for one runner."""
         return []
 
     def start(self):
+        """Start all processes and wait until every core replica votes."""
         zones = self.deployment.zones
         listed = []
         for place in range(self.deployment.runners):
@@ -199,6 +210,11 @@
         return self
 
     def put_plan(self, plan, expect):
+        """Put a plan that replaces the one of mark `expect`, at any registry that takes it.
+
+        Raises ServiceError if the put may have been done or another plan won, RuntimeError if no
+        registry answers.
+        """
         for address in [*self.registries.values()] * 3:
             try:
                 return call_json(
@@ -213,21 +229,26 @@
         raise RuntimeError("no registry took the plan")
 
     def wait_ready(self):
+        """Wait until every router accepts requests."""
         for name in self.routers:
             self.processes[name].wait_event(2003)
 
     def kill(self, name):
+        """Kill a process and wait for its end."""
         self.processes[name].process.kill()
         self.processes[name].process.wait()
 
     def freeze(self, name):
+        """Stop a process with SIGSTOP."""
         self.processes[name].process.send_signal(signal.SIGSTOP)
 
     def wake(self, name):
+        """Resume a process with SIGCONT."""
         if self.processes[name].process.poll() is None:
             self.processes[name].process.send_signal(signal.SIGCONT)
 
     def stop(self):
+        """Stop all processes and return their exit codes by name."""
         for name in self.processes:
             self.wake(name)
         order = [*self.routers, *self.registries, "platform", *self.runners]
@@ -238,7 +259,7 @@
 
 
 class LoadRun:
-    """A bounded load of callers on one loop, against routers on real sockets."""
+    """A bounded load of callers in one event loop, against routers on real sockets."""
 
     __slots__ = (
         "deployment",
@@ -261,7 +282,8 @@
     def __init__(
         self, deployment, routers, rate, seconds, seed, record=None, only=None, tenants=None
     ):
-        """`tenants`: who sends, if another than the deployment's usual tenants with their first keys."""
+        """`tenants`: the senders, if not the deployment's usual tenants with their first keys.
+        `only`: the one kind to send."""
         self.deployment = deployment
         self.routers = list(routers)
         self.rate = rate
@@ -285,6 +307,8 @@
         return self.caller
 
     def run(self):
+        """Run the load until all requests have ended, at most 75 s longer than `seconds`; return
+        its summary."""
         now_us = self.loop.timer.now_us()
         self.end_us = now_us + self.seconds * 1_000_000
         self.stop_us = self.end_us + 75_000_000
@@ -319,11 +343,11 @@
         self.loop.timer.call_in(self._gap_us(), self._next)
 
     def _credentials(self):
-        """What the next request shows of its sender; None where there are no tenants."""
+        """The identity of the next request; None where there are no tenants."""
         return self.tenants.pick(self.dice) if self.tenants else None
 
     def _gap_us(self):
-        """How long until the next request."""
+        """Time until the next request, in us."""
         return int(self.dice.expovariate(self.rate) * 1_000_000) + 1
 
     def _note_end(self, asked):
@@ -335,7 +359,10 @@
 
 
 def time_call(address, path, document):
-    """Microseconds to the first piece and to the end of one streamed answer."""
+    """Microseconds to the first bytes and to the end of one streamed answer.
+
+    Raises RuntimeError if the answer is no complete stream.
+    """
     host, port = split_address(address)
     conn = http.client.HTTPConnection(host, port, timeout=20)
     begun_ns = time.perf_counter_ns()
@@ -352,7 +379,8 @@
 
 
 def measure_overhead(folder, port, count):
-    """Pairs of calls, straight to a runner and through a router, in turn, on an otherwise idle fleet."""
+    """Time pairs of calls, directly to a runner and through a router, on an otherwise idle
+    fleet."""
     mini = Deployment(
         "mini", ("one",), 1, 1, 0, LICENSING.groups, LICENSING.kinds, LICENSING.mix, 1.0
     )
@@ -395,7 +423,8 @@
 
 
 def plan_faults(fleet, run, seconds):
-    """A core seat, a router and a runner are killed at a quarter, a half and three quarters, and started again."""
+    """Kill a core machine, a router and a runner at a quarter, a half and three quarters of the
+    load; restart each an eighth of the load later."""
     share_us = seconds * 1_000_000 // 4
     for place, name in enumerate(("core-b", "edge-1", "runner-5")):
         at_us = (place + 1) * share_us
@@ -404,22 +433,23 @@
 
 
 def plan_freezes(fleet, run, steps):
-    """steps: (second, deed, process); frozen and woken stand in the record as in the simulated world."""
+    """Schedule `steps` of (second, action, process); they are recorded as in the simulated
+    world."""
     kinds = {"freeze": "frozen", "wake": "woken", "kill": "killed"}
 
-    def take(deed, name):
-        getattr(fleet, deed)(name)
-        if deed in kinds:
-            run.record(kinds[deed], node=name, address=fleet.routers.get(name))
+    def apply(action, name):
+        getattr(fleet, action)(name)
+        if action in kinds:
+            run.record(kinds[action], node=name, address=fleet.routers.get(name))
 
-    for second, deed, name in steps:
+    for second, action, name in steps:
         run.loop.timer.call_in(
-            int(second * 1_000_000), lambda deed=deed, name=name: take(deed, name)
+            int(second * 1_000_000), lambda action=action, name=name: apply(action, name)
         )
 
 
 def judge_callers(record, kinds):
-    """What can be judged from the callers' side alone."""
+    """Breaches of the rules that can be judged from the callers' side alone."""
     deadlines = {kind: terms["deadline_us"] for kind, terms in kinds.items()}
     found = {}
     for checker in (every_caller_hears_back, streams_are_whole, acknowledged_plans_survive):
@@ -430,6 +460,8 @@
 
 
 def run_fleet(deployment, folder, port, rate, seconds, seed, has_faults=False):
+    """Start a deployment, put its plan, run a load, stop it, and return a summary with breaches and
+    exit codes."""
     record = []
     os.makedirs(folder, exist_ok=True)
     fleet = LoopbackFleet(deployment, folder, port)
@@ -449,16 +481,16 @@
         )
         if has_faults:
             plan_faults(fleet, run, seconds)
-        told = run.run()
+        summary = run.run()
     finally:
         codes = fleet.stop()
-    told["broken_rules"] = judge_callers(record, deployment.kinds)
+    summary["broken_rules"] = judge_callers(record, deployment.kinds)
     return {
         "deployment": deployment.name,
         "seed": seed,
         "rate": rate,
         "seconds": seconds,
         "ready_s": round(ready_s, 1),
-        **told,
+        **summary,
         "exit_codes": sorted(set(codes.values())),
     }
--- a/packages/stage/src/linkhaven/stage/measure.py
+++ b/packages/stage/src/linkhaven/stage/measure.py
@@ -1,3 +1,10 @@
+"""Measurements in simulated time, one function for each; `MEASURES` names them for the command
+line.
+
+Each takes a deployment's name and a number of seeds, from 1, and calls `tell` with one row for each
+case.
+"""
+
 from functools import partial
 
 from linkhaven.pairing import NO_BOUND_US, Decision, PlacementPolicy
@@ -11,7 +18,7 @@
 
 
 class RandomPlacement(PlacementPolicy):
-    """Baseline: any open runner reads, any decode runner decodes."""
+    """Baseline: a random open runner reads the prompt, a random decode runner decodes."""
 
     __slots__ = ()
 
@@ -31,7 +38,7 @@
 
 
 class StrictPlacement(PlacementPolicy):
-    """Baseline: strict disaggregation, only prefill runners read."""
+    """Baseline: strict disaggregation, only prefill runners read prompts."""
 
     __slots__ = ()
 
@@ -46,6 +53,7 @@
 
 
 def make_fleet(deployment, seed, policy="taichi", **given):
+    """Start a fleet whose routers use a placement policy of `POLICIES`."""
     fleet = SimFleet(DEPLOYMENTS[deployment], seed, **given)
     fleet.start()
     for host in fleet.routers.values():
@@ -54,6 +62,7 @@
 
 
 def run_load(fleet, rate, seconds, settle_s=90):
+    """Run a load of `rate` requests a second for `seconds`; return its summary."""
     begun_us = fleet.world.now_us
     fleet.load(rate)
     fleet.world.run_for(int(seconds * SECOND))
@@ -62,11 +71,13 @@
 
 
 def fixed_plan(deployment, **taichi):
+    """A deployment's plan with these TaiChi settings."""
     return DEPLOYMENTS[deployment].plan(taichi=taichi)
 
 
 def measure_placement(deployment, seeds, tell):
-    """TaiChi, random placement and strict disaggregation: share of requests within both targets, by rate."""
+    """Compare TaiChi, random placement and strict disaggregation: the share of requests within both
+    targets, by rate."""
     base = DEPLOYMENTS[deployment].rate
     for factor in (1, 2, 3, 4):
         row = {"rate": base * factor}
@@ -82,7 +93,8 @@
 
 
 def measure_herding(deployment, seeds, tell):
-    """Goodput by number of routers and by how late runners report, at three times the usual rate."""
+    """Goodput by the number of routers and the runners' report interval, at three times the usual
+    rate."""
     rate = DEPLOYMENTS[deployment].rate * 3
     for routers in (1, 3, 7, 14):
         row = {"routers": routers}
@@ -107,7 +119,7 @@
 
 
 def measure_news(deployment, seeds, tell):
-    """From an operator's acknowledgement to the plan being in force at each router."""
+    """Time from an operator's acknowledgement until the plan is in force at each router."""
     for fault in (None, "kill_core", "freeze_core", "slow_disk"):
         delays = []
         for seed in range(1, seeds + 1):
@@ -142,7 +154,8 @@
 
 
 def measure_membership(deployment, seeds, tell):
-    """Time until every other node takes a killed node for down, and accusations of live ones."""
+    """Time until every other node considers a killed node down, and false alarms about live
+    ones."""
     for kill in (1, 3):
         delays, false_alarms = [], 0
         for seed in range(1, seeds + 1):
@@ -175,20 +188,20 @@
 
 
 def measure_duties(deployment, seeds, tell):
-    """Time a duty stands vacant after its holder is killed or frozen."""
-    for deed in ("kill", "freeze"):
+    """Time that a role is vacant after its holder is killed or frozen."""
+    for action in ("kill", "freeze"):
         delays = []
         for seed in range(1, seeds + 1):
             fleet = make_fleet(deployment, seed)
             for role in ("steward", "bursar", "roster"):
                 holder = _holder(fleet, role)
                 begun_us = fleet.world.now_us
-                getattr(holder, deed)()
+                getattr(holder, action)()
                 fleet.world.wait_for(partial(_holder, fleet, role), 12 * SECOND, 10_000)
                 delays.append(fleet.world.now_us - begun_us)
-                holder.wake() if deed == "freeze" else holder.start()
+                holder.wake() if action == "freeze" else holder.start()
                 fleet.world.run_for(8 * SECOND)
-        tell({"holder": deed, "samples": len(delays), **_spread_ms(delays)})
+        tell({"holder": action, "samples": len(delays), **_spread_ms(delays)})
 
 
 def _holder(fleet, role):
@@ -199,7 +212,8 @@
 
 
 def measure_recovery(deployment, seeds, tell):
-    """Per fault: served share while it lasts, and time from its close until 90 percent of each second's requests are served."""
+    """For each fault, the share served while it lasts and the time from its end until 90 percent of
+    each second's requests are served."""
     for fault in ALL:
         times, during, good = [], [], []
         for seed in range(1, seeds + 1):
@@ -240,7 +254,7 @@
 
 
 def measure_refusals(deployment, seeds, tell):
-    """How long refused calls were kept, and how many of them until their deadline, by code and cause."""
+    """How long refused calls waited, and how many of them until their deadline, by code."""
     deadlines = {
         kind: terms["deadline_us"] for kind, terms in DEPLOYMENTS[deployment].kinds.items()
     }
@@ -311,6 +325,7 @@
 
 
 def _recovered_s(fleet, closed_us):
+    """Seconds after which no second had less than 90 percent served."""
     last_bad = 0
     for second in range(20):
         seen = fleet.summary(closed_us + second * SECOND, closed_us + (second + 1) * SECOND)
@@ -336,7 +351,8 @@
 
 
 def measure_ratio(deployment, seeds, tell):
-    """Goodput over a swing from the usual mix to long prompts, to long answers and back, by kind of ratio."""
+    """Goodput over a swing from the usual mix to long prompts, to long answers and back, with the
+    prefill/decode ratio searched or fixed."""
     prompts, prompt_rate, answers, answer_rate = SWING[deployment]
     usual = DEPLOYMENTS[deployment]
     for name, search in (("searched", True), ("fixed", False)):
@@ -378,7 +394,7 @@
 
 
 def measure_moves(deployment, seeds, tell):
-    """Flowing on and off where decode memory is scarce."""
+    """Goodput with and without moving streams between runners, where decode memory is scarce."""
     for moves in (True, False):
         shares, served, shed, back = [], [], 0, 0
         for seed in range(1, seeds + 1):
--- a/packages/stage/src/linkhaven/stage/program.py
+++ b/packages/stage/src/linkhaven/stage/program.py
@@ -1,3 +1,5 @@
+"""The command line of linkhaven-stage."""
+
 import json
 import tempfile
 
@@ -31,6 +33,8 @@
 
 
 def whole(command, name, least, most):
+    """An option's value as a whole number. Raises the settings error if it isn't one within the
+    bounds."""
     text = command.option(name)
     if not str(text).isdigit() or not least <= int(text) <= most:
         raise invalid_setting(f"--{name}", f"is not a whole number from {least} to {most}")
@@ -38,6 +42,7 @@
 
 
 def load_of(command):
+    """The options rate, seconds and seed."""
     return (
         whole(command, "rate", 1, 500),
         whole(command, "seconds", 1, 600),
@@ -46,6 +51,7 @@
 
 
 def deployment_of(command):
+    """The deployment that an option names. Raises the settings error for an unknown one."""
     deployment = DEPLOYMENTS.get(command.option("deployment"))
     if deployment is None:
         raise invalid_setting("--deployment", f"is not one of {', '.join(DEPLOYMENTS)}")
@@ -174,18 +180,18 @@
     ]
 
     def act(self):
-        told = sweep(
+        totals = sweep(
             deployment_of(self).name,
             whole(self, "first", 0, 10**9),
             whole(self, "count", 1, 100_000),
             lambda breach: self.line(json.dumps(breach)),
         )
-        self.show(told)
-        return 1 if told["breached"] else 0
+        self.show(totals)
+        return 1 if totals["breached"] else 0
 
 
 class ControlCommand(CodedCommand):
-    """Points 1 to 4 of docs/control.md over many seeds."""
+    """Courses of the four control-plane properties over many seeds."""
 
     name = "control"
     description = "Play the courses of the four control points over many seeds and judge each."
@@ -196,15 +202,15 @@
     ]
 
     def act(self):
-        """Each breach is a line; the exit code says whether there was one."""
-        told = play(
+        """Print each breach as a line; return exit code 1 if there was one."""
+        totals = play(
             whole(self, "first", 0, 10**9),
             whole(self, "count", 1, 100_000),
             whole(self, "changes", 1, 100_000),
             lambda breach: self.line(json.dumps(breach)),
         )
-        self.show(told)
-        return 1 if told["breached"] else 0
+        self.show(totals)
+        return 1 if totals["breached"] else 0
 
 
 class MeasureCommand(CodedCommand):
@@ -245,6 +251,7 @@
 
 
 def main():
+    """Run the program."""
     run_application(
         "linkhaven-stage",
         [
--- a/packages/stage/src/linkhaven/stage/quota_costs.py
+++ b/packages/stage/src/linkhaven/stage/quota_costs.py
@@ -1,7 +1,7 @@
-"""What a tenant's quota costs: `python -m linkhaven.stage.quota_costs`.
+"""Cost of a tenant's quota: `python -m linkhaven.stage.quota_costs`.
 
-One router and one owner in this process, each line written and read as on the wire, no network
-between them. Processor time is the least of several rounds, in microseconds.
+One router and one owner run in this process; each line is encoded and decoded as on the wire, with
+no network between them. Processor time is the least of several rounds, in microseconds.
 """
 
 import json
@@ -25,7 +25,7 @@
 
 
 class SteppedClock:
-    """A clock that moves when it is told to; what is due at once runs at the next step."""
+    """A clock that is set by hand; what is due at once runs at the next step."""
 
     __slots__ = ("time_us", "due")
 
@@ -35,23 +35,24 @@
         self.due: list[Callable[[], None]] = []
 
     def now_us(self) -> int:
-        """The time that was set."""
+        """The time that was set, in us."""
         return self.time_us
 
     def call_in(self, delay_us: int, action: Callable[[], None], /) -> None:
-        """Keep what is due in this turn; time-outs don't come about here."""
+        """Keep actions without a delay for this turn; drop the others, as no timeout
+        happens here."""
         if not delay_us:
             self.due.append(action)
 
     def run_due(self) -> None:
-        """Run what is due in this turn."""
+        """Run the actions due in this turn."""
         due, self.due = self.due, []
         for action in due:
             action()
 
 
 class KeptLines:
-    """A network that keeps what is sent, as the bytes of its lines."""
+    """A network that keeps what is sent, as encoded lines."""
 
     __slots__ = ("lines",)
 
@@ -65,12 +66,12 @@
 
 
 class SoleOwner:
-    """Ownership and directory of one controller that owns all shards."""
+    """Shard ownership and directory of one controller that owns all shards."""
 
     __slots__ = ("num_shards",)
 
     def __init__(self) -> None:
-        """As many shards as a core of three has."""
+        """Use as many shards as a core of three has."""
         self.num_shards = 3
 
     def is_owned(self, shard: int, now_us: int) -> bool:
@@ -99,7 +100,7 @@
 
 
 class QuotaPair:
-    """A router and an owner, and how long each took."""
+    """A router and an owner, and the processor time of each."""
 
     __slots__ = ("clock", "router", "owner", "router_lines", "owner_lines", "quotas", "spent_ns")
 
@@ -127,7 +128,8 @@
         return Node(name, address, Ports(self.clock, network, nothing, nothing, _ignore))
 
     def ask_once(self) -> None:
-        """One request that finds no slice, and so a round trip; the next turn is a second on."""
+        """Admit one request that finds no quota slice and needs a round trip, then one that is
+        admitted locally; advance the clock by a second."""
         request: Any = SimpleNamespace(
             id="edge-1-1",
             tenant=TENANT,
@@ -145,7 +147,7 @@
         self.clock.time_us += 1_000_000
 
     def bytes_of_lines(self) -> tuple[int, int]:
-        """The bytes of one request and of its response."""
+        """The sizes in bytes of one request to the owner and of its response."""
         request: Any = SimpleNamespace(
             id="edge-1-1",
             tenant=TENANT,
@@ -178,7 +180,8 @@
 
 
 def measure() -> dict[str, float]:
-    """Microseconds of processor time and bytes for one ask, each the least of `ROUNDS`."""
+    """Microseconds of processor time, the least of `ROUNDS`, and bytes for one request to the
+    owner."""
     rounds = []
     for _ in range(ROUNDS):
         pair = QuotaPair()
--- a/packages/stage/src/linkhaven/stage/sweep.py
+++ b/packages/stage/src/linkhaven/stage/sweep.py
@@ -1,3 +1,5 @@
+"""Many seeded runs of mixed faults in the simulated world, each judged on every rule."""
+
 import random
 
 from .faults import ALL, CORE_FAULTS, TENANT_FAULTS
@@ -12,8 +14,11 @@
 
 
 def draw_course(deployment, seed):
-    """What a seed brings about: up to four faults that overlap, of which at most one takes a core machine. Where
-    there are tenants, one or two befall these, alone half of the time."""
+    """Draw the faults of a seed: up to four that overlap, at most one of which strikes a core
+    machine.
+
+    Deployments with tenants also get one or two tenant faults, half of the time as the only faults.
+    """
     dice = random.Random(seed * 7919 + 1)
     faults, has_core = [], False
     if DEPLOYMENTS[deployment].tenants:
@@ -49,6 +54,7 @@
 
 
 def run_course(deployment, seed, course, is_tracing=False):
+    """Run a drawn course and return its scenario."""
     scenario = Scenario(deployment, seed, platform_lag_us=course["lag_us"])
     scenario.fleet.world.is_tracing = is_tracing
     scenario.load(course["warm_s"], course["rate"])
@@ -61,7 +67,8 @@
 
 
 def sweep(deployment, first, count, tell):
-    """Runs seeds first to first + count - 1; tells each that breached; answers the totals."""
+    """Run the seeds from `first` to `first + count - 1`; call `tell` with each that broke a rule or
+    failed; return the totals."""
     totals = {
         "runs": 0,
         "breached": [],
