--- a/packages/stage/src/linkhaven/stage/checkers.py
+++ b/packages/stage/src/linkhaven/stage/checkers.py
@@ -13,7 +13,7 @@
 from .tenant_checkers import TENANT_CHECKERS
 
 SECOND = 1_000_000
-ANSWER_US = 10_000
+ANSWER_US = 10_000  # a response's longest way from a runner to its router
 AT_ONCE = (
     "plan_absent",
     "unknown_kind",
@@ -24,8 +24,13 @@
     "bad_request",
     "not_resumable",
 )
+"""Refusals whose reason a router knows when the request arrives."""
+
 CLOSED = ("plan_stale", "roster_stale")
+"""Refusals of a router whose configuration or list of runners is too old."""
+
 NOT_ALLOWED = ("credit_spent", "api_key_missing", "api_key_unknown", "quota_spent")
+"""Refusals that no recovery of the fleet would change."""
 
 
 def _of(record, kind):
--- a/packages/stage/src/linkhaven/stage/faults/__init__.py
+++ b/packages/stage/src/linkhaven/stage/faults/__init__.py
@@ -22,6 +22,8 @@
 
 ALL = _named(EdgeFaults) + _named(CoreFaults) + _named(RunnerFaults) + _named(PeopleFaults)
 TENANT_FAULTS = _named(TenantFaults)
+"""Only for deployments with tenants."""
+
 CORE_FAULTS = {
     *_named(CoreFaults),
     "kill_many",
@@ -33,3 +35,4 @@
     "jump_clocks",
     "slow_nodes",
 }
+"""Faults that affect a core machine; a drawn course has at most one of them."""
