--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -1,3 +1,5 @@
+"""Each checker accepts a record that keeps its rule and reports one that breaks it."""
+
 import pytest
 
 from linkhaven.stage import checkers
@@ -390,7 +392,7 @@
     assert list(checker(bad, deadlines={"check": 5 * S, "rare": 5 * S}))
 
 
-def test_every_checker_is_shown_to_fail():
-    """Those of tenants are shown by `test_tenant_checkers.py`, which checks that it shows each."""
+def test_every_checker_has_a_record_that_breaks_its_rule():
+    """`test_tenant_checkers.py` covers the checkers about tenants and verifies that it has all."""
     of_tenants = {*TENANT_CHECKERS, *QUOTA_CHECKERS}
     assert {row[0] for row in RECORDS} | of_tenants == set(checkers.CHECKERS)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,3 +1,5 @@
+"""The days (files of planned work and faults) are well formed, and together cover every fault."""
+
 import itertools
 import tomllib
 from pathlib import Path
@@ -79,7 +81,7 @@
 
 
 def is_on_the_core(entry):
-    """Tell whether the entry strikes core machines: by its kind, or by the class that it names."""
+    """Whether the entry affects core machines, by its kind or by the class that it names."""
     if entry["kind"] in {"node_kill", "node_freeze", "herd_kill"}:
         return entry.get("on") == "core"
     return entry["kind"] in CORE_KINDS
@@ -117,7 +119,7 @@
         known = PLANNED if part == "plan" else FAULTS
         assert set(entry.get("how", "").split()) <= set(known[entry["kind"]].split()), entry
         names = {"service", "class", "zone", "to_zone"} & set(entry)
-        assert not names or path.parent.name in SITES, "names of a site stand in its own folder"
+        assert not names or path.parent.name in SITES, "names of a site belong in its own folder"
     closing = day.get("closing")
     assert closing is None or (closing["kind"], closing.get("how", "")) in CLOSINGS
 
@@ -142,7 +144,7 @@
 
 
 def test_the_entries_on_the_core_are_in_pairs_and_come_again_in_a_day():
-    """Second losses are what the core's rules are about, so days of one trouble don't suffice."""
+    """The core's rules are about second losses, so days with a single fault don't suffice."""
     pairs = set()
     again = set()
     for path in FILES:
@@ -155,7 +157,7 @@
 
 
 def test_long_days_hold_hundreds_of_changes_for_either_site():
-    """A row of changes is long when it outlasts what a member keeps of one change."""
+    """A series of changes is long if it exceeds the history that a member keeps."""
     long_days = [read(path) for path in FILES if path.stem.startswith("long-")]
     assert len(long_days) >= 5
     for day in long_days:
@@ -168,7 +170,7 @@
         assert changes >= 200, day["name"]
 
 
-def test_the_five_points_of_the_letter_come_together_on_one_day():
+def test_one_long_day_combines_the_five_core_troubles():
     """The day has a long cut of the leader, lost answers, a second loss, changes and resets."""
     day = read(FOLDER / "both" / "long-five-points.toml")
     by_kind = {entry["kind"]: entry for _, entry in entries(day)}
@@ -180,7 +182,7 @@
     assert wanted <= set(by_kind)
 
 
-def test_each_fault_stands_alone_in_a_day_and_with_another_in_a_pair():
+def test_each_fault_is_alone_in_a_day_and_each_pair_combines_two():
     alone = {
         tuple(sorted({entry["kind"] for _, entry in entries(read(path))}))
         for path in FILES
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""The script that writes variants of site files, on a small site file of our own."""
+"""The script that writes variants of site files, applied to a small site file."""
 
 import tomllib
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,12 +1,14 @@
+"""Each deployment of the simulated world serves all its callers when nothing fails."""
+
 from linkhaven.stage.fleet import DEPLOYMENTS, SimFleet
 
 
-def test_both_deployments_serve_their_callers_from_core_to_runner():
+def test_every_deployment_serves_all_its_callers():
     for deployment in DEPLOYMENTS.values():
         fleet = SimFleet(deployment, seed=1).start()
         fleet.load()
         fleet.world.run_for(5_000_000)
         assert fleet.settle()
-        seen = fleet.summary()
-        assert seen["asked"] > 10
-        assert seen["served"] == seen["asked"]
+        summary = fleet.summary()
+        assert summary["asked"] > 10
+        assert summary["served"] == summary["asked"]
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,3 +1,5 @@
+"""The whole fleet as processes on real sockets: served calls, misuse, and faults under load."""
+
 import base64
 import hashlib
 import http.client
@@ -37,14 +39,14 @@
 
 
 def post(address, body, headers):
-    """Status and code of the answer; a router that is closed for a moment is asked again."""
+    """Return the status and code of the answer; retry while the router is briefly closed."""
     for _ in range(RESENDS_AT_MOST):
-        status, told, retry_after = post_once(address, body, headers)
-        if status != 503 or told["code"] not in CLOSED:
+        status, document, retry_after = post_once(address, body, headers)
+        if status != 503 or document["code"] not in CLOSED:
             break
-        assert told["done"] == "no"
+        assert document["done"] == "no"
         time.sleep(float(retry_after))
-    return status, told["code"]
+    return status, document["code"]
 
 
 def post_once(address, body, headers):
@@ -55,17 +57,18 @@
     except (BrokenPipeError, ConnectionResetError):
         pass
     answer = conn.getresponse()
-    told = json.loads(answer.read())
+    document = json.loads(answer.read())
     conn.close()
-    return answer.status, told, answer.headers["retry-after"]
+    return answer.status, document, answer.headers["retry-after"]
 
 
 CLOSED = ("plan_stale", "roster_stale")
-"""A router that could not confirm configuration or runners in time, as on a busy machine."""
+"""Codes of a router that could not confirm its configuration or runners in time, as happens on a
+busy machine."""
 
 
 def ask_once(address):
-    """Ask as a caller does: a router that is closed for a moment is asked again, as it says."""
+    """Send a request as a caller does; retry after the given time while the router is closed."""
     for _ in range(RESENDS_AT_MOST):
         status, body, headers = ask(address)
         if status != 503 or json.loads(body)["code"] not in CLOSED:
@@ -96,10 +99,11 @@
 
 
 def find_ports(first):
-    """A hundred ports below those that the system hands out.
+    """Find a hundred free ports below those that the system hands out.
 
-    Each test has a range of its own, and each process begins elsewhere in it, since tests and whole
-    suites run side by side."""
+    Each test has a range of its own, and each process begins elsewhere in it, as tests and whole
+    suites run in parallel.
+    """
     own = first + os.getpid() % 25 * 100
     return next(
         base
@@ -114,15 +118,15 @@
         fleet.start()
         fleet.put_plan(LICENSING.plan(), 0)
         fleet.wait_ready()
-        told = LoadRun(LICENSING, fleet.routers.values(), 5, 3, seed=1).run()
+        summary = LoadRun(LICENSING, fleet.routers.values(), 5, 3, seed=1).run()
         codes_of_misuse = [post(fleet.routers["edge-1"], *misuse) for misuse, _ in MISUSES]
         explained = call_json(
             fleet.routers["edge-1"], "GET", f"/v1/explain/{ask_once(fleet.routers['edge-1'])}"
         )
     finally:
         codes = fleet.stop()
-    assert told["asked"] > 5
-    assert told["served"] == told["asked"]
+    assert summary["asked"] > 5
+    assert summary["served"] == summary["asked"]
     assert set(codes.values()) == {0}
     assert codes_of_misuse == [code for _, code in MISUSES]
     assert explained["decisions"][0]["winner"]
@@ -133,10 +137,11 @@
 
 
 def call_until_clear(addresses, method, document=None):
-    """Call as an operator does: without a clear answer, the same again at the next member.
+    """Call as an operator does: without a clear answer, send the same call to the next member.
 
-    A refusal that says why the order isn't taken ends it; only an unclear outcome (`unknown`) and a
-    core without a majority (`core_unready`, which did nothing) are asked again."""
+    Only an unclear outcome (`unknown`) and a core without a majority (`core_unready`, which did
+    nothing) are retried; any other refusal is raised.
+    """
     for attempt in range(RESENDS_AT_MOST):
         try:
             return call_json(addresses[attempt % len(addresses)], method, "/v1/plan", document)
@@ -148,7 +153,7 @@
 
 
 def put_on_newest(addresses, put_id, plan):
-    """Put on top of the newest mark; an earlier put that stayed unclear may still raise it."""
+    """Put a plan on the newest mark, which an earlier put of unclear outcome may still raise."""
     mark = call_until_clear(addresses, "GET")["mark"]
     for _ in range(RESENDS_AT_MOST):
         document = {"expect": mark, "put_id": put_id, "plan": plan}
@@ -158,11 +163,11 @@
             if error.code != "mark_conflict":
                 raise
             mark = error.detail["mark"]
-    raise AssertionError("each put met a newer mark")
+    raise AssertionError("every put met a newer mark")
 
 
-class Putter(threading.Thread):
-    """Puts plan after plan through seats that live, and notes what was acknowledged, until told to stop."""
+class PlanPutter(threading.Thread):
+    """Puts plans through core machines that run and records the acknowledged ones, until stopped."""
 
     def __init__(self, fleet, record):
         super().__init__(daemon=True)
@@ -177,7 +182,7 @@
             serial += 1
             document = {"expect": self.mark, "put_id": f"put-{serial}", "plan": LICENSING.plan()}
             try:
-                told = call_json(
+                acknowledged = call_json(
                     self.fleet.registries[("core-a", "core-c")[serial % 2]],
                     "PUT",
                     "/v1/plan",
@@ -186,12 +191,12 @@
             except ServiceError as error:
                 self.mark = error.detail.get("mark", self.mark)
                 continue
-            self.mark = told["mark"]
+            self.mark = acknowledged["mark"]
             self.record("acked", mark=self.mark, put_id=f"put-{serial}")
 
 
 def dense_name(text):
-    """As long as a name may be, and of letters that no packing makes fewer: a disk must fill."""
+    """A name of the greatest length that does not compress, so that the disk fills."""
     raw = hashlib.sha512(text.encode()).digest() + hashlib.sha256(text.encode()).digest()
     return base64.urlsafe_b64encode(raw).decode()
 
@@ -204,7 +209,7 @@
         find_ports(24_000),
         core_settings={"core-c": {"data_bytes": 131_072}},
     )
-    putter = Putter(fleet, lambda kind, **facts: record.append((0, kind, facts)))
+    putter = PlanPutter(fleet, lambda kind, **facts: record.append((0, kind, facts)))
     try:
         fleet.start()
         fleet.put_plan(LICENSING.plan(), 0)
@@ -232,7 +237,7 @@
             ],
         )
         putter.start()
-        told = run.run()
+        summary = run.run()
         putter.is_over.set()
         putter.join(30)
         fleet.processes["core-b"].wait_event(1202)
@@ -257,5 +262,5 @@
         codes = fleet.stop()
     assert judge_callers(record, LICENSING.kinds) == {}
     assert len([facts for _, kind, facts in record if kind == "acked"]) > 10
-    assert told["served"] >= 0.7 * told["asked"]
+    assert summary["served"] >= 0.7 * summary["asked"]
     assert set(codes.values()) == {0}
--- a/tests/test_never.py
+++ b/tests/test_never.py
@@ -1,3 +1,8 @@
+"""Every fault, alone and under load, breaks no rule, and callers are served again after it.
+
+The rows are in `features/never.feature`. Seeded courses that once broke a rule are replayed, too.
+"""
+
 from pathlib import Path
 
 import pytest
@@ -32,12 +37,12 @@
 @then("callers are served again")
 def callers_are_served_again(scenario):
     closed_us = max(at_us for at_us, kind, _ in scenario.fleet.world.record if kind == "closed")
-    seen = scenario.fleet.summary(closed_us + 12_000_000)
-    assert seen["asked"] > 5
-    assert seen["served"] >= 0.95 * seen["asked"]
+    summary = scenario.fleet.summary(closed_us + 12_000_000)
+    assert summary["asked"] > 5
+    assert summary["served"] >= 0.95 * summary["asked"]
 
 
-FOUND_ONCE = [
+REGRESSION_COURSES = [
     (
         "licensing",
         83,
@@ -75,10 +80,10 @@
 
 @pytest.mark.parametrize(
     "deployment, seed, lag_us, warm_s, rate, faults, hold_s",
-    FOUND_ONCE,
-    ids=[f"{row[0]}-{row[1]}" for row in FOUND_ONCE],
+    REGRESSION_COURSES,
+    ids=[f"{row[0]}-{row[1]}" for row in REGRESSION_COURSES],
 )
-def test_courses_that_once_found_something_stay_clean(
+def test_courses_that_once_broke_a_rule_break_none(
     deployment, seed, lag_us, warm_s, rate, faults, hold_s
 ):
     course = {"lag_us": lag_us, "warm_s": warm_s, "rate": rate, "faults": faults, "hold_s": hold_s}
--- a/tests/test_sabotage.py
+++ b/tests/test_sabotage.py
@@ -1,5 +1,7 @@
-"""Each mechanism is taken out in turn: the failure it is meant for then breaks its rule, so the tests that
-pass with it in place do cause that failure."""
+"""Each protective mechanism is disabled in turn: its rule must then break.
+
+This shows that the runs that pass with the mechanism do cause the failure that it protects from.
+"""
 
 import pytest
 
@@ -211,7 +213,7 @@
 
 
 def send_order_now(registry, phase):
-    """An order to runner-3 without a word to the routers before, as if it had been announced."""
+    """Order runner-3 to change its phase, which the routers were not told before."""
     runner = registry.runner_discovery.runners["runner-3"]
     now_us = registry.now_us()
     registry.role_balancer.lease.announcement.announced_us = now_us
@@ -426,7 +428,7 @@
 
 
 @pytest.mark.parametrize("how", ["skip", "repeat", "foreign", "end", "early", "request"])
-def test_a_runner_that_garbles_its_stream_is_cut_off_honestly(how):
+def test_a_garbled_stream_is_cut_off_and_breaks_no_rule(how):
     scenario = Scenario("licensing", 10).load(1)
     scenario.fault("garble_streams", how).load(4)
     scenario.close().end(calm_s=3)
@@ -447,15 +449,15 @@
 def test_a_filter_that_raises_answers_and_ends_the_chain():
     from linkhaven.api import ServiceError
 
-    answers, walked = [], []
+    codes, requests_passed_on = [], []
 
     def refuse(request):
         raise ServiceError("queue_full")
 
-    class Walker:
+    class FilteredRequest:
         next_filter = 0
 
-    FilterChain([refuse, walked.append], lambda request, error: answers.append(error.code)).run(
-        Walker()
-    )
-    assert (answers, walked) == (["queue_full"], [])
+    FilterChain(
+        [refuse, requests_passed_on.append], lambda request, error: codes.append(error.code)
+    ).run(FilteredRequest())
+    assert (codes, requests_passed_on) == (["queue_full"], [])
--- a/tests/test_tenant_checkers.py
+++ b/tests/test_tenant_checkers.py
@@ -1,4 +1,4 @@
-"""Rules about keys, names and limits of tenants, with histories that break them and others."""
+"""Rules about keys, names and limits of tenants, on histories that break or keep them."""
 
 import pytest
 
@@ -162,7 +162,7 @@
 
 
 def spread(count, at):
-    """So many requests, evenly over two windows."""
+    """Requests spread evenly over two windows."""
     times = [at + number * 10 * S // count for number in range(count)]
     return [entry for sent in times for entry in burst_of(1, sent)]
 
@@ -230,14 +230,14 @@
     assert [version.mark for version in history.in_force(30 * S, 30 * S)] == [3]
 
 
-def test_a_version_that_another_took_the_place_of_was_never_in_force():
+def test_a_version_whose_mark_another_version_got_was_never_in_force():
     lost = put(plan(t1=tenant(K3)), 1, 10 * S, acked=False)
     won = put(plan(t1=tenant(K1)), 1, 11 * S)
     history = ConfigurationHistory([*TWO, *lost, *won])
     assert not history.ever_held(digest_api_key(K3))
 
 
-def test_every_rule_about_tenants_is_judged():
+def test_every_rule_about_tenants_is_covered_and_among_the_checkers():
     from linkhaven.stage.checkers import CHECKERS
 
     shown = {parameter.values[0] for parameter in KEY_CASES + QUOTA_CASES}
