--- a/packages/stage/src/linkhaven/stage/soak/__init__.py
+++ b/packages/stage/src/linkhaven/stage/soak/__init__.py
@@ -1,1 +1,2 @@
-"""A soak of a real fleet: processes and sockets on loopback under overlapping faults, judged."""
+"""Soak test: a fleet of real processes on loopback sockets under overlapping faults, checked
+against the rules of `judge.py`."""
--- a/packages/stage/src/linkhaven/stage/soak/fleet.py
+++ b/packages/stage/src/linkhaven/stage/soak/fleet.py
@@ -1,4 +1,4 @@
-"""A loopback fleet whose processes reach each other through relays."""
+"""A loopback fleet whose processes connect to each other through relays."""
 
 import os
 
@@ -13,10 +13,10 @@
 
 
 class SoakFleet(LoopbackFleet):
-    """Every address that a process of the fleet is given is that of a relay before it.
+    """A `LoopbackFleet` in which processes are given only relay addresses of each other.
 
-    `relays` has them by the name of the process and the link: its calls (HTTP), its lines, and
-    for a core seat its own way to the platform's list.
+    `relays` maps (process name, link) to the relay: HTTP calls, the node-to-node connections
+    ("lines"), and for a core replica its own connection to the platform API.
     """
 
     __slots__ = (
@@ -30,7 +30,7 @@
     )
 
     def __init__(self, deployment, folder, port, seed, sabotage=None):
-        """Nothing runs yet but the relays' thread; `sabotage`: what to take out of the nodes."""
+        """Start the relay thread only; `sabotage` names the mechanism to disable in the nodes."""
         super().__init__(deployment, folder, port)
         self.sabotage = sabotage
         self.relay_loop = RelayLoop(seed)
@@ -45,7 +45,7 @@
         return relay.address
 
     def start(self):
-        """Relays for the seeds first: every node's settings name them."""
+        """Create the seed nodes' relays first, as every node's settings name their addresses."""
         self.bound = dict(zip(("core-a", "core-b", "core-c"), self.seeds, strict=True))
         self.seeds = [
             self._add_relay(name, Link.LINES, address) for name, address in self.bound.items()
@@ -53,23 +53,23 @@
         return super().start()
 
     def listed_address(self, name, address, zone):
-        """The platform lists a runner at its relay."""
-        seen = self._add_relay(name, Link.CALLS, address)
+        """Add a relay for the runner and list the runner at the relay's address."""
+        relay_address = self._add_relay(name, Link.CALLS, address)
         self.first_listed[name] = self.listed[name] = {
             "name": name,
-            "address": seen,
+            "address": relay_address,
             "zone": zone,
             "incarnation": 0,
             "state": "serving",
         }
-        return seen
+        return relay_address
 
     def runner_options(self, name):
-        """Each runner writes down what it began."""
+        """Have each runner record the work it begins; disable its fencing check where required."""
         path = os.path.join(self.folder, f"{name}.record")
         self.record_paths.append(path)
-        trusting = ["--trusting"] if self.sabotage in TRUSTING_RUNNERS else []
-        return ["--record", path, *trusting]
+        trusting_option = ["--trusting"] if self.sabotage in TRUSTING_RUNNERS else []
+        return ["--record", path, *trusting_option]
 
     def _serve(self, name, program, settings):
         if name in self.registries:
@@ -81,7 +81,7 @@
             settings["lines"] = self._add_relay(name, Link.LINES, listen)
         self._add_relay(name, Link.CALLS, settings["http"])
         path = self._write_settings(name, settings)
-        words = (
+        arguments = (
             "soak-node",
             "--program",
             PROGRAMS[program],
@@ -91,32 +91,32 @@
             listen,
             *(("--sabotage", self.sabotage) if self.sabotage else ()),
         )
-        self._run(name, "linkhaven-stage", *words)
+        self._run(name, "linkhaven-stage", *arguments)
 
     def calls_address(self, name):
-        """Where others call a process: its relay."""
+        """The HTTP address of the relay in front of a process."""
         return self.relays[(name, Link.CALLS)].address
 
     def calls_addresses(self, names):
-        """The same of several."""
+        """The relay HTTP addresses of several processes."""
         return [self.calls_address(name) for name in names]
 
     def set_absent(self, name, is_absent):
-        """Have the relays before a process refuse connections, or take them again."""
+        """Make the relays in front of a process refuse connections, or accept them again."""
         for link in (Link.CALLS, Link.LINES):
             if (name, link) in self.relays:
                 self.relays[(name, link)].set_absent(is_absent)
 
     def list_runners(self):
-        """Tell the platform the runners as they are now."""
+        """Put the current runner list to the platform."""
         call_json(self.platform, "PUT", "/v1/runners", {"runners": list(self.listed.values())})
 
     def is_running(self, name):
-        """Whether the process is there."""
+        """Whether the process is running."""
         return self.processes[name].process.poll() is None
 
     def stop(self):
-        """End the processes, then the relays."""
+        """Stop the processes, then the relays; returns the exit codes by process name."""
         for relay in self.relays.values():
             relay.set_mode(Mode.PASS)
         try:
--- a/packages/stage/src/linkhaven/stage/soak/hot_tenant.py
+++ b/packages/stage/src/linkhaven/stage/soak/hot_tenant.py
@@ -1,7 +1,7 @@
-"""When which tenant sends many times its usual in a soak, drawn from the seed.
+"""Load spikes of single tenants during a soak, drawn from the seed.
 
-It is always one of those with the lowest limits: what the fleet lets in of it stays little, so that
-service can be judged meanwhile.
+Only tenants with the lowest rate limits are chosen: the fleet admits little of their excess load,
+so the service to other tenants can still be checked during a spike.
 """
 
 import random
@@ -12,22 +12,22 @@
 from .schedule import SECOND_US
 
 HOT_FACTOR = 40.0
-SPAN_US = (6 * SECOND_US, 9 * SECOND_US)
-REST_US = (2 * SECOND_US, 5 * SECOND_US)
+HOT_SPAN_US = (6 * SECOND_US, 9 * SECOND_US)
+PAUSE_US = (2 * SECOND_US, 5 * SECOND_US)
 LOWEST_LIMITS = 2
 
 
 class Clock(Protocol):
-    """The clock of the load."""
+    """The timer of the load's event loop."""
 
     def call_in(self, delay_us: int, action: object) -> None:
-        """Act once, so much later."""
+        """Run `action` once after `delay_us` microseconds."""
 
 
 class HotTenant:
-    """Switches a tenant's load up and down until the end of a load."""
+    """Raises one tenant's load at a time to `HOT_FACTOR` times its normal rate, with pauses."""
 
-    __slots__ = ("clock", "dice", "names", "note", "tenants", "until_us")
+    __slots__ = ("clock", "rng", "names", "note", "tenants", "until_us")
 
     def __init__(
         self,
@@ -37,25 +37,25 @@
         seed: int,
         seconds: int,
     ) -> None:
-        """Nothing begins yet; it ends `seconds` after `begin`. `note` writes into the record."""
+        """Spikes start within `seconds` after `begin`; `note` writes an entry into the record."""
         self.tenants = tenants
         self.note = note
         self.clock = clock
-        self.dice = random.Random(seed)
+        self.rng = random.Random(seed)
         self.until_us = seconds * SECOND_US
-        limited = [one for one in tenants.profiles.values() if one.requests_per_s]
+        limited = [candidate for candidate in tenants.profiles.values() if candidate.requests_per_s]
         limited.sort(key=lambda profile: profile.requests_per_s)
         self.names = [profile.name for profile in limited[:LOWEST_LIMITS]]
 
     def begin(self) -> None:
-        """Plan each span in which a tenant is hot."""
-        at_us = self.dice.randint(*REST_US)
+        """Schedule the begin and end of each spike."""
+        at_us = self.rng.randint(*PAUSE_US)
         while at_us < self.until_us:
-            end_us = at_us + self.dice.randint(*SPAN_US)
-            name = self.dice.choice(self.names)
+            end_us = at_us + self.rng.randint(*HOT_SPAN_US)
+            name = self.rng.choice(self.names)
             self._call_at(at_us, name, HOT_FACTOR)
             self._call_at(end_us, name, 1.0)
-            at_us = end_us + self.dice.randint(*REST_US)
+            at_us = end_us + self.rng.randint(*PAUSE_US)
 
     def _call_at(self, at_us: int, name: str, factor: float) -> None:
         def switch() -> None:
--- a/packages/stage/src/linkhaven/stage/soak/judge.py
+++ b/packages/stage/src/linkhaven/stage/soak/judge.py
@@ -1,4 +1,7 @@
-"""Judges what a soak's processes, callers and operator wrote down. Every breach is a line of text."""
+"""Checks the records of a soak's processes, callers and operators against the rules.
+
+Each breach is reported as a line of text.
+"""
 
 import re
 from collections import defaultdict
@@ -24,23 +27,23 @@
 from .schedule import JUDGED_US, RECOVERY_US, SECOND_US
 
 ANSWER_MARGIN_US = 5 * SECOND_US
-"""How long after its deadline a caller may hear back, on a busy machine."""
+"""How long after its deadline a caller may get its answer, to allow for a busy machine."""
 
 APPLIED_WITHIN_US = 4 * SECOND_US
-"""How long after its acknowledgement a plan may not be in force at a router: until this is closed
-for want of a confirmation (2.2 s), and a margin for a busy machine."""
+"""How long after its acknowledgement a plan may not yet be in force at a router: the 2.2 s after
+which a router without a confirmation closes, and a margin for a busy machine."""
 
 WINDOW_US = 2 * SECOND_US
 WINDOW_STEP_US = SECOND_US
-LEAST_SHARE = 0.25
-LEAST_ASKED = 4
-"""A window with fewer requests says nothing about a quarter of them."""
+MIN_SERVED_SHARE = 0.25
+MIN_WINDOW_REQUESTS = 4
+"""Windows with fewer requests are not judged: the share served means nothing."""
 
-RUNNER_UP_US = 5 * SECOND_US
-"""So long a decode runner must have been undisturbed before its service is asked for."""
+RUNNER_UNDISTURBED_US = 5 * SECOND_US
+"""How long a decode runner must have been free of faults before service is required of it."""
 
-BREACHES_KEPT = 5
-BREACH_CHARACTERS = 400
+MAX_BREACHES_PER_RULE = 5
+MAX_BREACH_LENGTH = 400
 APPLIED_EVENT = re.compile(r" LH2001 .*\"mark\":(\d+)")
 STARTED_EVENT = " LH1001 "
 FAULT_EVENTS = re.compile(r" LH(1005|19\d\d) ")
@@ -59,7 +62,7 @@
 
 
 class Window(msgspec.Struct, frozen=True):
-    """Requests asked within a time, and how many of them were served."""
+    """A time window of the load: the requests sent in it, and how many of them were served."""
 
     begin_us: int
     asked: int
@@ -68,18 +71,18 @@
 
 
 class Verdict(msgspec.Struct):
-    """What a seed is judged: breaches by rule, and the windows that service was asked for in."""
+    """The result for one seed: breaches by rule, and the windows in which service was required."""
 
     breaches: dict[str, list[str]]
     windows: list[Window]
 
     def least_share(self):
-        """The share served in the worst window."""
+        """The share served in the worst window, or None without any window."""
         return min((window.served / window.asked for window in self.windows), default=None)
 
 
 class Span(msgspec.Struct, frozen=True):
-    """One fault as it really was: from its begin until it was over."""
+    """One fault as it took place: from its begin until its targets were restored."""
 
     kind: str
     targets: tuple[str, ...]
@@ -88,7 +91,7 @@
 
 
 def spans_of(record, end_us):
-    """The faults of a record; one that was never over lasts until the end."""
+    """The faults of a record by begin; one that never ended lasts until `end_us`."""
     begun, spans = {}, []
     for at_us, kind, facts in record:
         if kind == "fault":
@@ -104,57 +107,57 @@
 
 
 class Service:
-    """When the fleet must serve: which windows of the load are judged."""
+    """Decides in which windows of the load the fleet must serve."""
 
-    __slots__ = ("cast", "spans", "begin_us", "end_us", "last_us")
+    __slots__ = ("roles", "spans", "begin_us", "end_us", "last_fault_end_us")
 
-    def __init__(self, cast, record):
-        """Reads when the load began and ended, and when which fault was on."""
-        self.cast = cast
+    def __init__(self, roles, record):
+        """Read the begin and end of the load and of each fault from the record."""
+        self.roles = roles
         self.begin_us = next(at_us for at_us, kind, _ in record if kind == "load_begun")
         self.end_us = max(at_us for at_us, kind, _ in record if kind == "load_ended")
         self.spans = spans_of(record, self.end_us)
-        self.last_us = max((span.end_us for span in self.spans), default=self.begin_us)
+        self.last_fault_end_us = max((span.end_us for span in self.spans), default=self.begin_us)
 
-    def begins(self):
-        """The begins of all whole windows of the load."""
+    def window_starts(self):
+        """Start times of all complete windows of the load."""
         return range(self.begin_us, self.end_us - WINDOW_US + 1, WINDOW_STEP_US)
 
     def is_after_faults(self, begin_us):
-        """Whether the window lies behind the time for recovery from the last fault."""
-        return begin_us >= self.last_us + RECOVERY_US
+        """Whether the window starts after the recovery time that follows the last fault."""
+        return begin_us >= self.last_fault_end_us + RECOVERY_US
 
-    def is_due(self, begin_us):
-        """Whether at least a quarter must be served in the window that begins then."""
+    def is_judged(self, begin_us):
+        """Whether at least a quarter must be served in the window that starts at `begin_us`."""
         if self.is_after_faults(begin_us):
             return True
-        return self._has_core(begin_us) and any(
-            self._is_clear(name, begin_us) for name in self.cast.decodes
+        return self._is_core_available(begin_us) and any(
+            self._is_undisturbed(name, begin_us) for name in self.roles.decodes
         )
 
-    def _has_core(self, begin_us):
-        """No loss of the whole core within the window, nor within the time for its recovery."""
+    def _is_core_available(self, begin_us):
+        """Whether the window overlaps no loss of the whole core and no recovery from one."""
         return not any(
-            set(self.cast.cores) <= set(span.targets)
+            set(self.roles.cores) <= set(span.targets)
             and span.begin_us < begin_us + WINDOW_US
             and span.end_us + RECOVERY_US > begin_us
             for span in self.spans
         )
 
-    def _is_clear(self, name, begin_us):
-        """Whether no fault met the runner in the five seconds before the window, nor in it."""
-        return begin_us - RUNNER_UP_US >= self.begin_us and not any(
+    def _is_undisturbed(self, name, begin_us):
+        """Whether no fault hit the runner in the five seconds before the window or during it."""
+        return begin_us - RUNNER_UNDISTURBED_US >= self.begin_us and not any(
             name in span.targets
             and span.begin_us < begin_us + WINDOW_US
-            and span.end_us > begin_us - RUNNER_UP_US
+            and span.end_us > begin_us - RUNNER_UNDISTURBED_US
             for span in self.spans
         )
 
 
-def windows_of(record, cast):
-    """The windows that are judged, with what was asked in them and became whole answers. What a
-    caller without a key or quota is refused, and what a hot tenant asks for, is not counted."""
-    service = Service(cast, record)
+def windows_of(record, roles):
+    """The judged windows, with the requests sent and those answered completely. Requests refused
+    for lack of a key or quota, and those of a tenant during its load spike, are not counted."""
+    service = Service(roles, record)
     first_asked, done, hot = {}, set(), set()
     for at_us, kind, facts in record:
         if kind == "tenant_load":
@@ -166,21 +169,21 @@
         elif kind == "ended" and facts["code"] in NOT_ALLOWED:
             first_asked.pop(facts["id"], None)
     windows = []
-    for begin_us in service.begins():
+    for begin_us in service.window_starts():
         ids = {id for id, at_us in first_asked.items() if begin_us <= at_us < begin_us + WINDOW_US}
-        if len(ids) >= LEAST_ASKED and service.is_due(begin_us):
+        if len(ids) >= MIN_WINDOW_REQUESTS and service.is_judged(begin_us):
             is_after = service.is_after_faults(begin_us)
             windows.append(Window(begin_us, len(ids), len(ids & done), is_after))
     return windows
 
 
-def find_starved(record, cast):
-    """Windows in which less than a quarter of the requests was served; and a load that was never
-    judged behind its faults, which proves nothing."""
-    windows = windows_of(record, cast)
-    begin_us = Service(cast, record).begin_us
+def find_starved(record, roles):
+    """Report windows in which less than a quarter of the requests was served, and a load without
+    any judged window after its faults, as such a run proves nothing."""
+    windows = windows_of(record, roles)
+    begin_us = Service(roles, record).begin_us
     for window in windows:
-        if window.served < LEAST_SHARE * window.asked:
+        if window.served < MIN_SERVED_SHARE * window.asked:
             when = "after the faults" if window.is_after_faults else "between faults"
             at_s = (window.begin_us - begin_us) / SECOND_US
             yield f"{window.served} of {window.asked} were served from {at_s:.1f} s on, {when}"
@@ -189,12 +192,12 @@
 
 
 def find_lost_plans(record):
-    """What was acknowledged must be read back, as it was put, at each seat at the end."""
+    """Report acknowledged plans that a core replica doesn't return as they were put at the end."""
     for _, kind, facts in record:
         if kind == "shown" and not facts["is_as_put"]:
-            yield f"mark {facts['mark']} reads back other than {facts['put_id']} was put"
+            yield f"mark {facts['mark']} reads back as another plan than {facts['put_id']} put"
         elif kind == "unread":
-            yield f"{facts['seat']} did not show its plan at the end"
+            yield f"{facts['seat']} did not return its plan at the end"
     orders = [entry for entry in record if entry[1] == "acked"]
     finals = [entry for entry in record if entry[1] == "shown" and entry[2].get("seat")]
     if orders and not finals:
@@ -204,19 +207,22 @@
 
 
 def find_lower_fences(record):
-    """A runner takes no order under a lower fencing token than one that it took before."""
+    """Report orders that a runner accepted with a lower fencing token than an earlier one."""
     taken = {}
     for _, kind, facts in record:
         if kind != "order" or not facts["is_taken"]:
             continue
         runner, fence = (facts["runner"], facts["incarnation"]), facts["fence"]
         if fence < taken.get(runner, 0):
-            yield f"{facts['runner']} took an order of {facts['holder']} with {fence} after {taken[runner]}"
+            yield (
+                f"{facts['runner']} accepted an order of {facts['holder']} with "
+                f"fencing token {fence} after {taken[runner]}"
+            )
         taken[runner] = max(fence, taken.get(runner, 0))
 
 
 def find_older_configurations(logs):
-    """Within one life of a process the configuration in force never goes back."""
+    """Report processes whose configuration went back to an older version without a restart."""
     for name, text in logs.items():
         highest = 0
         for line in text.splitlines():
@@ -232,7 +238,7 @@
 
 
 def find_faulty_lines(logs):
-    """Log lines that must not be: what could not be handled, and breached invariants."""
+    """Report log lines of unhandled messages or calls, violated invariants and tracebacks."""
     for name, text in logs.items():
         for line in text.splitlines():
             if FAULT_EVENTS.search(line) or TRACEBACK in line:
@@ -240,7 +246,7 @@
 
 
 def find_bad_ends(record, codes):
-    """Processes that ended by themselves, or not in order when they were told to."""
+    """Report processes that exited by themselves, or with a code other than 0 when stopped."""
     for at_us, kind, facts in record:
         if kind == "died":
             yield f"{facts['node']} ended by itself at {at_us}"
@@ -250,26 +256,26 @@
 
 
 def find_unfinished(record):
-    """Faults that were never over, and an operator that never heard back."""
+    """Report faults whose targets were never restored, and an operator that got no answer."""
     begun = {facts["fault"] for _, kind, facts in record if kind == "fault"}
     over = {facts["fault"] for _, kind, facts in record if kind == "over"}
     for number in sorted(begun - over):
-        yield f"what fault {number} took did not come back"
+        yield f"the targets of fault {number} were not restored"
     if any(kind == "operator_stuck" for _, kind, _ in record):
-        yield "the operator did not hear back"
+        yield "the operator did not get an answer"
 
 
-def judge_soak(record, cast, kinds, logs, codes):
-    """The verdict on one seed's record, logs and exit codes."""
-    terms = {
+def judge_soak(record, roles, kinds, logs, codes):
+    """Check one seed's record, logs and exit codes against every rule."""
+    parameters = {
         "deadlines": {kind: facts["deadline_us"] for kind, facts in kinds.items()},
         "within_us": ANSWER_MARGIN_US,
         "applied_within_us": APPLIED_WITHIN_US,
         "quota_slack": Bounds().quota_slack,
     }
-    found = {checker.__name__: checker(record, **terms) for checker in CHECKERS}
+    found = {checker.__name__: checker(record, **parameters) for checker in CHECKERS}
     found["acknowledged_plans_survive"] = find_lost_plans(record)
-    found["service_comes_back"] = find_starved(record, cast)
+    found["service_comes_back"] = find_starved(record, roles)
     found["orders_have_rising_fences"] = find_lower_fences(record)
     found["configurations_never_go_back"] = find_older_configurations(logs)
     found["no_faulty_lines"] = find_faulty_lines(logs)
@@ -277,11 +283,13 @@
     found["faults_end"] = find_unfinished(record)
     breaches = defaultdict(list)
     for rule, lines in found.items():
-        breaches[rule] += [line[:BREACH_CHARACTERS] for line in islice(lines, BREACHES_KEPT)]
+        breaches[rule] += [
+            line[:MAX_BREACH_LENGTH] for line in islice(lines, MAX_BREACHES_PER_RULE)
+        ]
     breaches = {rule: lines for rule, lines in breaches.items() if lines}
-    return Verdict(breaches, windows_of(record, cast))
+    return Verdict(breaches, windows_of(record, roles))
 
 
-def last_needed_us(last_over_us):
-    """Until when the load must go on to be judged after its last fault."""
+def required_end_us(last_over_us):
+    """When the load may end so that service after its last fault can be judged."""
     return last_over_us + RECOVERY_US + JUDGED_US
--- a/packages/stage/src/linkhaven/stage/soak/node.py
+++ b/packages/stage/src/linkhaven/stage/soak/node.py
@@ -1,8 +1,8 @@
-"""A router or registry as a process whose lines pass through a relay.
+"""A router or registry process whose node-to-node connections ("lines") pass through a relay.
 
-Its settings name the relay's address as that for its fellows, and it listens elsewhere. Node,
+Its settings advertise the relay's address to other nodes, while it listens at another one. Node,
 sockets, disk and log are those of `linkhaven-router serve` and `linkhaven-registry serve`, which
-can only listen where their settings send their fellows.
+can only listen at the address that their settings advertise.
 """
 
 from linkhaven.controller.program import controller_builder
@@ -12,10 +12,10 @@
 
 
 class RelayedEventLoop(EventLoop):
-    """An event loop that listens for lines at another address than the one it tells its fellows."""
+    """An event loop that listens for node connections at another address than it advertises."""
 
     def __init__(self, settings, listen, build, disk=None):
-        """`listen` is the address behind the relay."""
+        """`listen` is the real address, behind the relay."""
         self.listen_address = listen
         super().__init__(
             build=build,
@@ -25,17 +25,17 @@
         )
 
     def add_line_server(self, address):
-        """Listen behind the relay."""
+        """Listen at the address behind the relay instead of the advertised one."""
         return super().add_line_server(self.listen_address)
 
 
 def run_router(settings, listen):
-    """Run a router until SIGTERM; gives its exit code."""
+    """Run a router until SIGTERM; returns its exit code."""
     return RelayedEventLoop(settings, listen, router_builder(settings)).run_to_end()
 
 
 def run_registry(settings, listen):
-    """Run a registry until SIGTERM; gives its exit code."""
+    """Run a registry until SIGTERM; returns its exit code."""
     log = make_log(settings["name"], settings["log"]["level"], settings["log"].get("file"))
     disk = open_storage(settings["data"], settings["data_bytes"], settings["name"], log)
     try:
--- a/packages/stage/src/linkhaven/stage/soak/operators.py
+++ b/packages/stage/src/linkhaven/stage/soak/operators.py
@@ -1,4 +1,7 @@
-"""An operator who changes the plan all the while, through every seat, and sends again what is unclear."""
+"""Operators that change the plan continuously through all core replicas.
+
+A change whose answer leaves its outcome unclear is sent again.
+"""
 
 import random
 import threading
@@ -8,20 +11,20 @@
 
 from .relay import now_us
 
-PACE_S = 0.2
-READ_EVERY = 5
-PATH = "/v1/plan"
-TENANT_CHANGE_S = 1.0
-LOWERED_SHARE = 0.3
+CHANGE_INTERVAL_S = 0.2
+CHANGES_PER_READ = 5
+PLAN_PATH = "/v1/plan"
+TENANT_CHANGE_INTERVAL_S = 1.0
+LOWERED_LIMIT_FACTOR = 0.3
 
 
 class PlanChanger(threading.Thread):
-    """Puts plan after plan and notes orders, answers and reads, until told to stop.
+    """Puts plan after plan and records changes, answers and reads, until told to stop.
 
-    An order without a clear answer is sent again unchanged, at the next seat."""
+    A change without a clear answer is sent again unchanged to the next core replica."""
 
     def __init__(self, addresses, deployment, mark, record, tenants=None, name="operator"):
-        """`mark` is that of the plan in force; `tenants`: the population, where there is one."""
+        """`mark` is the version of the plan in force; `tenants` the tenant population, if any."""
         super().__init__(name=name, daemon=True)
         self.tenants = tenants
         self.addresses = list(addresses)
@@ -29,29 +32,29 @@
         self.mark = mark
         self.record = record
         self.serial = 0
-        self.turn = 0
+        self.address_index = 0
         self.plans = {}
-        self.is_over = threading.Event()
+        self.stop_event = threading.Event()
 
     def run(self):
-        """One change after the other."""
-        while not self.is_over.wait(PACE_S):
+        """Make changes until told to stop; read the plan after every fifth."""
+        while not self.stop_event.wait(CHANGE_INTERVAL_S):
             self.change()
-            if self.serial % READ_EVERY == 0:
+            if self.serial % CHANGES_PER_READ == 0:
                 self.read(self._next_address())
 
     def finish(self, seconds):
-        """No further change; answers whether the last one ended."""
-        self.is_over.set()
+        """Stop after the current change; returns whether it ended within `seconds`."""
+        self.stop_event.set()
         self.join(seconds)
         return not self.is_alive()
 
     def _next_address(self):
-        self.turn += 1
-        return self.addresses[self.turn % len(self.addresses)]
+        self.address_index += 1
+        return self.addresses[self.address_index % len(self.addresses)]
 
     def _plan(self):
-        """A plan that differs from the last one and admits the same work."""
+        """Return a plan that differs from the last one and admits the same requests."""
         groups = {
             name: {**group, "weight": 1.0 + self.serial % 10 / 100}
             for name, group in self.deployment.groups.items()
@@ -60,7 +63,7 @@
         return self.deployment.plan(groups=groups, **changed)
 
     def change(self):
-        """One order, sent until its answer is clear or the operator goes."""
+        """Make one change, resending it until its answer is clear or the operator is stopped."""
         self.serial += 1
         put_id = f"{self.name}-{self.serial}"
         plan = self.plans[put_id] = self._plan()
@@ -68,11 +71,11 @@
         self.record("put", put_id=put_id, expect=self.mark, plan=plan)
         while True:
             try:
-                answer = call_json(self._next_address(), "PUT", PATH, order)
+                answer = call_json(self._next_address(), "PUT", PLAN_PATH, order)
             except ServiceError as error:
                 if error.code == "mark_conflict":
                     return self._conflict(put_id, error)
-                if self.is_over.wait(PACE_S):
+                if self.stop_event.wait(CHANGE_INTERVAL_S):
                     return
                 continue
             self.mark = answer["mark"]
@@ -83,10 +86,10 @@
         self.mark = error.detail.get("mark", self.mark)
 
     def read(self, address, **facts):
-        """Read the plan in force; answers whether it was told."""
+        """Read and record the plan in force; returns whether the replica answered."""
         begun_us = now_us()
         try:
-            shown = call_json(address, "GET", PATH)
+            shown = call_json(address, "GET", PLAN_PATH)
         except ServiceError:
             return False
         put_id = shown["put_id"]
@@ -102,38 +105,43 @@
 
 
 class TenantChanger(PlanChanger):
-    """A second operator, beside the first: takes keys away, adds and moves them, changes limits.
+    """A second operator beside the first, which revokes, adds and moves keys and changes limits.
 
-    Most changes come alone, some right after another; the first operator's orders cross them all.
+    Most changes come singly, some directly after another; all are concurrent with the changes of
+    the first operator.
     """
 
     def __init__(self, addresses, deployment, mark, record, tenants, seed):
-        """As `PlanChanger`; the changes are drawn from the seed."""
+        """Like `PlanChanger`; the changes are drawn from the seed."""
         super().__init__(addresses, deployment, mark, record, tenants, name="tenant-operator")
-        self.dice = random.Random(seed)
+        self.rng = random.Random(seed)
 
     def run(self):
-        """One change of the tenants after the other."""
-        while not self.is_over.wait(self.dice.choice((0, PACE_S, TENANT_CHANGE_S))):
+        """Change the tenants until told to stop."""
+        while not self.stop_event.wait(
+            self.rng.choice((0, CHANGE_INTERVAL_S, TENANT_CHANGE_INTERVAL_S))
+        ):
             self._change_tenants()
             self.change()
 
     def _change_tenants(self):
-        name, other = self.dice.sample(list(self.tenants.profiles), 2)
-        change = self.dice.choice((self._revoke, self._revoke, self._add, self._move, self._limit))
+        name, other = self.rng.sample(list(self.tenants.profiles), 2)
+        change = self.rng.choice(
+            (self._revoke_key, self._revoke_key, self._add_key, self._move_key, self._set_limit)
+        )
         change(name, other)
 
-    def _revoke(self, name, other):
+    def _revoke_key(self, name, other):
         self.tenants.revoke_key(name)
 
-    def _add(self, name, other):
+    def _add_key(self, name, other):
         self.tenants.add_key(name)
 
-    def _move(self, name, other):
+    def _move_key(self, name, other):
         self.tenants.move_key(name, other)
 
-    def _limit(self, name, other):
+    def _set_limit(self, name, other):
         profile = self.tenants.profiles[name]
-        usual = (profile.requests_per_s, profile.burst_requests)
-        lowered = tuple(number * LOWERED_SHARE for number in usual)
-        self.tenants.set_limit(name, *self.dice.choice((usual, lowered)))
+        normal = (profile.requests_per_s, profile.burst_requests)
+        lowered = tuple(number * LOWERED_LIMIT_FACTOR for number in normal)
+        self.tenants.set_limit(name, *self.rng.choice((normal, lowered)))
--- a/packages/stage/src/linkhaven/stage/soak/ports.py
+++ b/packages/stage/src/linkhaven/stage/soak/ports.py
@@ -1,11 +1,12 @@
-"""A free range of ports on loopback."""
+"""Finds a free range of ports on loopback."""
 
 import os
 import socket
 
-RANGE = 100
-RANGES = 25
-"""Ranges looked at; each process begins at another one, as fleets start side by side."""
+RANGE_SIZE = 100
+RANGE_COUNT = 25
+"""Ranges searched. Each process starts its search at a range that depends on its process id, as
+several fleets may start at the same time."""
 
 
 def is_free(port):
@@ -19,10 +20,11 @@
 
 
 def find_range(first):
-    """The first port of a hundred free ones, from `first` on."""
-    begin = os.getpid() % RANGES
-    for place in range(RANGES):
-        base = first + (begin + place) % RANGES * RANGE
-        if all(is_free(port) for port in range(base, base + RANGE)):
+    """Return the first port of 100 free consecutive ones, searching from `first` on; raises
+    RuntimeError if there is none."""
+    begin = os.getpid() % RANGE_COUNT
+    for index in range(RANGE_COUNT):
+        base = first + (begin + index) % RANGE_COUNT * RANGE_SIZE
+        if all(is_free(port) for port in range(base, base + RANGE_SIZE)):
             return base
-    raise RuntimeError(f"no free hundred of ports from {first} on")
+    raise RuntimeError(f"no range of 100 free ports found from port {first} on")
--- a/packages/stage/src/linkhaven/stage/soak/records.py
+++ b/packages/stage/src/linkhaven/stage/soak/records.py
@@ -1,4 +1,4 @@
-"""What the processes of a soak saw, on one timeline: monotonic time is the same for all of them."""
+"""Records of a soak's processes. Their timestamps are monotonic time, which all processes share."""
 
 import os
 import threading
@@ -11,12 +11,12 @@
 
 
 class RecordFile:
-    """A record that a process appends to a file, line by line, so that a kill loses none written."""
+    """A record appended to a file line by line, so that a kill loses no written entry."""
 
     __slots__ = ("descriptor",)
 
     def __init__(self, path):
-        """Append to the file; several starts of a process share it."""
+        """Open the file for appending; restarts of a process share it."""
         self.descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, READ_MODE)
 
     def note(self, kind, /, **facts):
@@ -25,29 +25,29 @@
 
 
 def read_record(path):
-    """The entries of a file; a last line torn by a kill is left out."""
+    """Return the entries of a file, without a last line cut short by a kill."""
     with open(path, "rb") as file:
         lines = file.read().split(b"\n")
     return [tuple(msgspec.json.decode(line)) for line in lines[:-1]]
 
 
 class Record:
-    """The soak's own record; several threads note into it."""
+    """The soak's own record in memory; safe for use by several threads."""
 
     __slots__ = ("entries", "lock")
 
     def __init__(self):
-        """Empty."""
+        """Start an empty record."""
         self.entries = []
         self.lock = threading.Lock()
 
     def note(self, kind, /, **facts):
-        """Append one entry, at the time of now."""
+        """Append one entry with the current time."""
         with self.lock:
             self.entries.append((now_us(), kind, facts))
 
     def merged(self, paths):
-        """All entries, also those of the files, by time."""
+        """Return all entries, including those of the files at `paths`, in order of time."""
         entries = list(self.entries)
         for path in paths:
             if os.path.exists(path):
--- a/packages/stage/src/linkhaven/stage/soak/relay.py
+++ b/packages/stage/src/linkhaven/stage/soak/relay.py
@@ -1,7 +1,7 @@
-"""A small TCP relay that can disturb what passes: hold it, reset, delay, or lose answers.
+"""A small TCP relay that can hold traffic, reset connections, delay data or drop answers.
 
-All relays of a soak run on one thread of their own. `Relay.set_mode` and the other calls come from
-any thread and return once the relay's thread has acted on them.
+All relays of a soak run on one dedicated thread. `Relay.set_mode` and `Relay.set_absent` may be
+called from any thread and return once the relay thread has applied them.
 """
 
 import queue
@@ -15,19 +15,19 @@
 
 READ_BYTES = 65_536
 BUFFER_BYTES = 262_144
-"""So much of one direction is kept; beyond it the source is not read."""
+"""Most bytes buffered for one direction; the source is not read while the buffer is full."""
 
 BACKLOG = 256
-CONNECT_S = 1.0
-COMMAND_S = 10.0
-MOST_WAIT_S = 0.5
-LINGER_NONE = b"\x01\0\0\0\0\0\0\0"
-LOST_SHARE = 0.5
-"""Where answers are lost, each one is with this chance."""
+CONNECT_TIMEOUT_S = 1.0
+COMMAND_TIMEOUT_S = 10.0
+MAX_SELECT_WAIT_S = 0.5
+LINGER_ZERO = b"\x01\0\0\0\0\0\0\0"
+LOST_ANSWER_PROBABILITY = 0.5
+"""Probability of losing each answer in mode `LOSE_ANSWERS`."""
 
 
 class Mode(StrEnum):
-    """What a relay does with what passes."""
+    """What a relay does with the traffic that passes through it."""
 
     PASS = "pass"
     HOLD = "hold"
@@ -37,26 +37,26 @@
 
 
 def now_us():
-    """Monotonic time, the same for all processes of a machine."""
+    """Monotonic time in microseconds, the same for all processes of a machine."""
     return time.monotonic_ns() // 1_000
 
 
 def reset(sock):
-    """Close so that the other side sees a reset, not an orderly end."""
+    """Close the socket so that the peer sees a reset instead of an orderly end."""
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     except OSError:
         pass
     sock.close()
 
 
 class Flow:
-    """One direction of a connection: chunks on their way, each with the time from when it goes on."""
+    """One direction of a connection: buffered chunks, each with the time at which it is due."""
 
     __slots__ = ("source", "sink", "chunks", "size", "is_eof", "is_finished")
 
     def __init__(self, source, sink):
-        """Nothing is on its way yet."""
+        """Start with an empty buffer."""
         self.source = source
         self.sink = sink
         self.chunks = deque()
@@ -65,30 +65,30 @@
         self.is_finished = False
 
     def add(self, data, due_us):
-        """Take a chunk that came from the source."""
+        """Buffer a chunk read from the source, to be forwarded at `due_us`."""
         self.chunks.append((due_us, data))
         self.size += len(data)
 
-    def hasten(self):
-        """Whatever waits for its time goes on now."""
+    def release_delayed(self):
+        """Make all delayed chunks due now."""
         self.chunks = deque((0, data) for _, data in self.chunks)
 
     def due_us(self):
-        """From when the first chunk goes on, or None."""
+        """When the first chunk is due, or None if nothing is buffered."""
         return self.chunks[0][0] if self.chunks else None
 
     def wants_write(self, at_us):
-        """Whether something may go on now: a chunk, or the end behind the last one."""
+        """Whether there is something to forward now: a chunk, or the end after the last one."""
         if self.chunks:
             return self.chunks[0][0] <= at_us
         return self.is_eof and not self.is_finished
 
     def wants_read(self):
-        """Whether there is room for more."""
+        """Whether the source is open and the buffer has room."""
         return not self.is_eof and self.size < BUFFER_BYTES
 
     def flush(self, at_us):
-        """Pass on what is due, as far as the sink takes it; raises OSError where it is broken."""
+        """Forward what is due as far as the sink accepts it; raises OSError if the sink fails."""
         while self.chunks and self.chunks[0][0] <= at_us:
             due_us, data = self.chunks.popleft()
             try:
@@ -105,23 +105,23 @@
 
 
 class Connection:
-    """A client's connection and the one to the target behind it."""
+    """A client's connection and the corresponding one to the target."""
 
-    __slots__ = ("relay", "client", "server", "request", "answer", "is_answer_kept", "is_over")
+    __slots__ = ("relay", "client", "server", "request", "answer", "is_answer_kept", "is_closed")
 
     def __init__(self, relay, client):
-        """Accepted; the target isn't reached yet."""
+        """Wrap an accepted client socket; the target is not connected yet."""
         self.relay = relay
         self.client = client
         self.server = None
         self.request = self.answer = None
         self.is_answer_kept = False
-        self.is_over = False
+        self.is_closed = False
 
-    def reach(self):
-        """Connect to the target; answers whether it took the connection."""
+    def connect(self):
+        """Connect to the target; returns whether it accepted the connection."""
         try:
-            self.server = socket.create_connection(self.relay.target, CONNECT_S)
+            self.server = socket.create_connection(self.relay.target, CONNECT_TIMEOUT_S)
         except OSError:
             return False
         for sock in (self.client, self.server):
@@ -132,11 +132,11 @@
         return True
 
     def flows(self):
-        """Both directions, once the target is reached."""
+        """Both directions, or none before the target is connected."""
         return (self.request, self.answer) if self.server is not None else ()
 
     def sockets(self):
-        """The sockets there are."""
+        """The open sockets of the connection."""
         return [sock for sock in (self.client, self.server) if sock is not None]
 
 
@@ -151,14 +151,18 @@
         "delay_us",
         "lost",
         "loop",
-        "guard",
+        "port_reservation",
         "listener",
         "connections",
-        "dice",
+        "rng",
     )
 
     def __init__(self, loop, name, target, seed):
-        """Listen on a free port of 127.0.0.1; the guard keeps that port while nothing listens."""
+        """Reserve a free port of 127.0.0.1.
+
+        `port_reservation` stays bound without listening, so that the port is kept while the
+        target is absent.
+        """
         self.loop = loop
         self.name = name
         host, _, port = target.rpartition(":")
@@ -167,9 +171,9 @@
         self.delay_us = 0
         self.lost = 0
         self.connections = set()
-        self.dice = random.Random(f"{seed}/{name}")
-        self.guard = self._bind(0)
-        self.address = "127.0.0.1:{}".format(self.guard.getsockname()[1])
+        self.rng = random.Random(f"{seed}/{name}")
+        self.port_reservation = self._bind(0)
+        self.address = "127.0.0.1:{}".format(self.port_reservation.getsockname()[1])
         self.listener = None
 
     def _bind(self, port):
@@ -179,11 +183,11 @@
         return sock
 
     def set_mode(self, mode, delay_us=0):
-        """Disturb from now on in this way, or no longer (`Mode.PASS`)."""
+        """Apply the mode to open and new connections; `Mode.PASS` ends any disturbance."""
         self.loop.call(lambda: self._set_mode(mode, delay_us))
 
     def set_absent(self, is_absent):
-        """The target's process is gone (or back): connections are refused, as they would be."""
+        """Refuse connections, as if the target's process were gone, or accept them again."""
         self.loop.call(lambda: self._set_absent(is_absent))
 
     def _set_mode(self, mode, delay_us):
@@ -194,84 +198,93 @@
         for connection in list(self.connections):
             if not delay_us:
                 for flow in connection.flows():
-                    flow.hasten()
-            self.loop.settle(connection)
+                    flow.release_delayed()
+            self.loop.update_events(connection)
 
     def _set_absent(self, is_absent):
         if is_absent and self.listener is not None:
-            self.loop.forget(self.listener)
+            self.loop.unwatch(self.listener)
             self.listener.close()
             self.listener = None
         elif not is_absent and self.listener is None:
             self.listen()
 
     def listen(self):
-        """Take connections from now on; called on the relays' thread."""
+        """Start accepting connections; called on the relay thread."""
         self.listener = self._bind(int(self.address.rpartition(":")[2]))
         self.listener.setblocking(False)
         self.listener.listen(BACKLOG)
         self.loop.watch(self.listener, selectors.EVENT_READ, self)
 
-    def loses_answer(self, connection):
-        """Whether the answer that begins to come on this connection is lost; one throw each."""
+    def should_lose_answer(self, connection):
+        """Whether to lose the answer that starts on this connection; drawn once per answer."""
         if self.mode is not Mode.LOSE_ANSWERS or connection.is_answer_kept:
             return False
-        connection.is_answer_kept = self.dice.random() >= LOST_SHARE
+        connection.is_answer_kept = self.rng.random() >= LOST_ANSWER_PROBABILITY
         self.lost += not connection.is_answer_kept
         return not connection.is_answer_kept
 
 
 class RelayLoop:
-    """The thread that all relays run on."""
+    """The event loop and thread shared by all relays."""
 
-    __slots__ = ("selector", "commands", "waker", "woken", "thread", "relays", "is_over", "seed")
+    __slots__ = (
+        "selector",
+        "commands",
+        "wake_sender",
+        "wake_receiver",
+        "thread",
+        "relays",
+        "is_closed",
+        "seed",
+    )
 
     def __init__(self, seed):
-        """Start the thread; `seed` decides which answers are lost."""
+        """Start the thread; `seed` determines which answers are lost."""
         self.seed = seed
         self.selector = selectors.DefaultSelector()
         self.commands = queue.SimpleQueue()
         self.relays = []
-        self.is_over = False
-        self.waker, self.woken = socket.socketpair()
-        self.woken.setblocking(False)
-        self.selector.register(self.woken, selectors.EVENT_READ, None)
+        self.is_closed = False
+        self.wake_sender, self.wake_receiver = socket.socketpair()
+        self.wake_receiver.setblocking(False)
+        self.selector.register(self.wake_receiver, selectors.EVENT_READ, None)
         self.thread = threading.Thread(target=self._run, name="relays", daemon=True)
         self.thread.start()
 
     def add(self, name, target):
-        """A new relay in front of the target address, listening."""
+        """Create a relay that listens in front of the target address."""
         relay = Relay(self, name, target, self.seed)
         self.relays.append(relay)
         self.call(relay.listen)
         return relay
 
-    def call(self, deed):
-        """Do something on the relays' thread and wait until it is done."""
+    def call(self, action):
+        """Run `action` on the relay thread and wait for it; raises RuntimeError on a timeout."""
         is_done = threading.Event()
-        self.commands.put((deed, is_done))
-        self.waker.send(b"x")
-        if not is_done.wait(COMMAND_S):
-            raise RuntimeError("the relays' thread does not answer")
+        self.commands.put((action, is_done))
+        self.wake_sender.send(b"x")
+        if not is_done.wait(COMMAND_TIMEOUT_S):
+            raise RuntimeError("the relay thread did not respond in time")
 
     def close(self):
-        """End all connections and the thread."""
-        if not self.is_over:
+        """Reset all connections and end the thread."""
+        if not self.is_closed:
             self.call(self._close)
-            self.thread.join(COMMAND_S)
+            self.thread.join(COMMAND_TIMEOUT_S)
 
     def _close(self):
-        self.is_over = True
+        self.is_closed = True
         for relay in self.relays:
             for connection in list(relay.connections):
                 self.end(connection)
             if relay.listener is not None:
-                self.forget(relay.listener)
+                self.unwatch(relay.listener)
                 relay.listener.close()
-            relay.guard.close()
+            relay.port_reservation.close()
 
     def watch(self, sock, events, data):
-        """Look out for these events of a socket, and no others."""
+        """Watch exactly these events of a socket; no events unregisters it."""
         key = self.selector.get_map().get(sock)
         if key is None:
             if events:
@@ -281,30 +294,30 @@
         elif key.events != events:
             self.selector.modify(sock, events, data)
 
-    def forget(self, sock):
-        """Look out for nothing of a socket any more."""
+    def unwatch(self, sock):
+        """Stop watching a socket, unless it is closed."""
         if sock.fileno() >= 0:
             self.watch(sock, 0, None)
 
     def end(self, connection):
-        """Reset both sides."""
-        if connection.is_over:
+        """Reset both sides of a connection."""
+        if connection.is_closed:
             return
-        connection.is_over = True
+        connection.is_closed = True
         connection.relay.connections.discard(connection)
         for sock in connection.sockets():
-            self.forget(sock)
+            self.unwatch(sock)
             reset(sock)
 
-    def settle(self, connection):
-        """Look out for what the relay's mode lets pass now."""
-        if connection.is_over:
+    def update_events(self, connection):
+        """Connect to the target if needed and watch the events that the mode and buffers allow."""
+        if connection.is_closed:
             return
         if connection.relay.mode is Mode.HOLD:
             for sock in connection.sockets():
-                self.forget(sock)
+                self.unwatch(sock)
             return
-        if connection.server is None and not connection.reach():
+        if connection.server is None and not connection.connect():
             return self.end(connection)
         if connection.request.is_finished and connection.answer.is_finished:
             return self._finish(connection)
@@ -318,40 +331,40 @@
             self.watch(reading.source, events, connection)
 
     def _finish(self, connection):
-        connection.is_over = True
+        connection.is_closed = True
         connection.relay.connections.discard(connection)
         for sock in connection.sockets():
-            self.forget(sock)
+            self.unwatch(sock)
             sock.close()
 
     def _run(self):
-        while not self.is_over:
-            for key, events in self.selector.select(self._wait_s()):
-                self._take(key, events)
+        while not self.is_closed:
+            for key, events in self.selector.select(self._select_timeout_s()):
+                self._handle_event(key, events)
             self._run_commands()
-            self._pass_delayed()
+            self._update_delayed()
 
-    def _take(self, key, events):
+    def _handle_event(self, key, events):
         if key.data is None:
-            self._drain_waker()
+            self._drain_wake_signals()
         elif isinstance(key.data, Relay):
             self._accept(key.data)
-        elif not key.data.is_over:
-            self._move(key.data, key.fileobj, events)
+        elif not key.data.is_closed:
+            self._transfer(key.data, key.fileobj, events)
 
-    def _wait_s(self):
-        dues = [
+    def _select_timeout_s(self):
+        due_times_us = [
             flow.due_us()
             for connection in self._delayed()
             for flow in connection.flows()
             if flow.chunks
         ]
-        if not dues:
-            return MOST_WAIT_S
-        return min(MOST_WAIT_S, max(0, min(dues) - now_us()) / 1_000_000)
+        if not due_times_us:
+            return MAX_SELECT_WAIT_S
+        return min(MAX_SELECT_WAIT_S, max(0, min(due_times_us) - now_us()) / 1_000_000)
 
     def _delayed(self):
-        """Connections that may have chunks waiting for their time."""
+        """Connections that may have delayed chunks."""
         return [
             connection
             for relay in self.relays
@@ -359,20 +372,20 @@
             for connection in relay.connections
         ]
 
-    def _pass_delayed(self):
+    def _update_delayed(self):
         for connection in self._delayed():
-            self.settle(connection)
+            self.update_events(connection)
 
-    def _drain_waker(self):
+    def _drain_wake_signals(self):
         try:
-            self.woken.recv(READ_BYTES)
+            self.wake_receiver.recv(READ_BYTES)
         except BlockingIOError:
             pass
 
     def _run_commands(self):
         while not self.commands.empty():
-            deed, is_done = self.commands.get()
-            deed()
+            action, is_done = self.commands.get()
+            action()
             is_done.set()
 
     def _accept(self, relay):
@@ -384,9 +397,9 @@
             return reset(sock)
         connection = Connection(relay, sock)
         relay.connections.add(connection)
-        self.settle(connection)
+        self.update_events(connection)
 
-    def _move(self, connection, sock, events):
+    def _transfer(self, connection, sock, events):
         is_client = sock is connection.client
         reading = connection.request if is_client else connection.answer
         writing = connection.answer if is_client else connection.request
@@ -399,10 +412,10 @@
                 reading.flush(now_us())
         except OSError:
             return self.end(connection)
-        self.settle(connection)
+        self.update_events(connection)
 
     def _read(self, connection, flow):
-        """Take what came; answers False where the answer is lost and the connection with it."""
+        """Read from the source; returns False if the answer is to be lost with its connection."""
         try:
             data = flow.source.recv(READ_BYTES)
         except BlockingIOError:
@@ -412,7 +425,7 @@
             return True
         if flow is connection.request:
             connection.is_answer_kept = False
-        elif connection.relay.loses_answer(connection):
+        elif connection.relay.should_lose_answer(connection):
             return False
         flow.add(data, now_us() + connection.relay.delay_us)
         return True
--- a/packages/stage/src/linkhaven/stage/soak/run.py
+++ b/packages/stage/src/linkhaven/stage/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one seed: the fleet, its load, its operator and its faults; then the verdict."""
+"""Runs one seed: starts the fleet, its load, operators and faults, and judges the records."""
 
 import json
 import os
@@ -12,29 +12,30 @@
 from .fleet import SoakFleet
 from .hot_tenant import HotTenant
 from .injector import Injector
-from .judge import judge_soak, last_needed_us
+from .judge import judge_soak, required_end_us
 from .operators import PlanChanger, TenantChanger
 from .records import Record
 from .relay import now_us
-from .schedule import SECOND_US, cast_of, draw_schedule
+from .schedule import SECOND_US, draw_schedule, process_roles
 
-RATE = 5
-"""Requests a second: what one decode runner alone can read and answer, with some room."""
+REQUESTS_PER_S = 5
+"""Requests per second that one decode runner can serve alone, with some reserve."""
 
 ONE_TIME_SHARE = 0.65
-"""How much of the load may run once only: most of what must not be doubled or refused wrongly."""
+"""Share of requests that may run only once. It is high, as these reveal work that ran twice and
+wrong refusals."""
 
 STRANGER_SHARE = 0.05
-"""Requests without a key or with one of nobody, where there are tenants."""
+"""Share of requests without a key or with an unknown one, if the deployment has tenants."""
 
 OPERATOR_S = 30.0
-READ_TRIES = 20
+READ_ATTEMPTS = 20
 READ_PAUSE_S = 0.25
-LATE_MOST_US = 60 * SECOND_US
-"""So much longer than asked a load may last where processes are slow to start."""
+MAX_EXTENSION_US = 60 * SECOND_US
+"""How much longer than requested a load may last when processes are slow to start."""
 
 FIRST_PUT = "fleet-0"
-"""The id under which `LoopbackFleet.put_plan` puts the first plan."""
+"""The put id that `LoopbackFleet.put_plan` uses for the first plan."""
 
 SCHEDULE_FILE = "schedule.json"
 RECORD_FILE = "record.jsonl"
@@ -42,7 +43,7 @@
 
 
 class Result(msgspec.Struct):
-    """One seed as measured."""
+    """The result of one seed, as written to verdict.json."""
 
     deployment: str
     seed: int
@@ -62,22 +63,24 @@
 
 
 class SoakLoad(LoadRun):
-    """A load that goes on until service after the last fault can be judged."""
+    """A load that lasts until service after the last fault can be judged."""
 
-    __slots__ = ("injector", "begun_us", "noted_dead", "hot_tenant")
+    __slots__ = ("injector", "begun_us", "reported_dead", "hot_tenant")
 
     def __init__(self, deployment, routers, seconds, seed, record, injector, tenants=None):
-        """As `LoadRun`, at the soak's rate."""
-        super().__init__(deployment, routers, RATE, seconds, seed, record, tenants=tenants)
+        """Like `LoadRun`, at the soak's request rate."""
+        super().__init__(
+            deployment, routers, REQUESTS_PER_S, seconds, seed, record, tenants=tenants
+        )
         self.hot_tenant = None
         if tenants:
             self.hot_tenant = HotTenant(tenants, self.loop.timer, record, seed, seconds)
         self.injector = injector
-        self.noted_dead = set()
+        self.reported_dead = set()
         self.begun_us = 0
 
     def run(self):
-        """Until the load has ended and each caller heard back, or had the time to."""
+        """Run until the load has ended and each caller has its answer or has timed out."""
         self.begun_us = now_us()
         self.injector.begin(self.loop.timer)
         if self.hot_tenant:
@@ -85,7 +88,7 @@
         return super().run()
 
     def _pick(self):
-        """One-time work for the most part; the rest in the deployment's mix."""
+        """Choose a request kind: mostly one-time work, within the deployment's mix."""
         kinds = self.deployment.kinds
         is_one_time = self.dice.random() < ONE_TIME_SHARE
         mix = {
@@ -96,29 +99,29 @@
         return self.dice.choices(list(mix), list(mix.values()))[0]
 
     def _gap_us(self):
-        """Evenly, so that each window of time has requests to judge."""
+        """Even spacing, so that each time window has requests to judge."""
         if self.tenants:
             return int(SECOND_US / (self.rate * self.tenants.load_factor))
         return SECOND_US // self.rate
 
     def is_interrupted(self):
-        """Whether a signal ended it; the event loop takes signals for itself while the load runs."""
+        """Whether a signal ended the load; the event loop handles signals itself while it runs."""
         return now_us() < self.stop_us and (now_us() < self.end_us or self.left > 0)
 
     def _watch(self, now_us):
-        for name in set(self.injector.find_dead()) - self.noted_dead:
-            self.noted_dead.add(name)
+        for name in set(self.injector.find_dead()) - self.reported_dead:
+            self.reported_dead.add(name)
             self.record("died", node=name)
         if now_us < self.end_us:
             self._extend(now_us)
         super()._watch(now_us)
 
     def _extend(self, now_us):
-        """While a fault is on, its end may yet come later than planned."""
+        """Extend the load while faults remain, as their ends may come later than planned."""
         if self.injector.is_over():
             return
         planned_us = self.begun_us + self.seconds * SECOND_US
-        self.end_us = min(max(planned_us, last_needed_us(now_us)), planned_us + LATE_MOST_US)
+        self.end_us = min(max(planned_us, required_end_us(now_us)), planned_us + MAX_EXTENSION_US)
         self.stop_us = self.end_us + 75 * SECOND_US
 
 
@@ -132,22 +135,22 @@
         "folder",
         "record",
         "fleet",
-        "cast",
+        "roles",
         "schedule",
         "tenants",
     )
 
     def __init__(self, deployment, seed, seconds, folder, port, sabotage=None):
-        """Draws and writes down the schedule; nothing runs yet but the relays.
+        """Draw the schedule, write it to the folder and start the relay thread only.
 
-        `sabotage`: a mechanism that the nodes lack, to see whether that is found.
+        `sabotage` names a mechanism to disable in the nodes, to check that the judge finds it.
         """
         self.deployment = deployment
         self.seed = seed
         self.seconds = seconds
         self.folder = folder
         self.record = Record()
-        self.cast = cast_of(deployment)
+        self.roles = process_roles(deployment)
         self.schedule = draw_schedule(seed, deployment, seconds)
         self.tenants = None
         if deployment.tenants:
@@ -158,20 +161,20 @@
         self.fleet = SoakFleet(deployment, folder, port, seed, sabotage)
 
     def run(self):
-        """Start, disturb, stop, judge. All processes are ended, whatever happens."""
+        """Run and judge the seed; all processes are stopped even if an error occurs."""
         begun = time.monotonic()
-        injector = Injector(self.fleet, self.cast, self.schedule, self.record.note)
+        injector = Injector(self.fleet, self.roles, self.schedule, self.record.note)
         lost = 0
         handlers = {number: signal.getsignal(number) for number in (signal.SIGINT, signal.SIGTERM)}
         try:
-            told = self._play(injector)
+            totals = self._run_fleet(injector)
             lost = sum(relay.lost for relay in self.fleet.relays.values())
         finally:
             for number, handler in handlers.items():
                 signal.signal(number, handler)
             codes = self.fleet.stop()
         record = self.record.merged(self.fleet.record_paths)
-        verdict = judge_soak(record, self.cast, self.deployment.kinds, self._read_logs(), codes)
+        verdict = judge_soak(record, self.roles, self.deployment.kinds, self._read_logs(), codes)
         self._write(RECORD_FILE, b"\n".join(msgspec.json.encode(entry) for entry in record))
         result = Result(
             deployment=self.deployment.name,
@@ -181,8 +184,8 @@
             breaches=verdict.breaches,
             faults=len(self.schedule) - injector.skipped,
             skipped=injector.skipped,
-            asked=told["asked"],
-            served=told["served"],
+            asked=totals["asked"],
+            served=totals["served"],
             plans=sum(1 for _, kind, _ in record if kind == "acked"),
             windows=len(verdict.windows),
             windows_after=sum(window.is_after_faults for window in verdict.windows),
@@ -193,14 +196,14 @@
         self._write(VERDICT_FILE, json.dumps(msgspec.to_builtins(result), indent=2).encode())
         return result
 
-    def _play(self, injector):
+    def _run_fleet(self, injector):
         self.fleet.start()
         mark = self._put_first_plan()
         self.fleet.wait_ready()
         operators = self._operators(mark)
         load = SoakLoad(
             self.deployment,
-            self.fleet.calls_addresses(self.cast.edges),
+            self.fleet.calls_addresses(self.roles.edges),
             self.seconds,
             self.seed,
             self.record.note,
@@ -211,10 +214,10 @@
             operator.start()
         self.record.note("load_begun")
         try:
-            told = load.run()
+            totals = load.run()
         finally:
             for operator in operators:
-                operator.is_over.set()
+                operator.stop_event.set()
         if load.is_interrupted():
             raise KeyboardInterrupt
         self.record.entries.append((load.end_us, "load_ended", {}))
@@ -222,14 +225,14 @@
             if not operator.finish(OPERATOR_S):
                 self.record.note("operator_stuck")
         self._read_back(operators[0])
-        return told
+        return totals
 
     def _operators(self, mark):
-        """Who changes the plan; where there are tenants, a second one changes these."""
-        given = (self.fleet.calls_addresses(self.cast.cores), self.deployment, mark)
-        operators = [PlanChanger(*given, self.record.note, self.tenants)]
+        """The operator that changes the plan, and a second one that changes any tenants."""
+        arguments = (self.fleet.calls_addresses(self.roles.cores), self.deployment, mark)
+        operators = [PlanChanger(*arguments, self.record.note, self.tenants)]
         if self.tenants:
-            operators.append(TenantChanger(*given, self.record.note, self.tenants, self.seed))
+            operators.append(TenantChanger(*arguments, self.record.note, self.tenants, self.seed))
         return operators
 
     def _put_first_plan(self):
@@ -240,10 +243,10 @@
         return mark
 
     def _read_back(self, operator):
-        """Every seat shows its plan at the end."""
-        for seat in self.cast.cores:
+        """Read the plan from every core replica at the end."""
+        for seat in self.roles.cores:
             address = self.fleet.registries[seat]
-            for _ in range(READ_TRIES):
+            for _ in range(READ_ATTEMPTS):
                 if operator.read(address, seat=seat):
                     break
                 time.sleep(READ_PAUSE_S)
--- a/packages/stage/src/linkhaven/stage/soak/sabotage.py
+++ b/packages/stage/src/linkhaven/stage/soak/sabotage.py
@@ -1,6 +1,6 @@
-"""Mechanisms that a soak may take out of its nodes, to show that its judge then finds a breach.
+"""Mechanisms that a soak can disable in its nodes, to show that its judge detects the breach.
 
-Each sabotage patches the classes of the process that it is applied in, before its node is built.
+Each sabotage patches classes in the process it is applied in, before the node is built.
 """
 
 from collections.abc import Callable
@@ -21,23 +21,23 @@
 from linkhaven.runner import adapter
 
 UNSYNCED_US = 1_000_000
-"""How long `answer_before_the_sync` leaves writes in memory that were answered for."""
+"""How long `answer_before_the_sync` keeps acknowledged writes in memory only."""
 
 
 def repeat_one_time_work() -> None:
-    """A one-time request that may have begun is sent again."""
+    """Retry a one-time request even if it may have started."""
     Attempts.is_safe_to_retry = lambda self, request: True
 
 
 def refuse_what_was_begun() -> None:
-    """A request whose work may have begun is refused as one that never ran."""
+    """Refuse a request whose work may have started as one that never ran."""
     Attempts._with_unknown_outcome = lambda self, error: ServiceError(
         "no_runner", retry_us=1_000_000
     )
 
 
 def answer_before_the_sync() -> None:
-    """A replica answers for what it writes a second before the disk has it."""
+    """Acknowledge a replica's writes one second before they are synced to disk."""
     write, sync = LmdbStorage.write, LmdbStorage._sync
     due: dict[int, list[Any]] = {}
 
@@ -58,13 +58,13 @@
 
 
 def order_without_a_lease() -> None:
-    """A former holder of a role goes on ordering; its runners don't check fencing tokens."""
+    """Let a former lease holder keep sending orders; its runners don't check fencing tokens."""
     Lease.is_held = lambda self: self.fencing_token is not None
     Lease._lapse = lambda self: None
 
 
 def take_any_configuration() -> None:
-    """A router takes over whatever configuration a replica names, be it older."""
+    """Let a router apply any configuration that a replica names, even an older one."""
 
     def take(self: ConfigurationSnapshot, record: Any) -> bool:
         if record is None or record["mark"] == self.version:
@@ -83,42 +83,42 @@
 
 
 def pass_the_key_on() -> None:
-    """A router shows the runner the last API key that it read."""
+    """Let a router send the runner the last API key that it read."""
     read_key = native.take_api_key
     headers_of = adapter.RunnerClient._headers_of
-    shown: dict[str, str | None] = {}
+    last_key: dict[str, str | None] = {}
 
-    def remember(headers: dict[str, str]) -> str | None:
-        shown["key"] = key = read_key(headers)
+    def read_and_remember(headers: dict[str, str]) -> str | None:
+        last_key["key"] = key = read_key(headers)
         return key
 
     def add_key(self: adapter.RunnerClient, request: Any) -> dict[str, str]:
-        return {**headers_of(self, request), "x-debug": str(shown.get("key"))}
+        return {**headers_of(self, request), "x-debug": str(last_key.get("key"))}
 
-    native.take_api_key = remember
+    native.take_api_key = read_and_remember
     adapter.RunnerClient._headers_of = add_key
 
 
 def name_no_tenant() -> None:
-    """A router tells the runner no tenant."""
+    """Let a router send the runner no tenant name."""
     adapter.RunnerClient._headers_of = lambda self, request: adapter.HEADERS
 
 
 def let_any_key_in() -> None:
-    """A router takes requests without a key, and with one of nobody."""
+    """Let a router accept requests without a key or with an unknown one."""
     authenticate = Authenticator.authenticate
 
-    def lenient(self: Authenticator, kind: Any, key_digest: str | None) -> str | None:
+    def authenticate_or_admit(self: Authenticator, kind: Any, key_digest: str | None) -> str | None:
         try:
             return authenticate(self, kind, key_digest)
         except ServiceError:
             return None
 
-    Authenticator.authenticate = lenient
+    Authenticator.authenticate = authenticate_or_admit
 
 
 def keep_the_first_index_of_keys() -> None:
-    """A router goes on with the keys of the first configuration that it had."""
+    """Let a router keep using the keys of its first configuration."""
     apply = Authenticator.apply_configuration
 
     def apply_once(self: Authenticator, configuration: Any) -> None:
@@ -129,7 +129,7 @@
 
 
 def ask_for_no_quota() -> None:
-    """A router lets in all that a tenant sends."""
+    """Let a router admit every request of a tenant."""
     TenantQuotas.admit = lambda self, request: True
 
 
@@ -163,10 +163,10 @@
     ),
     "ask_for_no_quota": frozenset(("tenants_keep_to_their_limits",)),
 }
-"""The rules of `judge.py` that must find each sabotage; a breach of another one proves nothing."""
+"""The rules of `judge.py` that must detect each sabotage; breaches of other rules don't count."""
 
 TRUSTING_RUNNERS = frozenset(("order_without_a_lease",))
-"""Sabotages whose runners take any order."""
+"""Sabotages whose runners accept orders with any fencing token."""
 
 TENANT_SABOTAGES = frozenset(
     (
@@ -177,4 +177,4 @@
         "ask_for_no_quota",
     )
 )
-"""Sabotages that show only where the deployment has tenants."""
+"""Sabotages that can be detected only if the deployment has tenants."""
--- a/packages/stage/src/linkhaven/stage/soak/schedule.py
+++ b/packages/stage/src/linkhaven/stage/soak/schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a soak, drawn from its seed: the same seed gives the same schedule."""
+"""Generates the fault schedule of a soak; the same seed gives the same schedule."""
 
 import random
 from enum import StrEnum
@@ -7,26 +7,26 @@
 
 SECOND_US = 1_000_000
 FIRST_FAULT_US = SECOND_US
-"""So long the fleet runs undisturbed at first."""
+"""How long the fleet runs without faults at first."""
 
 STAGGER_US = SECOND_US
-"""Faults of one episode begin within this time, and each lasts longer: so all of them overlap."""
+"""Faults of an episode begin within this time, and each lasts longer, so that all overlap."""
 
 LENGTH_US = (1_500_000, 4_000_000)
 LEAVING_LENGTH_US = (4_000_000, 6_000_000)
-"""A runner that leaves in order is listed as leaving for a while before it stops."""
+"""Longer than other faults, as a leaving runner is listed as leaving before it stops."""
 
 GAP_US = (500_000, 2_500_000)
 DELAY_US = (20_000, 300_000)
-OVERLAPPING = (2, 3)
-LEAST_EPISODE_US = STAGGER_US + LENGTH_US[0]
-DRAWS_AT_MOST = 200
+FAULTS_PER_EPISODE = (2, 3)
+MIN_EPISODE_US = STAGGER_US + LENGTH_US[0]
+MAX_EPISODE_DRAWS = 200
 
 RECOVERY_US = 9 * SECOND_US
-"""Lease (3 s) and vacancy (1.5 s) of the settings, and a margin of 4.5 s."""
+"""The lease (3 s) and vacancy (1.5 s) times of the settings, and a margin of 4.5 s."""
 
 JUDGED_US = 6 * SECOND_US
-"""So long the load goes on after the time for recovery, and must be served."""
+"""How long the load continues after the recovery time; it must be served."""
 
 
 class Kind(StrEnum):
@@ -43,7 +43,7 @@
 
 
 class Link(StrEnum):
-    """Which of a process's links a fault is on; each has a relay of its own."""
+    """The link of a process that a fault affects; each link has its own relay."""
 
     NONE = ""
     CALLS = "calls"
@@ -52,7 +52,7 @@
 
 
 class Role(StrEnum):
-    """What a process of the fleet is."""
+    """The role of a process in the fleet."""
 
     CORE = "core"
     EDGE = "edge"
@@ -61,7 +61,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault: what is done, to whom, and from when until when after the load began."""
+    """One fault: its kind, its targets, and its begin and end after the start of the load."""
 
     kind: Kind
     targets: tuple[str, ...]
@@ -71,11 +71,11 @@
     delay_us: int = 0
 
     def overlaps(self, other):
-        """Whether there is a time when both are on."""
+        """Whether both faults are active at some time."""
         return self.begin_us < other.end_us and other.begin_us < self.end_us
 
 
-class Cast(msgspec.Struct, frozen=True):
+class ProcessRoles(msgspec.Struct, frozen=True):
     """The names of the fleet's processes by role."""
 
     cores: tuple[str, ...]
@@ -84,7 +84,7 @@
     decodes: tuple[str, ...]
 
     def names(self, role):
-        """All of one role."""
+        """The names of all processes of one role."""
         return {
             Role.CORE: self.cores,
             Role.EDGE: self.edges,
@@ -92,9 +92,9 @@
             Role.DECODE: self.decodes,
         }[role]
 
-    def bound(self, role):
-        """How many of a role may be disturbed at once: a majority of the core, half of the
-        routers, and all decode runners but one stay whole."""
+    def max_disturbed(self, role):
+        """How many processes of a role may be disturbed at once: a majority of the core, half of
+        the routers and one decode runner always stay undisturbed."""
         return {
             Role.CORE: (len(self.cores) - 1) // 2,
             Role.EDGE: len(self.edges) // 2,
@@ -103,18 +103,18 @@
         }[role]
 
 
-def cast_of(deployment):
+def process_roles(deployment):
     """The processes that `LoopbackFleet` starts for a deployment."""
-    runners = tuple(f"runner-{place + 1}" for place in range(deployment.runners))
-    return Cast(
+    runners = tuple(f"runner-{index + 1}" for index in range(deployment.runners))
+    return ProcessRoles(
         cores=("core-a", "core-b", "core-c"),
-        edges=tuple(f"edge-{place + 1}" for place in range(deployment.routers)),
+        edges=tuple(f"edge-{index + 1}" for index in range(deployment.routers)),
         prefills=runners[: deployment.prefills],
         decodes=runners[deployment.prefills :],
     )
 
 
-CHOICES = (
+WEIGHTED_FAULTS = (
     (3, Kind.KILL, Role.CORE, Link.NONE),
     (3, Kind.KILL, Role.EDGE, Link.NONE),
     (5, Kind.KILL, Role.DECODE, Link.NONE),
@@ -148,27 +148,27 @@
     (1, Kind.LEAVE, Role.PREFILL, Link.NONE),
     (2, Kind.REMOVE, Role.DECODE, Link.NONE),
 )
-WHOLE_CORE_SHARE = 0.2
-LAST_RUNNER_SHARE = 0.12
+WHOLE_CORE_PROBABILITY = 0.2
+LAST_RUNNER_PROBABILITY = 0.12
 
 
-def keeps_bounds(faults, cast):
-    """Whether at no time a target has two faults, or more of a role are disturbed than may be.
+def keeps_bounds(faults, roles):
+    """Whether no target has two faults at once and no role exceeds `ProcessRoles.max_disturbed`.
 
-    The whole core killed at once is the one exception, and stands alone among faults of the core.
+    The one exception is a kill of the whole core, which overlaps no other fault of the core.
     """
     for fault in faults:
-        beside = [other for other in faults if other is not fault and other.overlaps(fault)]
-        taken = [name for other in beside for name in other.targets]
-        if set(taken) & set(fault.targets):
+        overlapping = [other for other in faults if other is not fault and other.overlaps(fault)]
+        other_targets = [name for other in overlapping for name in other.targets]
+        if set(other_targets) & set(fault.targets):
             return False
-        if not all(_fits(fault, faults, cast, role) for role in Role):
+        if not all(_fits_role_limit(fault, faults, roles, role) for role in Role):
             return False
     return True
 
 
-def _fits(fault, faults, cast, role):
-    names = set(cast.names(role))
+def _fits_role_limit(fault, faults, roles, role):
+    names = set(roles.names(role))
     if role is Role.CORE and names <= set(fault.targets):
         return True
     at_us = fault.begin_us
@@ -179,72 +179,72 @@
         for name in other.targets
         if name in names
     }
-    return len(disturbed) <= cast.bound(role) or not names & set(fault.targets)
+    return len(disturbed) <= roles.max_disturbed(role) or not names & set(fault.targets)
 
 
-class Drawing:
-    """A schedule while it is drawn."""
+class ScheduleGenerator:
+    """Draws the faults of one schedule."""
 
-    __slots__ = ("dice", "cast", "until_us", "faults")
+    __slots__ = ("rng", "roles", "until_us", "faults")
 
-    def __init__(self, seed, cast, until_us):
-        """All faults end by `until_us`."""
-        self.dice = random.Random(seed)
-        self.cast = cast
+    def __init__(self, seed, roles, until_us):
+        """All faults are to end by `until_us`."""
+        self.rng = random.Random(seed)
+        self.roles = roles
         self.until_us = until_us
         self.faults = []
 
     def draw(self):
-        """Episode after episode of overlapping faults, with gaps between them."""
+        """Draw episodes of overlapping faults, with gaps between them."""
         at_us = FIRST_FAULT_US
-        while at_us + LEAST_EPISODE_US <= self.until_us:
+        while at_us + MIN_EPISODE_US <= self.until_us:
             episode = self._draw_episode(at_us)
             self.faults += episode
             at_us = max([fault.end_us for fault in episode], default=at_us)
-            at_us += self.dice.randint(*GAP_US)
+            at_us += self.rng.randint(*GAP_US)
         return sorted(self.faults, key=lambda fault: fault.begin_us)
 
     def _draw_episode(self, at_us):
-        wanted = self.dice.choice(OVERLAPPING)
+        wanted = self.rng.choice(FAULTS_PER_EPISODE)
         episode = []
-        special = self._draw_special(at_us)
-        if special is not None:
-            episode.append(special)
-        for _ in range(DRAWS_AT_MOST):
+        outage = self._draw_outage(at_us)
+        if outage is not None:
+            episode.append(outage)
+        for _ in range(MAX_EPISODE_DRAWS):
             if len(episode) >= wanted:
                 break
             fault = self._draw_fault(at_us)
-            if fault.end_us <= self.until_us and keeps_bounds([*episode, fault], self.cast):
+            if fault.end_us <= self.until_us and keeps_bounds([*episode, fault], self.roles):
                 episode.append(fault)
         return episode
 
-    def _draw_special(self, at_us):
-        chance = self.dice.random()
-        if chance < WHOLE_CORE_SHARE:
-            return self._last(Kind.KILL, self.cast.cores, at_us, LENGTH_US)
-        if chance < WHOLE_CORE_SHARE + LAST_RUNNER_SHARE:
-            kept = self.dice.choice(self.cast.decodes)
-            gone = [name for name in (*self.cast.prefills, *self.cast.decodes) if name != kept]
-            kind = self.dice.choice((Kind.LEAVE, Kind.REMOVE))
-            return self._last(kind, tuple(gone), at_us, LEAVING_LENGTH_US)
+    def _draw_outage(self, at_us):
+        chance = self.rng.random()
+        if chance < WHOLE_CORE_PROBABILITY:
+            return self._make_outage(Kind.KILL, self.roles.cores, at_us, LENGTH_US)
+        if chance < WHOLE_CORE_PROBABILITY + LAST_RUNNER_PROBABILITY:
+            kept = self.rng.choice(self.roles.decodes)
+            gone = [name for name in (*self.roles.prefills, *self.roles.decodes) if name != kept]
+            kind = self.rng.choice((Kind.LEAVE, Kind.REMOVE))
+            return self._make_outage(kind, tuple(gone), at_us, LEAVING_LENGTH_US)
         return None
 
-    def _last(self, kind, targets, at_us, lengths_us):
-        end_us = at_us + self.dice.randint(*lengths_us)
+    def _make_outage(self, kind, targets, at_us, lengths_us):
+        end_us = at_us + self.rng.randint(*lengths_us)
         return Fault(kind, targets, at_us, end_us) if end_us <= self.until_us else None
 
     def _draw_fault(self, at_us):
-        weights = [choice[0] for choice in CHOICES]
-        _, kind, role, link = self.dice.choices(CHOICES, weights)[0]
+        weights = [choice[0] for choice in WEIGHTED_FAULTS]
+        _, kind, role, link = self.rng.choices(WEIGHTED_FAULTS, weights)[0]
         is_leaving = kind in (Kind.LEAVE, Kind.REMOVE)
-        begin_us = at_us + self.dice.randint(0, STAGGER_US)
-        end_us = begin_us + self.dice.randint(*(LEAVING_LENGTH_US if is_leaving else LENGTH_US))
-        target = self.dice.choice(self.cast.names(role))
-        delay_us = self.dice.randint(*DELAY_US) if kind is Kind.DELAY else 0
+        begin_us = at_us + self.rng.randint(0, STAGGER_US)
+        end_us = begin_us + self.rng.randint(*(LEAVING_LENGTH_US if is_leaving else LENGTH_US))
+        target = self.rng.choice(self.roles.names(role))
+        delay_us = self.rng.randint(*DELAY_US) if kind is Kind.DELAY else 0
         return Fault(kind, (target,), begin_us, end_us, link, delay_us)
 
 
 def draw_schedule(seed, deployment, seconds):
-    """The faults of one seed; they end early enough for recovery and its judging."""
+    """Draw the faults of one seed; they end early enough to recover and to judge service after."""
     until_us = seconds * SECOND_US - RECOVERY_US - JUDGED_US
-    return Drawing(seed, cast_of(deployment), until_us).draw()
+    return ScheduleGenerator(seed, process_roles(deployment), until_us).draw()
--- a/tests/test_soak_injector.py
+++ b/tests/test_soak_injector.py
@@ -1,4 +1,4 @@
-"""Faults are begun within their bounds also where an earlier one is not over in time."""
+"""The fault injector keeps the schedule's bounds even if an earlier fault ends late."""
 
 import heapq
 import itertools
@@ -7,31 +7,31 @@
 
 from linkhaven.stage.fleet import LICENSING
 from linkhaven.stage.soak.injector import STARTED_EVENT, VOTING_EVENT, Injector
-from linkhaven.stage.soak.schedule import SECOND_US, Fault, Kind, Link, cast_of
+from linkhaven.stage.soak.schedule import SECOND_US, Fault, Kind, Link, process_roles
 
-CAST = cast_of(LICENSING)
+ROLES = process_roles(LICENSING)
 
 
-class HandClock:
-    """Runs what was put off, in order of time, up to a given time."""
+class FakeClock:
+    """Runs scheduled actions in order of time, up to a given time."""
 
     def __init__(self):
         self.now_us = 0
-        self.agenda = []
+        self.scheduled = []
         self.serials = itertools.count()
 
-    def call_in(self, delay_us, deed):
-        heapq.heappush(self.agenda, (self.now_us + delay_us, next(self.serials), deed))
+    def call_in(self, delay_us, action):
+        heapq.heappush(self.scheduled, (self.now_us + delay_us, next(self.serials), action))
 
     def run_until(self, until_us):
-        while self.agenda and self.agenda[0][0] <= until_us:
-            self.now_us, _, deed = heapq.heappop(self.agenda)
-            deed()
+        while self.scheduled and self.scheduled[0][0] <= until_us:
+            self.now_us, _, action = heapq.heappop(self.scheduled)
+            action()
         self.now_us = until_us
 
 
 class Process:
-    """A process whose log says what the test lets it say."""
+    """A process with a log of event numbers set by the test."""
 
     def __init__(self):
         self.events = []
@@ -43,7 +43,7 @@
         pass
 
 
-class HollowRelay:
+class FakeRelay:
     def __init__(self):
         self.modes = []
 
@@ -51,14 +51,14 @@
         self.modes.append(mode)
 
 
-class HollowFleet:
-    """Takes what the injector does, and does nothing."""
+class FakeFleet:
+    """Accepts the injector's calls; only listing and the set of running processes change."""
 
     def __init__(self):
-        names = (*CAST.cores, *CAST.edges, *CAST.prefills, *CAST.decodes)
+        names = (*ROLES.cores, *ROLES.edges, *ROLES.prefills, *ROLES.decodes)
         self.processes = {name: Process() for name in names}
-        self.relays = {(name, link): HollowRelay() for name in names for link in Link}
-        self.first_listed = {name: {"name": name} for name in (*CAST.prefills, *CAST.decodes)}
+        self.relays = {(name, link): FakeRelay() for name in names for link in Link}
+        self.first_listed = {name: {"name": name} for name in (*ROLES.prefills, *ROLES.decodes)}
         self.listed = dict(self.first_listed)
         self.running = set(names)
 
@@ -88,12 +88,12 @@
         pass
 
 
-class Play:
+class Scenario:
     def __init__(self, *schedule):
         self.notes = []
-        self.fleet = HollowFleet()
-        self.injector = Injector(self.fleet, CAST, list(schedule), self.note)
-        self.clock = HandClock()
+        self.fleet = FakeFleet()
+        self.injector = Injector(self.fleet, ROLES, list(schedule), self.note)
+        self.clock = FakeClock()
         self.injector.begin(self.clock)
 
     def note(self, kind, /, **facts):
@@ -111,31 +111,31 @@
 
 
 def test_a_kill_is_over_when_its_process_has_started_again():
-    play = Play(fault(Kind.KILL, "edge-1", 1, 2))
-    play.run_until(1)
-    assert not play.fleet.is_running("edge-1")
-    assert play.injector.find_dead() == []
-    play.run_until(5)
-    assert play.faults() == [("fault", 0)]
-    play.fleet.processes["edge-1"].events.append(STARTED_EVENT)
-    play.run_until(6)
-    assert play.faults() == [("fault", 0), ("over", 0)]
-    assert play.injector.is_over()
-
-
-def test_a_seat_is_back_when_it_votes():
-    play = Play(fault(Kind.KILL, "core-a", 1, 2))
-    play.run_until(3)
-    play.fleet.processes["core-a"].events.append(STARTED_EVENT)
-    play.run_until(4)
-    assert not play.injector.is_over()
-    play.fleet.processes["core-a"].events.append(VOTING_EVENT)
-    play.run_until(5)
-    assert play.injector.is_over()
+    scenario = Scenario(fault(Kind.KILL, "edge-1", 1, 2))
+    scenario.run_until(1)
+    assert not scenario.fleet.is_running("edge-1")
+    assert scenario.injector.find_dead() == []
+    scenario.run_until(5)
+    assert scenario.faults() == [("fault", 0)]
+    scenario.fleet.processes["edge-1"].events.append(STARTED_EVENT)
+    scenario.run_until(6)
+    assert scenario.faults() == [("fault", 0), ("over", 0)]
+    assert scenario.injector.is_over()
+
+
+def test_a_killed_core_replica_is_restored_when_it_votes():
+    scenario = Scenario(fault(Kind.KILL, "core-a", 1, 2))
+    scenario.run_until(3)
+    scenario.fleet.processes["core-a"].events.append(STARTED_EVENT)
+    scenario.run_until(4)
+    assert not scenario.injector.is_over()
+    scenario.fleet.processes["core-a"].events.append(VOTING_EVENT)
+    scenario.run_until(5)
+    assert scenario.injector.is_over()
 
 
 @pytest.mark.parametrize(
-    ("slow", "later", "begun"),
+    ("slow", "later", "expected"),
     [
         ("core-a", "core-b", "skipped"),
         ("core-a", "core-a", "skipped"),
@@ -143,40 +143,40 @@
         ("runner-3", "runner-4", "fault"),
     ],
 )
-def test_what_is_not_back_in_time_counts_with_what_comes_later(slow, later, begun):
-    play = Play(fault(Kind.KILL, slow, 1, 2), fault(Kind.PAUSE, later, 5, 6))
-    play.run_until(7)
-    assert play.faults()[:2] == [("fault", 0), (begun, 1)]
+def test_a_fault_that_ends_late_counts_against_the_bounds_of_later_ones(slow, later, expected):
+    scenario = Scenario(fault(Kind.KILL, slow, 1, 2), fault(Kind.PAUSE, later, 5, 6))
+    scenario.run_until(7)
+    assert scenario.faults()[:2] == [("fault", 0), (expected, 1)]
 
 
-def test_the_last_decode_runner_is_never_taken_while_others_are_not_back():
-    play = Play(
+def test_the_last_decode_runner_is_never_disturbed_while_others_are_not_restored():
+    scenario = Scenario(
         fault(Kind.KILL, "runner-3", 1, 2),
         fault(Kind.REMOVE, "runner-4", 1, 2),
         fault(Kind.PAUSE, "runner-5", 5, 6),
     )
-    play.run_until(7)
-    assert ("skipped", 2) in play.faults()
+    scenario.run_until(7)
+    assert ("skipped", 2) in scenario.faults()
 
 
 def test_a_process_that_ends_by_itself_is_found():
-    play = Play(fault(Kind.KILL, "edge-1", 1, 2))
-    play.run_until(1)
-    play.fleet.kill("edge-2")
-    assert play.injector.find_dead() == ["edge-2"]
+    scenario = Scenario(fault(Kind.KILL, "edge-1", 1, 2))
+    scenario.run_until(1)
+    scenario.fleet.kill("edge-2")
+    assert scenario.injector.find_dead() == ["edge-2"]
 
 
-def test_a_link_is_disturbed_and_set_back():
-    play = Play(fault(Kind.HOLD, "runner-3", 1, 2, Link.CALLS))
-    play.run_until(3)
-    assert play.fleet.relays[("runner-3", Link.CALLS)].modes == ["hold", "pass"]
-    assert play.injector.is_over()
+def test_a_link_is_disturbed_and_restored():
+    scenario = Scenario(fault(Kind.HOLD, "runner-3", 1, 2, Link.CALLS))
+    scenario.run_until(3)
+    assert scenario.fleet.relays[("runner-3", Link.CALLS)].modes == ["hold", "pass"]
+    assert scenario.injector.is_over()
 
 
 @pytest.mark.parametrize("kind", [Kind.LEAVE, Kind.REMOVE])
-def test_a_runner_that_goes_is_taken_off_the_list_and_listed_again(kind):
-    play = Play(fault(kind, "runner-3", 1, 6))
-    play.run_until(5)
-    assert "runner-3" not in play.fleet.listed
-    play.run_until(7)
-    assert play.fleet.listed == play.fleet.first_listed
+def test_a_leaving_or_removed_runner_is_unlisted_and_listed_again(kind):
+    scenario = Scenario(fault(kind, "runner-3", 1, 6))
+    scenario.run_until(5)
+    assert "runner-3" not in scenario.fleet.listed
+    scenario.run_until(7)
+    assert scenario.fleet.listed == scenario.fleet.first_listed
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -1,4 +1,4 @@
-"""The judge of a soak finds each breach in a made-up record (sabotage), and none in a whole one."""
+"""The judge of a soak finds each breach in an altered record, and none in a correct one."""
 
 import copy
 
@@ -6,10 +6,10 @@
 
 from linkhaven.stage.fleet import LICENSING
 from linkhaven.stage.soak.judge import ANSWER_MARGIN_US, judge_soak
-from linkhaven.stage.soak.schedule import RECOVERY_US, SECOND_US, cast_of
+from linkhaven.stage.soak.schedule import RECOVERY_US, SECOND_US, process_roles
 from linkhaven.stage.standins import count_pieces, piece_text
 
-CAST = cast_of(LICENSING)
+ROLES = process_roles(LICENSING)
 BEGIN_US = 100 * SECOND_US
 FAULT_US = BEGIN_US + 10 * SECOND_US
 OVER_US = FAULT_US + 2 * SECOND_US
@@ -23,7 +23,7 @@
 
 
 def request(at_us, id):
-    """One request that is served whole."""
+    """The entries of one request that is served completely."""
     count = count_pieces(RUN, TOKENS, 4)
     asked = {
         "id": id,
@@ -50,8 +50,8 @@
     yield (at_us + 100, "ended", {**ended, "cause": None})
 
 
-def whole_record():
-    """A load with one fault, in which nothing goes wrong."""
+def correct_record():
+    """A load with one fault and without any breach."""
     fault = {"fault": 0, "kind": "kill", "link": "", "targets": ["core-a"]}
     record = [
         (BEGIN_US - 4, "put", {"put_id": "fleet-0", "expect": 0, "plan": PLAN}),
@@ -65,7 +65,7 @@
     ]
     for serial, at_us in enumerate(range(BEGIN_US, END_US, ASKED_EVERY_US)):
         record += request(at_us, f"callers-{serial}")
-    for place, seat in enumerate(CAST.cores):
+    for place, seat in enumerate(ROLES.cores):
         shown = {"mark": 2, "put_id": "put-1", "is_as_put": True, "seat": seat}
         at_us = END_US + place
         record.append((at_us, "shown", {**shown, "begun_us": at_us}))
@@ -74,7 +74,7 @@
 
 def judge(record, logs=LOGS, codes=CODES):
     return judge_soak(
-        sorted(record, key=lambda entry: entry[0]), CAST, LICENSING.kinds, logs, codes
+        sorted(record, key=lambda entry: entry[0]), ROLES, LICENSING.kinds, logs, codes
     )
 
 
@@ -140,7 +140,7 @@
     return [entry for entry in record if entry[1] != "shown"]
 
 
-def find_a_seat_mute(record):
+def leave_a_replica_unread(record):
     return [*record, (END_US, "unread", {"seat": "core-b"})]
 
 
@@ -159,13 +159,13 @@
 
 
 def refuse_between(record, begin_us, end_us):
-    begun = {
+    started = {
         facts["id"]
         for at_us, kind, facts in record
         if kind == "asked" and begin_us <= at_us < end_us
     }
     for _, kind, facts in record:
-        if kind == "ended" and facts["id"] in begun:
+        if kind == "ended" and facts["id"] in started:
             facts.update(how="trouble", done="unknown", code="deadline_unserved")
     return record
 
@@ -198,15 +198,15 @@
     return [*record, (END_US, "operator_stuck", {})]
 
 
-def test_a_whole_record_is_held():
-    verdict = judge(whole_record())
+def test_a_correct_record_has_no_breach():
+    verdict = judge(correct_record())
     assert verdict.breaches == {}
     assert verdict.least_share() == 1.0
     assert {window.is_after_faults for window in verdict.windows} == {True, False}
 
 
 @pytest.mark.parametrize(
-    ("spoil", "rule"),
+    ("corrupt", "rule"),
     [
         (lose_an_end, "every_caller_hears_back"),
         (end_late, "every_caller_hears_back"),
@@ -218,7 +218,7 @@
         (forget_a_plan, "acknowledged_plans_survive"),
         (read_another_plan, "acknowledged_plans_survive"),
         (read_no_plan, "acknowledged_plans_survive"),
-        (find_a_seat_mute, "acknowledged_plans_survive"),
+        (leave_a_replica_unread, "acknowledged_plans_survive"),
         (acknowledge_two, "orders_are_linearizable"),
         (serve_under_a_plan_without_the_kind, "answers_fit_their_mark"),
         (starve_after_the_faults, "service_comes_back"),
@@ -229,8 +229,8 @@
         (leave_the_operator_waiting, "faults_end"),
     ],
 )
-def test_each_breach_in_a_record_is_found(spoil, rule):
-    assert rule in judge(spoil(copy.deepcopy(whole_record()))).breaches
+def test_each_breach_in_a_record_is_found(corrupt, rule):
+    assert rule in judge(corrupt(copy.deepcopy(correct_record()))).breaches
 
 
 @pytest.mark.parametrize(
@@ -241,25 +241,25 @@
         "Traceback (most recent call last):",
     ],
 )
-def test_a_log_line_that_must_not_be_is_found(line):
+def test_a_log_line_of_a_fault_is_found(line):
     logs = {"edge-1": f"2026 INFO LH1001 edge-1: node started\n{line}\n"}
-    assert judge(whole_record(), logs=logs).breaches == {"no_faulty_lines": [f"edge-1: {line}"]}
+    assert judge(correct_record(), logs=logs).breaches == {"no_faulty_lines": [f"edge-1: {line}"]}
 
 
-def test_a_process_that_ends_out_of_order_is_found():
-    assert judge(whole_record(), codes={"core-a": -11}).breaches == {
+def test_a_process_that_exits_with_an_error_is_found():
+    assert judge(correct_record(), codes={"core-a": -11}).breaches == {
         "processes_end_in_order": ["core-a ended with code -11"]
     }
 
 
-def test_while_the_whole_core_is_lost_no_service_is_asked_for():
+def test_no_service_is_required_while_the_whole_core_is_lost():
     record = [
         (
             at_us,
             kind,
-            {**facts, "targets": list(CAST.cores)} if kind in ("fault", "over") else facts,
+            {**facts, "targets": list(ROLES.cores)} if kind in ("fault", "over") else facts,
         )
-        for at_us, kind, facts in whole_record()
+        for at_us, kind, facts in correct_record()
     ]
     starved = refuse_between(record, FAULT_US, OVER_US + RECOVERY_US)
     assert judge(starved).breaches == {}
--- a/tests/test_soak_relay.py
+++ b/tests/test_soak_relay.py
@@ -1,4 +1,4 @@
-"""The relay of a soak, on real sockets: it passes, holds, resets, delays and loses answers."""
+"""The relay of a soak on real sockets: it forwards, holds, resets, delays and loses answers."""
 
 import socket
 import threading
@@ -6,21 +6,21 @@
 
 import pytest
 
-from linkhaven.stage.soak.relay import LOST_SHARE, Mode, RelayLoop
+from linkhaven.stage.soak.relay import LOST_ANSWER_PROBABILITY, Mode, RelayLoop
 
-PATIENCE_S = 20
-HELD_S = 0.2
+TIMEOUT_S = 20
+HOLD_TIMEOUT_S = 0.2
 
 
 class EchoServer(threading.Thread):
-    """Answers each chunk with the same in capitals, and notes what reached it."""
+    """Answers each chunk with its upper-case form and keeps the chunks that it received."""
 
     def __init__(self):
         super().__init__(daemon=True)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = "127.0.0.1:{}".format(self.listener.getsockname()[1])
-        self.heard = []
-        self.has_heard = threading.Condition()
+        self.received = []
+        self.received_condition = threading.Condition()
 
     def run(self):
         while True:
@@ -31,7 +31,7 @@
             threading.Thread(target=self.serve, args=(conn,), daemon=True).start()
 
     def close(self):
-        """A close alone would leave the port listening for the accept that waits."""
+        """Shut down first: a close alone leaves the port listening while accept is blocked."""
         try:
             self.listener.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -41,9 +41,9 @@
     def serve(self, conn):
         with conn:
             while data := self.read(conn):
-                with self.has_heard:
-                    self.heard.append(data)
-                    self.has_heard.notify_all()
+                with self.received_condition:
+                    self.received.append(data)
+                    self.received_condition.notify_all()
                 conn.sendall(data.upper())
 
     def read(self, conn):
@@ -52,9 +52,9 @@
         except OSError:
             return b""
 
-    def wait_heard(self, data):
-        with self.has_heard:
-            return self.has_heard.wait_for(lambda: data in self.heard, PATIENCE_S)
+    def wait_received(self, data):
+        with self.received_condition:
+            return self.received_condition.wait_for(lambda: data in self.received, TIMEOUT_S)
 
 
 @pytest.fixture
@@ -74,12 +74,12 @@
 
 def connect(relay):
     host, port = relay.address.split(":")
-    conn = socket.create_connection((host, int(port)), PATIENCE_S)
-    conn.settimeout(PATIENCE_S)
+    conn = socket.create_connection((host, int(port)), TIMEOUT_S)
+    conn.settimeout(TIMEOUT_S)
     return conn
 
 
-def test_what_comes_passes_both_ways_and_an_end_is_an_end(relay):
+def test_data_and_an_orderly_end_pass_in_both_directions(relay):
     with connect(relay) as conn:
         conn.sendall(b"one")
         assert conn.recv(10) == b"ONE"
@@ -87,7 +87,7 @@
         assert conn.recv(10) == b""
 
 
-def test_many_bytes_arrive_whole(relay):
+def test_a_large_transfer_arrives_complete(relay):
     sent = b"abcdefgh" * 250_000
     got = bytearray()
     with connect(relay) as conn:
@@ -107,17 +107,17 @@
         old.sendall(b"held")
         with connect(relay) as new:
             new.sendall(b"new")
-            old.settimeout(HELD_S)
+            old.settimeout(HOLD_TIMEOUT_S)
             with pytest.raises(TimeoutError):
                 old.recv(10)
-            assert server.heard == [b"before"]
-            old.settimeout(PATIENCE_S)
+            assert server.received == [b"before"]
+            old.settimeout(TIMEOUT_S)
             relay.set_mode(Mode.PASS)
             assert old.recv(10) == b"HELD"
             assert new.recv(10) == b"NEW"
 
 
-def test_a_reset_meets_what_is_open_and_what_comes(relay):
+def test_a_reset_ends_open_and_new_connections(relay):
     with connect(relay) as conn:
         conn.sendall(b"one")
         assert conn.recv(10) == b"ONE"
@@ -132,31 +132,31 @@
         assert conn.recv(10) == b"TWO"
 
 
-def test_a_delay_holds_each_way_for_its_time(relay):
+def test_a_delay_applies_in_each_direction(relay):
     relay.set_mode(Mode.DELAY, delay_us=100_000)
     with connect(relay) as conn:
-        begun = time.monotonic()
+        started = time.monotonic()
         conn.sendall(b"late")
         assert conn.recv(10) == b"LATE"
-        assert time.monotonic() - begun >= 0.2
+        assert time.monotonic() - started >= 0.2
         relay.set_mode(Mode.PASS)
         conn.sendall(b"soon")
         assert conn.recv(10) == b"SOON"
 
 
-def test_what_is_delayed_when_the_delay_ends_goes_on_at_once(relay, server):
-    relay.set_mode(Mode.DELAY, delay_us=1_000_000 * PATIENCE_S * 2)
+def test_delayed_data_is_forwarded_at_once_when_the_delay_ends(relay, server):
+    relay.set_mode(Mode.DELAY, delay_us=1_000_000 * TIMEOUT_S * 2)
     with connect(relay) as conn:
         conn.sendall(b"waits")
-        conn.settimeout(HELD_S)
+        conn.settimeout(HOLD_TIMEOUT_S)
         with pytest.raises(TimeoutError):
             conn.recv(10)
-        conn.settimeout(PATIENCE_S)
+        conn.settimeout(TIMEOUT_S)
         relay.set_mode(Mode.PASS)
         assert conn.recv(10) == b"WAITS"
 
 
-def test_a_lost_answer_is_lost_after_its_request_went_through(relay, server):
+def test_an_answer_is_lost_only_after_its_request_was_forwarded(relay, server):
     relay.set_mode(Mode.LOSE_ANSWERS)
     lost = kept = 0
     for number in range(40):
@@ -168,22 +168,22 @@
                 kept += 1
             except ConnectionError:
                 lost += 1
-        assert server.wait_heard(word)
+        assert server.wait_received(word)
     assert lost == relay.lost
-    assert min(lost, kept) > 40 * LOST_SHARE / 4
+    assert min(lost, kept) > 40 * LOST_ANSWER_PROBABILITY / 4
 
 
 def test_the_same_seed_loses_the_same_answers(server):
-    courses = []
+    draws = []
     for _ in range(2):
         loop = RelayLoop(seed=7)
         relay = loop.add("echo", server.address)
-        courses.append([relay.dice.random() for _ in range(20)])
+        draws.append([relay.rng.random() for _ in range(20)])
         loop.close()
-    assert courses[0] == courses[1]
+    assert draws[0] == draws[1]
 
 
-def test_an_absent_target_refuses_and_takes_again_at_the_same_address(relay):
+def test_an_absent_target_refuses_and_accepts_again_at_the_same_address(relay):
     relay.set_absent(True)
     with pytest.raises(ConnectionRefusedError):
         connect(relay)
--- a/tests/test_soak_sabotage.py
+++ b/tests/test_soak_sabotage.py
@@ -1,4 +1,4 @@
-"""The sabotages of the soak: each takes out a mechanism and names the rules that must find it."""
+"""The sabotages of the soak: each disables a mechanism and names the rules that must detect it."""
 
 import subprocess
 import sys
@@ -35,7 +35,7 @@
         assert all(rule in checkers or f'"{rule}"' in judged for rule in rules)
 
 
-def test_a_configuration_that_goes_back_within_one_life_is_found():
+def test_a_configuration_that_goes_back_without_a_restart_is_found():
     assert not list(judge.find_older_configurations({"edge-1": log_of(1, 2, 4)}))
     assert not list(judge.find_older_configurations({"edge-1": log_of(4, 2, restarts_at=1)}))
     assert list(judge.find_older_configurations({"edge-1": log_of(1, 4, 2)})) == [
@@ -43,7 +43,7 @@
     ]
 
 
-def test_an_order_under_a_lower_token_that_is_taken_is_found():
+def test_an_accepted_order_with_a_lower_fencing_token_is_found():
     assert not list(judge.find_lower_fences([order(1, 2), order(2, 2), order(3, 5)]))
     assert not list(judge.find_lower_fences([order(1, 2), order(2, 1, is_taken=False)]))
     assert not list(judge.find_lower_fences([order(1, 2), order(2, 1, incarnation=2)]))
@@ -51,13 +51,13 @@
 
 
 @pytest.mark.parametrize("command", ["soak", "soak-power", "soak-node"])
-def test_a_sabotage_that_there_is_not_is_refused(command):
+def test_an_unknown_sabotage_is_refused(command):
     words = ["--program", "router"] if command == "soak-node" else []
-    told = subprocess.run(
+    result = subprocess.run(
         [STAGE, command, "--sabotage", "nothing", *words],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert told.returncode != 0
-    assert "is not one of repeat_one_time_work" in told.stdout + told.stderr
+    assert result.returncode != 0
+    assert "is not one of repeat_one_time_work" in result.stdout + result.stderr
--- a/tests/test_soak_schedule.py
+++ b/tests/test_soak_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a soak: the same seed the same faults, overlapping, within bounds."""
+"""The schedule of a soak: reproducible from its seed, with overlapping faults within bounds."""
 
 import pytest
 
@@ -9,9 +9,9 @@
     SECOND_US,
     Fault,
     Kind,
-    cast_of,
     draw_schedule,
     keeps_bounds,
+    process_roles,
 )
 
 SEEDS = range(200)
@@ -33,11 +33,11 @@
 
 @pytest.mark.parametrize("deployment", [LICENSING, ARCHIVE], ids=lambda one: one.name)
 def test_two_or_three_faults_overlap_and_all_bounds_are_kept(deployment):
-    cast = cast_of(deployment)
+    roles = process_roles(deployment)
     for seed in SEEDS:
         faults = draw_schedule(seed, deployment, SECONDS)
         assert most_at_once(faults) in (2, 3)
-        assert keeps_bounds(faults, cast)
+        assert keeps_bounds(faults, roles)
         assert max(fault.end_us for fault in faults) <= (
             SECONDS * SECOND_US - RECOVERY_US - JUDGED_US
         )
@@ -48,11 +48,11 @@
         assert most_at_once(draw_schedule(seed, LICENSING, 21)) in (2, 3)
 
 
-def test_every_kind_is_drawn_and_also_the_whole_core_and_the_last_runner():
+def test_every_kind_is_drawn_and_so_are_losses_of_the_whole_core_and_of_all_runners_but_one():
     drawn = [fault for seed in SEEDS for fault in draw_schedule(seed, LICENSING, SECONDS)]
-    cast = cast_of(LICENSING)
+    roles = process_roles(LICENSING)
     assert {fault.kind for fault in drawn} == set(Kind)
-    assert any(fault.targets == cast.cores for fault in drawn)
+    assert any(fault.targets == roles.cores for fault in drawn)
     assert any(len(fault.targets) == LICENSING.runners - 1 for fault in drawn)
     assert any(fault.kind is Kind.DELAY and fault.delay_us for fault in drawn)
 
@@ -75,5 +75,5 @@
         ([kill(*(f"edge-{place}" for place in range(1, 5)))], False),
     ],
 )
-def test_bounds_tell_what_may_be_lost_at_once(faults, is_kept):
-    assert keeps_bounds(faults, cast_of(LICENSING)) is is_kept
+def test_bounds_limit_what_may_be_disturbed_at_once(faults, is_kept):
+    assert keeps_bounds(faults, process_roles(LICENSING)) is is_kept
--- a/tests/test_soak_tenants.py
+++ b/tests/test_soak_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants in the soak of real processes: what befalls them, and each breach that is found."""
+"""Tenants in the soak: load spikes, changes of keys and limits, and the breaches that are found."""
 
 import copy
 from types import SimpleNamespace
@@ -11,10 +11,10 @@
 from linkhaven.stage.soak.hot_tenant import HOT_FACTOR, HotTenant
 from linkhaven.stage.soak.judge import APPLIED_WITHIN_US, judge_soak, windows_of
 from linkhaven.stage.soak.operators import TenantChanger
-from linkhaven.stage.soak.schedule import RECOVERY_US, SECOND_US, cast_of
+from linkhaven.stage.soak.schedule import RECOVERY_US, SECOND_US, process_roles
 from linkhaven.stage.tenants import UNKNOWN_KEY, TenantPopulation
 
-CAST = cast_of(LICENSING_TENANTS)
+ROLES = process_roles(LICENSING_TENANTS)
 BEGIN_US = 100 * SECOND_US
 END_US = BEGIN_US + RECOVERY_US + 12 * SECOND_US
 KEY, OTHER_KEY = "stage-key-a", "stage-key-b"
@@ -39,7 +39,7 @@
     yield (at_us + 3, "ended", {**ended, "cause": None, "mark": 2})
 
 
-def whole_record():
+def correct_record():
     record = [
         (BEGIN_US - 2, "put", {"put_id": "fleet-0", "expect": 0, "plan": plan(KEY)}),
         (BEGIN_US - 1, "acked", {"put_id": "fleet-0", "mark": 1}),
@@ -53,7 +53,7 @@
 
 def breached(record):
     record = sorted(record, key=lambda entry: entry[0])
-    return set(judge_soak(record, CAST, LICENSING_TENANTS.kinds, {}, {}).breaches)
+    return set(judge_soak(record, ROLES, LICENSING_TENANTS.kinds, {}, {}).breaches)
 
 
 def show_the_key(record):
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil, rule",
+    "corrupt, rule",
     [
         (show_the_key, "runners_see_no_keys"),
         (name_nobody, "runners_see_the_holder_of_the_key"),
@@ -105,33 +105,33 @@
         (deny_within_the_limit, "tenants_within_their_limits_are_served"),
     ],
 )
-def test_the_judge_of_the_soak_finds_each_breach_of_a_rule_about_tenants(spoil, rule):
-    assert rule in breached(spoil(whole_record())) - breached(whole_record())
+def test_the_judge_finds_each_breach_of_a_tenant_rule(corrupt, rule):
+    assert rule in breached(corrupt(correct_record())) - breached(correct_record())
 
 
 def test_a_change_of_keys_alone_breaks_no_rule():
-    assert breached(exchange_key(whole_record())) == breached(whole_record())
+    assert breached(exchange_key(correct_record())) == breached(correct_record())
 
 
 @pytest.mark.parametrize("code", NOT_ALLOWED)
-def test_what_a_tenant_may_not_ask_for_is_not_counted_as_unserved(code):
+def test_requests_that_a_tenant_may_not_make_are_not_counted_as_unserved(code):
     refused = [
         entry
         for number in range(8)
         for entry in request(f"no-{number}", END_US - SECOND_US, how="refused", code=code)
     ]
-    counted = sorted([*whole_record(), *refused], key=lambda entry: entry[0])
-    assert windows_of(counted, CAST) == windows_of(whole_record(), CAST) != []
+    counted = sorted([*correct_record(), *refused], key=lambda entry: entry[0])
+    assert windows_of(counted, ROLES) == windows_of(correct_record(), ROLES) != []
 
 
-def test_what_a_hot_tenant_asks_for_is_not_counted_and_is_again_once_it_calmed_down():
-    usual = windows_of(whole_record(), CAST)
+def test_requests_of_a_hot_tenant_are_not_counted_until_its_load_is_normal_again():
+    usual = windows_of(correct_record(), ROLES)
     middle_us = BEGIN_US + RECOVERY_US
     hot = [
         (middle_us, "tenant_load", {"tenant": "institute", "factor": HOT_FACTOR}),
         (middle_us + 6 * SECOND_US, "tenant_load", {"tenant": "institute", "factor": 1.0}),
     ]
-    windows = windows_of(sorted([*whole_record(), *hot], key=lambda entry: entry[0]), CAST)
+    windows = windows_of(sorted([*correct_record(), *hot], key=lambda entry: entry[0]), ROLES)
     assert 0 < len(windows) < len(usual)
 
 
@@ -146,7 +146,7 @@
     return [delay_us for delay_us, _ in calls], notes, population
 
 
-def test_a_hot_tenant_has_one_of_the_lowest_limits_and_is_calm_in_the_end():
+def test_a_hot_tenant_has_one_of_the_lowest_limits_and_ends_at_its_normal_load():
     times, notes, population = drawn_spans(1)
     assert (times, notes) == drawn_spans(1)[:2] != drawn_spans(2)[:2]
     assert len(notes) >= 8
@@ -154,7 +154,7 @@
     assert population.load_factor == 1
 
 
-def test_each_change_of_the_tenants_is_a_valid_configuration_and_all_kinds_come():
+def test_each_change_of_the_tenants_is_valid_and_all_kinds_of_change_occur():
     population = TenantPopulation(LICENSING_TENANTS.tenants)
     changer = TenantChanger(["none"], LICENSING_TENANTS, 1, None, population, 1)
     seen = set()
