--- a/packages/router/src/linkhaven/router/attempts.py
+++ b/packages/router/src/linkhaven/router/attempts.py
@@ -296,7 +296,7 @@
 
         `has_begun`: whether bytes of it may have reached the runner. A request that isn't
         idempotent and may have begun is never sent again.
-        Test: `forget_what_was_begun` in the model test.
+        Test: `allow_repeating_every_request` in the model test.
         """
         if error.code in HAND_OVER_ERRORS and request.handle:
             self.placement.backoff.eject(request.handle[1])
