--- a/packages/stage/src/linkhaven/stage/explore/__init__.py
+++ b/packages/stage/src/linkhaven/stage/explore/__init__.py
@@ -1,1 +1,3 @@
-"""A model checker: the real pure nodes of the core under orders of events that it chooses itself."""
+"""A model checker for the core: it runs the real, I/O-free nodes under event orders that it
+chooses.
+"""
--- a/packages/stage/src/linkhaven/stage/explore/adapter.py
+++ b/packages/stage/src/linkhaven/stage/explore/adapter.py
@@ -1,5 +1,8 @@
-"""The only module of the explorer that touches the insides of the real nodes: how one is built, what its
-messages say, how it is asked, and what it holds. A rename in the nodes is followed here."""
+"""Adapter between the explorer and the real nodes; the only module that touches their internals.
+
+It builds nodes, reads their messages, sends them requests and inspects their state. Renames in the
+nodes need to be followed only here.
+"""
 
 from enum import Enum
 
@@ -31,7 +34,7 @@
 VOTES = {"promise": False, "accepted": True}
 REFUSED_CODES = ("revision_conflict", "revision_old")
 UNCLEAR_CODE = "put_unknown"
-SKIPPED = frozenset(
+SKIPPED_FIELDS = frozenset(
     (
         "ports",
         "bounds",
@@ -48,7 +51,7 @@
 
 
 class Vote:
-    """A yes of a seat, as it leaves it."""
+    """A positive vote (promise or accept) as a seat sends it."""
 
     __slots__ = ("replica_id", "epoch", "change", "ballot", "is_accept")
 
@@ -61,8 +64,12 @@
 
 
 class CoreNode(Node):
-    """The register alone: proposer, acceptor with its rejoin, operators' desk and one duty, all real. The ring
-    only says who has which seat: it judges nobody, as its timers aren't called."""
+    """The register alone: real proposer, acceptor with recovery, configuration commands and one
+    lease.
+
+    The membership only maps seats to members; as its timers aren't run, it never judges a member
+    to have failed.
+    """
 
     __slots__ = (
         "membership",
@@ -111,7 +118,7 @@
             self.replica.bootstrap(seats[contacts.index(address)], contacts)
 
     def drain(self, done):
-        """Departs; `done` hears when the process may end."""
+        """Starts a planned departure; calls `done` when the process may end."""
         self.replica.departure.begin(done)
 
     def _hear_retired(self):
@@ -123,7 +130,9 @@
 
 
 def build_core(seats, has_duty, contacts):
-    """Builds the register alone, the whole of it at its first start."""
+    """A builder of nodes with the register alone; a contact bootstraps the core at its
+    first start.
+    """
     begun = set()
 
     def build(machine, ports):
@@ -133,14 +142,14 @@
         node = CoreNode(
             machine.name, machine.address, ports, bounds, has_duty, contacts if is_first else ()
         )
-        introduce(machine, node)
+        exchange_member_records(machine, node)
         return node
 
     return build
 
 
-def introduce(machine, node):
-    """What hellos would bring about: who starts knows the others that run, and they know it."""
+def exchange_member_records(machine, node):
+    """Introduces a starting node and the running ones to each other, in place of hello messages."""
     others = [
         other
         for other in machine.world.machines.values()
@@ -156,7 +165,7 @@
 
 
 def build_registry(seats, contacts, **bounds):
-    """Builds the whole core member: ring, register, occupants, duties, desks."""
+    """A builder of whole core members; a contact bootstraps the core at its first start."""
     begun = set()
 
     def build(machine, ports):
@@ -182,7 +191,7 @@
 
 
 def vote_in(message):
-    """The vote that a message carries, if it is a yes."""
+    """The positive vote in a message, or None."""
     is_accept = VOTES.get(message["say"])
     if is_accept is None or not message["is_yes"]:
         return None
@@ -191,41 +200,41 @@
 
 
 def sealed_epoch(machine):
-    """The epoch under which the machine's disk says that it votes no more; None where it has no seal."""
+    """The epoch up to which the seal on the machine's disk ended its votes; None without a seal."""
     seal = machine.disk.synced.get("sealed")
     return seal and seal["incarnation"]
 
 
 def proposal_in(message):
-    """Change, key, ballot and value of an accept."""
+    """Change, key, ballot and value of an accept message; None for other messages."""
     if message["say"] != "accept":
         return None
     return message["id"], message["key"], tuple(message["ballot"]), message["value"]
 
 
 def mark_of(key, value):
-    """The number of the plan that a value is; a duty's number is its fence, which is checked as it is won."""
+    """The mark of a plan value, or None; a duty's fence is checked when the duty is won instead."""
     return value["mark"] if key == PLAN_KEY and value else None
 
 
 def order_in(value):
-    """Which operator's order a value came from: its number and the digest of its document."""
+    """The operator's update that a value came from: its revision and the digest of its document."""
     newest = read_history(value)[-1]
     return newest.revision, newest.digest
 
 
 def order_of(revision, document):
-    """The same of an order as it is sent."""
+    """The same identity for an update as it is sent."""
     return revision, digest_of_update(document)
 
 
 def fence_won(number, facts):
-    """Duty and fence, where a log event says that a duty was won."""
+    """Duty and fence of a log event that reports a won lease, else None."""
     return (facts["duty"], facts["fence"]) if number == LEASE_WON else None
 
 
 def _newest_occupants(world):
-    """For each seat the running machine that has it under the highest epoch."""
+    """For each seat the machine with a node that holds it under the highest epoch."""
     newest = {}
     for machine in world.machines.values():
         if machine.node is None or not machine.node.replica.replica_id:
@@ -237,7 +246,7 @@
 
 
 def held_marks(world):
-    """For each seat whose newest occupant votes now, the mark of the plan that it accepted last."""
+    """The mark of the last accepted plan, for each seat whose newest holder votes now."""
     seats = [machine.node.replica for machine in _newest_occupants(world).values()]
     return [
         (replica.register_state(PLAN_KEY).value or {"mark": 0})["mark"]
@@ -247,7 +256,7 @@
 
 
 def voting_seats(world):
-    """The seats whose newest occupant votes, is given turns and is cut off from nobody."""
+    """The seats whose newest holder votes, isn't frozen and has no cut link."""
     cut = {name for link in world.cuts for name in link}
     return {
         seat
@@ -257,19 +266,19 @@
 
 
 def seat_of(machine):
-    """The seat that a machine has, by its node or else by its disk."""
+    """The seat that a machine holds, by its node or else by its disk."""
     if machine.node is not None:
         return machine.node.replica.replica_id
     return machine.disk.synced.get("seat", "")
 
 
 def is_voting(machine):
-    """Whether the machine's node gives votes."""
+    """Whether the machine runs a node that votes."""
     return machine.node is not None and machine.node.replica.is_voting
 
 
 def put(machine, base, revision, document, done):
-    """An operator's order at a member; done(code, detail, value) hears its answer."""
+    """Sends an operator's update to a member; the response goes to done(code, detail, value)."""
 
     def end(error, value):
         done(error and error.code, error and error.detail, value)
@@ -278,20 +287,23 @@
 
 
 def read(machine, done):
-    """An operator's read at a member; done(code, value) hears its answer."""
+    """Sends an operator's read to a member; the response goes to done(code, value)."""
     machine.node.configuration_store.read_record(
         lambda error, value: done(error and error.code, value)
     )
 
 
 def leave(machine, done):
-    """A planned leaving: releases its duties and says goodbye."""
+    """Starts a planned departure; calls `done` when the process may end."""
     machine.node.drain(done)
 
 
-def is_dead(machine, message):
-    """Whether delivering an answer could change nothing any more: nobody waits for its ballot, and it brings no
-    news of epochs or of a majority that can be reached. Ballots only rise, so such a message stays dead."""
+def is_stale_answer(machine, message):
+    """Whether delivering a vote response can't change anything any more.
+
+    Nothing waits for its ballot, it brings no newer epoch, and the target isn't cut off, so that it
+    doesn't learn of a reachable majority either. Ballots only rise, so a stale answer stays stale.
+    """
     if message["say"] not in VOTES or machine is None:
         return False
     if machine.node.proposer.is_cut_off:
@@ -304,9 +316,12 @@
 
 
 def canonical(thing, now_us, met=None):
-    """Everything that an object holds, as nested tuples; moments count from now, so that two runs that differ
-    only in when they began look alike. Functions are left out: what a callback will do is told by the order or
-    message that it belongs to."""
+    """The state of an object as nested tuples, for hashing.
+
+    Timestamps are relative to `now_us`, so that runs that differ only in their start times are
+    equal. Functions are left out: the update or message that a callback belongs to determines what
+    it does.
+    """
     if thing is None or isinstance(thing, (str, int, float, bool)):
         return thing
     if isinstance(thing, (list, tuple)) or type(thing).__name__ == "deque":
@@ -332,10 +347,10 @@
 
 
 def _fields(thing, now_us, met):
-    """Name and value of each slot; a moment that was set, as what is left until it or has passed since."""
+    """Name and value of each slot; a nonzero timestamp (`*_us`) is given relative to `now_us`."""
     names = [name for kind in type(thing).__mro__ for name in getattr(kind, "__slots__", ())]
     for name in names:
-        if name in SKIPPED or name.startswith("__") or not hasattr(thing, name):
+        if name in SKIPPED_FIELDS or name.startswith("__") or not hasattr(thing, name):
             continue
         value = getattr(thing, name)
         is_moment = name.endswith("_us") and type(value) is int and value
--- a/packages/stage/src/linkhaven/stage/explore/cases.py
+++ b/packages/stage/src/linkhaven/stage/explore/cases.py
@@ -1,4 +1,4 @@
-"""The cases that are explored: how many members, which orders and reads, which faults and how many of them."""
+"""The explored cases: number of members, updates and reads, kinds and number of faults."""
 
 from collections import Counter
 
@@ -6,14 +6,16 @@
 
 REJOIN_TURNS = 2
 DEPARTURE = "departure"
-"""An order that is sent only after a member was told to stop."""
+"""Value of `Order.after` for an update that is sent only after a member was told to leave."""
 
 SPENDING = ("tick", "turn", "put", "read", "leave")
 ADDRESSES = [f"10.0.0.{place + 1}:7000" for place in range(9)]
 
 
 class Order:
-    """One operator's order: its number, the number that it expects, and the member that it goes to first."""
+    """An operator's update: its revision, the revision that it expects, and the member it is sent
+    to first.
+    """
 
     __slots__ = ("name", "base", "revision", "member", "after")
 
@@ -25,15 +27,18 @@
         self.after = after
 
     def choice(self, member=None):
-        """Sent to its member, or again to another."""
+        """The choice that sends it to its first member, or to `member`."""
         return ("put", self.name, self.base, self.revision, self.name, member or self.member)
 
 
 class CoreCase:
-    """A small case of the register alone, for the exhaustive search. Cuts, freezes, loss and delay need no choice
-    of their own here: any message may wait for as long as the course lasts, and any member be given no turn."""
+    """A small case of the register alone, for the exhaustive search.
 
-    prunes = True
+    Cuts, freezes, loss and delay need no choices of their own: any message may stay undelivered for
+    the whole course, and any member may get no turn.
+    """
+
+    prunes_stale_answers = True
     drops = ("chosen",)
     seed = 0
 
@@ -70,7 +75,9 @@
         departs=(),
         turns=REJOIN_TURNS,
     ):
-        """`departs`: who may be told to stop; `turns`: how many ticks those have together that don't vote."""
+        """`departs`: members that may be told to leave; `turns`: total ticks of members that don't
+        vote.
+        """
         self.name = name
         self.seats = seats
         self.orders = orders
@@ -88,29 +95,30 @@
 
     @property
     def first(self):
-        """The machines that run from the start: members, then spares."""
+        """Names and addresses of the machines that run from the start: members, then spares."""
         return [(f"m{place + 1}", ADDRESSES[place]) for place in range(self.seats + self.spares)]
 
     def build(self):
-        """What makes a machine's node."""
+        """The function that creates a machine's node."""
         return adapter.build_core(self.seats, self.has_duty, ADDRESSES[: self.seats])
 
     def prepare(self, run):
-        """The first messages of a start told all they tell."""
-        while run.world.flight:
-            run.world.deliver(next(iter(run.world.flight)))
+        """Delivers the messages of the initial start and sets up slow disks."""
+        while run.world.in_flight:
+            run.world.deliver(next(iter(run.world.in_flight)))
         for name in self.slow:
             run.world.machines[name].disk.is_held = True
         if self.departs:
-            # Who runs as what from here on is told by the hand-over itself; no vote rests on the lists.
+            # The hand-over itself announces role changes from here on; no vote depends on member
+            # lists.
             run.world.drops = (*self.drops, "members")
 
-    def spent(self, run):
-        """Which budgets are used up, as far as the state itself doesn't say."""
+    def spent_budgets(self, run):
+        """The choices that used up budgets, which the state itself doesn't show."""
         return [choice for choice in run.course if choice[0] in SPENDING]
 
     def choices(self, run):
-        """All that may come next."""
+        """All choices that are possible next."""
         return [
             *self._messages(run),
             *self._operators(run),
@@ -119,8 +127,8 @@
         ]
 
     def _deliverable(self, run):
-        for label, message in run.world.flight.items():
-            target = run.world.at(message.target)
+        for label, message in run.world.in_flight.items():
+            target = run.world.machine_at(message.target)
             if target is not None and target.runs:
                 yield label, target
 
@@ -129,7 +137,7 @@
             yield ("deliver", label)
 
     def _operators(self, run):
-        """Orders and reads not sent yet and those that may be sent again, to members that run."""
+        """Updates and reads not yet sent, and permitted retries, to running members."""
         for choice in self._orders_and_reads(run):
             member = run.world.machines.get(choice[-1])
             if member is not None and member.runs:
@@ -157,7 +165,7 @@
     def _is_taken(self, run, name):
         return any(
             operation.document == name and operation.answer == "taken"
-            for operation in run.ghost.operations
+            for operation in run.checker.operations
         )
 
     def _machines(self, run):
@@ -197,7 +205,7 @@
                 yield ("crash", target.name, keeps, label)
 
     def _crash_departing(self, run):
-        """A crash of a member that was told to stop, also right after it heard a message."""
+        """A crash of a member that may be told to leave, also right after it received a message."""
         for choice in self._crash(run):
             if choice[1] in self.departs:
                 yield choice
@@ -234,8 +242,11 @@
 
 
 def handover_cases():
-    """A replica that departs, with a spare: alone, beside an order, and with one fault at any step of it. Both the
-    departing one and its successor may crash, and be started again; a start after the seal asks its successor."""
+    """Cases of a planned hand-over to a spare: alone, with concurrent updates, and with one fault.
+
+    The fault may come at any step. Both the departing replica and its successor may crash and
+    restart; a replica that restarts after the seal asks its successor.
+    """
     departs = {"spares": 1, "departs": ("m2",), "turns": 3}
     cases = [
         CoreCase("hand-over", **departs),
@@ -254,7 +265,7 @@
 
 
 def core_cases():
-    """The cases that are searched through."""
+    """The small cases by name, for the search and the dives."""
     cases = [
         CoreCase("one order", RACE[:1]),
         CoreCase("one order, read", RACE[:1], reads=(("r", "m3"),)),
--- a/packages/stage/src/linkhaven/stage/explore/ghost.py
+++ b/packages/stage/src/linkhaven/stage/explore/ghost.py
@@ -1,11 +1,13 @@
-"""What the checks know about a run: every vote, chosen value, fence and answer, seen from outside of the nodes."""
+"""Invariant checks of a run, on votes, chosen values, fencing tokens and responses seen outside of
+the nodes.
+"""
 
 from . import adapter
 from .linearizability import READ, REFUSED, TAKEN, Operation, is_linearizable
 
 
 class BreachError(Exception):
-    """A rule was broken; `rule` names it, the text tells by whom."""
+    """An invariant was violated; `rule` is its name, `text` gives the details."""
 
     def __init__(self, rule, text):
         super().__init__(f"{rule}: {text}")
@@ -13,54 +15,56 @@
         self.text = text
 
 
-class Ghost:
-    """Hears each message, log event and answer of the run and raises a BreachError where a rule is broken."""
+class RunChecker:
+    """Observes each message, log event and response of a run; raises BreachError if an invariant is
+    violated.
+    """
 
     __slots__ = (
         "majority",
-        "moment",
+        "logical_time",
         "proposed",
         "votes",
         "chosen",
-        "by_mark",
+        "values_by_mark",
         "voters",
         "holders",
         "operations",
-        "effects",
+        "applied_orders",
         "acknowledged",
         "keys",
     )
 
     def __init__(self, seats):
         self.majority = seats // 2 + 1
-        self.moment = 0
+        self.logical_time = 0
         self.keys = {}
         self.proposed = {}
         self.votes = {}
         self.chosen = {}
-        self.by_mark = {}
+        self.values_by_mark = {}
         self.voters = {}
         self.holders = {}
         self.operations = []
-        self.effects = set()
+        self.applied_orders = set()
         self.acknowledged = 0
 
-    def facts(self):
-        """What later checks depend on, for the hash of a state."""
+    def state_facts(self):
+        """The data that later checks depend on, for the state hash."""
         return (
-            sorted((repr(key), repr(value)) for key, value in self.by_mark.items()),
+            sorted((repr(key), repr(value)) for key, value in self.values_by_mark.items()),
             sorted(self.voters.items()),
             sorted(self.holders.items()),
             [repr(operation) for operation in self.operations],
-            sorted(self.effects, key=repr),
+            sorted(self.applied_orders, key=repr),
             self.acknowledged,
             sorted(
                 (key, sorted(seats)) for key, seats in self.votes.items() if key not in self.chosen
             ),
         )
 
-    def hear_message(self, machine, address, message):
-        """Votes and what they are for, as they leave a member."""
+    def on_message(self, machine, address, message):
+        """Checks votes and proposals as a member sends them."""
         seen = adapter.vote_in(message)
         if seen is not None:
             self._check_voter(machine, seen)
@@ -88,7 +92,9 @@
             )
 
     def _check_seal(self, machine, vote):
-        """A machine whose disk has a seal gave its vote away, in that epoch and in all before it."""
+        """A machine with a seal on disk handed over its vote, for the sealed epoch and all before
+        it.
+        """
         epoch = adapter.sealed_epoch(machine)
         if epoch is not None and vote.epoch <= epoch:
             raise BreachError(
@@ -106,14 +112,14 @@
         mark = adapter.mark_of(key[0], value)
         if mark is None:
             return
-        if self.by_mark.setdefault((key[0], mark), value) != value:
+        if self.values_by_mark.setdefault((key[0], mark), value) != value:
             raise BreachError(
                 "one value for each mark", f"{key[0]} {mark} was chosen with two values"
             )
-        self.effects.add(adapter.order_in(value))
+        self.applied_orders.add(adapter.order_in(value))
 
-    def hear_log(self, machine, number, facts):
-        """Who won which fence."""
+    def on_log(self, machine, number, facts):
+        """Checks that each fencing token is won by one process."""
         won = adapter.fence_won(number, facts)
         if won is None:
             return
@@ -124,29 +130,31 @@
             )
 
     def begin(self, operation_name, verb, base=0, revision=0, document=None):
-        """An operator sent an order or a read."""
-        self.moment += 1
-        operation = Operation(operation_name, verb, self.moment, base, revision, document)
+        """Records the invocation of an update or a read."""
+        self.logical_time += 1
+        operation = Operation(operation_name, verb, self.logical_time, base, revision, document)
         self.operations.append(operation)
         return operation
 
     def end(self, operation, answer, held=None, mark=0):
-        """A member answered it."""
-        self.moment += 1
-        operation.end(self.moment, answer, held)
+        """Records a member's response to the operation."""
+        self.logical_time += 1
+        operation.end(self.logical_time, answer, held)
         if answer == TAKEN:
             self.acknowledged = max(self.acknowledged, mark)
         if answer != REFUSED:
             return
-        if adapter.order_of(operation.revision, operation.document) in self.effects:
+        if adapter.order_of(operation.revision, operation.document) in self.applied_orders:
             raise BreachError("no order refused that was taken", repr(operation))
 
     def remove(self, operation):
-        """Answered as not done: it had no effect, and any that is seen belongs to no order."""
+        """Drops an operation answered as not done; if it took effect after all, that matches no
+        operation.
+        """
         self.operations.remove(operation)
 
     def check_state(self, world):
-        """Every majority that could answer now holds what was acknowledged."""
+        """Checks that every majority of the voting seats holds the newest acknowledged change."""
         if not self.acknowledged:
             return
         marks = sorted(adapter.held_marks(world))
@@ -160,7 +168,7 @@
             )
 
     def check_history(self):
-        """The answers so far could have come from one register."""
+        """Checks that the responses so far are linearizable."""
         if not is_linearizable(self.operations):
             raise BreachError(
                 "orders and reads are linearizable",
@@ -168,4 +176,4 @@
             )
 
 
-__all__ = ["READ", "REFUSED", "TAKEN", "BreachError", "Ghost"]
+__all__ = ["READ", "REFUSED", "TAKEN", "BreachError", "RunChecker"]
--- a/packages/stage/src/linkhaven/stage/explore/linearizability.py
+++ b/packages/stage/src/linkhaven/stage/explore/linearizability.py
@@ -1,16 +1,19 @@
-"""Whether a history of operators' orders and reads could have come from one register that does one thing at a
-time: the search of Wing and Gong, with the states met before recognized.
+"""Linearizability checker for histories of configuration updates and reads on one register.
 
-The register holds the number of the document in force. An order takes effect when the number that it expects is
-in force and its own is higher. One that took effect before is acknowledged again and changes nothing. An order
-whose answer is unclear may take effect at any moment after it was sent, or never."""
+Uses the search of Wing and Gong with memoization of visited states.
+
+The register holds the current configuration revision and document. An update takes effect if the
+revision that it expects is the current one and its own revision is higher. An update that took
+effect before is acknowledged again and changes nothing. An update whose outcome is unknown may
+take effect at any time after it was sent, or never.
+"""
 
 TAKEN, REFUSED, UNCLEAR, READ = "taken", "refused", "unclear", "read"
 FOREVER = float("inf")
 
 
 class Operation:
-    """One order or read at one member: from when it was sent until it was answered, and what was answered."""
+    """An update or read at one member: its invocation and response times, and its response."""
 
     __slots__ = ("name", "verb", "base", "revision", "document", "begun", "ended", "answer", "held")
 
@@ -26,7 +29,7 @@
         self.held = None
 
     def end(self, at, answer, held=None):
-        """The answer came: what it says, and the number that it says was in force."""
+        """Records the response: its kind, and the revision that it reports as current."""
         self.ended, self.answer, self.held = at, answer, held
 
     def __repr__(self):
@@ -35,7 +38,7 @@
 
 
 class RegisterState:
-    """What is in force, and every order that took effect."""
+    """State of the register: current revision and document, and every update applied so far."""
 
     __slots__ = ("revision", "document", "taken")
 
@@ -45,7 +48,7 @@
         self.taken = taken
 
     def key(self):
-        """What tells two states apart."""
+        """Identity of the state, for recognizing visited states."""
         return self.revision, self.document, self.taken
 
     def _put(self, operation):
@@ -53,7 +56,7 @@
         return RegisterState(*order, self.taken | {order})
 
     def after(self, operation):
-        """The state that the operation leaves, or None where its answer can't be given in this state."""
+        """The state after the operation, or None if its response is impossible in this state."""
         if operation.verb == READ:
             fits = operation.held == (self.revision, self.document)
             return self if fits else None
@@ -67,16 +70,21 @@
 
 
 def _candidates(operations, done):
-    """Those that may come next: none that began after another, not done yet, had ended."""
+    """Indices of operations that may be linearized next.
+
+    An operation may not come next if it began after another pending operation had ended.
+    """
     left = [place for place in range(len(operations)) if not done >> place & 1]
     first_end = min((operations[place].ended for place in left), default=FOREVER)
     return [place for place in left if operations[place].begun <= first_end]
 
 
 def find_update(operations):
-    """An order of the operations that explains all answers, as a list, or None where there is none.
+    """A linearization of the operations as a list, or None if there is none.
 
-    Reads and orders without an answer may stay out: the former tell nothing, the latter may never take effect."""
+    Reads and updates without a response may be left out: such a read says nothing about the state,
+    and such an update may never have taken effect.
+    """
     operations = [
         operation
         for operation in operations
@@ -85,7 +93,7 @@
     needed = sum(
         1 << place for place, operation in enumerate(operations) if operation.answer != UNCLEAR
     )
-    met = set()
+    visited = set()
     stack = [(0, RegisterState(), ())]
     while stack:
         done, state, order = stack.pop()
@@ -97,12 +105,12 @@
             if following is None or is_idle:
                 continue
             key = (done | 1 << place, following.key())
-            if key not in met:
-                met.add(key)
+            if key not in visited:
+                visited.add(key)
                 stack.append((key[0], following, (*order, place)))
     return None
 
 
 def is_linearizable(operations):
-    """Whether one register could have given these answers."""
+    """Whether a single register could have given these responses."""
     return find_update(operations) is not None
--- a/packages/stage/src/linkhaven/stage/explore/program.py
+++ b/packages/stage/src/linkhaven/stage/explore/program.py
@@ -13,10 +13,10 @@
 from .cases import core_cases
 from .report import Totals, dive_case, name_of, replay_file, search_case, walk_seed, write_course
 
-MOST_JOBS = 16
+MAX_JOBS = 16
 
 
-def _whole(command, name, least, most):
+def _whole_number_option(command, name, least, most):
     text = command.option(name)
     if not str(text).isdigit() or not least <= int(text) <= most:
         raise invalid_setting(f"--{name}", f"is not a whole number from {least} to {most}")
@@ -24,7 +24,7 @@
 
 
 class ExploreCommand(CodedCommand):
-    """Searches the small cases, walks the larger ones, or plays a breach again."""
+    """Searches small cases, runs random walks over larger ones, or replays a recorded violation."""
 
     name = "explore"
     description = "Check the core's real nodes under orders of events: small cases exhaustively, larger by seeded walks."
@@ -42,33 +42,38 @@
     ]
 
     def act(self):
-        """Prints a line for each case and walk, then the totals."""
+        """Prints a JSON line for each case and walk, then the totals; returns 1 if an invariant
+        broke.
+        """
         if self.option("replay"):
             breach = replay_file(self.option("replay"), self.line)
             self.line(str(breach) if breach else "no rule broke")
             return 1 if breach else 0
         tasks = self._tasks()
         totals = Totals()
-        with ProcessPoolExecutor(_whole(self, "jobs", 1, MOST_JOBS)) as pool:
+        with ProcessPoolExecutor(_whole_number_option(self, "jobs", 1, MAX_JOBS)) as pool:
             begun = [pool.submit(*task) for task in tasks]
             for done in as_completed(begun):
-                self._tell(done.result(), totals)
+                self._report_record(done.result(), totals)
         self.show(totals.as_record())
         return 1 if totals.breached else 0
 
     def _tasks(self):
-        states = _whole(self, "states", 0, 10**9)
-        first, walks = _whole(self, "first", 0, 10**9), _whole(self, "walks", 0, 10**7)
+        states = _whole_number_option(self, "states", 0, 10**9)
+        first, walks = (
+            _whole_number_option(self, "first", 0, 10**9),
+            _whole_number_option(self, "walks", 0, 10**7),
+        )
         names = self.option("case") or list(core_cases())
         for name in names:
             if name not in core_cases():
                 raise invalid_setting("--case", f"is not one of {', '.join(core_cases())}")
         searches = [(search_case, name, states) for name in names] if states else []
-        dives = _whole(self, "dives", 0, 10**7)
+        dives = _whole_number_option(self, "dives", 0, 10**7)
         dived = [(dive_case, name, dives, first) for name in names] if dives else []
         return [*searches, *dived, *((walk_seed, seed) for seed in range(first, first + walks))]
 
-    def _tell(self, record, totals):
+    def _report_record(self, record, totals):
         totals.add(record)
         if record["breach"]:
             stem = name_of(record).replace(" ", "-").replace(",", "")
--- a/packages/stage/src/linkhaven/stage/explore/records.py
+++ b/packages/stage/src/linkhaven/stage/explore/records.py
@@ -1,4 +1,6 @@
-"""The history of orders and reads that the record of a simulated fleet tells, for the checker of histories."""
+"""Extracts the history of updates and reads from a simulated fleet's record, for the
+linearizability checker.
+"""
 
 from .linearizability import READ, REFUSED, TAKEN, Operation
 
@@ -11,14 +13,18 @@
 
 
 def _read(at_us, facts):
-    """A read as it was answered, of whatever plan is in force."""
+    """An answered read of the current plan."""
     operation = Operation(f"read@{at_us}", READ, facts["begun_us"])
     operation.end(at_us, READ, (facts["mark"], facts["put_id"]))
     return operation
 
 
 def _answer(operation, at_us, kind, facts):
-    """Ends an order by its answer; whether it had, or may have had, an effect or was refused for another's."""
+    """Records the response to an update.
+
+    Returns False if the update is known to have had no effect for a reason other than a revision
+    conflict; it is then no part of the history.
+    """
     if kind == "acked":
         operation.end(at_us, TAKEN, facts["mark"])
     elif facts["code"] == CONFLICT:
@@ -29,8 +35,11 @@
 
 
 def history_of(record):
-    """Orders by their ids, and reads. An order answered as not done had no effect and is left out; one that was
-    answered unclearly or not at all stays open."""
+    """The updates and reads of a record.
+
+    An update answered as not done had no effect and is left out; one whose outcome is unknown, or
+    that got no response, stays open.
+    """
     orders, reads = {}, []
     for at_us, kind, facts in record:
         if kind == "put" and "expect" in facts:
--- a/packages/stage/src/linkhaven/stage/explore/report.py
+++ b/packages/stage/src/linkhaven/stage/explore/report.py
@@ -1,4 +1,4 @@
-"""What was explored, what broke, and the file that plays a course again."""
+"""Report records of searches, dives and walks, and the file format for replaying a course."""
 
 import json
 
@@ -8,12 +8,12 @@
 from .shrink import shorten
 from .walk import RegistryCase, Walk
 
-CORES = ((3, 0), (3, 1), (3, 2), (5, 0), (5, 1))
-STEPS = 600
+WALKED_CORES = ((3, 0), (3, 1), (3, 2), (5, 0), (5, 1))
+WALK_STEPS = 600
 
 
 def search_case(name, most_states):
-    """Searches one case; answers the line of the report."""
+    """Searches one case exhaustively; returns its report record."""
     case = core_cases()[name]
     found = search(case, most_states)
     record = found.as_record()
@@ -23,7 +23,7 @@
 
 
 def dive_case(name, dives, seed):
-    """Seeded courses through one small case; answers the line of the report."""
+    """Runs seeded random courses through one small case; returns the report record."""
     case = core_cases()[name]
     found = dive(case, dives, seed)
     record = {"dived": name, "dives": dives, "seed": seed, **found.as_record()}
@@ -32,9 +32,9 @@
     return record
 
 
-def walk_seed(seed, steps=STEPS):
-    """One walk, of a core that the seed says; answers the line of the report."""
-    seats, spares = CORES[seed % len(CORES)]
+def walk_seed(seed, steps=WALK_STEPS):
+    """Runs one walk, with the core size chosen by the seed; returns its report record."""
+    seats, spares = WALKED_CORES[seed % len(WALKED_CORES)]
     walk = Walk(RegistryCase(seats, spares, seed))
     breach = walk.go(steps)
     run = walk.run
@@ -52,12 +52,12 @@
 
 
 def name_of(record):
-    """Which case or walk a line is about."""
+    """The case name or walk seed of a report record."""
     return str(record.get("walked") or record.get("dived") or record["searched"])
 
 
 class Totals:
-    """Sums of all lines of a report."""
+    """Sums over all records of a report; its slots are the keys of the totals record."""
 
     __slots__ = (
         "searched",
@@ -82,7 +82,7 @@
         self.breached = []
 
     def add(self, record):
-        """Adds one line of a report."""
+        """Adds one report record."""
         if record["breach"]:
             self.breached.append(name_of(record))
         if "searched" in record:
@@ -103,28 +103,30 @@
                 sums[name] = sums.get(name, 0) + count
 
     def as_record(self):
-        """The last line of a report."""
+        """The totals as the report's last record."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 def write_course(path, record):
-    """Keeps a breach for `--replay`."""
+    """Writes the course of a violation to a file for `--replay`."""
     case = {"walk": record["walked"]} if "walked" in record else {"search": name_of(record)}
     with open(path, "w") as file:
         json.dump({**case, "breach": record["breach"], "course": record["course"]}, file, indent=1)
 
 
-def replay_file(path, tell):
-    """Plays a kept course again, choice by choice; answers the BreachError it ends in, or None."""
+def replay_file(path, print_line):
+    """Replays a recorded course and prints its choices; returns the BreachError it ends in, or
+    None.
+    """
     with open(path) as file:
-        kept = json.load(file)
-    course = [tuple(choice) for choice in kept["course"]]
-    if "search" in kept:
-        case = core_cases()[kept["search"]]
+        recorded = json.load(file)
+    course = [tuple(choice) for choice in recorded["course"]]
+    if "search" in recorded:
+        case = core_cases()[recorded["search"]]
     else:
-        seed = kept["walk"]
-        case = RegistryCase(*CORES[seed % len(CORES)], seed)
+        seed = recorded["walk"]
+        case = RegistryCase(*WALKED_CORES[seed % len(WALKED_CORES)], seed)
     run, breach = play_course(case, course)
     for number, choice in enumerate(run.course, 1):
-        tell(f"{number:4} {' '.join(str(part) for part in choice)}")
+        print_line(f"{number:4} {' '.join(str(part) for part in choice)}")
     return breach
--- a/packages/stage/src/linkhaven/stage/explore/run.py
+++ b/packages/stage/src/linkhaven/stage/explore/run.py
@@ -1,10 +1,13 @@
-"""One run: a world, the ghosts that check it, and the choices that move it. A course is a list of choices; what
-can't be done any more when a course is played again (after shrinking) is passed over."""
+"""One run: a simulated world, the checker of its invariants, and the choices that advance it.
+
+A course is a list of choices. When a course is replayed after shrinking, choices that are no longer
+possible are skipped.
+"""
 
 import hashlib
 
 from . import adapter
-from .ghost import READ, REFUSED, TAKEN, BreachError, Ghost
+from .ghost import READ, REFUSED, TAKEN, BreachError, RunChecker
 from .world import World
 
 REST_US = 500_000
@@ -24,37 +27,37 @@
 
 
 def digest(state):
-    """A hash of plain values that is the same in every process."""
+    """A hash of plain values that is the same in every process, unlike `hash`."""
     return hashlib.blake2b(repr(state).encode(), digest_size=16).digest()
 
 
 class Run:
-    """Plays choices on a case's world."""
+    """Plays choices on the world of a case and checks the invariants after each."""
 
     __slots__ = (
         "case",
         "world",
-        "ghost",
+        "checker",
         "course",
         "used",
         "answers",
-        "ended",
+        "num_answered",
         "is_checking",
-        "leaving",
-        "told",
+        "departed",
+        "latest_answers",
     )
 
     def __init__(self, case):
         self.case = case
-        self.ghost = Ghost(case.seats)
+        self.checker = RunChecker(case.seats)
         self.course = []
         self.used = {}
         self.answers = {"taken": 0, "refused": 0, "not done": 0, "unclear": 0, "read": 0}
-        self.ended = 0
+        self.num_answered = 0
         self.is_checking = True
-        self.leaving = []
-        self.told = {}
-        self.world = World(case.build(), self.ghost, case.seed, case.drops)
+        self.departed = []
+        self.latest_answers = {}
+        self.world = World(case.build(), self.checker, case.seed, case.drops)
         for name, address in case.first:
             self.world.add(name, address)
         for machine in list(self.world.machines.values()):
@@ -62,8 +65,10 @@
         case.prepare(self)
 
     def play(self, choice):
-        """Does what the choice says; answers whether it could be done. Raises the BreachError that it brings about."""
-        ended = self.ended
+        """Plays a choice; returns whether it was possible. Raises BreachError if it violates an
+        invariant.
+        """
+        ended = self.num_answered
         try:
             is_done = getattr(self, f"_{choice[0]}")(*choice[1:])
         except BreachError:
@@ -72,22 +77,22 @@
         if not is_done:
             return False
         self._note(choice)
-        self._end_those_who_left()
-        if self.case.prunes:
+        self._remove_departed()
+        if self.case.prunes_stale_answers:
             self._prune()
         if self.is_checking:
-            self.ghost.check_state(self.world)
-            if self.ended != ended:
-                self.ghost.check_history()
+            self.checker.check_state(self.world)
+            if self.num_answered != ended:
+                self.checker.check_history()
         return True
 
-    def _end_those_who_left(self):
-        """A member that left in an orderly way is gone, and its disk with it."""
-        for machine in self.leaving:
+    def _remove_departed(self):
+        """Removes the members that have completed a planned departure, with their disks."""
+        for machine in self.departed:
             if machine.node is not None:
                 self.world.crash(machine, True)
             self.world.machines.pop(machine.name, None)
-        self.leaving = []
+        self.departed = []
 
     def _note(self, choice):
         self.course.append(choice)
@@ -96,34 +101,40 @@
             self.used[kind] = self.used.get(kind, 0) + 1
 
     def _prune(self):
-        """Answers that nobody waits for any more are as good as delivered."""
-        flight = self.world.flight
+        """Removes responses in flight that nothing waits for any more: delivering them changes
+        nothing.
+        """
+        flight = self.world.in_flight
         for label, message in list(flight.items()):
             if message.say not in adapter.VOTES:
                 continue
-            if adapter.is_dead(self.world.at(message.target), message.read()):
+            if adapter.is_stale_answer(self.world.machine_at(message.target), message.read()):
                 del flight[label]
 
     def key(self):
-        """A hash of the whole state: nodes, disks, messages in flight, operators, ghosts and what may still come."""
+        """A hash of the whole state: machines, messages in flight, checker, faults and budgets
+        used.
+        """
         world = self.world
         parts = [
             self._machine_key(machine)
             for machine in sorted(world.machines.values(), key=lambda m: m.name)
         ]
-        flight = sorted((message.target, message.line) for message in world.flight.values())
+        flight = sorted((message.target, message.line) for message in world.in_flight.values())
         state = (
             parts,
             flight,
-            self.ghost.facts(),
+            self.checker.state_facts(),
             sorted(self.used.items()),
-            self.case.spent(self),
+            self.case.spent_budgets(self),
         )
         return digest(state)
 
     def _machine_key(self, machine):
-        """Worked out once for each past of a machine: most states differ from others met in one machine only."""
-        place = (machine.past, self.world.now_us)
+        """Digest of a machine's state, cached by its history: most states differ in one machine
+        only.
+        """
+        place = (machine.history_hash, self.world.now_us)
         known = self.case.keys.get(place)
         if known is not None:
             return known
@@ -145,33 +156,33 @@
         return machine if machine is not None and machine.runs else None
 
     def _deliver(self, label):
-        message = self.world.flight.get(label)
+        message = self.world.in_flight.get(label)
         if message is None or self.world.is_cut(message):
             return False
-        target = self.world.at(message.target)
+        target = self.world.machine_at(message.target)
         if target is None or not target.runs:
             return False
         self.world.deliver(label)
         return True
 
     def _copy(self, label):
-        if label not in self.world.flight:
+        if label not in self.world.in_flight:
             return False
         self.world.deliver(label, copies=True)
         return True
 
     def _drop(self, label):
-        return self.world.flight.pop(label, None) is not None
+        return self.world.in_flight.pop(label, None) is not None
 
     def _late(self, label):
-        message = self.world.flight.get(label)
+        message = self.world.in_flight.get(label)
         if message is None or message.is_held:
             return False
         message.is_held = True
         return True
 
     def _slow(self, label):
-        message = self.world.flight.get(label)
+        message = self.world.in_flight.get(label)
         if message is None:
             return False
         self.world.deliver(label, holds_sync=True)
@@ -185,12 +196,14 @@
         return True
 
     def _crash(self, name, keeps, label=None):
-        """Ends a process, with what it wrote last kept or lost; with a label, right after it heard that message."""
+        """Ends a process, with its unsynced writes kept or lost; with a label, right after that
+        message.
+        """
         machine = self.world.machines.get(name)
         if machine is None or machine.node is None:
             return False
         if label is not None:
-            if label not in self.world.flight or not machine.runs:
+            if label not in self.world.in_flight or not machine.runs:
                 return False
             self.world.deliver(label, holds_sync=True)
         self.world.crash(machine, keeps)
@@ -205,12 +218,15 @@
         return True
 
     def _is_superseded(self, machine):
-        """Another machine runs at its address: it was replaced."""
-        return self.world.at(machine.address) is not None
+        """Whether another machine runs at its address, as after a replacement."""
+        return self.world.machine_at(machine.address) is not None
 
     def may_lose(self, name):
-        """No more is lost at a time than the core is to bear: each other seat but that many has a voter that runs and
-        is cut off from nobody."""
+        """Whether the core tolerates the loss of this machine now.
+
+        With its seat lost, no more than a minority of the seats may lack a voter that runs and
+        isn't cut off.
+        """
         seat = adapter.seat_of(self.world.machines[name])
         if not seat:
             return True
@@ -225,15 +241,15 @@
         if machine.node is not None:
             self.world.crash(machine, False)
         machine.disk.wipe()
-        machine.note("wipe")
+        machine.record_event("wipe")
         return True
 
     def _torn(self, name):
-        """The write tore the file: the start names and refuses it, and the machine begins empty."""
+        """A torn write: the start reports and rejects the file, and the machine begins empty."""
         return self._wipe(name)
 
     def _replace(self, name, new_name, address):
-        """The machine is gone for good; an empty one takes its place, at its address or a new one."""
+        """Removes a machine for good; an empty one takes its place, at its address or a new one."""
         machine = self.world.machines.get(name)
         if machine is None or new_name in self.world.machines or not self.may_lose(name):
             return False
@@ -247,14 +263,14 @@
         machine = self._machine(name)
         if machine is None or not self.may_lose(name):
             return False
-        machine.note("leave", self.world.now_us)
-        adapter.leave(machine, lambda: self.leaving.append(machine))
+        machine.record_event("leave", self.world.now_us)
+        adapter.leave(machine, lambda: self.departed.append(machine))
         self.world.settle(machine)
         return True
 
     def _add(self, name, address):
-        """A new empty machine."""
-        if name in self.world.machines or self.world.at(address) is not None:
+        """Adds a new empty machine."""
+        if name in self.world.machines or self.world.machine_at(address) is not None:
             return False
         self.world.add(name, address)
         return True
@@ -290,7 +306,7 @@
         return True
 
     def _turn(self, name):
-        """A tick of a member that doesn't vote yet."""
+        """A tick of a member that doesn't vote yet; it has its own budget."""
         return self._tick(name)
 
     def _round(self):
@@ -298,14 +314,14 @@
         return True
 
     def _put(self, name, base, revision, document, member):
-        """An operator sends an order to a member, for the first time or again."""
+        """Sends an operator's update to a member, for the first time or as a retry."""
         machine = self._machine(member)
         if machine is None:
             return False
-        operation = self.ghost.begin(f"{name}@{member}", "put", base, revision, document)
+        operation = self.checker.begin(f"{name}@{member}", "put", base, revision, document)
 
         def done(code, detail, value):
-            self.told[name] = (code, detail)
+            self.latest_answers[name] = (code, detail)
             if code is None:
                 self._end(operation, TAKEN, mark=value.version)
             elif code in adapter.REFUSED_CODES:
@@ -314,9 +330,9 @@
                 self.answers["unclear"] += 1
             else:
                 self.answers["not done"] += 1
-                self.ghost.remove(operation)
+                self.checker.remove(operation)
 
-        machine.note("put", name, self.world.now_us)
+        machine.record_event("put", name, self.world.now_us)
         adapter.put(machine, base, revision, document, done)
         self.world.settle(machine)
         return True
@@ -325,28 +341,28 @@
         machine = self._machine(member)
         if machine is None:
             return False
-        operation = self.ghost.begin(f"{name}@{member}", READ)
+        operation = self.checker.begin(f"{name}@{member}", READ)
 
         def done(code, value):
-            self.told[name] = (code, {"revision": (value or {}).get("revision") or 0})
+            self.latest_answers[name] = (code, {"revision": (value or {}).get("revision") or 0})
             if code is not None:
-                return self.ghost.remove(operation)
+                return self.checker.remove(operation)
             value = value or {}
             self._end(operation, READ, (value.get("revision") or 0, value.get("document")))
 
-        machine.note("read", name, self.world.now_us)
+        machine.record_event("read", name, self.world.now_us)
         adapter.read(machine, done)
         self.world.settle(machine)
         return True
 
     def _end(self, operation, answer, held=None, mark=0):
-        self.ended += 1
+        self.num_answered += 1
         self.answers[answer] += 1
-        self.ghost.end(operation, answer, held, mark)
+        self.checker.end(operation, answer, held, mark)
 
 
 def play_course(case, course):
-    """Plays a course from the start; answers the run and the BreachError that ended it, or None."""
+    """Plays a course from the start; returns the run and the BreachError that ended it, or None."""
     run = Run(case)
     try:
         for choice in course:
--- a/packages/stage/src/linkhaven/stage/explore/search.py
+++ b/packages/stage/src/linkhaven/stage/explore/search.py
@@ -1,18 +1,21 @@
-"""Exhaustive search: every choice in every state, each state once. The nodes hold callbacks, which can't be
-copied, so a state is reached again by playing its course from the start."""
+"""Exhaustive search and random dives over small cases.
+
+The search tries every choice in every state and expands each state once. The nodes hold callbacks,
+which can't be copied, so a state is restored by replaying its course from the start.
+"""
 
 import random
 
 from .ghost import BreachError
 from .run import FAULTS, Run
 
-UNEVEN = 4
-LATEST_FAULT = 30
-SLOW, SLOW_SHARE = 1e-6, 0.25
+WEIGHT_EXPONENT = 4
+LATEST_FAULT_STEP = 30
+SLOW_WEIGHT, SLOW_LINK_SHARE = 1e-6, 0.25
 
 
-class Found:
-    """What a search covered, and the breach that ended it, if one did."""
+class SearchResult:
+    """Coverage of a search, and the violation that ended it, if any."""
 
     __slots__ = (
         "case",
@@ -36,7 +39,7 @@
         self.answers = {}
 
     def add(self, run):
-        """Counts a new state: with which faults, and in how many an operator held which answer."""
+        """Counts a new state, by the faults and the kinds of responses on the way to it."""
         self.states += 1
         self.depth = max(self.depth, len(run.course))
         for kind in run.used:
@@ -46,7 +49,7 @@
                 self.answers[answer] = self.answers.get(answer, 0) + 1
 
     def as_record(self):
-        """For a line of the report."""
+        """The result as a report record."""
         return {
             "case": self.case.name,
             "states": self.states,
@@ -61,7 +64,7 @@
 
 
 def replay(case, course):
-    """The run that a course leads to, its checks done when it was found."""
+    """Replays a course without checks: they were made when the course was first played."""
     run = Run(case)
     run.is_checking = False
     for choice in course:
@@ -71,17 +74,19 @@
 
 
 def search(case, most_states):
-    """Goes through the states of a case, deepest first, until all are met, a rule breaks or `most_states` are met."""
-    found = Found(case)
-    met = set()
+    """Searches a case's states depth-first until all or `most_states` are visited or a
+    rule breaks.
+    """
+    found = SearchResult(case)
+    visited = set()
     waiting = []
     run = Run(case)
     while True:
         key = run.key()
-        if key in met:
+        if key in visited:
             choices = []
         else:
-            met.add(key)
+            visited.add(key)
             found.add(run)
             if found.states >= most_states:
                 return found
@@ -104,60 +109,70 @@
             return found
 
 
-LONGEST = 400
-"""A dive ends after so many choices: with a mechanism taken out, members may go on answering each other for ever."""
+MAX_DIVE_CHOICES = 400
+"""Most choices of a dive: with a mechanism disabled, members may answer each other forever."""
 
 
 class Weights:
-    """How likely each choice of one dive is: drawn anew for each, and uneven, so that in most dives some messages
-    and links wait for very long while others overtake them. Faults come at moments drawn beforehand."""
+    """Random weights of the choices of one dive.
+
+    The weights are skewed, so that in most dives some messages and links are delayed for very long
+    while others overtake them. Faults are injected at steps drawn in advance.
+    """
 
-    __slots__ = ("dice", "drawn", "moments", "step")
+    __slots__ = ("rng", "weights", "fault_steps", "step")
 
-    def __init__(self, dice, faults):
-        self.dice = dice
-        self.drawn = {}
-        latest = dice.randrange(2, LATEST_FAULT)
-        self.moments = sorted(dice.randrange(1, latest) for _ in range(faults))
+    def __init__(self, rng, faults):
+        self.rng = rng
+        self.weights = {}
+        latest = rng.randrange(2, LATEST_FAULT_STEP)
+        self.fault_steps = sorted(rng.randrange(1, latest) for _ in range(faults))
         self.step = 0
 
     def pick(self, choices):
-        """A fault where one is due, else one of the other choices."""
+        """Draws a fault if one is due, else one of the other choices."""
         self.step += 1
         faults = [choice for choice in choices if choice[0] in FAULTS]
         others = [choice for choice in choices if choice[0] not in FAULTS]
-        if faults and (not others or self.moments and self.step > self.moments[0]):
-            del self.moments[:1]
-            return self.dice.choice(faults)
-        return self.dice.choices(others, [self._drawn(choice) for choice in others])[0]
+        if faults and (not others or self.fault_steps and self.step > self.fault_steps[0]):
+            del self.fault_steps[:1]
+            return self.rng.choice(faults)
+        return self.rng.choices(others, [self._weight_of(choice) for choice in others])[0]
 
-    def _drawn(self, choice):
-        weight = self.drawn.get(choice)
+    def _weight_of(self, choice):
+        weight = self.weights.get(choice)
         if weight is None:
-            weight = self.drawn[choice] = self.dice.random() ** UNEVEN
+            weight = self.weights[choice] = self.rng.random() ** WEIGHT_EXPONENT
         if choice[0] == "sync":
-            return weight * SLOW
+            return weight * SLOW_WEIGHT
         return (
-            weight * self._pace(choice[1].partition(" ")[0]) if choice[0] == "deliver" else weight
+            weight * self._link_factor(choice[1].partition(" ")[0])
+            if choice[0] == "deliver"
+            else weight
         )
 
-    def _pace(self, link):
-        """A slow link's messages wait until little else is left."""
-        pace = self.drawn.get(link)
-        if pace is None:
-            pace = self.drawn[link] = SLOW if self.dice.random() < SLOW_SHARE else 1
-        return pace
+    def _link_factor(self, link):
+        """Weight factor of a link; messages on a slow link wait until few other choices
+        are left.
+        """
+        factor = self.weights.get(link)
+        if factor is None:
+            factor = self.weights[link] = SLOW_WEIGHT if self.rng.random() < SLOW_LINK_SHARE else 1
+        return factor
 
 
 def dive(case, dives, seed=0):
-    """Seeded courses through a small case, each to its end: finds a breach sooner than going through all states."""
-    found = Found(case)
-    dice = random.Random(f"dive {case.name} {seed}")
+    """Runs seeded random courses through a small case, each to its end.
+
+    Finds a violation sooner than the exhaustive search does.
+    """
+    found = SearchResult(case)
+    rng = random.Random(f"dive {case.name} {seed}")
     for _ in range(dives):
         run = Run(case)
-        weights = Weights(dice, case.faults)
+        weights = Weights(rng, case.faults)
         try:
-            while len(run.course) < LONGEST and (choices := list(case.choices(run))):
+            while len(run.course) < MAX_DIVE_CHOICES and (choices := list(case.choices(run))):
                 found.transitions += 1
                 run.play(weights.pick(choices))
         except BreachError as breach:
--- a/packages/stage/src/linkhaven/stage/explore/walk.py
+++ b/packages/stage/src/linkhaven/stage/explore/walk.py
@@ -1,5 +1,8 @@
-"""Seeded walks over the whole core member: larger cores, many orders, replacements. A walk draws its choices from
-a seed, in calm stretches of whole rounds and in disturbed ones of single events; the course replays it."""
+"""Seeded random walks over whole core members: larger cores, many updates, replacements.
+
+A walk draws its choices from a seed, alternating calm periods of whole rounds and disturbed periods
+of single events. Its course replays it.
+"""
 
 import random
 
@@ -8,13 +11,13 @@
 from .ghost import BreachError
 from .run import Run
 
-CALM, DISTURBED = 12, 40
-MOST_ORDERS = 24
+MAX_CALM_ROUNDS, MAX_DISTURBED_EVENTS = 12, 40
+MAX_ORDERS = 24
 SETTLE_ROUNDS = 60
 TICK_US = 50_000
 SPANS_US = (10_000, 50_000, 50_000, 400_000)
 
-EVENTS = {
+EVENT_WEIGHTS = {
     "deliver": 60,
     "tick": 12,
     "drop": 6,
@@ -26,7 +29,7 @@
     "put": 5,
     "read": 2,
 }
-FAULTS = {
+FAULT_WEIGHTS = {
     "crash": 5,
     "restart": 12,
     "wipe": 3,
@@ -42,13 +45,15 @@
 }
 
 
-LOSSES = ("crash", "wipe", "torn", "replace", "leave", "freeze", "cut")
+LOSS_KINDS = ("crash", "wipe", "torn", "replace", "leave", "freeze", "cut")
 
 
 class RegistryCase:
-    """Whole core members, with spares: ring, register with occupants, duties, operators' desk."""
+    """Whole core members, with spares: membership, registers, replicas, leases and
+    operators' API.
+    """
 
-    prunes = False
+    prunes_stale_answers = False
     drops = ()
 
     __slots__ = ("name", "seats", "spares", "seed", "keys")
@@ -62,84 +67,90 @@
 
     @property
     def first(self):
-        """The machines that run from the start: members, then spares."""
+        """Names and addresses of the machines that run from the start: members, then spares."""
         return [(f"m{place + 1}", ADDRESSES[place]) for place in range(self.seats + self.spares)]
 
     def build(self):
-        """What makes a machine's node."""
+        """The function that creates a machine's node."""
         return adapter.build_registry(self.seats, ADDRESSES[: self.seats])
 
-    def spent(self, run):
-        """Nothing is budgeted in a walk."""
+    def spent_budgets(self, run):
+        """Walks have no budgets."""
         return []
 
     def prepare(self, run):
-        """The core stands before anything is disturbed."""
+        """Lets the core form before any fault."""
         for _ in range(SETTLE_ROUNDS):
             run.world.round()
 
 
 class Operator:
-    """Sends orders one after another; sends one again that got no answer, and at times one that did."""
+    """Sends updates one after another; retries unanswered ones, and sometimes answered ones too."""
 
-    __slots__ = ("name", "known", "order", "sent")
+    __slots__ = ("name", "known", "current_order", "sent")
 
     def __init__(self, name):
         self.name = name
         self.known = 0
-        self.order = None
+        self.current_order = None
         self.sent = 0
 
-    def next_choice(self, run, dice, members):
-        """An order to a member: the same again while its answer is unclear, else a new one."""
-        if self.order is not None:
-            code, detail = run.told.get(self.order[1], ("silent", None))
+    def next_choice(self, run, rng, members):
+        """An update to a member: the current one again while its outcome is unknown, else a new
+        one.
+        """
+        if self.current_order is not None:
+            code, detail = run.latest_answers.get(self.current_order[1], ("silent", None))
             is_over = code in (None, *adapter.REFUSED_CODES)
-            if not is_over or dice.random() < 0.2:
-                return (*self.order, dice.choice(members))
-            self.known = self.order[3] if code is None else detail.get("revision", self.known)
+            if not is_over or rng.random() < 0.2:
+                return (*self.current_order, rng.choice(members))
+            self.known = (
+                self.current_order[3] if code is None else detail.get("revision", self.known)
+            )
         self.sent += 1
         name = f"{self.name}.{self.sent}"
-        self.order = ("put", name, self.known, self.known + dice.randrange(1, 3), name)
-        return (*self.order, dice.choice(members))
+        self.current_order = ("put", name, self.known, self.known + rng.randrange(1, 3), name)
+        return (*self.current_order, rng.choice(members))
 
 
 class Walk:
-    """One walk: draws choices and plays them."""
+    """One walk: draws random choices and plays them."""
 
-    __slots__ = ("run", "dice", "operators", "reads", "replaced")
+    __slots__ = ("run", "rng", "operators", "reads", "replaced")
 
     def __init__(self, case):
         self.run = Run(case)
-        self.dice = random.Random(f"walk {case.name} {case.seed}")
+        self.rng = random.Random(f"walk {case.name} {case.seed}")
         self.operators = [Operator(f"o{place}") for place in range(3)]
         self.reads = self.replaced = 0
 
     def go(self, steps):
-        """Plays about `steps` choices, then lets everything heal; answers the BreachError that ended it, or None."""
+        """Plays about `steps` choices, then heals all faults; returns the BreachError that ended
+        it, or None.
+        """
         try:
             while len(self.run.course) < steps:
-                self._calm()
-                self._disturbed()
+                self._play_calm_rounds()
+                self._play_disturbed_events()
             self._heal()
         except BreachError as breach:
             return breach
         return None
 
-    def _calm(self):
-        for _ in range(self.dice.randrange(1, CALM)):
-            if self.dice.random() < 0.3:
-                self._draw(FAULTS)
+    def _play_calm_rounds(self):
+        for _ in range(self.rng.randrange(1, MAX_CALM_ROUNDS)):
+            if self.rng.random() < 0.3:
+                self._draw(FAULT_WEIGHTS)
             self.run.play(("round",))
 
-    def _disturbed(self):
-        if self.dice.random() < 0.4:
+    def _play_disturbed_events(self):
+        if self.rng.random() < 0.4:
             return
-        for _ in range(self.dice.randrange(4, DISTURBED)):
-            self._draw(EVENTS)
+        for _ in range(self.rng.randrange(4, MAX_DISTURBED_EVENTS)):
+            self._draw(EVENT_WEIGHTS)
 
     def _heal(self):
-        """Everything that was held up goes on; a last order and read show what is in force."""
+        """Ends all faults; a last read at each member shows the current configuration."""
         self.run.play(("heal",))
         for name, machine in list(self.run.world.machines.items()):
             self.run.play(("thaw", name))
@@ -153,25 +164,28 @@
             self.run.play(("read", f"r{self.reads}", name))
             self.run.play(("round",))
 
-    def _is_weak(self):
-        """One loss more would leave no majority: then most losses wait, so that orders are also acknowledged."""
+    def _is_at_bare_majority(self):
+        """Whether one more loss would leave no majority.
+
+        Most losses are skipped then, so that updates are also acknowledged.
+        """
         return len(adapter.voting_seats(self.run.world)) <= self.run.case.seats // 2 + 1
 
     def _draw(self, weights):
-        kind = self.dice.choices(list(weights), list(weights.values()))[0]
-        if kind in LOSSES and self._is_weak() and self.dice.random() < 0.8:
+        kind = self.rng.choices(list(weights), list(weights.values()))[0]
+        if kind in LOSS_KINDS and self._is_at_bare_majority() and self.rng.random() < 0.8:
             return
         choice = getattr(self, f"_{kind}")()
         if choice is not None:
             self.run.play(choice)
 
     def _message(self):
-        labels = list(self.run.world.flight)
-        return self.dice.choice(labels) if labels else None
+        labels = list(self.run.world.in_flight)
+        return self.rng.choice(labels) if labels else None
 
     def _machine(self, fits=lambda machine: machine.runs):
         machines = [machine for machine in self.run.world.machines.values() if fits(machine)]
-        return self.dice.choice(machines) if machines else None
+        return self.rng.choice(machines) if machines else None
 
     def _on_message(self, verb):
         label = self._message()
@@ -201,17 +215,17 @@
 
     def _tick(self):
         choice = self._on_machine("tick")
-        return choice and (*choice, self.dice.choice(SPANS_US))
+        return choice and (*choice, self.rng.choice(SPANS_US))
 
     def _crash(self):
         label = self._message()
-        if label is None or self.dice.random() < 0.3:
+        if label is None or self.rng.random() < 0.3:
             machine = self._machine(lambda machine: machine.node is not None)
-            return machine and ("crash", machine.name, self.dice.random() < 0.5)
-        target = self.run.world.at(self.run.world.flight[label].target)
+            return machine and ("crash", machine.name, self.rng.random() < 0.5)
+        target = self.run.world.machine_at(self.run.world.in_flight[label].target)
         if target is None or not target.runs:
             return None
-        return ("crash", target.name, self.dice.random() < 0.5, label)
+        return ("crash", target.name, self.rng.random() < 0.5, label)
 
     def _restart(self):
         return self._on_machine("restart", lambda machine: machine.node is None)
@@ -223,14 +237,16 @@
         return self._on_machine("torn", lambda machine: True)
 
     def _replace(self):
-        """An empty machine in place of one, at the same address or a new one; or one more beside the others."""
+        """Replaces a machine by an empty one, at its address or a new one, or adds one if some are
+        missing.
+        """
         machine = self._machine(lambda machine: True)
         self.replaced += 1
         new_name = f"n{self.replaced}"
         address = f"10.0.1.{self.replaced}:7000"
         if machine is None or len(self.run.world.machines) < self.run.case.seats:
             return ("add", new_name, address)
-        if self.dice.random() < 0.4:
+        if self.rng.random() < 0.4:
             address = machine.address
         return ("replace", machine.name, new_name, address)
 
@@ -257,13 +273,13 @@
 
     def _put(self):
         members = self._members()
-        if not members or sum(operator.sent for operator in self.operators) >= MOST_ORDERS:
+        if not members or sum(operator.sent for operator in self.operators) >= MAX_ORDERS:
             return None
-        return self.dice.choice(self.operators).next_choice(self.run, self.dice, members)
+        return self.rng.choice(self.operators).next_choice(self.run, self.rng, members)
 
     def _read(self):
         members = self._members()
         if not members:
             return None
         self.reads += 1
-        return ("read", f"r{self.reads}", self.dice.choice(members))
+        return ("read", f"r{self.reads}", self.rng.choice(members))
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The explorer: real nodes hold in bounded cases; what is taken out of them is missed."""
+"""The explorer: real nodes keep the invariants, and a node with a disabled mechanism is caught."""
 
 import json
 
@@ -29,50 +29,50 @@
 
 
 def let_ballots_be_alike(monkeypatch):
-    """Ballots don't say whose they are, and an acceptor promises the same one twice."""
+    """Ballots of different proposers are equal, and an acceptor promises the same ballot twice."""
     hear = Acceptor.on_prepare
 
-    def promise_again(self, message):
+    def promise_equal_ballot(self, message):
         cell = self.registers.get_or_create(message.key)
         if cell.promise == message.ballot:
             cell.promise = [0, ""]
         hear(self, message)
 
-    monkeypatch.setattr(Acceptor, "on_prepare", promise_again)
+    monkeypatch.setattr(Acceptor, "on_prepare", promise_equal_ballot)
     prepare = Proposer._prepare
 
-    def alike(self, change, now_us):
+    def prepare_under_shared_name(self, change, now_us):
         name, self.node.name = self.node.name, "anyone"
         prepare(self, change, now_us)
         self.node.name = name
 
-    monkeypatch.setattr(Proposer, "_prepare", alike)
+    monkeypatch.setattr(Proposer, "_prepare", prepare_under_shared_name)
 
 
 def forget_promises(monkeypatch):
-    """An acceptor takes accepts of ballots below its promise."""
+    """An acceptor accepts ballots below its promise."""
     hear = Acceptor.on_accept
 
-    def forgetful(self, message):
+    def accept_any_ballot(self, message):
         self.registers.get_or_create(message.key).promise = [0, ""]
         hear(self, message)
 
-    monkeypatch.setattr(Acceptor, "on_accept", forgetful)
+    monkeypatch.setattr(Acceptor, "on_accept", accept_any_ballot)
 
 
 def answer_before_the_sync(monkeypatch):
-    """A vote leaves before what it promises is on the disk."""
+    """A vote is sent before the state behind it is on disk."""
 
-    def hasty(self, message, register, answer_type, **facts):
+    def vote_before_sync(self, message, register, answer_type, **facts):
         self._answer(message, answer_type, is_yes=True, **facts)
         record = {record_key(message.key): register.as_record()}
         self.node.ports.storage.write(record, lambda is_kept: None)
 
-    monkeypatch.setattr(Acceptor, "_vote", hasty)
+    monkeypatch.setattr(Acceptor, "_vote", vote_before_sync)
 
 
 def vote_without_reading(monkeypatch):
-    """A start votes as soon as it has raised its epoch, before it has read what the others hold."""
+    """A starting replica votes once its epoch is raised, before it has read the others' state."""
 
     def end_at_once(self, address, cursor):
         self.peers.clear()
@@ -82,14 +82,14 @@
 
 
 def vote_under_the_old_epoch(monkeypatch):
-    """A restarted seat votes at once, as if it had never ended."""
+    """A restarted seat votes at once, under its former epoch."""
     monkeypatch.setattr(
         Recovery, "tick", lambda self, now_us: self.replica.is_empty or self.replica.begin_voting()
     )
 
 
 def read_from_the_own_disk(monkeypatch):
-    """A read doesn't ask a majority."""
+    """A read returns the local value without asking a majority."""
 
     def read(self, done):
         value = self.blobs.replica.register_state("plan").value
@@ -99,46 +99,46 @@
 
 
 def refuse_for_what_is_not_in_force(monkeypatch):
-    """A refusal may rest on a value that only some seats hold, and that may never be in force."""
+    """A refusal may be based on a value that only a minority holds and that may never be chosen."""
     monkeypatch.setattr(Proposer, "_is_chosen", lambda self, change: True)
 
 
 def take_the_duty_unasked(monkeypatch):
-    """Who asks for a duty doesn't look whether its fence was given meanwhile."""
+    """A candidate for a duty ignores that the fence may have been granted meanwhile."""
     change = Proposer.propose
 
-    def blind(self, key, step, done, **more):
+    def propose_unchecked(self, key, step, done, **more):
         wanted = []
 
-        def grab(value):
-            verb, fruit = step(None if not wanted else value)
-            wanted.append(fruit)
-            return verb, fruit
+        def ignore_current(value):
+            verb, result = step(None if not wanted else value)
+            wanted.append(result)
+            return verb, result
 
-        change(self, key, grab if key.startswith("duty/") else step, done, **more)
+        change(self, key, ignore_current if key.startswith("duty/") else step, done, **more)
 
-    monkeypatch.setattr(Proposer, "propose", blind)
+    monkeypatch.setattr(Proposer, "propose", propose_unchecked)
 
 
 def forget_taken_orders(monkeypatch):
-    """An order that was taken isn't known any more when it comes again."""
+    """An update that took effect isn't recognized when it is retried."""
     change = Proposer.propose
 
-    def forgetful(self, key, step, done, **more):
-        def anew(value):
-            verb, fruit = step(value)
+    def propose_without_history(self, key, step, done, **more):
+        def reject_known_update(value):
+            verb, result = step(value)
             if key == "plan" and verb == "keep" and value and is_put:
                 return "stop", ServiceError("revision_conflict", base=0, revision=value["revision"])
-            return verb, fruit
+            return verb, result
 
         is_put = done.__qualname__ == "Commit._on_outcome"
-        change(self, key, anew, done, **more)
+        change(self, key, reject_known_update, done, **more)
 
-    monkeypatch.setattr(Proposer, "propose", forgetful)
+    monkeypatch.setattr(Proposer, "propose", propose_without_history)
 
 
 def vote_on_while_sealed(monkeypatch):
-    """A departing replica goes on voting once it gave its vote to its successor."""
+    """A departing replica goes on voting after it has handed its vote to its successor."""
     monkeypatch.setattr(
         LifeCycle,
         "may_vote",
@@ -147,15 +147,15 @@
 
 
 def take_over_before_the_rest_is_read(monkeypatch):
-    """A successor takes the place without what was accepted since its first page."""
+    """A successor takes over without the values accepted since it read its first page."""
 
-    def hasty(self, seal):
+    def take_over_at_once(self, seal):
         if not self._is_last_handover(seal.handover_id) or self.state is not SuccessionState.READY:
             return
         self.seal = seal
         self._take_over()
 
-    monkeypatch.setattr(Succession, "on_handover_seal", hasty)
+    monkeypatch.setattr(Succession, "on_handover_seal", take_over_at_once)
 
 
 SABOTAGES = {
@@ -175,7 +175,7 @@
     "no order refused that was taken": [(forget_taken_orders, "row, sent again")],
     "no vote under a seal": [(vote_on_while_sealed, "hand-over, race")],
 }
-TAKEN_OUT = [(rule, *one) for rule, ones in SABOTAGES.items() for one in ones]
+DISABLED_MECHANISMS = [(rule, *one) for rule, ones in SABOTAGES.items() for one in ones]
 
 
 DIVES = 1_200
@@ -185,8 +185,8 @@
     return getattr(part, "__name__", part)
 
 
-@pytest.mark.parametrize("rule, sabotage, name", TAKEN_OUT, ids=name_of)
-def test_a_mechanism_that_is_taken_out_is_found_missing(rule, sabotage, name, monkeypatch):
+@pytest.mark.parametrize("rule, sabotage, name", DISABLED_MECHANISMS, ids=name_of)
+def test_disabled_mechanism_violates_its_invariant(rule, sabotage, name, monkeypatch):
     sabotage(monkeypatch)
     case = core_cases()[name]
     found = dive(case, DIVES)
@@ -198,12 +198,12 @@
 
 
 @pytest.mark.parametrize("name", core_cases())
-def test_the_real_nodes_hold_in_seeded_courses_through_each_small_case(name):
+def test_real_nodes_keep_invariants_in_seeded_dives(name):
     found = dive(core_cases()[name], 40, seed=1)
     assert found.breach is None, found.as_record()
 
 
-def test_a_case_that_is_small_enough_is_gone_through_whole():
+def test_search_covers_a_small_case_completely():
     found = search(core_cases()["one order"], 20_000)
     assert found.breach is None, found.as_record()
     assert found.is_whole
@@ -211,25 +211,25 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_the_whole_core_member_holds_in_seeded_walks(seed):
+def test_whole_core_members_keep_invariants_in_seeded_walks(seed):
     record = walk_seed(seed, steps=400)
     assert record["breach"] is None, record
     assert record["answers"]["taken"]
 
 
-def test_a_search_finds_what_is_taken_out_too(monkeypatch):
+def test_search_finds_a_disabled_mechanism(monkeypatch):
     read_from_the_own_disk(monkeypatch)
     found = search(core_cases()["one order, read"], 3_000)
     assert found.breach.rule == "orders and reads are linearizable"
 
 
-def test_a_walk_finds_an_epoch_that_is_voted_in_twice(monkeypatch):
+def test_walk_finds_two_voters_in_one_epoch(monkeypatch):
     vote_under_the_old_epoch(monkeypatch)
     rules = [str(Walk(RegistryCase(3, 1, seed)).go(400) or "") for seed in range(4)]
     assert any(rule.startswith("one voter of a seat in an epoch") for rule in rules), rules
 
 
-def test_a_course_played_again_is_the_same_run():
+def test_replayed_course_reproduces_the_run():
     walk = Walk(RegistryCase(3, 1, 5))
     assert walk.go(200) is None
     run, breach = play_course(RegistryCase(3, 1, 5), walk.run.course)
@@ -238,7 +238,7 @@
     assert run.key() == walk.run.key()
 
 
-def test_states_are_told_apart_by_what_they_hold_and_not_by_the_way_there():
+def test_state_keys_depend_on_state_and_not_on_event_order():
     case = core_cases()["race"]
     orders = [order.choice() for order in RACE]
     first, second = (play_course(case, course)[0] for course in (orders, orders[::-1]))
@@ -252,20 +252,20 @@
     assert second.course == orders[::-1]
 
 
-def test_a_breach_is_kept_in_a_file_and_played_again(tmp_path, monkeypatch):
+def test_recorded_breach_is_replayed_from_its_file(tmp_path, monkeypatch):
     forget_taken_orders(monkeypatch)
     name = "row, sent again"
     found = dive(core_cases()[name], DIVES)
     path = tmp_path / "course.json"
     course = shorten(core_cases()[name], found.breach.rule, found.course, 100)
     write_course(path, {"searched": name, "breach": str(found.breach), "course": course})
-    told = []
-    breach = replay_file(path, told.append)
+    printed = []
+    breach = replay_file(path, printed.append)
     assert breach.rule == "no order refused that was taken"
-    assert len(told) == len(course) == len(json.loads(path.read_text())["course"])
+    assert len(printed) == len(course) == len(json.loads(path.read_text())["course"])
 
 
-def test_the_report_sums_searches_dives_and_walks():
+def test_totals_sum_searches_dives_and_walks():
     totals = Totals()
     for record in (search_case("one order", 50), dive_case("race", 3, 1), walk_seed(1, steps=50)):
         totals.add(record)
