--- a/packages/stage/src/linkhaven/stage/shard_leases/__init__.py
+++ b/packages/stage/src/linkhaven/stage/shard_leases/__init__.py
@@ -1,5 +1,8 @@
-"""A simulated core for the leases on shards: machines with clocks of their own, a lossy network,
-seeded walks through faults, and measured take-overs."""
+"""Simulated core for tests of shard leases.
+
+It has machines with independent clocks, a lossy network, seeded random walks through faults, and
+measurements of take-over times.
+"""
 
 from .machine import Machine
 from .walk import Walk
--- a/packages/stage/src/linkhaven/stage/shard_leases/machine.py
+++ b/packages/stage/src/linkhaven/stage/shard_leases/machine.py
@@ -1,4 +1,4 @@
-"""One controller of the simulated core: its clock, and real lease code over a stub of a replica."""
+"""One controller of the simulated core: its clock, and the real lease code over a stub replica."""
 
 import random
 from collections.abc import Callable
@@ -8,21 +8,21 @@
 from linkhaven.runtime import Bounds, Message, Node, Ports, write_line
 
 CLOCK_SCALE = 1_000_000
-"""A clock's rate is whole: so many of its microseconds in as many real ones, and a few more."""
+"""Denominator of clock rates: a clock gains `rate_ppm` microseconds in this many real ones."""
 
 FAILED_AFTER_US = 1_000_000
-"""A member that wasn't heard for so long counts as down."""
+"""A member not heard from for this long is considered down."""
 
 CLOCKS_BEGIN_WITHIN_US = 1_000_000_000
 
 
 class KnownMember:
-    """What a machine's membership knows of a replica's newest member."""
+    """The newest member of a replica, as a machine's membership knows it."""
 
     __slots__ = ("address", "incarnation", "is_up", "heard_us")
 
     def __init__(self, address: str, incarnation: int, heard_us: int) -> None:
-        """It was just heard."""
+        """Creates the record of a member just heard from."""
         self.address = address
         self.incarnation = incarnation
         self.is_up = True
@@ -30,12 +30,12 @@
 
 
 class StubReplica:
-    """A replica of which the lease code only asks whether, and as what, it votes."""
+    """The part of a replica that the lease code uses: its identity and whether it votes."""
 
     __slots__ = ("replica_id", "replica_ids", "majority", "incarnation", "is_voting", "known")
 
     def __init__(self, replica_id: str, replica_ids: tuple[str, ...], incarnation: int) -> None:
-        """It doesn't vote yet."""
+        """Creates a replica that doesn't vote yet."""
         self.replica_id = replica_id
         self.replica_ids = replica_ids
         self.majority = len(replica_ids) // 2 + 1
@@ -44,11 +44,11 @@
         self.known: dict[str, int] = {}
 
     def all_incarnations(self) -> dict[str, int]:
-        """The incarnations that it has recorded, with its own."""
+        """The recorded incarnations of other replicas and its own."""
         return {**self.known, self.replica_id: self.incarnation}
 
     def record(self, replica_id: str, incarnation: int) -> None:
-        """It has synced that this instance replaces older ones."""
+        """Records durably that this incarnation of a replica replaces older ones."""
         self.known[replica_id] = max(incarnation, self.known.get(replica_id, 0))
 
 
@@ -58,7 +58,7 @@
     __slots__ = ("members",)
 
     def __init__(self) -> None:
-        """Nobody is known."""
+        """Creates a directory without members."""
         self.members: dict[str, KnownMember] = {}
 
     def replicas(self) -> dict[str, tuple[str, int]]:
@@ -70,7 +70,7 @@
         return self.members
 
     def on_heard(self, replica_id: str, address: str, incarnation: int, now_us: int) -> None:
-        """A member spoke; one of an older incarnation is passed over."""
+        """Marks a member as heard from; older incarnations are ignored."""
         known = self.members.get(replica_id)
         if known is None or incarnation > known.incarnation:
             self.members[replica_id] = KnownMember(address, incarnation, now_us)
@@ -78,14 +78,14 @@
             known.is_up, known.heard_us = True, now_us
 
     def fail_silent(self, now_us: int) -> None:
-        """Members that weren't heard for a while are down."""
+        """Marks members not heard from for `FAILED_AFTER_US` as down."""
         for member in self.members.values():
             if now_us - member.heard_us >= FAILED_AFTER_US:
                 member.is_up = False
 
 
 class Machine:
-    """A controller: it is a process with a clock, or none while it is down."""
+    """A controller machine: a clock and, unless it is down, a process."""
 
     __slots__ = (
         "world",
@@ -105,7 +105,9 @@
     )
 
     def __init__(self, world: Any, name: str, address: str, rate_ppm: int) -> None:
-        """Down; `rate_ppm`: how much faster its clock runs than real time."""
+        """Creates a machine without a process; `rate_ppm`: how much faster its clock
+        runs than real time.
+        """
         self.world = world
         self.name = name
         self.address = address
@@ -121,10 +123,10 @@
         self.leases: ShardLeases | None = None
         self.events: list[tuple[int, str, int]] = []
 
-    # the process
+    # Process
 
     def start(self, replica_id: str, incarnation: int) -> None:
-        """Start a process that is this replica, and doesn't vote yet."""
+        """Starts a process as this incarnation of the replica, which doesn't vote yet."""
         self.starts += 1
         self.is_frozen = False
         self.inbox = []
@@ -152,7 +154,7 @@
         )
 
     def end(self) -> None:
-        """The process ends at once: a kill."""
+        """Kills the process."""
         self.node = None
         self.leases = None
         self.is_frozen = False
@@ -160,22 +162,22 @@
 
     @property
     def runs(self) -> bool:
-        """Whether the process gets the processor."""
+        """Whether the process exists and isn't frozen."""
         return self.node is not None and not self.is_frozen
 
     def freeze(self) -> None:
-        """The process gets no processor; what is sent to it waits."""
+        """Suspends the process; lines sent to it wait in its inbox."""
         self.is_frozen = True
 
     def thaw(self) -> None:
-        """It goes on, and reads what waited."""
+        """Resumes the process, which reads the waiting lines."""
         self.is_frozen = False
         waiting, self.inbox = self.inbox, []
         for line in waiting:
             self.hear(line)
 
     def hear(self, line: bytes) -> None:
-        """A line arrives."""
+        """Receives a line from the network."""
         if self.node is None:
             return
         if self.is_frozen:
@@ -187,59 +189,59 @@
         self.world.check(self.name)
 
     def tick(self) -> None:
-        """Its loop comes round."""
+        """Runs one iteration of the event loop."""
         if self.node is None or self.is_frozen:
             return
         self.directory.fail_silent(self.world.now_us)
         self.node.tick()
         self.world.check(self.name)
 
-    # clock
+    # Clock
 
     def now_us(self) -> int:
-        """Its monotonic time."""
-        lived_us = self.world.now_us
-        return self.clock_offset_us + lived_us + lived_us * self.rate_ppm // CLOCK_SCALE
+        """The machine's monotonic time."""
+        elapsed_us = self.world.now_us
+        return self.clock_offset_us + elapsed_us + elapsed_us * self.rate_ppm // CLOCK_SCALE
 
     def call_in(self, delay_us: int, action: Callable[[], None], /) -> None:
-        """The lease code sets no timer."""
+        """Not supported: the lease code sets no timers."""
         raise NotImplementedError
 
-    # what it owns
+    # Shard ownership
 
     def owns(self, shard: int) -> bool:
-        """Whether it would count for the shard now."""
+        """Whether the machine would act as owner of the shard now."""
         if self.leases is None or self.is_frozen:
             return False
         return self.leases.is_owned(shard, self.now_us())
 
     def on_shard_won(self, shard: int) -> None:
-        """Note when."""
+        """Records that the shard was won, with the time."""
         self.events.append((self.world.now_us, "won", shard))
 
     def on_shard_lost(self, shard: int) -> None:
-        """Note when."""
+        """Records that the shard was lost, with the time."""
         self.events.append((self.world.now_us, "lost", shard))
 
 
 class MachineNetwork:
-    """The network as one start of a machine uses it."""
+    """The network as seen by one process of a machine."""
 
     __slots__ = ("machine", "start")
 
     def __init__(self, machine: Machine) -> None:
-        """Only this start speaks through it."""
+        """Creates the network port of the machine's current process."""
         self.machine = machine
         self.start = machine.starts
 
     def send(self, address: str, message: Message) -> None:
-        """Hand a line to the network, unless the process ended meanwhile."""
+        """Sends a line, unless the process has ended."""
         if self.start == self.machine.starts and self.machine.node is not None:
             self.machine.world.send(self.machine, address, write_line(message))
 
     def reconnect(self, address: str) -> None:
-        """Lines wait for no earlier ones here."""
+        """Has no effect: lines here don't queue behind earlier ones."""
 
     def open(self, *call: Any) -> Any:
-        """The lease code makes no calls."""
+        """Not supported: the lease code makes no HTTP calls."""
         raise NotImplementedError
--- a/packages/stage/src/linkhaven/stage/shard_leases/takeover.py
+++ b/packages/stage/src/linkhaven/stage/shard_leases/takeover.py
@@ -1,4 +1,4 @@
-"""How long shards are without an owner after a fault of their owner, measured in seeded runs."""
+"""Measures in seeded runs how long shards have no owner after their owner fails."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,42 +13,42 @@
 
 
 class Takeover(NamedTuple):
-    """What became of one shard; times from the fault."""
+    """Take-over times of one shard; times count from the fault."""
 
     unowned_us: int
-    """How long nobody owned it."""
+    """How long the shard had no owner, in steps of `SAMPLE_US`."""
 
     taken_us: int
-    """When another machine owned it; `OBSERVE_US` where none did."""
+    """When another machine first owned it; `OBSERVE_US` if none did."""
 
 
 def kill(world: LeaseWorld, victim: Machine) -> None:
-    """Its process ends."""
+    """Kills the process."""
     victim.end()
 
 
 def freeze(world: LeaseWorld, victim: Machine) -> None:
-    """It gets no processor."""
+    """Suspends the process."""
     victim.freeze()
 
 
 def cut(world: LeaseWorld, victim: Machine) -> None:
-    """Nothing goes to it or comes from it."""
+    """Cuts all links to and from the machine."""
     world.split([victim])
 
 
 def cut_incoming(world: LeaseWorld, victim: Machine) -> None:
-    """It hears nothing, and is heard."""
+    """Cuts all links to the machine; its own messages arrive."""
     world.cut([one for one in world.machines if one is not victim], [victim])
 
 
 def cut_outgoing(world: LeaseWorld, victim: Machine) -> None:
-    """It hears the others, and isn't heard."""
+    """Cuts all links from the machine; it still receives messages."""
     world.cut([victim], [one for one in world.machines if one is not victim])
 
 
 def split(world: LeaseWorld, victim: Machine) -> None:
-    """The core is cut into halves; the victim is on the smaller one, with another machine."""
+    """Splits the core; the victim is on the minority side."""
     others = [one for one in world.machines if one is not victim]
     minority = (len(world.replica_ids) - 1) // 2
     world.split([victim, *others[: minority - 1]])
@@ -61,7 +61,9 @@
 
 
 def measure_takeovers(fault: str, seed: int) -> list[Takeover]:
-    """Have the owner of a shard fail at a moment drawn from the seed; one for each of its shards."""
+    """Has the owner of a shard fail at a seeded time; returns a result for each shard
+    that it owned.
+    """
     world = LeaseWorld(seed)
     world.run(SETTLE_US + world.random.randrange(FAULT_WITHIN_US))
     (victim,) = world.owners_of(seed % len(world.replica_ids))
--- a/packages/stage/src/linkhaven/stage/shard_leases/walk.py
+++ b/packages/stage/src/linkhaven/stage/shard_leases/walk.py
@@ -1,9 +1,9 @@
-"""Seeded walks through faults: each draws its faults from a seed, and `TwoOwnersError` ends it.
+"""Seeded random walks through faults; a walk ends with `TwoOwnersError` if the invariant breaks.
 
-Machines are frozen, killed, restarted, replaced and drained, links are cut one way or both, lines
-are lost, doubled and late. Recovery of a replica is modelled by what it guarantees, and by nothing
-more: before an instance votes, so many others have recorded its incarnation as the real one needs.
-A replaced machine goes on for a while and knows nothing of its successor.
+Machines are frozen, killed, restarted, replaced and drained, links are cut one way or both ways,
+and lines are lost, duplicated and delayed. Replica recovery is modelled only by its guarantee:
+before an instance votes, as many others have recorded its incarnation as the real recovery needs.
+A replaced machine runs on for a while and doesn't know of its successor.
 """
 
 from collections.abc import Callable
@@ -11,26 +11,28 @@
 from .machine import Machine
 from .world import LeaseWorld
 
-STEP_MOST_US = 120_000
-RECORD_MOST_US = 150_000
-RECOVERY_MOST_US = 600_000
-FORMER_MOST_US = 3_000_000
-FREEZE_MOST_US = 1_500_000
+MAX_STEP_US = 120_000
+MAX_RECORD_DELAY_US = 150_000
+MAX_RECOVERY_US = 600_000
+MAX_FORMER_RUN_US = 3_000_000
+MAX_FREEZE_US = 1_500_000
 DELAYS_US = (2_000, 2_000, 30_000, 300_000, 1_200_000)
-LEAP_MOST_US = 2_000_000
-LEAP_PAUSE_US = 1_000_000
+MAX_CLOCK_STEP_US = 2_000_000
+CLOCK_STEP_INTERVAL_US = 1_000_000
 LOSSES = (0.0, 0.0, 0.1, 0.4)
 DOUBLINGS = (0.0, 0.1, 0.5)
 SEATS = (3, 3, 5)
 
 
 class Recovery:
-    """One instance of a replica on its way to its first vote."""
+    """Recovery of one replica instance before its first vote."""
 
     __slots__ = ("walk", "machine", "start", "recorders", "needed", "is_restart")
 
     def __init__(self, walk: "Walk", machine: Machine) -> None:
-        """Who has never voted needs a majority of others that vote; a restart has its own disk."""
+        """A new machine needs a majority of voting others; a restarted one counts its
+        own disk too.
+        """
         is_restart = machine in walk.voted
         self.walk = walk
         self.machine = machine
@@ -40,15 +42,15 @@
         self.is_restart = is_restart
 
     def attempt(self) -> None:
-        """Ask those that can be reached, each a little later than the one before."""
+        """Asks each reachable machine after a random delay, then votes or tries again."""
         world, machine = self.walk.world, self.machine
         if machine.starts != self.start or machine.node is None:
             return
         for other in world.machines:
             if other is not machine and other.replica is not None:
-                delay_us = world.random.randrange(RECORD_MOST_US)
+                delay_us = world.random.randrange(MAX_RECORD_DELAY_US)
                 world.call_in(delay_us, lambda other=other: self._record_at(other))
-        world.call_in(RECORD_MOST_US, self._vote_or_repeat)
+        world.call_in(MAX_RECORD_DELAY_US, self._vote_or_repeat)
 
     def _record_at(self, other: Machine) -> None:
         world, machine = self.walk.world, self.machine
@@ -76,12 +78,12 @@
 
 
 class Walk:
-    """One walk; `go` plays it."""
+    """One walk; `go` runs it."""
 
     __slots__ = ("world", "random", "voted", "replaced", "leapt_us", "num_faults")
 
     def __init__(self, seed: int) -> None:
-        """A core of three or five."""
+        """Creates a core of three or five replicas, by the seed."""
         self.world = LeaseWorld(seed, seats=SEATS[seed % len(SEATS)])
         self.random = self.world.random
         self.voted = set(self.world.machines)
@@ -90,12 +92,12 @@
         self.num_faults = 0
 
     def go(self, span_us: int) -> None:
-        """Play it; raises TwoOwnersError where the invariant breaks."""
+        """Runs the walk for `span_us`; raises TwoOwnersError if the invariant breaks."""
         faults = self._faults()
         weights = [weight for _, weight in faults]
         until_us = self.world.now_us + span_us
         while self.world.now_us < until_us:
-            self.world.run(self.random.randrange(1, STEP_MOST_US))
+            self.world.run(self.random.randrange(1, MAX_STEP_US))
             (fault, _), *_ = self.random.choices(faults, weights)
             fault()
             self.num_faults += 1
@@ -116,7 +118,7 @@
         ]
 
     def _any_current(self) -> Machine | None:
-        """One of the machines that run as the newest instance of a replica."""
+        """A random machine that runs as the newest instance of a replica."""
         current = [
             machine
             for machine in self.world.machines
@@ -125,14 +127,14 @@
         return self.random.choice(current) if current else None
 
     def _is_any_recovering(self) -> bool:
-        """Whether a replica lacks an instance that votes: then nobody is replaced, too."""
+        """Whether a replica has no voting instance; no further one is replaced then."""
         current = [one for one in self.world.machines if one not in self.replaced]
         return not all(machine.replica.is_voting for machine in current)
 
-    # processes
+    # Process faults
 
     def freeze(self) -> None:
-        """A machine gets no processor for a while."""
+        """Suspends a process for a while."""
         machine = self._any_current()
         if machine is None or machine.is_frozen:
             return
@@ -143,10 +145,10 @@
             if machine.starts == start and machine.node is not None:
                 machine.thaw()
 
-        self.world.call_in(self.random.randrange(1, FREEZE_MOST_US), thaw)
+        self.world.call_in(self.random.randrange(1, MAX_FREEZE_US), thaw)
 
     def restart(self) -> None:
-        """A process is killed and comes back with its disk, under the next incarnation."""
+        """Kills a process and restarts it with its disk, under the next incarnation."""
         machine = self._any_current()
         if machine is None or machine.replica.replica_id == "":
             return
@@ -157,10 +159,10 @@
             machine.start(replica.replica_id, replica.incarnation + 1)
             Recovery(self, machine).attempt()
 
-        self.world.call_in(self.random.randrange(1, RECOVERY_MOST_US), start)
+        self.world.call_in(self.random.randrange(1, MAX_RECOVERY_US), start)
 
     def replace(self) -> None:
-        """A new machine takes a replica over while the former one runs on, and ends later."""
+        """Has a new machine take over a replica while the former one runs on and ends later."""
         former = self._any_current()
         if former is None or not former.replica.is_voting or self._is_any_recovering():
             return
@@ -169,14 +171,16 @@
         machine = self.world.add_machine()
         machine.start(replica.replica_id, replica.incarnation + 1)
         Recovery(self, machine).attempt()
-        self.world.call_in(self.random.randrange(1, FORMER_MOST_US), lambda: self._remove(former))
+        self.world.call_in(
+            self.random.randrange(1, MAX_FORMER_RUN_US), lambda: self._remove(former)
+        )
 
     def _remove(self, machine: Machine) -> None:
         machine.end()
         machine.replica.is_voting = False
 
     def drain(self) -> None:
-        """A process shuts down in order: it votes on until it ends, and comes back."""
+        """Shuts a process down in a planned way: it votes until it ends, and is restarted."""
         machine = self._any_current()
         if machine is None or machine.is_frozen:
             return
@@ -184,7 +188,7 @@
         self.restart_later(machine)
 
     def restart_later(self, machine: Machine) -> None:
-        """End it a little later, and start it anew."""
+        """Ends and restarts the process after a random delay."""
         replica, start = machine.replica, machine.starts
 
         def end() -> None:
@@ -194,41 +198,44 @@
             machine.start(replica.replica_id, replica.incarnation + 1)
             Recovery(self, machine).attempt()
 
-        self.world.call_in(self.random.randrange(1, RECOVERY_MOST_US), end)
+        self.world.call_in(self.random.randrange(1, MAX_RECOVERY_US), end)
 
     def leap_clock(self) -> None:
-        """A machine's clock leaps forward, as if time had passed for nobody else.
+        """Moves a machine's clock forward by a random step.
 
-        A voter's margin is for one leap in the time of a promise.
+        A voter's margin covers one such step within the time of a promise.
         """
         machine = self._any_current()
         now_us = self.world.now_us
-        if machine is None or now_us - self.leapt_us.get(machine, -LEAP_PAUSE_US) < LEAP_PAUSE_US:
+        if (
+            machine is None
+            or now_us - self.leapt_us.get(machine, -CLOCK_STEP_INTERVAL_US) < CLOCK_STEP_INTERVAL_US
+        ):
             return
         self.leapt_us[machine] = now_us
-        machine.clock_offset_us += self.random.randrange(LEAP_MOST_US)
+        machine.clock_offset_us += self.random.randrange(MAX_CLOCK_STEP_US)
 
-    # links
+    # Network faults
 
     def cut_one_way(self) -> None:
-        """Nothing goes from some machines to some others."""
+        """Cuts the links from some machines to some others."""
         machines = self.world.machines
         sources = [machine for machine in machines if self.random.random() < 0.4]
         targets = [machine for machine in machines if self.random.random() < 0.4]
         self.world.cut(sources, targets)
 
     def split(self) -> None:
-        """The machines are cut into two sides."""
+        """Splits the machines into two sides."""
         self.world.heal()
         self.world.split([one for one in self.world.machines if self.random.random() < 0.5])
 
     def disturb_network(self) -> None:
-        """Lines are lost, doubled and late from now on."""
+        """Starts losing, duplicating and delaying lines."""
         self.world.delay_us = self.random.choice(DELAYS_US)
         self.world.loss = self.random.choice(LOSSES)
         self.world.doubling = self.random.choice(DOUBLINGS)
 
     def calm_network(self) -> None:
-        """They are no more."""
+        """Ends loss, duplication and extra delay."""
         self.world.delay_us = DELAYS_US[0]
         self.world.loss = self.world.doubling = 0.0
--- a/packages/stage/src/linkhaven/stage/shard_leases/world.py
+++ b/packages/stage/src/linkhaven/stage/shard_leases/world.py
@@ -1,7 +1,7 @@
 """The simulated core: real time, the network between the machines, and the check of the invariant.
 
-All is a function of the seed. Each machine has a clock of its own, which runs a little faster or
-slower than real time. Lines are delayed, lost, doubled and reordered as the world is told.
+A run is a function of the seed. Each machine has its own clock, which runs slightly faster or
+slower than real time. Lines are delayed, lost, duplicated and reordered as configured.
 """
 
 import heapq
@@ -15,15 +15,15 @@
 ONE_WAY_US = 1_000
 REPLICA_NAMES = ("a", "b", "c", "d", "e", "f", "g")
 RATE_PPM = 20_000
-"""Clocks run up to this much faster or slower; two of them differ by less than the drift margin."""
+"""Most by which a clock runs fast or slow; two clocks differ by less than the drift margin."""
 
 
 class TwoOwnersError(Exception):
-    """Two machines would count for one shard at the same time."""
+    """Two machines would act as owner of one shard at the same time."""
 
 
 class LeaseWorld:
-    """Machines, one for each replica at first, the network between them, and real time."""
+    """Machines (initially one for each replica), the network between them, and real time."""
 
     __slots__ = (
         "seed",
@@ -42,7 +42,7 @@
     )
 
     def __init__(self, seed: int = 1, seats: int = 5, are_clocks_alike: bool = False) -> None:
-        """Start all replicas at once, on an undisturbed network."""
+        """Starts all replicas at once, on a network without faults."""
         self.seed = seed
         self.random = random.Random(seed)
         self.replica_ids = REPLICA_NAMES[:seats]
@@ -61,7 +61,7 @@
         self._heartbeat()
 
     def add_machine(self, rate_ppm: int | None = None) -> Machine:
-        """A further machine, without a process; its clock's rate is drawn where it isn't given."""
+        """Adds a machine without a process; its clock rate is random unless given."""
         number = len(self.machines) + 1
         if rate_ppm is None:
             rate_ppm = self.random.choice((-RATE_PPM, 0, RATE_PPM))
@@ -70,15 +70,15 @@
         self.call_in(self.random.randrange(TICK_US), lambda: self._tick(machine))
         return machine
 
-    # time
+    # Time
 
     def call_in(self, delay_us: int, action: Callable[[], None]) -> None:
-        """Run `action` in so much real time."""
+        """Runs `action` after `delay_us` of real time."""
         self.serial += 1
         heapq.heappush(self.queue, (self.now_us + delay_us, self.serial, action))
 
     def run(self, span_us: int) -> None:
-        """Let real time pass."""
+        """Advances real time by `span_us`."""
         until_us = self.now_us + span_us
         while self.queue and self.queue[0][0] <= until_us:
             self.now_us, _, action = heapq.heappop(self.queue)
@@ -89,14 +89,14 @@
         machine.tick()
         self.call_in(TICK_US, lambda: self._tick(machine))
 
-    # network
+    # Network
 
     def is_cut(self, source: Machine, target: Machine) -> bool:
-        """Whether nothing goes from one to the other."""
+        """Whether the link from `source` to `target` is cut."""
         return (source.name, target.name) in self.cuts
 
     def send(self, source: Machine, address: str, line: bytes) -> None:
-        """Carry a line, or lose it; now and then carry it twice."""
+        """Sends a line, which may be lost or duplicated."""
         self.num_sent += 1
         self.bytes_sent += len(line)
         target = next((machine for machine in self.machines if machine.address == address), None)
@@ -111,7 +111,7 @@
             target.hear(line)
 
     def _heartbeat(self) -> None:
-        """Membership, without its messages: who reaches whom is known there."""
+        """Models membership without its messages: reachable machines learn of each other."""
         self.call_in(HEARTBEAT_US, self._heartbeat)
         for source in self.machines:
             for target in self.machines:
@@ -125,30 +125,30 @@
                 replica.replica_id, source.address, replica.incarnation, self.now_us
             )
 
-    # cuts
+    # Network partitions
 
     def cut(self, sources: list[Machine], targets: list[Machine]) -> None:
-        """Cut the way from each of these to each of those, not the way back."""
+        """Cuts the link from each source to each target, in this direction only."""
         self.cuts |= {(one.name, other.name) for one in sources for other in targets}
 
     def split(self, side: list[Machine]) -> None:
-        """Cut these off from all others, both ways."""
+        """Cuts all links between `side` and the other machines, both ways."""
         others = [machine for machine in self.machines if machine not in side]
         self.cut(side, others)
         self.cut(others, side)
 
     def heal(self) -> None:
-        """All links carry again."""
+        """Restores all links."""
         self.cuts.clear()
 
-    # what must hold
+    # Invariant
 
     def owners_of(self, shard: int) -> list[Machine]:
-        """The machines that would count for a shard now."""
+        """The machines that would act as owner of a shard now."""
         return [machine for machine in self.machines if machine.owns(shard)]
 
     def check(self, name: str) -> None:
-        """Raise TwoOwnersError where two machines own a shard after something happened at one."""
+        """Raises TwoOwnersError if two machines own a shard after an event at machine `name`."""
         for shard in range(len(self.replica_ids)):
             owners = self.owners_of(shard)
             if len(owners) > 1:
