--- a/packages/stage/src/linkhaven/stage/slopes/heap.py
+++ b/packages/stage/src/linkhaven/stage/slopes/heap.py
@@ -1,17 +1,18 @@
+"""Heap size of a node."""
+
 import gc
 import sys
 import types
 
-SHARED = (type, types.ModuleType, types.CodeType, types.BuiltinFunctionType)
+CODE_TYPES = (type, types.ModuleType, types.CodeType, types.BuiltinFunctionType)
 
 
 def heap_bytes(node, stops):
-    """Bytes of the objects that a node holds: all that can be reached from it, without code and without what stands
-    in `stops`, by type."""
+    """Bytes of all objects reachable from a node, except code and the types in `stops`."""
     seen, stack, total = {id(node)}, [node], 0
     while stack:
         held = stack.pop()
-        if isinstance(held, SHARED) or isinstance(held, stops):
+        if isinstance(held, CODE_TYPES) or isinstance(held, stops):
             continue
         total += sys.getsizeof(held)
         if isinstance(held, types.FunctionType):
--- a/packages/stage/src/linkhaven/stage/slopes/hollow.py
+++ b/packages/stage/src/linkhaven/stage/slopes/hollow.py
@@ -1,3 +1,5 @@
+"""A simulated fleet of real nodes in one process, with meters around their ports."""
+
 import gc
 
 from linkhaven.configuration.history import KEPT_UPDATES
@@ -7,17 +9,17 @@
 from ..standins import Speeds
 from ..world import Conn, Host, SimDisk, World
 from .heap import heap_bytes
-from .meter import Meter, Tally, is_data
+from .meter import ChannelStats, Meter, is_data
 
 SECOND = 1_000_000
-FAST = {"prefill_rate": 400_000, "read_base_us": 200, "step_us": 2_000, "step_each_us": 10}
-SAMPLED = 3
+FAST_RUNNER = {"prefill_rate": 400_000, "read_base_us": 200, "step_us": 2_000, "step_each_us": 10}
+MAX_HEAP_SAMPLES = 3
 HOUR_TOKENS = 10**12
 SETTLE_US, STEP_US = 5_000_000, 2_000
 
 
 class Shape:
-    """How many of everything a hollow fleet has; rate is requests a second, configurations come a minute."""
+    """Size and load of a fleet: `rate` in requests a second, `configurations` a minute."""
 
     __slots__ = (
         "routers",
@@ -86,8 +88,8 @@
         )
 
 
-class Hushed(list):
-    """A record that keeps nothing but what the fleet itself reads."""
+class AckedRecord(list):
+    """An event record that keeps only acknowledgements, which the fleet itself reads."""
 
     def append(self, row):
         if row[1] == "acked":
@@ -95,7 +97,7 @@
 
 
 class HollowFleet(SimFleet):
-    """The real nodes, many to a process, each behind a meter."""
+    """A simulated fleet of real nodes in one process, each behind a meter."""
 
     __slots__ = ("meter", "shape", "puts", "acked", "unacked")
 
@@ -107,8 +109,8 @@
         self.unacked = []
         deployment = shape.deployment()
         plan = deployment.plan(taichi={"search": False})
-        super().__init__(deployment, seed, Speeds(**FAST), plan=plan)
-        self.world.record = Hushed()
+        super().__init__(deployment, seed, Speeds(**FAST_RUNNER), plan=plan)
+        self.world.record = AckedRecord()
 
     def _host(self, name, zone, address, build, disk=None):
         return super()._host(
@@ -116,7 +118,7 @@
         )
 
     def change_configuration(self):
-        """The next whole configuration: the first group's weight is another one."""
+        """Puts the next configuration, which changes the weight of the first group."""
         self.puts += 1
         first, begun_us = next(iter(self.plan["groups"])), self.world.now_us
         groups = {
@@ -132,7 +134,7 @@
         self.put_plan(self.plan, self.puts, done=done)
 
     def fill_history(self):
-        """As many changes as a value remembers: what one more then adds is there for good."""
+        """Makes as many changes as the history keeps, so that further ones no longer grow it."""
         for _ in range(KEPT_UPDATES):
             self.change_configuration()
             self.world.wait_for(self._has_answers, SETTLE_US, STEP_US)
@@ -144,6 +146,7 @@
         return len(self.acked) + len(self.unacked) == self.puts
 
     def plan_changes(self, seconds):
+        """Schedules the configuration changes of a window, evenly spread."""
         count = int(self.shape.configurations * seconds / 60)
         for place in range(count):
             self.world.after(
@@ -151,6 +154,7 @@
             )
 
     def roles(self):
+        """The running hosts of each role; singleton roles by their current lease holder."""
         roles = {"router": [host for host in self.routers.values() if host.node is not None]}
         for role in SINGLETON_ROLES:
             roles[role] = [
@@ -162,9 +166,11 @@
         return roles
 
     def heap_of(self, host):
-        return heap_bytes(host.node.node, (World, Host, Conn, SimDisk, Meter, Tally))
+        """Heap bytes of a host's node, without the simulation around it."""
+        return heap_bytes(host.node.node, (World, Host, Conn, SimDisk, Meter, ChannelStats))
 
     def measure(self, seconds):
+        """Runs a window of simulated time; returns the mean figures of each role."""
         gc.collect()
         gc.freeze()
         self.meter.reset()
@@ -187,7 +193,7 @@
                 for name, value in figures.items()
                 if not name.startswith(("cpu", "data_cpu", "written", "turn"))
             }
-        sampled = hosts[:SAMPLED]
+        sampled = hosts[:MAX_HEAP_SAMPLES]
         figures["heap_bytes"] = sum(self.heap_of(host) for host in sampled) / len(sampled)
         if hosts[0].disk is not None:
             figures["disk_bytes"] = sum(len(str(host.disk.synced)) for host in hosts) / len(hosts)
@@ -213,7 +219,7 @@
         return figures
 
     def channels(self, role):
-        """Messages, bytes and processor time of the first of a role, by channel, largest first."""
+        """Messages, bytes and processor time of a role's first host by channel, most time first."""
         hosts = self.roles()[role]
         tally = self.meter.tally_of(hosts[0])
         names = {*tally.sent, *tally.heard, *tally.spent_ns}
--- a/packages/stage/src/linkhaven/stage/slopes/large.py
+++ b/packages/stage/src/linkhaven/stage/slopes/large.py
@@ -1,3 +1,5 @@
+"""Runs of one large simulated fleet, with a configuration change and failures."""
+
 import time
 
 import psutil
@@ -5,35 +7,39 @@
 from ..fleet import percentile
 from .hollow import SECOND, HollowFleet
 
-READY_MOST_US = 60 * SECOND
-DOWN_MOST_US = 20 * SECOND
+MAX_READY_US = 60 * SECOND
+MAX_CONVERGENCE_US = 20 * SECOND
 STEP_US = 100_000
-RACK = 16
+ROUTERS_PER_RACK = 16
 
 
 def rss_mb():
+    """Resident memory of this process in MiB."""
     return round(psutil.Process().memory_info().rss / 1_048_576, 1)
 
 
 class LargeRun:
-    """One hollow fleet of a given shape in one process: up, measured, reconfigured, then with a machine, a rack and a
-    zone lost. Each step tells how long it took, in simulated and in real time, and at which resident memory."""
+    """One simulated fleet of a given shape: started, measured, reconfigured, then with failures.
+
+    A machine, a rack and a zone fail in turn. Each step reports its simulated and real duration and
+    the resident memory.
+    """
 
-    __slots__ = ("shape", "tell", "fleet", "begun", "at_us")
+    __slots__ = ("shape", "report", "fleet", "begun", "at_us")
 
-    def __init__(self, shape, seed, tell):
+    def __init__(self, shape, seed, report):
         self.shape = shape
-        self.tell = tell
+        self.report = report
         self.begun = time.monotonic()
         rss = rss_mb()
         self.fleet = HollowFleet(shape, seed)
         self.at_us = 0
-        self._note("built", **shape.as_record(), rss_before_mb=rss)
+        self._report_step("built", **shape.as_record(), rss_before_mb=rss)
 
-    def _note(self, step, **facts):
+    def _report_step(self, step, **facts):
         now = time.monotonic()
         world_us = self.fleet.world.now_us
-        self.tell(
+        self.report(
             {
                 "step": step,
                 "simulated_s": round((world_us - self.at_us) / SECOND, 1),
@@ -44,32 +50,37 @@
         )
         self.begun, self.at_us = now, world_us
 
-    def run(self, seconds, is_losing):
+    def run(self, seconds, has_failures):
+        """Runs all steps; failures only if `has_failures`."""
         fleet = self.fleet
         try:
             fleet.start()
         except AssertionError as fault:
-            return self._note("not ready", why=str(fault), **self._count_views())
-        self._note("ready", **self._count_views())
+            return self._report_step("not ready", why=str(fault), **self._count_views())
+        self._report_step("ready", **self._count_views())
         if self.shape.rate:
             fleet.load(self.shape.rate)
             fleet.world.run_for(2 * SECOND)
         told = fleet.measure(seconds)
         for role, figures in told.items():
-            self._note(
+            self._report_step(
                 "measured", role=role, **{name: round(value, 1) for name, value in figures.items()}
             )
         for role in told:
             if role != "runner":
-                self._note("channels", role=role, **dict(list(fleet.channels(role).items())[:6]))
-        self._change()
-        if not is_losing:
+                self._report_step(
+                    "channels", role=role, **dict(list(fleet.channels(role).items())[:6])
+                )
+        self._measure_configuration_change()
+        if not has_failures:
             return
         routers, runners = list(fleet.routers.values()), list(fleet.runners.values())
-        self._lose("machine", routers[-1:])
-        self._lose("rack", [*routers[1 : 1 + RACK], *runners[1 : 1 + 2 * RACK]])
+        self._fail_hosts("machine", routers[-1:])
+        self._fail_hosts(
+            "rack", [*routers[1 : 1 + ROUTERS_PER_RACK], *runners[1 : 1 + 2 * ROUTERS_PER_RACK]]
+        )
         zone = fleet.deployment.zones[-1]
-        self._lose(
+        self._fail_hosts(
             "zone",
             [host for host in [*routers, *runners] if host.zone == zone and host.node is not None],
         )
@@ -85,8 +96,8 @@
             "open_runners_seen": [min(seen), max(seen)],
         }
 
-    def _change(self):
-        """From an operator's put until each router takes the new configuration."""
+    def _measure_configuration_change(self):
+        """Measures the time from an operator's put until each router has the new configuration."""
         fleet, world = self.fleet, self.fleet.world
         held = {
             host.name: host.node.snapshot.value
@@ -95,7 +106,7 @@
         }
         begun_us, delays = world.now_us, []
         fleet.change_configuration()
-        while held and world.now_us < begun_us + DOWN_MOST_US:
+        while held and world.now_us < begun_us + MAX_CONVERGENCE_US:
             world.run_for(10_000)
             for name in [
                 name
@@ -104,7 +115,7 @@
             ]:
                 del held[name]
                 delays.append((world.now_us - begun_us) / 1_000)
-        self._note(
+        self._report_step(
             "configuration",
             without_it=len(held),
             acked=len(fleet.acked),
@@ -112,8 +123,8 @@
             max_ms=max(delays, default=None),
         )
 
-    def _lose(self, what, hosts):
-        """Until every router left takes all that died for gone: other routers down, runners no longer open."""
+    def _fail_hosts(self, what, hosts):
+        """Kills hosts; measures until every other router sees them as down or no longer open."""
         fleet, world = self.fleet, self.fleet.world
         dead = {host.name for host in hosts}
         for host in hosts:
@@ -121,14 +132,14 @@
         begun_us = world.now_us
         left = [host for host in fleet.routers.values() if host.node is not None]
         told = {"routers": None, "runners": None}
-        while None in told.values() and world.now_us < begun_us + DOWN_MOST_US:
+        while None in told.values() and world.now_us < begun_us + MAX_CONVERGENCE_US:
             world.run_for(STEP_US)
             now_ms = (world.now_us - begun_us) // 1_000
             if told["routers"] is None and not any(self._sees_router(host, dead) for host in left):
                 told["routers"] = now_ms
             if told["runners"] is None and not any(self._sees_runner(host, dead) for host in left):
                 told["runners"] = now_ms
-        self._note(
+        self._report_step(
             f"lost a {what}", machines=len(hosts), gone_everywhere_ms=told, **self._count_views()
         )
 
--- a/packages/stage/src/linkhaven/stage/slopes/meter.py
+++ b/packages/stage/src/linkhaven/stage/slopes/meter.py
@@ -1,3 +1,5 @@
+"""Meters for the messages, bytes, disk writes and processor time of simulated nodes."""
+
 from time import process_time_ns
 
 from linkhaven.runtime import ResponseHandler, kind_of, write_json, write_line
@@ -10,16 +12,17 @@
 
 
 def is_data(channel):
-    """What grows with the callers' own traffic, as against what the fleet spends on itself."""
+    """Whether a channel carries callers' traffic, as opposed to the fleet's own overhead."""
     return channel.startswith(CALLS)
 
 
 def head_bytes(headers):
+    """Encoded size of HTTP headers, with the final empty line."""
     return sum(len(str(name)) + len(str(value)) + 4 for name, value in headers.items()) + 2
 
 
-class Tally:
-    """What one node sent, heard, wrote and spent, by channel."""
+class ChannelStats:
+    """Messages, bytes and processor time of one node by channel, and its disk writes."""
 
     __slots__ = ("sent", "heard", "spent_ns", "turns_ns", "written")
 
@@ -33,18 +36,18 @@
         self.turns_ns = []
         self.written = [0, 0]
 
-    def note(self, table, channel, messages, size):
+    def count(self, table, channel, messages, size):
         held = table.setdefault(channel, [0, 0])
         held[0] += messages
         held[1] += size
 
-    def spend(self, channel, spent_ns):
+    def add_cpu_time(self, channel, spent_ns):
         self.spent_ns[channel] = self.spent_ns.get(channel, 0) + spent_ns
         self.turns_ns.append(spent_ns)
 
 
 class Stopwatch:
-    """Processor time of one node's turn, without that of the simulated network under it."""
+    """Processor time of one node's turn, excluding the simulated network."""
 
     __slots__ = ("is_running", "outside_ns")
 
@@ -52,29 +55,29 @@
         self.is_running = False
         self.outside_ns = 0
 
-    def run(self, tally, channel, deed, *given):
+    def run(self, tally, channel, action, *given):
         if self.is_running:
-            return deed(*given)
+            return action(*given)
         self.is_running = True
         self.outside_ns = 0
         begun_ns = process_time_ns()
         try:
-            return deed(*given)
+            return action(*given)
         finally:
             spent_ns = process_time_ns() - begun_ns - self.outside_ns
             self.is_running = False
-            tally.spend(channel, spent_ns)
+            tally.add_cpu_time(channel, spent_ns)
 
-    def step_out(self, deed, *given):
+    def exclude(self, action, *given):
         begun_ns = process_time_ns()
         try:
-            return deed(*given)
+            return action(*given)
         finally:
             self.outside_ns += process_time_ns() - begun_ns
 
 
 class MeteredNode:
-    """A node whose turns are timed; everything else is the node's own."""
+    """Times a node's turns; delegates everything else to the node."""
 
     __slots__ = ("node", "meter", "tally")
 
@@ -105,6 +108,8 @@
 
 
 class MeteredNetwork:
+    """Counts sent and received messages; delegates everything else to the network."""
+
     __slots__ = ("network", "host", "meter", "tally")
 
     def __init__(self, network, host, meter, tally):
@@ -118,7 +123,7 @@
 
     def send(self, address, message):
         channel, line = kind_of(message), write_line(message)
-        self.meter.watch.step_out(self._carry, address, channel, line)
+        self.meter.watch.exclude(self._carry, address, channel, line)
 
     def _carry(self, address, channel, line):
         host, world = self.host, self.host.world
@@ -133,14 +138,14 @@
         if target is host:
             epoch = host.epoch
             return world.after(10, lambda: host.do(hear) if host.epoch == epoch else None)
-        self.meter.carry(self.tally, self.meter.tally_of(target), channel, len(line))
+        self.meter.count_transfer(self.tally, self.meter.tally_of(target), channel, len(line))
         world.link(host, target).send(hear, is_bounded=True)
 
     def open(self, address, method, path, headers, body, handler, *more, **named):
         world, meter = self.host.world, self.meter
         target, channel = world.hosts.get(address), path.partition("?")[0]
-        other = meter.tally_of(target) if target is not None else Tally()
-        meter.carry(
+        other = meter.tally_of(target) if target is not None else ChannelStats()
+        meter.count_transfer(
             self.tally,
             other,
             channel,
@@ -149,11 +154,11 @@
         watch, own = meter.watch, self.tally
 
         def on_head(status, headers):
-            meter.carry(other, own, channel, 17 + head_bytes(headers))
+            meter.count_transfer(other, own, channel, 17 + head_bytes(headers))
             watch.run(own, channel, handler.on_head, status, headers)
 
         def on_data(data):
-            meter.carry(other, own, channel, len(data))
+            meter.count_transfer(other, own, channel, len(data))
             watch.run(own, channel, handler.on_data, data)
 
         heard = ResponseHandler(
@@ -162,12 +167,14 @@
             lambda: watch.run(own, channel, handler.on_end),
             lambda *given: watch.run(own, channel, handler.on_error, *given),
         )
-        return watch.step_out(
+        return watch.exclude(
             lambda: self.network.open(address, method, path, headers, body, heard, *more, **named)
         )
 
 
 class MeteredClock:
+    """Times timer callbacks; delegates everything else to the clock."""
+
     __slots__ = ("clock", "meter", "tally")
 
     def __init__(self, clock, meter, tally):
@@ -178,11 +185,13 @@
     def __getattr__(self, name):
         return getattr(self.clock, name)
 
-    def call_in(self, delay_us, deed):
-        return self.clock.call_in(delay_us, lambda: self.meter.watch.run(self.tally, TIMER, deed))
+    def call_in(self, delay_us, action):
+        return self.clock.call_in(delay_us, lambda: self.meter.watch.run(self.tally, TIMER, action))
 
 
 class MeteredDisk:
+    """Counts writes and times their callbacks; delegates everything else to the disk."""
+
     __slots__ = ("disk", "meter", "tally")
 
     def __init__(self, disk, meter, tally):
@@ -197,13 +206,13 @@
         self.tally.written[0] += 1
         self.tally.written[1] += len(write_json(items))
         watch = self.meter.watch
-        watch.step_out(
+        watch.exclude(
             self.disk.write, items, lambda *given: watch.run(self.tally, DISK, done, *given)
         )
 
 
 class Meter:
-    """Stands between every node of a simulated world and its ports."""
+    """Measures all nodes of a simulated world, by wrapping each node and its ports."""
 
     __slots__ = ("watch", "tallies")
 
@@ -212,12 +221,14 @@
         self.tallies = {}
 
     def tally_of(self, host):
+        """The statistics of a host, kept across restarts of its node."""
         tally = self.tallies.get(host.name)
         if tally is None:
-            tally = self.tallies[host.name] = Tally()
+            tally = self.tallies[host.name] = ChannelStats()
         return tally
 
     def wrap(self, host, ports, build):
+        """Builds a host's node on metered ports and returns it metered."""
         tally = self.tally_of(host)
         ports.network = MeteredNetwork(ports.network, host, self, tally)
         ports.clock = MeteredClock(ports.clock, self, tally)
@@ -225,9 +236,9 @@
             ports.storage = MeteredDisk(ports.storage, self, tally)
         return MeteredNode(build(host, ports), self, tally)
 
-    def carry(self, source, target, channel, size):
-        source.note(source.sent, channel, 1, size)
-        target.note(target.heard, channel, 1, size)
+    def count_transfer(self, source, target, channel, size):
+        source.count(source.sent, channel, 1, size)
+        target.count(target.heard, channel, 1, size)
 
     def reset(self):
         for tally in self.tallies.values():
--- a/packages/stage/src/linkhaven/stage/slopes/program.py
+++ b/packages/stage/src/linkhaven/stage/slopes/program.py
@@ -1,3 +1,5 @@
+"""The command `linkhaven-stage slopes`."""
+
 import json
 import tempfile
 
@@ -6,7 +8,7 @@
 from linkhaven.wire.console import CodedCommand
 from linkhaven.wire.settings import invalid_setting
 
-NUMBERS = {
+MAX_VALUES = {
     "routers": 1000,
     "runners": 5000,
     "groups": 5000,
@@ -18,7 +20,7 @@
 }
 
 
-MAY_BE_NONE = ("rate", "configurations")
+MAY_BE_ZERO = ("rate", "configurations")
 
 
 def check_whole(place, text, least, most):
@@ -28,17 +30,19 @@
 
 
 def check_number(place, name, text):
-    return check_whole(place, text, 0 if name in MAY_BE_NONE else 1, NUMBERS[name])
+    return check_whole(place, text, 0 if name in MAY_BE_ZERO else 1, MAX_VALUES[name])
 
 
 class SlopesCommand(CodedCommand):
+    """Measures the cost of each role, or extrapolates it to a larger fleet."""
+
     name = "slopes"
     description = (
         "Measure what each role spends, with hollow nodes: by one number varied (its name, or all), "
         "a whole fleet of a given size (fleet), the fleet to come worked out from slopes (target), "
         "or a request on real sockets (request)."
     )
-    arguments = [argument("what", f"{', '.join(NUMBERS)}, all, fleet, target or request")]
+    arguments = [argument("what", f"{', '.join(MAX_VALUES)}, all, fleet, target or request")]
     options = [
         *(
             option(
@@ -47,7 +51,7 @@
                 f"how many {name.replace('_', ' ')}, all else held there",
                 flag=False,
             )
-            for name in NUMBERS
+            for name in MAX_VALUES
         ),
         option(
             "values", None, "values of the number that is varied, with commas between", flag=False
@@ -67,22 +71,23 @@
     ]
 
     def act(self):
+        """Prints a JSON line for each result."""
         what, seconds = self.argument("what"), self._whole("seconds", 1, 600)
         if what == "fleet":
             from .large import LargeRun
 
-            return LargeRun(self._shape(), 1, self._tell).run(seconds, self.option("lose"))
+            return LargeRun(self._shape(), 1, self._report_row).run(seconds, self.option("lose"))
         if what == "target":
-            return self._work_out_target()
+            return self._report_target()
         if what == "request":
             return self._measure_requests(seconds)
-        if what != "all" and what not in NUMBERS:
+        if what != "all" and what not in MAX_VALUES:
             raise invalid_setting(
-                "what", f"is not one of {', '.join(NUMBERS)}, all, fleet, target or request"
+                "what", f"is not one of {', '.join(MAX_VALUES)}, all, fleet, target or request"
             )
-        from .vary import tell_slopes, vary
+        from .vary import report_slopes, vary
 
-        for axis in NUMBERS if what == "all" else (what,):
+        for axis in MAX_VALUES if what == "all" else (what,):
             points = vary(
                 axis,
                 self._whole("seeds", 1, 100),
@@ -91,16 +96,16 @@
                 self._values(axis),
                 self._whole("processes", 1, 64),
             )
-            tell_slopes(axis, points, self._tell)
+            report_slopes(axis, points, self._report_row)
 
     def _whole(self, name, least, most):
         return check_whole(f"--{name}", self.option(name), least, most)
 
-    def _tell(self, row):
+    def _report_row(self, row):
         self.line(json.dumps(row, ensure_ascii=False))
 
     def _given(self):
-        texts = {name: self.option(name.replace("_", "-")) for name in NUMBERS}
+        texts = {name: self.option(name.replace("_", "-")) for name in MAX_VALUES}
         return {
             name: check_number(f"--{name.replace('_', '-')}", name, text)
             for name, text in texts.items()
@@ -120,12 +125,14 @@
             else [check_number("--values", axis, part) for part in text.split(",")]
         )
 
-    def _work_out_target(self):
-        from .target import TARGET, read_rows, tell_target
+    def _report_target(self):
+        from .target import TARGET, read_rows, report_target
 
         if self.option("rows") is None:
             raise invalid_setting("--rows", "is missing: a file of what slopes all told")
-        tell_target(read_rows(self.option("rows")), self._tell, target={**TARGET, **self._given()})
+        report_target(
+            read_rows(self.option("rows")), self._report_row, target={**TARGET, **self._given()}
+        )
 
     def _measure_requests(self, seconds):
         from .fit import fit_plane
@@ -133,9 +140,9 @@
 
         folder = tempfile.mkdtemp(prefix="linkhaven-")
         for role, points in measure_requests(
-            folder, self._whole("port", 1024, 65_000), seconds, self._tell
+            folder, self._whole("port", 1024, 65_000), seconds, self._report_row
         ).items():
-            self._tell(
+            self._report_row(
                 {
                     "axis": "requests on sockets",
                     "role": role,
--- a/packages/stage/src/linkhaven/stage/slopes/request.py
+++ b/packages/stage/src/linkhaven/stage/slopes/request.py
@@ -1,3 +1,5 @@
+"""Processor time of requests on real sockets."""
+
 import os
 import time
 
@@ -19,8 +21,11 @@
     return int((spent.user + spent.system) * 1_000_000)
 
 
-def measure_requests(folder, port, seconds, tell):
-    """Processor time of one router and three seats on real sockets, by requests a second, and their resident memory."""
+def measure_requests(folder, port, seconds, report):
+    """Measures processor time and resident memory of one router and the registry processes.
+
+    Runs on real sockets at several request rates and answer lengths; returns the points by role.
+    """
     made = Shape(routers=1, runners=4, groups=4, kinds=4, zones=1).deployment()
     deployment = Deployment("hollow", made.zones, 1, 4, 1, made.groups, made.kinds, made.mix, 1.0)
     os.makedirs(folder, exist_ok=True)
@@ -50,7 +55,7 @@
                 found.append(
                     (row["served_a_second"], row["pieces_a_second"], row[f"{role}_cpu_us"])
                 )
-            tell(row)
+            report(row)
     finally:
         fleet.stop()
     return points
--- a/packages/stage/src/linkhaven/stage/slopes/target.py
+++ b/packages/stage/src/linkhaven/stage/slopes/target.py
@@ -1,3 +1,5 @@
+"""Extrapolates fitted slopes to the target size of a fleet."""
+
 import json
 
 from .fit import CONSTANT, LINEAR, SQUARE
@@ -14,7 +16,7 @@
 }
 BUDGET = {"bytes": 3_000, "cpu_us": 49_000, "heap_bytes": 256_000_000}
 
-PLAIN, EACH, OTHERS, OWN, PAIRS, FOR_EACH = (
+UNSCALED, PER_ROUTER, OTHER_ROUTERS, OWN_REQUESTS, ROUTER_PAIRS, RUNNERS_PER_ROUTER = (
     "plain",
     "each router",
     "other routers",
@@ -23,38 +25,44 @@
     "runners to each router",
 )
 
-WAYS = {
-    PLAIN: lambda base, target: 1,
-    EACH: lambda base, target: target["routers"] / base["routers"],
-    OTHERS: lambda base, target: (1 - 1 / target["routers"]) / (1 - 1 / base["routers"]),
-    OWN: lambda base, target: base["routers"] / target["routers"],
-    PAIRS: lambda base, target: (target["routers"] / base["routers"]) ** 2,
-    FOR_EACH: lambda base, target: target["runners"] / base["runners"],
+SCALE_FACTORS = {
+    UNSCALED: lambda base, target: 1,
+    PER_ROUTER: lambda base, target: target["routers"] / base["routers"],
+    OTHER_ROUTERS: lambda base, target: (1 - 1 / target["routers"]) / (1 - 1 / base["routers"]),
+    OWN_REQUESTS: lambda base, target: base["routers"] / target["routers"],
+    ROUTER_PAIRS: lambda base, target: (target["routers"] / base["routers"]) ** 2,
+    RUNNERS_PER_ROUTER: lambda base, target: target["runners"] / base["runners"],
 }
 
-SHARED = "steward"
-BESIDE = {PAIRS: EACH, FOR_EACH: PLAIN}
-
-SEAT = {"routers": PLAIN, "runners": PLAIN, "groups": EACH, "kinds": PLAIN, "configurations": EACH}
-ROUTER = {
-    "routers": PLAIN,
-    "runners": PLAIN,
-    "groups": PLAIN,
-    "kinds": PLAIN,
-    "rate": OTHERS,
-    "configurations": PLAIN,
+SHARED_ROLE = "steward"
+SHARED_SCALING = {ROUTER_PAIRS: PER_ROUTER, RUNNERS_PER_ROUTER: UNSCALED}
+
+REPLICA_SCALING = {
+    "routers": UNSCALED,
+    "runners": UNSCALED,
+    "groups": PER_ROUTER,
+    "kinds": UNSCALED,
+    "configurations": PER_ROUTER,
+}
+ROUTER_SCALING = {
+    "routers": UNSCALED,
+    "runners": UNSCALED,
+    "groups": UNSCALED,
+    "kinds": UNSCALED,
+    "rate": OTHER_ROUTERS,
+    "configurations": UNSCALED,
 }
-NEEDS = {
+SCALING = {
     "router": {
-        "sent_messages": ROUTER,
-        "sent_bytes": ROUTER,
-        "heard_messages": ROUTER,
-        "heard_bytes": ROUTER,
-        "cpu_us": ROUTER,
-        "heap_bytes": {**ROUTER, "rate": OWN},
+        "sent_messages": ROUTER_SCALING,
+        "sent_bytes": ROUTER_SCALING,
+        "heard_messages": ROUTER_SCALING,
+        "heard_bytes": ROUTER_SCALING,
+        "cpu_us": ROUTER_SCALING,
+        "heap_bytes": {**ROUTER_SCALING, "rate": OWN_REQUESTS},
     },
     "steward": {
-        name: SEAT
+        name: REPLICA_SCALING
         for name in (
             "sent_messages",
             "sent_bytes",
@@ -66,7 +74,7 @@
     },
     "bursar": {
         **{
-            name: SEAT
+            name: REPLICA_SCALING
             for name in (
                 "sent_messages",
                 "sent_bytes",
@@ -75,18 +83,21 @@
                 "heap_bytes",
             )
         },
-        "cpu_us": {**SEAT, "groups": PAIRS},
+        "cpu_us": {**REPLICA_SCALING, "groups": ROUTER_PAIRS},
     },
     "roster": {
-        **{name: SEAT for name in ("sent_messages", "heard_messages", "heard_bytes", "heap_bytes")},
-        "sent_bytes": {**SEAT, "routers": FOR_EACH, "runners": PLAIN},
-        "cpu_us": {**SEAT, "routers": FOR_EACH},
+        **{
+            name: REPLICA_SCALING
+            for name in ("sent_messages", "heard_messages", "heard_bytes", "heap_bytes")
+        },
+        "sent_bytes": {**REPLICA_SCALING, "routers": RUNNERS_PER_ROUTER, "runners": UNSCALED},
+        "cpu_us": {**REPLICA_SCALING, "routers": RUNNERS_PER_ROUTER},
     },
 }
 
 
 def read_rows(path):
-    """The fitted rows that `slopes all` told, by number varied, role and figure."""
+    """The fitted rows printed by `slopes all`, by varied number, role and figure."""
     with open(path, encoding="utf-8") as file:
         rows = [json.loads(line) for line in file if line.startswith("{")]
     return {(row["axis"], row["role"], row["figure"]): row for row in rows if "order" in row}
@@ -97,38 +108,45 @@
     return row["slope"] if row is not None and row["order"] == LINEAR else 0.0
 
 
-def _shorten(amount):
+def _format_amount(amount):
     return f"{float(f'{amount:.3g}'):,.10g}"
 
 
-def work_out(rows, role, figure, base=Shape.BASE, target=TARGET):
-    """start + slope × (target - base) for each number, each times how often the target has it: (text, amount).
-    What the steward's seat spends too is no part of what a duty spends for each pair."""
+def extrapolate(rows, role, figure, base=Shape.BASE, target=TARGET):
+    """Extrapolates a figure to the target: formula text and amount.
+
+    The amount is start + slope × (target - base) for each number, times its scale factor. The part
+    of a slope that the steward's replica has too is scaled separately: it isn't spent per pair of
+    routers or per runner and router.
+    """
     start = rows["routers", role, figure]["values"][str(base["routers"])]
-    parts, total = [_shorten(start)], start
-    for axis, way in NEEDS[role][figure].items():
+    parts, total = [_format_amount(start)], start
+    for axis, scaling in SCALING[role][figure].items():
         row = rows.get((axis, role, figure))
         if row is None or row["order"] == CONSTANT:
             continue
         power = 2 if row["order"] == SQUARE else 1
         grown = target[axis] ** power - base[axis] ** power
-        shared = _slope(rows, axis, SHARED, figure) if way in BESIDE else 0.0
-        for slope, taken in ((row["slope"] - shared, way), (shared, BESIDE.get(way))):
+        shared = _slope(rows, axis, SHARED_ROLE, figure) if scaling in SHARED_SCALING else 0.0
+        for slope, applied in (
+            (row["slope"] - shared, scaling),
+            (shared, SHARED_SCALING.get(scaling)),
+        ):
             if not slope:
                 continue
-            times = WAYS[taken](base, target)
+            times = SCALE_FACTORS[applied](base, target)
             total += slope * grown * times
-            factor = f" × {_shorten(times)}" if taken != PLAIN else ""
+            factor = f" × {_format_amount(times)}" if applied != UNSCALED else ""
             parts.append(
-                f"{_shorten(slope)} × {_shorten(grown)} {axis}{'²' if power == 2 else ''}{factor}"
+                f"{_format_amount(slope)} × {_format_amount(grown)} {axis}{'²' if power == 2 else ''}{factor}"
             )
     return " + ".join(parts), total
 
 
-def tell_target(rows, tell, base=Shape.BASE, target=TARGET):
-    for role, figures in NEEDS.items():
+def report_target(rows, report, base=Shape.BASE, target=TARGET):
+    for role, figures in SCALING.items():
         for figure in figures:
-            text, total = work_out(rows, role, figure, base, target)
+            text, total = extrapolate(rows, role, figure, base, target)
             kind = figure if figure in BUDGET else figure.rpartition("_")[2]
             row = {
                 "role": role,
@@ -141,4 +159,4 @@
                     "budget": BUDGET[kind],
                     "times_budget": float(f"{total / BUDGET[kind]:.3g}"),
                 }
-            tell(row)
+            report(row)
--- a/packages/stage/src/linkhaven/stage/slopes/vary.py
+++ b/packages/stage/src/linkhaven/stage/slopes/vary.py
@@ -1,3 +1,5 @@
+"""Measures fleets with one number varied and all others held."""
+
 import statistics
 from concurrent.futures import ProcessPoolExecutor
 
@@ -15,11 +17,11 @@
     "answer_tokens": (8, 40, 80, 160, 320),
 }
 WARM_US = 3 * SECOND
-UNSCORED = ("turn_p99_us",)
+UNFITTED = ("turn_p99_us",)
 
 
 def measure_shape(given, seed, seconds, warm_us=WARM_US):
-    """One hollow fleet, up and warm: the figures of each of its roles."""
+    """Starts and warms up one simulated fleet; returns the figures of each role."""
     fleet = HollowFleet(Shape(**given), seed)
     fleet.start()
     if "configurations" in given:
@@ -35,7 +37,7 @@
 
 
 def vary(axis, seeds, seconds, base=None, values=None, processes=1, warm_us=WARM_US):
-    """Points of each role and figure over the values of one number, all others held: {(role, figure): [(value, y)]}."""
+    """Measures with one number varied and all others held: {(role, figure): [(value, y)]}."""
     tasks = [
         ({**(base or {}), axis: value}, seed, seconds, warm_us)
         for value in values or VALUES[axis]
@@ -58,11 +60,13 @@
 
 
 def mean_rows(points):
+    """The mean y of each x."""
     values = sorted({value for value, _ in points})
     return {value: statistics.fmean(y for x, y in points if x == value) for value in values}
 
 
-def tell_slopes(axis, points, tell):
+def report_slopes(axis, points, report):
+    """Reports each nonzero figure with its means and, unless unfitted, its fit."""
     for (role, name), found in sorted(points.items()):
         if not any(amount for _, amount in found):
             continue
@@ -72,4 +76,4 @@
             "figure": name,
             "values": {str(x): float(f"{y:.4g}") for x, y in mean_rows(found).items()},
         }
-        tell(row if name in UNSCORED else {**row, **fit(found).as_record()})
+        report(row if name in UNFITTED else {**row, **fit(found).as_record()})
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,3 +1,5 @@
+"""Growth of state and messages with fleet size, against the orders in docs/CAPACITY.md."""
+
 import pathlib
 
 import pytest
@@ -14,14 +16,21 @@
     "rate": (0, 8, 16, 24, 32),
     "configurations": (0, 60, 120, 180, 240),
 }
-HELD = ("sent_messages", "sent_bytes", "heard_messages", "heard_bytes", "heap_bytes", "disk_bytes")
+FIGURES = (
+    "sent_messages",
+    "sent_bytes",
+    "heard_messages",
+    "heard_bytes",
+    "heap_bytes",
+    "disk_bytes",
+)
 SEEDS = 2
 SECONDS = 2
 WARM_US = 1_000_000
 
 
 def read_orders():
-    """The page's table of orders: {(number varied, role, figure): order}."""
+    """The orders of growth from the page's table: {(number varied, role, figure): order}."""
     rows = [
         [cell.strip() for cell in line.strip("|\n").split("|")]
         for line in PAGE.open()
@@ -30,26 +39,29 @@
     begin = next(place for place, row in enumerate(rows) if row[0] == "varied") + 2
     orders = {}
     for row in rows[begin:]:
-        if len(row) != 2 + len(HELD) or row[0] not in VALUES:
+        if len(row) != 2 + len(FIGURES) or row[0] not in VALUES:
             break
         orders.update(
-            {(row[0], row[1], figure): order for figure, order in zip(HELD, row[2:], strict=True)}
+            {
+                (row[0], row[1], figure): order
+                for figure, order in zip(FIGURES, row[2:], strict=True)
+            }
         )
     return orders
 
 
 @pytest.mark.parametrize("axis", VALUES)
-def test_state_and_messages_of_no_role_grow_faster_than_the_page_says(axis):
+def test_state_and_messages_grow_no_faster_than_documented(axis):
     orders = read_orders()
     points = vary(axis, SEEDS, SECONDS, BASE, VALUES[axis], warm_us=WARM_US)
     assert {role for role, _ in points} == {role for number, role, _ in orders if number == axis}
     grown = {}
     for (role, figure), found in points.items():
-        if figure not in HELD:
+        if figure not in FIGURES:
             continue
-        said, seen = orders[axis, role, figure], fit(found)
-        if ORDERS.index(seen.order) > ORDERS.index(said):
-            grown[role, figure] = (said, seen.as_record(), found)
+        documented, seen = orders[axis, role, figure], fit(found)
+        if ORDERS.index(seen.order) > ORDERS.index(documented):
+            grown[role, figure] = (documented, seen.as_record(), found)
     assert not grown
 
 
@@ -62,7 +74,7 @@
         (SQUARE, lambda x: x * (x - 1)),
     ],
 )
-def test_a_fit_finds_the_order_through_a_spread_of_a_twentieth(order, shape):
+def test_fit_finds_the_order_despite_five_percent_deviations(order, shape):
     points = [(x, shape(x) * (1 + 0.05 * sign)) for x in (4, 8, 16, 32, 64) for sign in (-1, 0, 1)]
     found = fit(points)
     assert found.order == order
